--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -24,9 +24,9 @@
 from ivymux.config_store.calls import ClaimAction, EndAction
 from ivymux.config_store.calls import encode as encode_call
 from ivymux.config_store.messages import TicketStored, TicketWrite, encode
-from ivymux.door.front import Answer
+from ivymux.data_plane.frontend import Answer
+from ivymux.idempotency.record_store import DONE, KEY_DIGITS, Ticket
 from ivymux.proxy.actions import kept
-from ivymux.ticket.book import DONE, KEY_DIGITS, Ticket
 from ivymux.transport.frames import pack
 
 DOORS = (3, 8, 32)
--- a/bench/parts.py
+++ b/bench/parts.py
@@ -136,7 +136,7 @@
 async def serve(kind: str, address: str) -> None:
     loop = asyncio.get_running_loop()
     if kind == "tally":
-        from ivymux.door.limits import Address
+        from ivymux.data_plane.limits import Address
         from ivymux.tally.server import TallyServer
         from ivymux.tally.store import Store
 
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -21,9 +21,9 @@
 
 from bench.common import arguments, figure, report
 from bench.system import CORES, System, document
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
+from ivymux.transport.connection import Dialler, Line
 from ivymux.transport.frames import Message, pack
-from ivymux.transport.line import Dialler, Line
 
 DOORS = (11, 85, 300, 1000)
 BACKENDS, BEAT = 155, 1.5
--- a/bench/trials.py
+++ b/bench/trials.py
@@ -28,7 +28,7 @@
 import uvloop
 
 from bench.common import figure, html, parser, quantile, report
-from ivymux.intercept.catch import LEASE
+from ivymux.fault_injection.request_matcher import LEASE
 from ivymux.testdesk.lab import Lab, lab
 
 DOORS, CORES, PARTNERS = 12, 3, 8
--- a/ivymux/cli/admin.py
+++ b/ivymux/cli/admin.py
@@ -32,8 +32,8 @@
 
 def run(args: argparse.Namespace) -> int:
     from ivymux.cli.serve import log_to_standard_error
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.desired.model import StoreError
-    from ivymux.door.limits import ConfigError
 
     log_to_standard_error()
     try:
@@ -48,7 +48,7 @@
     import uvicorn
 
     from ivymux.admin.app import application
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
 
     hosting, store = opened(path)
     try:
@@ -76,8 +76,8 @@
 
 def run_operator(args: argparse.Namespace) -> int:
     """The key goes to standard output, once; the store keeps a salted hash."""
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.desired.model import Admin, StoreError
-    from ivymux.door.limits import ConfigError
     from ivymux.tenants import secret
 
     if not (1 <= len(args.name) <= 100 and args.name.isprintable()):
@@ -97,9 +97,9 @@
 
 
 def run_backup(args: argparse.Namespace) -> int:
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.desired.copying import backup_etcd
     from ivymux.desired.model import StoreError
-    from ivymux.door.limits import ConfigError
 
     try:
         hosting, store = opened(args.file)
@@ -117,10 +117,10 @@
 
 
 def run_restore(args: argparse.Namespace) -> int:
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.desired.copying import restore_etcd
     from ivymux.desired.model import StoreError
     from ivymux.desired.sqlite import restore
-    from ivymux.door.limits import ConfigError
     from ivymux.hosting.door import load_hosting
 
     try:
--- a/ivymux/cli/check.py
+++ b/ivymux/cli/check.py
@@ -16,7 +16,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.routes.classes import ClassTable, TooManyClasses
     from ivymux.routes.description import compile_description
     from ivymux.routes.model import DescriptionError
--- a/ivymux/cli/demo.py
+++ b/ivymux/cli/demo.py
@@ -65,7 +65,7 @@
 def run(args: argparse.Namespace) -> int:
     import uvloop
 
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.routes.model import DescriptionError
     from ivymux.service.compiler import CompilerError
 
--- a/ivymux/cli/host.py
+++ b/ivymux/cli/host.py
@@ -25,8 +25,8 @@
     import uvloop
 
     from ivymux.cli.serve import log_to_standard_error
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.desired.model import StoreError
-    from ivymux.door.limits import ConfigError
 
     log_to_standard_error()
     try:
--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -112,7 +112,7 @@
 
 
 def run_apply(args: argparse.Namespace) -> int:
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.inventory.model import InventoryError
     from ivymux.membership import change
     from ivymux.service.standalone import load_site
@@ -201,7 +201,7 @@
 
 def keeper_of(path: Path) -> Any:
     """The snapshots of a site's front door.  Raises ConfigError."""
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.membership.keeper import Keeper
     from ivymux.service.standalone import load_site
 
@@ -212,7 +212,7 @@
 
 
 def run_history(args: argparse.Namespace) -> int:
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
 
     try:
         kept = keeper_of(args.site).history()
@@ -234,7 +234,7 @@
 
 def ask(site: Path, request: str, text: str) -> int:
     """Leave a request for the front door that runs; its log tells what came of it."""
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
 
     try:
         keeper = keeper_of(site)
--- a/ivymux/cli/serve.py
+++ b/ivymux/cli/serve.py
@@ -25,7 +25,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import uvloop
 
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.routes.model import DescriptionError
     from ivymux.service.compiler import CompilerError
 
--- a/ivymux/cli/tally.py
+++ b/ivymux/cli/tally.py
@@ -24,7 +24,7 @@
     import uvloop
 
     from ivymux.cli.serve import log_to_standard_error
-    from ivymux.door.limits import ConfigError, parse_address
+    from ivymux.data_plane.limits import ConfigError, parse_address
     from ivymux.tally.durable import DurableError
 
     log_to_standard_error()
@@ -39,7 +39,7 @@
 
 async def serve(listen: Any, file: Path | None, names: int) -> None:
     """Serve until SIGTERM or SIGINT.  Raises ConfigError, DurableError."""
-    from ivymux.door.limits import ConfigError
+    from ivymux.data_plane.limits import ConfigError
     from ivymux.tally.durable import DurableStore
     from ivymux.tally.server import TallyServer
     from ivymux.tally.store import Store
--- a/ivymux/config_store/actions.py
+++ b/ivymux/config_store/actions.py
@@ -9,7 +9,7 @@
 from ivymux.config_store import messages
 from ivymux.config_store.messages import ReplicaMessage
 from ivymux.config_store.records import ConfigurationState, EpochRecord, NoteInForce
-from ivymux.ticket.book import Ticket
+from ivymux.idempotency.record_store import Ticket
 
 EVERYONE = "*"  # the address of all core machines that are known
 
--- a/ivymux/config_store/durable_store.py
+++ b/ivymux/config_store/durable_store.py
@@ -16,8 +16,8 @@
 from ivymux.config_store.actions import Persist
 from ivymux.config_store.history import MOST_CHANGES, digest_of
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord
-from ivymux.door.limits import ConfigError
-from ivymux.ticket.book import Ticket
+from ivymux.data_plane.limits import ConfigError
+from ivymux.idempotency.record_store import Ticket
 
 MAP_SIZE = 96 << 20  # bytes of the file at most
 FOLDER = "exchange"  # within the disk's folder; stores of earlier releases have it
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -35,8 +35,8 @@
 )
 from ivymux.config_store.records import ConfigurationState, EpochRecord, NoteInForce, address_of
 from ivymux.config_store.timing import RETRY
-from ivymux.ticket import CONVERSATIONS
-from ivymux.ticket.book import (
+from ivymux.idempotency import CONVERSATIONS
+from ivymux.idempotency.record_store import (
     DONE,
     GO,
     IN_HAND,
@@ -405,7 +405,7 @@
         self.replica.actions.append(PublishNote(note))
         if note.name == CONVERSATIONS:
             # Only where there are settings: a start is charged.
-            from ivymux.ticket.terms import TermsError, read
+            from ivymux.idempotency.settings import TermsError, read
 
             with contextlib.suppress(TermsError):  # it was checked; an older program keeps what it knew
                 self.rules = read(note.text.encode()).rules
--- a/ivymux/config_store/messages.py
+++ b/ivymux/config_store/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ivymux.config_store.records import EpochRecord, NoteInForce
-from ivymux.ticket.book import Ticket
+from ivymux.idempotency.record_store import Ticket
 
 PROTOCOL_VERSION = 2
 TAG = "kind"
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -28,11 +28,11 @@
 from ivymux.config_store.records import NoteInForce, address_of
 from ivymux.config_store.replica import Replica
 from ivymux.config_store.timing import LEASE
-from ivymux.door.limits import Address
-from ivymux.station.log import Log
-from ivymux.station.settings import Settings
+from ivymux.data_plane.limits import Address
+from ivymux.runtime.log import Log
+from ivymux.runtime.settings import Settings
+from ivymux.transport.connection import Dialler, Line, Listener, TransportError
 from ivymux.transport.frames import Message
-from ivymux.transport.line import Dialler, Line, Listener, TransportError
 
 TICK = 0.05  # seconds
 ENDS_BEFORE = 1.0  # seconds before the end of `grace` at which a process that holds a copy ends all the same
--- a/ivymux/config_store/records.py
+++ b/ivymux/config_store/records.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ivymux.ticket.book import Ticket
+from ivymux.idempotency.record_store import Ticket
 
 
 class EpochRecord(msgspec.Struct, frozen=True, array_like=True):
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -13,7 +13,7 @@
 from ivymux.config_store.messages import DiskSynced, Refusal, ReplicaMessage
 from ivymux.config_store.records import DurableState, EpochRecord, address_of, is_majority
 from ivymux.config_store.timing import BACKUP_SILENCE, LEASE
-from ivymux.ticket.book import Book
+from ivymux.idempotency.record_store import Book
 
 
 @dataclass(slots=True)
--- a/ivymux/door/front.py
+++ b/ivymux/data_plane/frontend.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ivymux.door.departures import OnDeparture
+from ivymux.data_plane.client_departures import OnDeparture
 from orchidhill import interface as i
 
 Headers = list[tuple[bytes, bytes]]
--- a/ivymux/door/host.py
+++ b/ivymux/data_plane/host.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from ivymux.door.departures import Departures
-from ivymux.door.front import Answer, Call
-from ivymux.door.limits import Address
-from ivymux.door.refusals import FAILED
-from ivymux.door.told import Told
-from ivymux.door.upstream import Attempt, Result, Upstream
+from ivymux.data_plane.client_departures import Departures
+from ivymux.data_plane.frontend import Answer, Call
+from ivymux.data_plane.limits import Address
+from ivymux.data_plane.refusal_log import Told
+from ivymux.data_plane.refusals import FAILED
+from ivymux.data_plane.upstream import Attempt, Result, Upstream
 from orchidhill import interface as i
 from orchidhill.interface import Outcome, State
 
--- a/ivymux/door/passwords.py
+++ b/ivymux/data_plane/passwords.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from ivymux.door.limits import ConfigError
+from ivymux.data_plane.limits import ConfigError
 
 
 def password(folder: Path, name: str, place: str) -> str:
--- a/ivymux/door/told.py
+++ b/ivymux/data_plane/refusal_log.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from ivymux.door.refusals import SPAN, Refusals
+from ivymux.data_plane.refusals import SPAN, Refusals
 
 log = logging.getLogger(__name__)
 
--- a/ivymux/door/server.py
+++ b/ivymux/data_plane/server.py
@@ -12,13 +12,13 @@
 
 import httptools
 
-from ivymux.door.front import CUT, Answer, BadRequest, Call, Front
-from ivymux.door.limits import BACKLOG, Address, Bounds
-from ivymux.door.refusals import DOOR
-from ivymux.door.told import Told
+from ivymux.data_plane.frontend import CUT, Answer, BadRequest, Call, Front
+from ivymux.data_plane.limits import BACKLOG, Address, Bounds
+from ivymux.data_plane.refusal_log import Told
+from ivymux.data_plane.refusals import DOOR
 
 if TYPE_CHECKING:
-    from ivymux.door.host import Host, Open
+    from ivymux.data_plane.host import Host, Open
 
 MOST_HEAD = 16 * 1024
 MOST_STRAY = 1024  # bytes, such as empty lines, that belong to no request
--- a/ivymux/door/upstream.py
+++ b/ivymux/data_plane/upstream.py
@@ -14,8 +14,8 @@
 
 import httptools
 
-from ivymux.door.limits import Address
-from ivymux.door.style import PLATFORM, Style, has_no_body
+from ivymux.data_plane.answer_policy import PLATFORM, Style, has_no_body
+from ivymux.data_plane.limits import Address
 from orchidhill.interface import Outcome
 
 MOST_HEAD = 16 * 1024  # with those of interim answers
--- a/ivymux/intercept/catch.py
+++ b/ivymux/fault_injection/request_matcher.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ivymux.intercept.board import Board, Trial, digest
+from ivymux.fault_injection.trial_set import Board, Trial, digest
 
 LEASE = 3.0  # seconds for which a core's word on trials binds a door, from when it was asked for
 RENEW = 0.6  # seconds between a door's questions
--- a/ivymux/intercept/board.py
+++ b/ivymux/fault_injection/trial_set.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ivymux.numbering.plan import Plan
+from ivymux.routing_config.route_plan import Plan
 
 REFUSE, DELAY, LOSE, CLOSE = "refuse", "delay", "lose", "close"
 DOES = {
--- a/ivymux/intercept/checked.py
+++ b/ivymux/fault_injection/validation.py
@@ -5,16 +5,16 @@
 import msgspec
 from serde import SerdeError, from_dict, serde
 
-from ivymux.intercept import board
-from ivymux.intercept.board import EndDocument, TrialDocument, TrialError
+from ivymux.fault_injection import trial_set
+from ivymux.fault_injection.trial_set import EndDocument, TrialDocument, TrialError
 
-serde(board.TrialDocument)
-serde(board.EndDocument)
+serde(trial_set.TrialDocument)
+serde(trial_set.EndDocument)
 
 
 def document(text: bytes) -> TrialDocument:
     """Raises TrialError."""
-    made = board.document(text)
+    made = trial_set.document(text)
     try:
         from_dict(TrialDocument, msgspec.json.decode(text))
     except SerdeError as error:
@@ -24,7 +24,7 @@
 
 def ending(text: bytes) -> EndDocument:
     """Raises TrialError."""
-    made = board.ending(text)
+    made = trial_set.ending(text)
     try:
         from_dict(EndDocument, msgspec.json.decode(text))
     except SerdeError as error:
--- a/ivymux/hosting/counts.py
+++ b/ivymux/hosting/counts.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.platform.counter import Counter
 from ivymux.tally.clock import SharedClock
 from ivymux.tenants.names import counter_name
--- a/ivymux/hosting/door.py
+++ b/ivymux/hosting/door.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from ivymux.data_plane.limits import HELD_PART, Address, Bounds, ConfigError
+from ivymux.data_plane.refusal_log import Told
 from ivymux.desired.model import DoorStore, Gone, Report, Stored, StoreError
-from ivymux.door.limits import HELD_PART, Address, Bounds, ConfigError
-from ivymux.door.told import Told
 from ivymux.hosting.counts import Shared, SharedCounter
 from ivymux.hosting.lookups import LookUps
 from ivymux.hosting.resident import Resident, Terms, Unserved
--- a/ivymux/hosting/resident.py
+++ b/ivymux/hosting/resident.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
 
-from ivymux.door.host import Host
-from ivymux.door.limits import Address
-from ivymux.door.style import Style
-from ivymux.door.told import Told
-from ivymux.door.upstream import Upstream
+from ivymux.data_plane.answer_policy import Style
+from ivymux.data_plane.host import Host
+from ivymux.data_plane.limits import Address
+from ivymux.data_plane.refusal_log import Told
+from ivymux.data_plane.upstream import Upstream
 from ivymux.hosting.counts import Shared, TenantCounter
 from ivymux.hosting.lookups import LookUps
 from ivymux.inventory.model import Inventory
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -6,10 +6,10 @@
 import time
 from collections.abc import Callable
 
-from ivymux.door.front import Answer, BadRequest, Call, Headers
-from ivymux.door.limits import Address, Bounds
-from ivymux.door.refusals import DOOR
-from ivymux.door.server import Client, Exchange, Server
+from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
+from ivymux.data_plane.limits import Address, Bounds
+from ivymux.data_plane.refusals import DOOR
+from ivymux.data_plane.server import Client, Exchange, Server
 from ivymux.hosting.resident import Resident
 from ivymux.service.callers import Caller
 from ivymux.service.front import READY, OrdinaryFront, encode, refusal
--- a/ivymux/hosting/site.py
+++ b/ivymux/hosting/site.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ivymux.door.limits import Address, ConfigError, parse_address
+from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.service.site import MOST_ANSWERS, SiteError, address, bounded
 from ivymux.tally.engine import RedisPart, check
 from ivymux.tenants.places import Places
--- a/ivymux/hosting/stores.py
+++ b/ivymux/hosting/stores.py
@@ -5,10 +5,10 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from ivymux.data_plane.limits import ConfigError
+from ivymux.data_plane.passwords import password
 from ivymux.desired.model import DoorStore, Store, StoreError
 from ivymux.desired.sqlite import SqliteStore
-from ivymux.door.limits import ConfigError
-from ivymux.door.passwords import password
 from ivymux.hosting.site import EtcdPart, HostingFile
 
 # The client of etcd takes 8 MB and 0.2 s that an installation with SQLite need not have.
--- a/ivymux/ticket/terms.py
+++ b/ivymux/idempotency/settings.py
@@ -1,7 +1,8 @@
 """The operators' settings of conversations: read and checked.  Pure.
 
 They are kept by the store of configuration beside the users' configuration, whose text stays as it was sent.
-Whoever takes them reads them by pyserde besides (`ivymux.ticket.checked`); a door reads them by msgspec.
+Whoever takes them reads them by pyserde besides (`ivymux.idempotency.validation`); a door reads them by
+msgspec.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 import msgspec
 
-from ivymux.ticket.book import MOST_ANSWER, Rules
+from ivymux.idempotency.record_store import MOST_ANSWER, Rules
 
 MOST_TEXT = 16 << 10  # bytes
 TIME = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s|m|h)", re.ASCII)
--- a/ivymux/membership/resolver.py
+++ b/ivymux/membership/resolver.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from functools import lru_cache
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.inventory.model import Worker
 
 LIFE = 30.0  # seconds that an answer counts
--- a/ivymux/membership/roster.py
+++ b/ivymux/membership/roster.py
@@ -7,7 +7,7 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.inventory.model import Worker
 from orchidhill import interface as i
 
--- a/ivymux/platform/config.py
+++ b/ivymux/platform/config.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ivymux.door.limits import Address, Bounds, ConfigError, parse_address
+from ivymux.data_plane.limits import Address, Bounds, ConfigError, parse_address
 from orchidhill import interface as i
 from orchidhill.wire import SettingsError, parse_settings
 
--- a/ivymux/platform/counter.py
+++ b/ivymux/platform/counter.py
@@ -14,7 +14,7 @@
 
 import hiredis
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.tally.clock import SharedClock
 from orchidhill.interface import Count, Counted, Late, Outcome
 
--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from ivymux.door.limits import Address, ConfigError, parse_address
+from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.platform.config import plain
 from orchidhill.interface import Entry, Listing, Members, State
 
--- a/ivymux/platform/front.py
+++ b/ivymux/platform/front.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-from ivymux.door.front import Answer, BadRequest, Call, Headers
+from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
 from ivymux.platform.terms import Reader
 from orchidhill import interface as i
 
--- a/ivymux/platform/frontdoor.py
+++ b/ivymux/platform/frontdoor.py
@@ -13,10 +13,10 @@
 
 import uvloop
 
-from ivymux.door.host import Host
-from ivymux.door.limits import ConfigError
-from ivymux.door.server import Server
-from ivymux.door.upstream import Upstream
+from ivymux.data_plane.host import Host
+from ivymux.data_plane.limits import ConfigError
+from ivymux.data_plane.server import Server
+from ivymux.data_plane.upstream import Upstream
 from ivymux.platform.config import Config, load
 from ivymux.platform.counter import Counter
 from ivymux.platform.discovery import Discovery, Names
--- a/ivymux/platform/terms.py
+++ b/ivymux/platform/terms.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl
 
-from ivymux.door.front import BadRequest
+from ivymux.data_plane.frontend import BadRequest
 from orchidhill import interface as i
 from orchidhill.interface import Effect
 
--- a/ivymux/proxy/actions.py
+++ b/ivymux/proxy/actions.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from ivymux.door.front import Answer, BadRequest, Headers
-from ivymux.ticket.book import ANSWERED, DIFFERS, FULL, IN_HAND, KEY_DIGITS
+from ivymux.data_plane.frontend import Answer, BadRequest, Headers
+from ivymux.idempotency.record_store import ANSWERED, DIFFERS, FULL, IN_HAND, KEY_DIGITS
 
 FIELD = b"idempotency-key"
 KEY = re.compile(rb'"((?:[\x20\x21\x23-\x5b\x5d-\x7e]|\\["\\]){1,255})"|([!#-\[\]-~]{1,255})')
--- a/ivymux/proxy/catching.py
+++ b/ivymux/proxy/catching.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ivymux.door.front import CUT, Answer
-from ivymux.door.host import Host
-from ivymux.door.refusals import TRIAL
-from ivymux.intercept.board import CLOSE, DELAY, LOSE, TrialError, read
-from ivymux.intercept.catch import RENEW, Catch
-from ivymux.station.log import Log
-from ivymux.transport.line import Dialler, TransportError
+from ivymux.data_plane.frontend import CUT, Answer
+from ivymux.data_plane.host import Host
+from ivymux.data_plane.refusals import TRIAL
+from ivymux.fault_injection.request_matcher import RENEW, Catch
+from ivymux.fault_injection.trial_set import CLOSE, DELAY, LOSE, TrialError, read
+from ivymux.runtime.log import Log
+from ivymux.transport.connection import Dialler, TransportError
 
 CALL = 0.5  # seconds of one question
 KEPT = 10.0  # seconds of counts from before a trial, which others' failures are held against
--- a/ivymux/proxy/claims.py
+++ b/ivymux/proxy/claims.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from ivymux.config_store.calls import ClaimAction, EndAction, encode
-from ivymux.door.front import Answer
+from ivymux.data_plane.frontend import Answer
+from ivymux.idempotency.record_store import DONE, FREE, GO, LOST
+from ivymux.idempotency.settings import Terms
 from ivymux.proxy.actions import Action, answer_of, kept
-from ivymux.ticket.book import DONE, FREE, GO, LOST
-from ivymux.ticket.terms import Terms
+from ivymux.transport.connection import Dialler, TransportError
 from ivymux.transport.frames import Message
-from ivymux.transport.line import Dialler, TransportError
 
 ASK = 1.5  # seconds for which a claim is tried; a lost leader is replaced within one
 PART = 0.5  # of the time that the client has left, at the most
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -5,10 +5,10 @@
 import time
 from typing import TYPE_CHECKING
 
-from ivymux.door.limits import Address
-from ivymux.station.log import Log
+from ivymux.data_plane.limits import Address
+from ivymux.runtime.log import Log
+from ivymux.transport.connection import Dialler, Line
 from ivymux.transport.frames import Message
-from ivymux.transport.line import Dialler, Line
 from orchidhill import interface as i
 
 if TYPE_CHECKING:
--- a/ivymux/proxy/counter.py
+++ b/ivymux/proxy/counter.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.proxy.counts import Counts
 from ivymux.proxy.holders import Holders
-from ivymux.station.log import Log
+from ivymux.runtime.log import Log
 from ivymux.tally.store import MOST_AMOUNT, TallyFull
+from ivymux.transport.connection import Dialler, Line
 from ivymux.transport.frames import Message
-from ivymux.transport.line import Dialler, Line
 from orchidhill.interface import Count, Counted, Late, Outcome
 
 MOST_UNSENT = 500  # calls that wait for a connection
--- a/ivymux/proxy/front.py
+++ b/ivymux/proxy/front.py
@@ -8,10 +8,10 @@
 from hashlib import blake2b
 from typing import TYPE_CHECKING
 
-from ivymux.door.departures import OnDeparture
-from ivymux.door.front import CUT, Answer, BadRequest, Call, Headers
-from ivymux.numbering.plan import Plan
+from ivymux.data_plane.client_departures import OnDeparture
+from ivymux.data_plane.frontend import CUT, Answer, BadRequest, Call, Headers
 from ivymux.proxy.tables import Tables
+from ivymux.routing_config.route_plan import Plan
 from orchidhill import interface as i
 
 if TYPE_CHECKING:
--- a/ivymux/proxy/keyed.py
+++ b/ivymux/proxy/keyed.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ivymux.door.front import Headers
-from ivymux.numbering.plan import Route
+from ivymux.data_plane.frontend import Headers
+from ivymux.idempotency.affinity import BUCKETS, Homes, bucket
+from ivymux.idempotency.settings import TermsError, read
 from ivymux.proxy.actions import action
 from ivymux.proxy.claims import Claim, Claims
 from ivymux.proxy.roll import UP, Backend
-from ivymux.station.log import Log
-from ivymux.ticket.homes import BUCKETS, Homes, bucket
-from ivymux.ticket.terms import TermsError, read
-from ivymux.transport.line import Dialler
+from ivymux.routing_config.route_plan import Route
+from ivymux.runtime.log import Log
+from ivymux.transport.connection import Dialler
 
 log = Log("proxy")
 
--- a/ivymux/proxy/pages.py
+++ b/ivymux/proxy/pages.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from ivymux.door.front import Answer, BadRequest, Call, Headers
+from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
 from ivymux.proxy.front import REASONS
 
 READINESS = b"/readiness"
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -10,12 +10,12 @@
 from collections import deque
 from typing import TYPE_CHECKING, cast
 
-from ivymux.door.front import Answer
-from ivymux.door.limits import Address, Bounds, ConfigError, parse_address
-from ivymux.door.server import Server
-from ivymux.door.upstream import Upstream
-from ivymux.intercept import TRIALS
-from ivymux.numbering.plan import PlanError, plan_of
+from ivymux.data_plane.frontend import Answer
+from ivymux.data_plane.limits import Address, Bounds, ConfigError, parse_address
+from ivymux.data_plane.server import Server
+from ivymux.data_plane.upstream import Upstream
+from ivymux.fault_injection import TRIALS
+from ivymux.idempotency import CONVERSATIONS
 from ivymux.proxy.core_connection import CoreConnection
 from ivymux.proxy.counter import HeldCounter
 from ivymux.proxy.counts import Counts
@@ -28,13 +28,13 @@
 from ivymux.proxy.roll import LOST, OFF, UP, Backend, DoorPlace, Roll, RollError
 from ivymux.proxy.style import style
 from ivymux.proxy.tables import Tables
-from ivymux.station.clock import SystemClock
-from ivymux.station.early import fitting
-from ivymux.station.log import Log
-from ivymux.station.settings import Settings
-from ivymux.ticket import CONVERSATIONS
+from ivymux.routing_config.route_plan import PlanError, plan_of
+from ivymux.runtime.clock import SystemClock
+from ivymux.runtime.early_listener import fitting
+from ivymux.runtime.log import Log
+from ivymux.runtime.settings import Settings
+from ivymux.transport.connection import Dialler, Listener
 from ivymux.transport.frames import Message
-from ivymux.transport.line import Dialler, Listener
 from orchidhill import interface as i
 from orchidhill.interface import State
 from orchidhill.switch import SILENT, Switch, Terms
--- a/ivymux/proxy/style.py
+++ b/ivymux/proxy/style.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ivymux.door.style import Style
+from ivymux.data_plane.answer_policy import Style
 from orchidhill.interface import Outcome
 
 SEAL = b"server-seal"
--- a/ivymux/proxy/tables.py
+++ b/ivymux/proxy/tables.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ivymux.numbering.plan import Plan, Route, Tenant
+from ivymux.routing_config.route_plan import Plan, Route, Tenant
 from orchidhill import interface as i
 
 OVER_COST = 2.0  # shares of doors that cannot reach a holder add up to the quota
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -14,21 +14,21 @@
 from ivymux.config_store.calls import Call as StoreCall
 from ivymux.config_store.calls import PutConfiguration, PutNote, encode
 from ivymux.config_store.history import Identity
-from ivymux.door.front import Answer
-from ivymux.door.limits import Address, Bounds
-from ivymux.door.server import Server
-from ivymux.intercept import TRIALS
-from ivymux.numbering.plan import MOST_TEXT, PlanError
+from ivymux.data_plane.frontend import Answer
+from ivymux.data_plane.limits import Address, Bounds
+from ivymux.data_plane.server import Server
+from ivymux.fault_injection import TRIALS
+from ivymux.idempotency import CONVERSATIONS
 from ivymux.registry.grey import Grey
 from ivymux.registry.reach import ProxyReach
 from ivymux.registry.register import QUIESCING, UP, CallError, Register
 from ivymux.registry.trialcalls import TrialCalls
-from ivymux.station.log import Log
-from ivymux.station.settings import Settings
-from ivymux.ticket import CONVERSATIONS
-from ivymux.transport.desk import JSON, Asked, Desk, DeskFront, declare, fault
+from ivymux.routing_config.route_plan import MOST_TEXT, PlanError
+from ivymux.runtime.log import Log
+from ivymux.runtime.settings import Settings
+from ivymux.transport.connection import Dialler, Line, Listener, TransportError
 from ivymux.transport.frames import Message, pack
-from ivymux.transport.line import Dialler, Line, Listener, TransportError
+from ivymux.transport.http_calls import JSON, Asked, Desk, DeskFront, declare, fault
 
 SILENT_BEATS = 2.3  # beats without a word after which a backend counts as lost
 CALL = 0.95  # seconds for which a call of the operator may take; after one it goes to another machine
@@ -372,7 +372,7 @@
 
     @declare("PUT", "/configuration")
     async def put(self, asked: Asked) -> Answer:
-        from ivymux.numbering.checked import plan_of  # it takes long to import: not at the start
+        from ivymux.routing_config.validation import plan_of  # it takes long to import: not at the start
 
         try:
             plan = plan_of(asked.body)
@@ -418,8 +418,8 @@
 
     @declare("PUT", "/conversations")
     async def put_conversations(self, asked: Asked) -> Answer:
-        from ivymux.ticket.checked import read  # it takes long to import: not at the start
-        from ivymux.ticket.terms import TermsError
+        from ivymux.idempotency.settings import TermsError
+        from ivymux.idempotency.validation import read  # it takes long to import: not at the start
 
         try:
             terms = read(asked.body)
--- a/ivymux/registry/trialcalls.py
+++ b/ivymux/registry/trialcalls.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ivymux.door.front import Answer
-from ivymux.transport.desk import Asked, declare
+from ivymux.data_plane.frontend import Answer
+from ivymux.transport.http_calls import Asked, declare
 
 if TYPE_CHECKING:
     from ivymux.registry.trials import Trials
--- a/ivymux/registry/trials.py
+++ b/ivymux/registry/trials.py
@@ -17,16 +17,15 @@
 import msgspec
 
 from ivymux.config_store.calls import PutNote, ReadNote, encode
-from ivymux.door.front import Answer
-from ivymux.intercept import TRIALS
-from ivymux.intercept import board as boards
-from ivymux.intercept.board import Board, Trial, TrialError
-from ivymux.intercept.guard import Guard, GuardError
-from ivymux.numbering.plan import Plan, PlanError, plan_of
-from ivymux.station.log import Log
-from ivymux.transport.desk import JSON, Asked, fault
+from ivymux.data_plane.frontend import Answer
+from ivymux.fault_injection import TRIALS, trial_set
+from ivymux.fault_injection.guard import Guard, GuardError
+from ivymux.fault_injection.trial_set import Board, Trial, TrialError
+from ivymux.routing_config.route_plan import Plan, PlanError, plan_of
+from ivymux.runtime.log import Log
+from ivymux.transport.connection import Line, TransportError
 from ivymux.transport.frames import Message
-from ivymux.transport.line import Line, TransportError
+from ivymux.transport.http_calls import JSON, Asked, fault
 
 if TYPE_CHECKING:
     from ivymux.registry.program import Registry
@@ -69,7 +68,7 @@
     def use(self, text: str) -> None:
         """A board that is in force."""
         try:
-            board = boards.read(text)
+            board = trial_set.read(text)
         except TrialError as error:
             log.say(f"{error}; it is left.")
             return
@@ -94,7 +93,7 @@
             self.use(text)
         if version >= self.board.version:  # else another's reading was faster than this one
             self.read_at = max(self.read_at, began)
-        return self.board if version == self.board.version else boards.read(text)
+        return self.board if version == self.board.version else trial_set.read(text)
 
     async def write(self, board: Board) -> bool:
         """Have a board taken in the place of the one before it; whether it was.  Raises TrialError."""
@@ -116,13 +115,13 @@
             await asyncio.gather(self.read(), asyncio.sleep(READ))
             now = time.time()
             reason = self.guard.tripped(time.monotonic())
-            names = [t.name for t in self.board.running] if reason else boards.due(self.board, now)
+            names = [t.name for t in self.board.running] if reason else trial_set.due(self.board, now)
             for name in names:
                 try:
-                    await self.close(name, "ivymux", f"guard: {reason}" if reason else boards.DONE)
+                    await self.close(name, "ivymux", f"guard: {reason}" if reason else trial_set.DONE)
                 except TrialError:
                     continue  # ended by another, or nobody leads: the next look goes on
-                log.say(f"trial {name} is ended: {reason or boards.DONE}.")
+                log.say(f"trial {name} is ended: {reason or trial_set.DONE}.")
 
     async def close(self, name: str, by: str, why: str) -> Trial:
         """End one trial.  Raises TrialError."""
@@ -131,7 +130,7 @@
             if board is None:
                 raise TrialError(NOBODY, 503)
             asked, caught = self.sums(name)
-            made = boards.ended(board, name, by, why, time.time(), asked, caught)
+            made = trial_set.ended(board, name, by, why, time.time(), asked, caught)
             if await self.write(made):
                 return made.past[0]
         raise TrialError(FAST, 503)
@@ -147,7 +146,7 @@
             if not 0 <= int(caught) <= int(asked) < MOST_COUNT:
                 raise ValueError("counts of a trial")
             counts[str(name)[:48]] = (bool(on), int(asked), int(caught), float(since))
-        if len(counts) > boards.MOST_RUNNING:
+        if len(counts) > trial_set.MOST_RUNNING:
             raise ValueError("too many trials")
         self.words[door] = Word(now, version, zone, counts)
         if message.get("o") is not None:
@@ -183,7 +182,7 @@
             else:
                 there.append({"door": door, "for_s": said[3], "asked": said[1], "caught": said[2]})
         return {
-            **boards.shown(trial), "asked": asked or trial.asked, "caught": caught or trial.caught,
+            **trial_set.shown(trial), "asked": asked or trial.asked, "caught": caught or trial.caught,
             "in_force_at": there, "not_in_force_at": lacking,
         }  # fmt: skip
 
@@ -203,7 +202,7 @@
 
     async def put(self, asked: Asked) -> Answer:
         """Start a trial, or tell (`dry_run`) what would be started."""
-        from ivymux.intercept.checked import document  # it takes long to import
+        from ivymux.fault_injection.validation import document  # it takes long to import
 
         try:
             sent = document(asked.body)
@@ -211,13 +210,13 @@
                 board = await self.read()
                 if board is None:
                     return fault(503, NOBODY)
-                trial = boards.made(asked.name, sent, self.configured(), time.time(), self.longest)
+                trial = trial_set.made(asked.name, sent, self.configured(), time.time(), self.longest)
                 known = next((t for t in board.running if t.name == trial.name), None)
                 if known is not None and same(known, trial):
                     return told(self.status(known))  # once more: its answer was lost
-                made = boards.started(board, trial)
+                made = trial_set.started(board, trial)
                 if sent.dry_run:
-                    return told({"dry_run": True, **boards.shown(trial)})
+                    return told({"dry_run": True, **trial_set.shown(trial)})
                 if await self.write(made):
                     log.say(f"trial {trial.name} is started: {trial.does}, share {trial.share:g}.")
                     return told(self.status(trial))
@@ -226,7 +225,7 @@
         return fault(503, FAST)
 
     async def end(self, asked: Asked) -> Answer:
-        from ivymux.intercept.checked import ending
+        from ivymux.fault_injection.validation import ending
 
         try:
             sent = ending(asked.body)
@@ -234,7 +233,7 @@
         except TrialError as error:
             return fault(error.status, str(error))
         log.say(f"trial {asked.name} is ended by an operator.")
-        return told(boards.shown(ended))
+        return told(trial_set.shown(ended))
 
     async def list(self) -> Answer:
         board = await self.read()
@@ -244,7 +243,7 @@
             {
                 "board_version": board.version,
                 "running": [self.status(t) for t in board.running],
-                "past": [boards.shown(t) for t in board.past],
+                "past": [trial_set.shown(t) for t in board.past],
             }
         )
 
@@ -255,7 +254,7 @@
         trial = board.find(name)
         if trial is None:
             return fault(404, f"there is no trial {name[:60]!r}; GET /trials lists them")
-        return told(boards.shown(trial) if trial.ended else self.status(trial))
+        return told(trial_set.shown(trial) if trial.ended else self.status(trial))
 
 
 def same(one: Trial, other: Trial) -> bool:
--- a/ivymux/numbering/plan.py
+++ b/ivymux/routing_config/route_plan.py
@@ -2,7 +2,7 @@
 
 What is invalid is refused with the place and the mend; what is held is the text as it was sent.  A door
 reads it by msgspec: pyserde's classes cost it 0.4 s of each start.  The core, which takes it, has both
-(checked.py).
+(validation.py).
 """
 
 from __future__ import annotations
--- a/ivymux/numbering/checked.py
+++ b/ivymux/routing_config/validation.py
@@ -9,25 +9,25 @@
 import msgspec
 from serde import SerdeError, from_dict, serde
 
-from ivymux.numbering import plan
-from ivymux.numbering.plan import Plan, PlanError
+from ivymux.routing_config import route_plan
+from ivymux.routing_config.route_plan import Plan, PlanError
 
 for _part in (
-    plan.Split,
-    plan.RouteEntry,
-    plan.ServiceEntry,
-    plan.TenantEntry,
-    plan.LimitsEntry,
-    plan.Document,
+    route_plan.Split,
+    route_plan.RouteEntry,
+    route_plan.ServiceEntry,
+    route_plan.TenantEntry,
+    route_plan.LimitsEntry,
+    route_plan.Document,
 ):
     serde(_part)
 
 
 def plan_of(text: bytes) -> Plan:
     """The plan of a configuration's text.  Raises PlanError."""
-    made = plan.plan_of(text)
+    made = route_plan.plan_of(text)
     try:
-        from_dict(plan.Document, msgspec.json.decode(text))
+        from_dict(route_plan.Document, msgspec.json.decode(text))
     except SerdeError as error:
         raise PlanError(f"the configuration: {' '.join(str(error).split())}") from None
     return made
--- a/ivymux/station/program.py
+++ b/ivymux/runtime/program.py
@@ -15,9 +15,9 @@
 import uvloop
 from absl import flags
 
-from ivymux.door.limits import ConfigError
-from ivymux.station import log as logs
-from ivymux.station.settings import Settings, load, path_of
+from ivymux.data_plane.limits import ConfigError
+from ivymux.runtime import log as logs
+from ivymux.runtime.settings import Settings, load, path_of
 
 LOOK = 2.0  # seconds between looks at the settings file
 
--- a/ivymux/station/settings.py
+++ b/ivymux/runtime/settings.py
@@ -11,8 +11,8 @@
 import msgspec
 import yaml
 
-from ivymux.door.limits import Address, ConfigError, parse_address
-from ivymux.station.early import VARIABLE
+from ivymux.data_plane.limits import Address, ConfigError, parse_address
+from ivymux.runtime.early_listener import VARIABLE
 
 TIME = re.compile(r"(\d{1,12}(?:\.\d{1,9})?)(ms|s)", re.ASCII)
 
--- a/ivymux/service/front.py
+++ b/ivymux/service/front.py
@@ -10,8 +10,8 @@
 from typing import Protocol
 from urllib.parse import unquote_plus
 
-from ivymux.door.departures import OnDeparture
-from ivymux.door.front import Answer, BadRequest, Call, Headers
+from ivymux.data_plane.client_departures import OnDeparture
+from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
 from ivymux.routes import override
 from ivymux.routes.matcher import NoRoute
 from ivymux.routes.table import BadParameter, Table
--- a/ivymux/service/life.py
+++ b/ivymux/service/life.py
@@ -9,7 +9,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from ivymux.door.server import Server
+from ivymux.data_plane.server import Server
 
 LINGER = 0.6  # seconds after SIGTERM in which new connections go on coming
 OVER = 0.4  # seconds beyond the longest deadline in which all that is held has its answer
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ivymux.door.limits import Address, ConfigError, parse_address
+from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.inventory.judge import Limits
 from ivymux.inventory.model import FieldError, Worker, read_address
 from ivymux.routes.model import ClassTerms, Compiled, Options
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ivymux.door.host import Host
-from ivymux.door.limits import HELD_PART, Bounds, ConfigError
-from ivymux.door.server import Server
-from ivymux.door.style import Style
-from ivymux.door.upstream import Upstream
+from ivymux.data_plane.answer_policy import Style
+from ivymux.data_plane.host import Host
+from ivymux.data_plane.limits import HELD_PART, Bounds, ConfigError
+from ivymux.data_plane.server import Server
+from ivymux.data_plane.upstream import Upstream
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.settle import Settle
 from ivymux.membership.keeper import Keeper
--- a/ivymux/tally/engine.py
+++ b/ivymux/tally/engine.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ivymux.door.limits import ConfigError, parse_address
+from ivymux.data_plane.limits import ConfigError, parse_address
 
 # One step at the server, as no two of its calls may have another door's between them.  The name's life is set
 # by its first call; `b` is drawn by it too, so that a name which was lost and begun anew can be told.
--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -25,8 +25,8 @@
 from redis.backoff import NoBackoff
 from redis.maint_notifications import MaintNotificationsConfig
 
-from ivymux.door.limits import parse_address
-from ivymux.door.passwords import password
+from ivymux.data_plane.limits import parse_address
+from ivymux.data_plane.passwords import password
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.engine import LANES, RETRY_FIRST, SCRIPT, SHA, RedisPart, arguments, lane, pause
 from orchidhill.interface import Count, Counted, Late, Outcome
--- a/ivymux/tally/server.py
+++ b/ivymux/tally/server.py
@@ -10,7 +10,7 @@
 
 import hiredis
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.tally.store import BadCall, Store, TallyFull, read_call, written
 
 MOST_CONNECTIONS = 512
--- a/ivymux/testdesk/replay.py
+++ b/ivymux/testdesk/replay.py
@@ -16,7 +16,7 @@
 
 from absl import flags
 
-from ivymux.station.log import fail
+from ivymux.runtime.log import fail
 from ivymux.testdesk import day as days
 from ivymux.testdesk.day import (
     Answered,
--- a/ivymux/testdesk/schedules.py
+++ b/ivymux/testdesk/schedules.py
@@ -18,8 +18,8 @@
 from ivymux.config_store.messages import ReplicaMessage
 from ivymux.config_store.records import DurableState
 from ivymux.config_store.replica import Replica
+from ivymux.idempotency.record_store import ANSWERED, DONE, FREE, GO, LOST
 from ivymux.testdesk.cores import GRACE, Answer, Broken, Cores, Disk, Machine
-from ivymux.ticket.book import ANSWERED, DONE, FREE, GO, LOST
 
 Make = Callable[[DurableState, float], Replica]
 KINDS = ("kill", "wipe", "cut", "one", "link", "loss", "slow", "stuck", "all", "calm", "aimed")
--- a/ivymux/testdesk/seeded.py
+++ b/ivymux/testdesk/seeded.py
@@ -19,9 +19,9 @@
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord, is_majority
 from ivymux.config_store.replica import Replica
 from ivymux.config_store.replica_state import Attempt
-from ivymux.intercept import catch
-from ivymux.intercept.board import Board
-from ivymux.intercept.catch import Catch
+from ivymux.fault_injection import request_matcher
+from ivymux.fault_injection.request_matcher import Catch
+from ivymux.fault_injection.trial_set import Board
 from ivymux.proxy.counts import Book, Counts
 from ivymux.proxy.holders import Holders
 from ivymux.registry import grey
@@ -342,7 +342,9 @@
     "an answer before the own disk": lambda: contextlib.nullcontext(Control(Early)),
     "a majority of one": lambda: any_majority(Core()),
     "a trial's lease from its hearing": lambda: swapped(Trials(), Catch, renew=by_hearing),
-    "a lease of twice its length": lambda: swapped(Trials(), catch, LEASE=2 * catch.LEASE),
+    "a lease of twice its length": lambda: swapped(
+        Trials(), request_matcher, LEASE=2 * request_matcher.LEASE
+    ),
     "an old board in the place of a new one": lambda: swapped(Trials(), Catch, use=any_board),
     "callers whose names begin alike": lambda: swapped(Trials(), Catch, find=alike),
     "a trial of one key that takes all": lambda: swapped(Trials(), Catch, find=keyless),
--- a/ivymux/testdesk/trialrun.py
+++ b/ivymux/testdesk/trialrun.py
@@ -13,8 +13,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ivymux.intercept.board import CLOSE, LOSE, REFUSE, Board, Trial, TrialError, digest, due, ended, started
-from ivymux.intercept.catch import LEASE, RENEW, Catch
+from ivymux.fault_injection.request_matcher import LEASE, RENEW, Catch
+from ivymux.fault_injection.trial_set import (
+    CLOSE,
+    LOSE,
+    REFUSE,
+    Board,
+    Trial,
+    TrialError,
+    digest,
+    due,
+    ended,
+    started,
+)
 
 SECONDS = 30.0
 STEP = 0.1  # seconds between requests at a door
--- a/ivymux/transport/line.py
+++ b/ivymux/transport/connection.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.transport.frames import FrameError, Frames, Message, pack
 
 CONNECT_TIMEOUT = 0.8  # seconds
--- a/ivymux/transport/desk.py
+++ b/ivymux/transport/http_calls.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, cast
 
-from ivymux.door.front import Answer, BadRequest, Call, Headers
-from ivymux.door.told import Told
+from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
+from ivymux.data_plane.refusal_log import Told
 
 if TYPE_CHECKING:
-    from ivymux.door.host import Host
+    from ivymux.data_plane.host import Host
 
 REASONS = {
     200: "OK", 204: "No Content", 307: "Temporary Redirect", 400: "Bad Request", 404: "Not Found",
--- a/ivymux/trialdesk.py
+++ b/ivymux/trialdesk.py
@@ -19,8 +19,8 @@
 import httpx
 from absl import flags
 
-from ivymux.intercept.board import digest
-from ivymux.station.log import fail
+from ivymux.fault_injection.trial_set import digest
+from ivymux.runtime.log import fail
 
 VERBS = ("start", "end", "list", "report", "watch", "digest")
 TRIES = 4  # rounds over the core machines
--- a/tests/config_store/test_fencing.py
+++ b/tests/config_store/test_fencing.py
@@ -27,7 +27,7 @@
 )
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord
 from ivymux.config_store.replica import Replica
-from ivymux.ticket.book import Ticket
+from ivymux.idempotency.record_store import Ticket
 
 MEMBERS = ("a/1", "b/1", "c/1")
 OLD = EpochRecord(4, "a/1", "b/1", MEMBERS)
--- a/tests/config_store/test_tickets.py
+++ b/tests/config_store/test_tickets.py
@@ -19,9 +19,9 @@
     TicketWrite,
 )
 from ivymux.config_store.replica import Replica
+from ivymux.idempotency.record_store import Book
 from ivymux.testdesk.cores import Answer, Broken, Cores
 from ivymux.testdesk.schedules import play
-from ivymux.ticket.book import Book
 
 from .test_epochs import started
 
--- a/tests/intercept/test_catch.py
+++ b/tests/fault_injection/test_request_matcher.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from ivymux.intercept import catch as catching
-from ivymux.intercept.board import REFUSE, Board, Trial, digest, ended, started
-from ivymux.intercept.catch import LEASE, Catch
-from ivymux.intercept.guard import Guard, GuardError
+from ivymux.fault_injection import request_matcher
+from ivymux.fault_injection.guard import Guard, GuardError
+from ivymux.fault_injection.request_matcher import LEASE, Catch
+from ivymux.fault_injection.trial_set import REFUSE, Board, Trial, digest, ended, started
 from ivymux.testdesk.trialrun import Run
 
 KEY, OTHER = b"key-one", b"key-one-more"
@@ -98,7 +98,7 @@
     monkeypatch.setattr(Catch, "renew", lambda self, v, asked, age: true(self, v, asked + age, 0.0))
     assert any(Run(seed).play().broken for seed in range(200))
     monkeypatch.setattr(Catch, "renew", true)
-    monkeypatch.setattr(catching, "LEASE", 2 * LEASE)
+    monkeypatch.setattr(request_matcher, "LEASE", 2 * LEASE)
     assert any(Run(seed).play().broken for seed in range(200))
 
 
--- a/tests/hosting/test_counts.py
+++ b/tests/hosting/test_counts.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.hosting import counts
 from ivymux.hosting.counts import SharedCounter, TenantCounter
 from ivymux.hosting.site import read_hosting
--- a/tests/ticket/test_homes.py
+++ b/tests/idempotency/test_affinity.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ivymux.ticket.homes import BUCKETS, ROOM, Homes, bucket
+from ivymux.idempotency.affinity import BUCKETS, ROOM, Homes, bucket
 
 
 def table(count: int, capacity: int = 2, without: str = "") -> list[str]:
--- a/tests/ticket/test_book.py
+++ b/tests/idempotency/test_record_store.py
@@ -7,7 +7,7 @@
 import pytest
 from msgspec.structs import replace
 
-from ivymux.ticket.book import (
+from ivymux.idempotency.record_store import (
     ANSWERED,
     DIFFERS,
     DONE,
@@ -78,7 +78,7 @@
 
 
 def test_a_full_book_refuses_who_has_more_than_an_even_part(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ivymux.ticket.book.MOST_TICKETS", 4)
+    monkeypatch.setattr("ivymux.idempotency.record_store.MOST_TICKETS", 4)
     book, rules = Book(), Rules(most_for_tenant=100)
     for key in range(3):
         book.take(ticket(key, number=key + 1), 0.0)
--- a/tests/ticket/test_terms.py
+++ b/tests/idempotency/test_settings.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from ivymux.ticket.checked import read
-from ivymux.ticket.terms import TermsError
+from ivymux.idempotency.settings import TermsError
+from ivymux.idempotency.validation import read
 
 
 def text(**fields: object) -> bytes:
--- a/tests/membership/test_keeping.py
+++ b/tests/membership/test_keeping.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import FilesError, read, stamp
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from ivymux.door.limits import ConfigError
+from ivymux.data_plane.limits import ConfigError
 from ivymux.inventory.ansible import write_ansible
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.sheet import write_sheet
--- a/tests/proxy/test_actions.py
+++ b/tests/proxy/test_actions.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from ivymux.door.front import Answer, BadRequest
+from ivymux.data_plane.frontend import Answer, BadRequest
 from ivymux.proxy.actions import FIELD, action, again, answer_of, kept, key_of
 from ivymux.proxy.claims import Claims
-from ivymux.transport.line import Dialler, TransportError
+from ivymux.transport.connection import Dialler, TransportError
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_claimed.py
+++ b/tests/proxy/test_claimed.py
@@ -8,10 +8,10 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from ivymux.door.departures import OnDeparture
-from ivymux.door.front import Answer, Call
-from ivymux.door.host import Host, Open
-from ivymux.door.upstream import Result
+from ivymux.data_plane.client_departures import OnDeparture
+from ivymux.data_plane.frontend import Answer, Call
+from ivymux.data_plane.host import Host, Open
+from ivymux.data_plane.upstream import Result
 from ivymux.proxy.module import module_settings
 from ivymux.proxy.style import style
 from orchidhill import interface as i
--- a/tests/proxy/test_counter.py
+++ b/tests/proxy/test_counter.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.proxy.counter import HeldCounter
 from ivymux.proxy.counts import Counts
 from ivymux.proxy.holders import Holders
-from ivymux.transport.line import Line, Listener
+from ivymux.transport.connection import Line, Listener
 from orchidhill.interface import Count, Counted, Late, Outcome
 
 from ..sockets import run, until
--- a/tests/proxy/test_roll.py
+++ b/tests/proxy/test_roll.py
@@ -6,7 +6,7 @@
 
 from ivymux.proxy.holders import AWAY, SEATS, SETTLED, Holders
 from ivymux.proxy.roll import LOST, OFF, QUIESCING, UP, Roll
-from ivymux.station.clock import SystemClock
+from ivymux.runtime.clock import SystemClock
 
 
 def line(id: str, state: str, seq: int, address: str = "10.0.0.9:80", service: str = "archive") -> list[Any]:
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from ivymux.door.front import Answer
-from ivymux.door.limits import Address, Bounds
-from ivymux.door.server import Server
+from ivymux.data_plane.frontend import Answer
+from ivymux.data_plane.limits import Address, Bounds
+from ivymux.data_plane.server import Server
 from ivymux.proxy.pages import READINESS, PagesFront
-from ivymux.station.early import fitting, front
-from ivymux.transport.line import RETRY_MOST, RETRY_SOON, SOON, pause
+from ivymux.runtime.early_listener import fitting, front
+from ivymux.transport.connection import RETRY_MOST, RETRY_SOON, SOON, pause
 
 from ..sockets import run
 
--- a/tests/registry/test_applied.py
+++ b/tests/registry/test_applied.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 from ivymux.registry.program import Registry
-from ivymux.station.settings import load
+from ivymux.runtime.settings import load
 from ivymux.testdesk.lab import Lab
+from ivymux.transport.connection import Line
 from ivymux.transport.frames import Frames, Message
-from ivymux.transport.line import Line
 
 from ..sockets import run, until
 
--- a/tests/registry/test_calls.py
+++ b/tests/registry/test_calls.py
@@ -8,7 +8,7 @@
 
 from ivymux.registry.program import Registry
 from ivymux.registry.register import UP
-from ivymux.station.settings import load
+from ivymux.runtime.settings import load
 from ivymux.testdesk.lab import Lab
 
 from ..sockets import run, until
--- a/tests/registry/test_grey.py
+++ b/tests/registry/test_grey.py
@@ -8,10 +8,10 @@
 from ivymux.proxy.doubts import Doubts, doubtful
 from ivymux.registry.grey import FIRST, LEAST, MOST, PART, Grey
 from ivymux.registry.program import Registry
-from ivymux.station.settings import load
+from ivymux.runtime.settings import load
 from ivymux.testdesk.lab import Lab
+from ivymux.transport.connection import Line
 from ivymux.transport.frames import Frames, Message
-from ivymux.transport.line import Line
 from orchidhill.interface import Outcome
 
 from ..sockets import run, until
--- a/tests/numbering/test_plan.py
+++ b/tests/routing_config/test_route_plan.py
@@ -8,8 +8,8 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from ivymux.numbering.checked import plan_of
-from ivymux.numbering.plan import PlanError
+from ivymux.routing_config.route_plan import PlanError
+from ivymux.routing_config.validation import plan_of
 
 
 def document() -> dict[str, Any]:
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -12,7 +12,7 @@
 import pytest
 import uvloop
 
-from ivymux.door.front import Call
+from ivymux.data_plane.frontend import Call
 from orchidhill.interface import Effect
 from standins.worker import Reply, Seen, troubled
 from tests.pauses import Pauses
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from ivymux.door.server import Server
+from ivymux.data_plane.server import Server
 from ivymux.platform.config import Config, parse
 from ivymux.platform.frontdoor import FrontDoor
 from orchidhill import interface as i
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -9,8 +9,8 @@
 
 from syrupy.assertion import SnapshotAssertion
 
-from ivymux.intercept.board import digest
-from ivymux.intercept.catch import LEASE
+from ivymux.fault_injection.request_matcher import LEASE
+from ivymux.fault_injection.trial_set import digest
 from ivymux.testdesk.lab import Lab, document, lab
 from ivymux.trialdesk import line
 from standins.backend import Backend
--- a/tests/tally/test_redis.py
+++ b/tests/tally/test_redis.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ivymux.door.limits import ConfigError
+from ivymux.data_plane.limits import ConfigError
 from ivymux.tally import redis as redis_module
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.engine import LANES, SHA, RedisPart, arguments, check, lane, pause, slot
--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ivymux.door.limits import Address
+from ivymux.data_plane.limits import Address
 from ivymux.platform.counter import Counter
 from ivymux.tally import server
 from ivymux.tally.clock import SharedClock
--- a/tests/test_departures.py
+++ b/tests/test_client_departures.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ivymux.door.departures import BOUND, Departures, OnDeparture
-from ivymux.door.front import Answer
+from ivymux.data_plane.client_departures import BOUND, Departures, OnDeparture
+from ivymux.data_plane.frontend import Answer
 from ivymux.proxy.metrics import metrics_text
 from ivymux.proxy.pages import METRICS, PagesFront
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from ivymux.door import server
-from ivymux.door.server import FLOOD
+from ivymux.data_plane import server
+from ivymux.data_plane.server import FLOOD
 from orchidhill import interface as i
 
 from .sockets import Backend, Client, front_door, http_answer, listening, read_message, run, send_on, until
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ivymux.door.limits import OTHER_SOCKETS, Address, Bounds, ConfigError
+from ivymux.data_plane.limits import OTHER_SOCKETS, Address, Bounds, ConfigError
 from ivymux.platform.config import parse
 from orchidhill.wire import parse_settings
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ivymux.door.limits import parse_address
+from ivymux.data_plane.limits import parse_address
 from ivymux.platform import counter as counter_module
 from ivymux.platform.counter import DEAD_AFTER, LINES, MOST_PENDING, Counter, Line
 from orchidhill.interface import Count, Counted, Late, Outcome
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ivymux.door.limits import Address, parse_address
+from ivymux.data_plane.limits import Address, parse_address
 from ivymux.platform import discovery
 from ivymux.platform.discovery import Discovery, Names, backend_id
 from orchidhill.interface import Listing, Members, State
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ivymux.door.refusals import CAUSES, Refusals
+from ivymux.data_plane.refusals import CAUSES, Refusals
 from orchidhill import interface as i
 
 from .sockets import Client, front_door, run
--- a/tests/testdesk/faulty.py
+++ b/tests/testdesk/faulty.py
@@ -10,10 +10,10 @@
 from dataclasses import replace
 from typing import Any
 
-from ivymux.door.departures import OnDeparture
-from ivymux.door.front import Answer, BadRequest
-from ivymux.door.host import Host
-from ivymux.door.upstream import Attempt
+from ivymux.data_plane.client_departures import OnDeparture
+from ivymux.data_plane.frontend import Answer, BadRequest
+from ivymux.data_plane.host import Host
+from ivymux.data_plane.upstream import Attempt
 from ivymux.proxy.front import SystemFront
 from ivymux.proxy.program import Door
 from ivymux.proxy.style import SystemStyle
@@ -181,7 +181,7 @@
 
 
 if __name__ == "__main__":
-    from ivymux.station.program import main
+    from ivymux.runtime.program import main
 
     fault, role = sys.argv[1], sys.argv[2]
     if role == "proxy":
--- a/tests/transport/test_replaced.py
+++ b/tests/transport/test_replaced.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from ivymux.transport.connection import Line, TransportError
 from ivymux.transport.frames import pack
-from ivymux.transport.line import Line, TransportError
 
 
 class Silent(asyncio.Transport):
