--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -34,10 +34,10 @@
 from ivymux.config_store.history import MOST_CHANGES, digest_of
 from ivymux.config_store.messages import ReplicaMessage
 from ivymux.config_store.records import ConfigurationState
-from ivymux.proxy.holders import Holders
-from ivymux.proxy.roll import Roll
-from ivymux.proxy.tables import Tables
-from ivymux.registry.register import Register
+from ivymux.proxy.counter_holders import Holders
+from ivymux.proxy.membership_view import Roll
+from ivymux.proxy.name_tables import Tables
+from ivymux.registry.backend_records import Register
 from ivymux.routing_config.route_plan import MOST_TEXT, Plan, plan_of
 from ivymux.testdesk.losses import started
 from ivymux.transport.frames import pack
--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -26,7 +26,7 @@
 from ivymux.config_store.messages import TicketStored, TicketWrite, encode
 from ivymux.data_plane.frontend import Answer
 from ivymux.idempotency.record_store import DONE, KEY_DIGITS, Ticket
-from ivymux.proxy.actions import kept
+from ivymux.proxy.keyed_actions import kept
 from ivymux.transport.frames import pack
 
 DOORS = (3, 8, 32)
--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -18,9 +18,9 @@
 from bench.common import Child, Load, arguments, figure, quantile, report
 from bench.parts import ANSWER
 from bench.routes import free_port, listening, site, small, standalone_requests
-from ivymux.inventory.judge import Limits
+from ivymux.inventory.change_policy import Limits
+from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.inventory.sheet import write_sheet
 from ivymux.membership.reader import Task, read_beside, work
 from ivymux.service.standalone import open_standalone
 
--- a/ivymux/__main__.py
+++ b/ivymux/__main__.py
@@ -28,7 +28,7 @@
 
         sys.exit(replay(sys.argv[2:]))
     if len(sys.argv) > 1 and sys.argv[1] == "trial":
-        from ivymux.trialdesk import main as trial
+        from ivymux.trial_command import main as trial
 
         sys.exit(trial(sys.argv[2:]))
     from ivymux.cli import main
--- a/ivymux/admin/app.py
+++ b/ivymux/admin/app.py
@@ -20,8 +20,8 @@
 from starlette.routing import Route
 
 from ivymux import __version__
-from ivymux.admin.desk import Desk, Done, InventoryBody, Terms, store_problem
-from ivymux.admin.rules import FAILED_COST, ApiError, Pace, Principal, expected, tag
+from ivymux.admin.authorization import FAILED_COST, ApiError, Pace, Principal, expected, tag
+from ivymux.admin.operations import Desk, Done, InventoryBody, Terms, store_problem
 from ivymux.desired.model import Store, StoreError
 from ivymux.service.site import PlanPart
 from ivymux.tenants.model import CustomerPart, Tenant, shown
--- a/ivymux/admin/desk.py
+++ b/ivymux/admin/operations.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from ivymux.admin.rules import ApiError, Principal, patchable, tag
+from ivymux.admin.authorization import ApiError, Principal, patchable, tag
 from ivymux.desired.model import (
     Admin,
     Answered,
@@ -27,7 +27,7 @@
     StoreError,
     StoreFull,
 )
-from ivymux.inventory.judge import Judge
+from ivymux.inventory.change_policy import Judge
 from ivymux.inventory.model import Inventory, InventoryError
 from ivymux.membership.files import Content, parse
 from ivymux.routes.model import Compiled, DescriptionError
--- a/ivymux/cli/__init__.py
+++ b/ivymux/cli/__init__.py
@@ -30,7 +30,7 @@
     """Run one command; its exit code.  Without one, NODE_CONFIG starts the operators' platform's door."""
     given = sys.argv[1:] if arguments is None else list(arguments)
     if not given and os.environ.get("NODE_CONFIG"):
-        from ivymux.platform.frontdoor import main as platform
+        from ivymux.platform.program import main as platform
 
         return platform()
     top = parser()
--- a/ivymux/cli/admin.py
+++ b/ivymux/cli/admin.py
@@ -67,8 +67,8 @@
 
 def opened(path: Path) -> tuple[Any, Any]:
     """An installation's file and its store.  Raises SiteError, StoreError."""
-    from ivymux.hosting.door import load_hosting
-    from ivymux.hosting.stores import open_store
+    from ivymux.hosting.hosting_gateway import load_hosting
+    from ivymux.hosting.state_stores import open_store
 
     hosting = load_hosting(path)
     return hosting, open_store(hosting.file, path.parent)
@@ -121,7 +121,7 @@
     from ivymux.desired.copying import restore_etcd
     from ivymux.desired.model import StoreError
     from ivymux.desired.sqlite import restore
-    from ivymux.hosting.door import load_hosting
+    from ivymux.hosting.hosting_gateway import load_hosting
 
     try:
         file = load_hosting(args.file).file
--- a/ivymux/cli/host.py
+++ b/ivymux/cli/host.py
@@ -38,8 +38,8 @@
 
 async def host(path: Path) -> None:
     """Serve until SIGTERM or SIGINT."""
-    from ivymux.hosting.door import HostingDoor, load_hosting
-    from ivymux.hosting.stores import open_for_door
+    from ivymux.hosting.hosting_gateway import HostingDoor, load_hosting
+    from ivymux.hosting.state_stores import open_for_door
 
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -91,7 +91,7 @@
 
 def run_convert(args: argparse.Namespace) -> int:
     from ivymux.inventory.model import InventoryError
-    from ivymux.membership.change import convert
+    from ivymux.membership.list_change import convert
 
     try:
         reading = read(args.file)
@@ -114,7 +114,7 @@
 def run_apply(args: argparse.Namespace) -> int:
     from ivymux.data_plane.limits import ConfigError
     from ivymux.inventory.model import InventoryError
-    from ivymux.membership import change
+    from ivymux.membership import list_change
     from ivymux.service.standalone import load_site
 
     try:
@@ -125,7 +125,7 @@
         keeper = keeper_of(args.site) if part.state else None
         last = keeper.last() if keeper is not None else None
         own = ((site.listen.host, site.listen.port),)
-        made = change.propose(args.file, args.site.parent / part.file, part.limits, last, own)
+        made = list_change.propose(args.file, args.site.parent / part.file, part.limits, last, own)
     except InventoryError as error:
         print(error, file=sys.stderr)
         return 1
@@ -150,13 +150,13 @@
     try:
         if keeper is not None and args.confirm:
             keeper.ask("confirm", args.confirm)
-        change.put(made)
+        list_change.put(made)
     except OSError as error:
         return fail(error)
     if keeper is None:
         print(f"{made.target}: written; without inventory.state only the log tells what came of it")
         return 0
-    found = change.taken(keeper, made.reading.inventory, args.wait)
+    found = list_change.taken(keeper, made.reading.inventory, args.wait)
     if found is None:
         print(f"{made.target}: written, but not taken within {args.wait:g} s: see the front door's log;"
               f" if it holds the change back: ivymux inventory confirm {args.site} {code}")  # fmt: skip
@@ -166,8 +166,8 @@
 
 
 def run_show(args: argparse.Namespace) -> int:
+    from ivymux.inventory.csv_reader import write_sheet
     from ivymux.inventory.model import InventoryError
-    from ivymux.inventory.sheet import write_sheet
 
     try:
         sys.stdout.write(write_sheet(read(args.file).inventory).decode())
@@ -180,7 +180,7 @@
 
 
 def run_diff(args: argparse.Namespace) -> int:
-    from ivymux.inventory.judge import Judge, Limits, cut_reason, differences
+    from ivymux.inventory.change_policy import Judge, Limits, cut_reason, differences
     from ivymux.inventory.model import InventoryError
 
     try:
@@ -202,7 +202,7 @@
 def keeper_of(path: Path) -> Any:
     """The snapshots of a site's front door.  Raises ConfigError."""
     from ivymux.data_plane.limits import ConfigError
-    from ivymux.membership.keeper import Keeper
+    from ivymux.membership.snapshot_store import Keeper
     from ivymux.service.standalone import load_site
 
     part = load_site(path).file.inventory
--- a/ivymux/cli/serve.py
+++ b/ivymux/cli/serve.py
@@ -39,7 +39,7 @@
 
 def log_to_standard_error() -> None:
     """At a bounded pace."""
-    from ivymux.platform.frontdoor import Steady
+    from ivymux.platform.program import Steady
 
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     for handler in logging.getLogger().handlers:
--- a/ivymux/hosting/resident.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -15,15 +15,15 @@
 from ivymux.data_plane.limits import Address
 from ivymux.data_plane.refusal_log import Told
 from ivymux.data_plane.upstream import Upstream
-from ivymux.hosting.counts import Shared, TenantCounter
-from ivymux.hosting.lookups import LookUps
+from ivymux.hosting.host_lookups import LookUps
+from ivymux.hosting.tenant_counters import Shared, TenantCounter
 from ivymux.inventory.model import Inventory
+from ivymux.membership.member_list import SLICE, Roster, worker_number
 from ivymux.membership.resolver import Resolver, is_address, system
-from ivymux.membership.roster import SLICE, Roster, worker_number
 from ivymux.routes.classes import ClassTable, TooManyClasses
 from ivymux.routes.model import Compiled
 from ivymux.routes.table import Table
-from ivymux.service.front import OrdinaryFront
+from ivymux.service.frontend import OrdinaryFront
 from ivymux.service.site import SCOPES, Site, settings
 from ivymux.tally.local import LocalCounter
 from ivymux.tally.store import Store
--- a/ivymux/hosting/door.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -14,15 +14,15 @@
 from ivymux.data_plane.limits import HELD_PART, Address, Bounds, ConfigError
 from ivymux.data_plane.refusal_log import Told
 from ivymux.desired.model import DoorStore, Gone, Report, Stored, StoreError
-from ivymux.hosting.counts import Shared, SharedCounter
-from ivymux.hosting.lookups import LookUps
-from ivymux.hosting.resident import Resident, Terms, Unserved
+from ivymux.hosting.host_lookups import LookUps
+from ivymux.hosting.hosted_tenant import Resident, Terms, Unserved
 from ivymux.hosting.server import HostedFront, HostedServer
 from ivymux.hosting.site import Hosting
+from ivymux.hosting.tenant_counters import Shared, SharedCounter
 from ivymux.inventory.model import Inventory
 from ivymux.membership.resolver import LIFE
 from ivymux.routes.model import Compiled
-from ivymux.service.life import Door
+from ivymux.service.lifecycle import Door
 from ivymux.service.site import MOST_ANSWERS
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.server import TallyServer
@@ -236,7 +236,7 @@
         if address is not None:
             counter = SharedCounter(address, part.timeout, clock)
         elif part.redis is not None:
-            from ivymux.hosting.redis_counts import SharedRedis
+            from ivymux.hosting.redis_counters import SharedRedis
             from ivymux.tally.redis import with_passwords
 
             counter = SharedRedis(with_passwords(part.redis, self.folder), part.timeout, clock)
--- a/ivymux/hosting/redis_counts.py
+++ b/ivymux/hosting/redis_counters.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ivymux.hosting.counts import nobody, route
+from ivymux.hosting.tenant_counters import nobody, route
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.engine import RedisPart
 from ivymux.tally.redis import RedisCounter
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -10,9 +10,9 @@
 from ivymux.data_plane.limits import Address, Bounds
 from ivymux.data_plane.refusals import DOOR
 from ivymux.data_plane.server import Client, Exchange, Server
-from ivymux.hosting.resident import Resident
+from ivymux.hosting.hosted_tenant import Resident
 from ivymux.service.callers import Caller
-from ivymux.service.front import READY, OrdinaryFront, encode, refusal
+from ivymux.service.frontend import READY, OrdinaryFront, encode, refusal
 from ivymux.service.problem import TYPE, problem
 from ivymux.tenants.shares import Share, Shares
 
--- a/ivymux/membership/files.py
+++ b/ivymux/membership/files.py
@@ -10,8 +10,8 @@
 from msgspec.structs import replace
 
 from ivymux.inventory.ansible import Beside, read_ansible
+from ivymux.inventory.csv_reader import MOST_BYTES, read_sheet
 from ivymux.inventory.model import Own, Reading
-from ivymux.inventory.sheet import MOST_BYTES, read_sheet
 
 SHEETS = (".csv", ".tsv", ".txt")
 ANSIBLE = (".yml", ".yaml", ".json")
--- a/ivymux/membership/change.py
+++ b/ivymux/membership/list_change.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 
 from ivymux.inventory.ansible import write_ansible
-from ivymux.inventory.judge import Judge, Limits, Verdict, cut_reason, differences
+from ivymux.inventory.change_policy import Judge, Limits, Verdict, cut_reason, differences
+from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Finding, Inventory, InventoryError, Own, Reading, Shape
-from ivymux.inventory.sheet import write_sheet
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import Content, is_sheet, parse, read
-from ivymux.membership.keeper import Keeper
+from ivymux.membership.snapshot_store import Keeper
 
 
 @dataclass(frozen=True, slots=True)
--- a/ivymux/membership/reader.py
+++ b/ivymux/membership/reader.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ivymux.inventory.judge import Change, Judge, Limits, cut_reason, differences
+from ivymux.inventory.change_policy import Change, Judge, Limits, cut_reason, differences
 from ivymux.inventory.model import Finding, Inventory, InventoryError, Own, Shape
 
 MOST_MEMORY = 1 << 30  # bytes of address space
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ivymux.inventory.judge import Judge, Limits
+from ivymux.inventory.change_policy import Judge, Limits
+from ivymux.inventory.file_stability import Settle
 from ivymux.inventory.model import Inventory, Own, Shape
-from ivymux.inventory.settle import Settle
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import stamp
-from ivymux.membership.keeper import Keeper
 from ivymux.membership.reader import Done, Task, read_beside
+from ivymux.membership.snapshot_store import Keeper
 
 COARSE = 2.5  # seconds within which two writes may bear one time stamp, on the coarsest file systems
 APPROVED = 60.0  # seconds that a confirmation waits for the step it is of
--- a/ivymux/platform/front.py
+++ b/ivymux/platform/frontend.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
-from ivymux.platform.terms import Reader
+from ivymux.platform.protocol_settings import Reader
 from orchidhill import interface as i
 
 MOST_BODY = 64 * 1024  # bytes of a request's body, by the protocol
--- a/ivymux/platform/frontdoor.py
+++ b/ivymux/platform/program.py
@@ -20,8 +20,8 @@
 from ivymux.platform.config import Config, load
 from ivymux.platform.counter import Counter
 from ivymux.platform.discovery import Discovery, Names
-from ivymux.platform.front import PlatformFront
-from ivymux.platform.terms import Reader
+from ivymux.platform.frontend import PlatformFront
+from ivymux.platform.protocol_settings import Reader
 from orchidhill.gateway import Gateway
 
 COUNTER_WAIT = 0.3  # seconds that the start waits for the counter's connections
--- a/ivymux/proxy/claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -13,7 +13,7 @@
 from ivymux.data_plane.frontend import Answer
 from ivymux.idempotency.record_store import DONE, FREE, GO, LOST
 from ivymux.idempotency.settings import Terms
-from ivymux.proxy.actions import Action, answer_of, kept
+from ivymux.proxy.keyed_actions import Action, answer_of, kept
 from ivymux.transport.connection import Dialler, TransportError
 from ivymux.transport.frames import Message
 
--- a/ivymux/proxy/counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from ivymux.data_plane.limits import Address
-from ivymux.proxy.counts import Counts
-from ivymux.proxy.holders import Holders
+from ivymux.proxy.counter_holders import Holders
+from ivymux.proxy.lease_counts import Counts
 from ivymux.runtime.log import Log
 from ivymux.tally.store import MOST_AMOUNT, TallyFull
 from ivymux.transport.connection import Dialler, Line
--- a/ivymux/proxy/front.py
+++ b/ivymux/proxy/frontend.py
@@ -10,13 +10,13 @@
 
 from ivymux.data_plane.client_departures import OnDeparture
 from ivymux.data_plane.frontend import CUT, Answer, BadRequest, Call, Headers
-from ivymux.proxy.tables import Tables
+from ivymux.proxy.name_tables import Tables
 from ivymux.routing_config.route_plan import Plan
 from orchidhill import interface as i
 
 if TYPE_CHECKING:
-    from ivymux.proxy.catching import Catcher
-    from ivymux.proxy.keyed import Keyed
+    from ivymux.proxy.keyed_requests import Keyed
+    from ivymux.proxy.trial_client import Catcher
 
 REASONS = {
     200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 400: "Bad Request", 401: "Unauthorized",
--- a/ivymux/proxy/keyed.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -11,9 +11,9 @@
 from ivymux.data_plane.frontend import Headers
 from ivymux.idempotency.affinity import BUCKETS, Homes, bucket
 from ivymux.idempotency.settings import TermsError, read
-from ivymux.proxy.actions import action
-from ivymux.proxy.claims import Claim, Claims
-from ivymux.proxy.roll import UP, Backend
+from ivymux.proxy.action_claims import Claim, Claims
+from ivymux.proxy.keyed_actions import action
+from ivymux.proxy.membership_view import UP, Backend
 from ivymux.routing_config.route_plan import Route
 from ivymux.runtime.log import Log
 from ivymux.transport.connection import Dialler
--- a/ivymux/proxy/counts.py
+++ b/ivymux/proxy/lease_counts.py
@@ -15,7 +15,7 @@
 import math
 from dataclasses import dataclass, field
 
-from ivymux.proxy.holders import Holders
+from ivymux.proxy.counter_holders import Holders
 from ivymux.tally.store import Store, TallyCall
 from orchidhill.interface import Count
 
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -16,18 +16,18 @@
 from ivymux.data_plane.upstream import Upstream
 from ivymux.fault_injection import TRIALS
 from ivymux.idempotency import CONVERSATIONS
+from ivymux.proxy.answer_policy import style
 from ivymux.proxy.core_connection import CoreConnection
-from ivymux.proxy.counter import HeldCounter
-from ivymux.proxy.counts import Counts
-from ivymux.proxy.doubts import Doubts, WatchedHost
-from ivymux.proxy.front import SystemFront
-from ivymux.proxy.holders import Holders
+from ivymux.proxy.counter_holders import Holders
+from ivymux.proxy.distributed_counter import HeldCounter
+from ivymux.proxy.failure_reports import Doubts, WatchedHost
+from ivymux.proxy.frontend import SystemFront
+from ivymux.proxy.lease_counts import Counts
+from ivymux.proxy.membership_view import LOST, OFF, UP, Backend, DoorPlace, Roll, RollError
 from ivymux.proxy.metrics import figures, metrics_text
-from ivymux.proxy.module import CONNECT_TIMEOUT, COUNTER_TIMEOUT, module_settings
-from ivymux.proxy.pages import METRICS, READINESS, PagesFront
-from ivymux.proxy.roll import LOST, OFF, UP, Backend, DoorPlace, Roll, RollError
-from ivymux.proxy.style import style
-from ivymux.proxy.tables import Tables
+from ivymux.proxy.module_settings import CONNECT_TIMEOUT, COUNTER_TIMEOUT, module_settings
+from ivymux.proxy.name_tables import Tables
+from ivymux.proxy.status_pages import METRICS, READINESS, PagesFront
 from ivymux.routing_config.route_plan import PlanError, plan_of
 from ivymux.runtime.clock import SystemClock
 from ivymux.runtime.early_listener import fitting
@@ -40,8 +40,8 @@
 from orchidhill.switch import SILENT, Switch, Terms
 
 if TYPE_CHECKING:
-    from ivymux.proxy.catching import Catcher
-    from ivymux.proxy.keyed import Keyed
+    from ivymux.proxy.keyed_requests import Keyed
+    from ivymux.proxy.trial_client import Catcher
     from orchidhill.gateway import Gateway
 
 IDLE = 10.0  # seconds that a backend is taken to keep an idle connection, where it says nothing
@@ -141,7 +141,7 @@
     def keys(self) -> Keyed:
         """What actions with keys need, loaded with the first of them."""
         if self.keyed is None:
-            from ivymux.proxy.keyed import Keyed
+            from ivymux.proxy.keyed_requests import Keyed
 
             self.keyed = Keyed(self.lines, self.roll.backends.values)
             if self.terms:
@@ -180,7 +180,7 @@
     def trials(self, text: str) -> None:
         """A board of trials; what it takes is loaded with the first of them."""
         if self.catcher is None:
-            from ivymux.proxy.catching import Catcher
+            from ivymux.proxy.trial_client import Catcher
 
             self.catcher = Catcher(
                 self.settings.zone, self.id, self.host, self.lines, self.clock.read, self.counted
--- a/ivymux/proxy/pages.py
+++ b/ivymux/proxy/status_pages.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
-from ivymux.proxy.front import REASONS
+from ivymux.proxy.frontend import REASONS
 
 READINESS = b"/readiness"
 METRICS = b"/metrics"
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -19,10 +19,10 @@
 from ivymux.data_plane.server import Server
 from ivymux.fault_injection import TRIALS
 from ivymux.idempotency import CONVERSATIONS
-from ivymux.registry.grey import Grey
-from ivymux.registry.reach import ProxyReach
-from ivymux.registry.register import QUIESCING, UP, CallError, Register
-from ivymux.registry.trialcalls import TrialCalls
+from ivymux.registry.backend_records import QUIESCING, UP, CallError, Register
+from ivymux.registry.outlier_detection import Grey
+from ivymux.registry.proxy_reachability import ProxyReach
+from ivymux.registry.trial_endpoints import TrialCalls
 from ivymux.routing_config.route_plan import MOST_TEXT, PlanError
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
--- a/ivymux/registry/trialcalls.py
+++ b/ivymux/registry/trial_endpoints.py
@@ -1,4 +1,4 @@
-"""The operators' calls about trials, declared; what carries them out (trials.py) is loaded with the first."""
+"""The operators' calls about trials, declared; the first one loads trial_service.py, which runs them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ivymux.transport.http_calls import Asked, declare
 
 if TYPE_CHECKING:
-    from ivymux.registry.trials import Trials
+    from ivymux.registry.trial_service import Trials
 
 
 class TrialCalls:
@@ -17,7 +17,7 @@
 
     def trials(self) -> Trials:
         if self.intercepts is None:
-            from ivymux.registry.trials import Trials
+            from ivymux.registry.trial_service import Trials
 
             registry: Any = self
             self.intercepts = Trials(registry, self.longest_trial)
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
-from ivymux.inventory.judge import Limits
+from ivymux.inventory.change_policy import Limits
 from ivymux.inventory.model import FieldError, Worker, read_address
 from ivymux.routes.model import ClassTerms, Compiled, Options
 from ivymux.service.callers import CallerError, Callers
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -16,11 +16,11 @@
 from ivymux.data_plane.limits import HELD_PART, Bounds, ConfigError
 from ivymux.data_plane.server import Server
 from ivymux.data_plane.upstream import Upstream
+from ivymux.inventory.file_stability import Settle
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.inventory.settle import Settle
-from ivymux.membership.keeper import Keeper
+from ivymux.membership.member_list import Roster, RosterError
 from ivymux.membership.resolver import Resolver, is_address
-from ivymux.membership.roster import Roster, RosterError
+from ivymux.membership.snapshot_store import Keeper
 from ivymux.membership.source import InventorySource, NoInventory
 from ivymux.platform.counter import Counter
 from ivymux.routes.classes import ClassTable, TooManyClasses
@@ -28,8 +28,8 @@
 from ivymux.routes.model import Compiled, DescriptionError
 from ivymux.routes.table import Table
 from ivymux.service.compiler import CompilerError, obtain, unchanged
-from ivymux.service.front import OrdinaryFront
-from ivymux.service.life import Door
+from ivymux.service.frontend import OrdinaryFront
+from ivymux.service.lifecycle import Door
 from ivymux.service.site import MOST_ANSWERS, SCOPES, Site, SiteError, findings, read_site, settings
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.local import LocalCounter
--- a/ivymux/tenants/model.py
+++ b/ivymux/tenants/model.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ivymux.data_plane.limits import ConfigError
-from ivymux.inventory.judge import Limits as JudgeLimits
+from ivymux.inventory.change_policy import Limits as JudgeLimits
 from ivymux.service.callers import Caller, CallerError, customer_number
 from ivymux.service.site import CallersPart as SiteCallers
 from ivymux.service.site import (
--- a/ivymux/testdesk/explore.py
+++ b/ivymux/testdesk/explore.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from ivymux.config_store.replica import Replica
-from ivymux.registry import grey
+from ivymux.registry import outlier_detection
 from ivymux.testdesk.clocked import START
 from ivymux.testdesk.control import Control
 from ivymux.testdesk.cores import Broken
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Doubts:
-    """Doors that meet failures at the backends of one service (grey.py): whom they shut out."""
+    """Doors that meet failures at the backends of one service (outlier_detection.py): whom they shut out."""
 
     name: str = "doubts"
     doors: int = 5
@@ -155,7 +155,7 @@
         return tuple(met)
 
     def play(self, events: Events) -> str:
-        made, peers = grey.Grey(), [str(n) for n in range(self.backends)]
+        made, peers = outlier_detection.Grey(), [str(n) for n in range(self.backends)]
         heard: list[tuple[float, str, str]] = []
         alone: dict[str, float] = {}
         for event in events:
--- a/ivymux/testdesk/quotas.py
+++ b/ivymux/testdesk/quotas.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ivymux.proxy.counts import Counts
-from ivymux.proxy.holders import Holders
-from ivymux.proxy.module import module_settings
+from ivymux.proxy.counter_holders import Holders
+from ivymux.proxy.lease_counts import Counts
+from ivymux.proxy.module_settings import module_settings
 from ivymux.testdesk.clocked import START, Clocked
 from orchidhill import interface as i
 from orchidhill.switch import Switch, Terms
--- a/ivymux/testdesk/seeded.py
+++ b/ivymux/testdesk/seeded.py
@@ -22,9 +22,9 @@
 from ivymux.fault_injection import request_matcher
 from ivymux.fault_injection.request_matcher import Catch
 from ivymux.fault_injection.trial_set import Board
-from ivymux.proxy.counts import Book, Counts
-from ivymux.proxy.holders import Holders
-from ivymux.registry import grey
+from ivymux.proxy.counter_holders import Holders
+from ivymux.proxy.lease_counts import Book, Counts
+from ivymux.registry import outlier_detection
 from ivymux.testdesk.control import Control
 from ivymux.testdesk.cores import Cores, Disk
 from ivymux.testdesk.explore import Core, Cuts, Doubts, Quotas, Trials, World
@@ -350,8 +350,8 @@
     "a trial of one key that takes all": lambda: swapped(Trials(), Catch, find=keyless),
     "an end that a door does not heed": lambda: swapped(Trials(), Catch, use=endless),
     "a trial that needs no word of the core": lambda: swapped(Trials(), Catch, use=unasked),
-    "one door's word that shuts a backend out": lambda: swapped(Doubts(), grey, DOORS=1),
-    "no bound on what is shut out": lambda: swapped(Doubts(), grey, PART=1.0),
+    "one door's word that shuts a backend out": lambda: swapped(Doubts(), outlier_detection, DOORS=1),
+    "no bound on what is shut out": lambda: swapped(Doubts(), outlier_detection, PART=1.0),
     "a store that is not kept to its burst": lambda: swapped(Quotas(), Counts, room=endless_room),
     "counts that are forgotten": lambda: swapped(Cuts(), Counts, open=forgets),
     "nothing kept for doors that are cut off": lambda: swapped(Cuts(), Holders, missing=lambda *a: 0.0),
--- a/ivymux/testdesk/servers.py
+++ b/ivymux/testdesk/servers.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ivymux.proxy.doubts import doubtful
-from ivymux.proxy.module import module_settings
-from ivymux.registry.grey import Grey
+from ivymux.proxy.failure_reports import doubtful
+from ivymux.proxy.module_settings import module_settings
+from ivymux.registry.outlier_detection import Grey
 from ivymux.testdesk.clocked import START, Clocked
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
--- a/tests/admin/calling.py
+++ b/tests/admin/calling.py
@@ -16,8 +16,8 @@
 from ivymux.admin.app import application
 from ivymux.desired.model import Admin, Store
 from ivymux.desired.sqlite import SqliteStore
+from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.inventory.sheet import write_sheet
 from ivymux.tenants import secret
 from ivymux.tenants.places import ANYWHERE, Places
 from tests.routes.describing import described
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -11,11 +11,12 @@
 
 import pytest
 
-from ivymux.admin import desk, rules
+from ivymux.admin import authorization
+from ivymux.admin import operations as operations_module
 from ivymux.admin.app import description, operations
-from ivymux.admin.rules import ApiError, Pace, expected
+from ivymux.admin.authorization import ApiError, Pace, expected
+from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.inventory.sheet import write_sheet
 from ivymux.tenants.secret import FORM
 from tests.admin.calling import Caller, serving
 from tests.hosting.doors import hosting
@@ -28,8 +29,8 @@
 
 @pytest.fixture
 def fast(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rules, "RATE", 1e6)
-    monkeypatch.setattr(rules, "BURST", 1e6)
+    monkeypatch.setattr(authorization, "RATE", 1e6)
+    monkeypatch.setattr(authorization, "BURST", 1e6)
 
 
 def test_a_tenants_life(tmp_path: Path, fast: None) -> None:
@@ -333,7 +334,7 @@
             assert gone.status_code == 204 and not place.door.residents and not place.door.hosts
             # A front door that is alive and does not follow is not lied about.
             await olga.make("a")
-            monkeypatch.setattr(desk, "EFFECT_WAIT", 0.05)
+            monkeypatch.setattr(operations_module, "EFFECT_WAIT", 0.05)
             for task in list(place.door.tasks):
                 task.cancel()
             slow = await olga.change("DELETE", T)
@@ -344,7 +345,7 @@
 
 def test_a_watch_tells_of_changes_and_of_the_end(tmp_path: Path, fast: None) -> None:
     from ivymux.admin.app import Api
-    from ivymux.admin.rules import Principal
+    from ivymux.admin.authorization import Principal
 
     class Staying:
         async def is_disconnected(self) -> bool:
@@ -383,12 +384,12 @@
 
     run(test())
     pace = Pace()
-    assert all(pace.ask("a", 0.0) == 0 for _ in range(int(rules.BURST)))
+    assert all(pace.ask("a", 0.0) == 0 for _ in range(int(authorization.BURST)))
     wait = pace.ask("a", 0.0)
     assert wait > 0 and pace.ask("a", wait) == 0 and pace.ask("b", 0.0) == 0
-    for n in range(rules.MOST_KNOWN + 10):
+    for n in range(authorization.MOST_KNOWN + 10):
         pace.ask(f"x{n}", 1.0)
-    assert len(pace.known) == rules.MOST_KNOWN
+    assert len(pace.known) == authorization.MOST_KNOWN
 
 
 @pytest.mark.parametrize("text", ["", "*", "1", '""', '"x"', 'W/"1"', '"1', "'1'", '"\uff11"'])
--- a/tests/admin/test_etcd.py
+++ b/tests/admin/test_etcd.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ivymux.admin import desk, rules
+from ivymux.admin import authorization, operations
 from ivymux.desired.etcd.store import EtcdStore
 from standins.etcd import Server, serving
 from tests.admin.calling import ROUTES, Caller, calling
@@ -21,8 +21,8 @@
 
 @pytest.fixture(autouse=True)
 def fast(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rules, "RATE", 1e6)
-    monkeypatch.setattr(rules, "BURST", 1e6)
+    monkeypatch.setattr(authorization, "RATE", 1e6)
+    monkeypatch.setattr(authorization, "BURST", 1e6)
 
 
 @contextlib.asynccontextmanager
@@ -121,7 +121,7 @@
 
 
 def test_a_tenants_administrators_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(desk, "MOST_ADMINS", 2)
+    monkeypatch.setattr(operations, "MOST_ADMINS", 2)
 
     async def test() -> None:
         async with scene() as (olga, _, _store):
--- a/tests/admin/test_schemathesis.py
+++ b/tests/admin/test_schemathesis.py
@@ -18,7 +18,7 @@
 from hypothesis.internal.conjecture import providers
 from hypothesis.internal.constants_ast import Constants
 
-from ivymux.admin import rules
+from ivymux.admin import authorization
 from ivymux.admin.app import application
 from ivymux.desired.model import Admin, Change
 from ivymux.desired.sqlite import SqliteStore
@@ -43,8 +43,8 @@
 @pytest.fixture(scope="module")
 def api(drawn_alike: None, tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[str, str]]:
     """A served API with one tenant `a`; its address and an operator's key."""
-    before = rules.RATE, rules.BURST
-    rules.RATE = rules.BURST = 1e6
+    before = authorization.RATE, authorization.BURST
+    authorization.RATE = authorization.BURST = 1e6
     store = SqliteStore(tmp_path_factory.mktemp("api") / "desired.db")
     number, key, kept = secret.make(secret.ADMIN, time.time())
     store.appoint(Admin(number, "olga", "", kept), time.time())
@@ -63,7 +63,7 @@
     server.should_exit = True
     thread.join()
     store.close()
-    rules.RATE, rules.BURST = before
+    authorization.RATE, authorization.BURST = before
 
 
 @pytest.fixture
--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -11,7 +11,7 @@
 from ivymux.cli import main
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import Snapshot
-from ivymux.membership.keeper import Keeper
+from ivymux.membership.snapshot_store import Keeper
 from ivymux.service.standalone import open_standalone
 from tests.inventory import damage
 from tests.routes.describing import described, operation
--- a/tests/hosting/doors.py
+++ b/tests/hosting/doors.py
@@ -14,7 +14,7 @@
 
 from ivymux.desired.model import Change
 from ivymux.desired.sqlite import SqliteStore
-from ivymux.hosting.door import HostingDoor
+from ivymux.hosting.hosting_gateway import HostingDoor
 from ivymux.hosting.site import read_hosting
 from ivymux.tenants.model import Tenant
 from standins.worker import Fleet, Plan, Worker, ordinary
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -17,7 +17,7 @@
 from ivymux.desired.etcd.follower import Follower
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.model import StoreBusy, StoreError
-from ivymux.hosting.door import HostingDoor
+from ivymux.hosting.hosting_gateway import HostingDoor
 from ivymux.hosting.site import read_hosting
 from standins.etcd import Faults, Server, serving
 from standins.worker import Fleet, Worker
--- a/tests/hosting/test_places.py
+++ b/tests/hosting/test_places.py
@@ -11,8 +11,7 @@
 import pytest
 from msgspec.structs import replace
 
-from ivymux.hosting import door as door_module
-from ivymux.hosting import lookups
+from ivymux.hosting import host_lookups, hosting_gateway
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants.model import InventoryRef, digest
 from ivymux.tenants.places import Places
@@ -63,7 +62,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     found = {"good.example": "127.0.0.1", "bad.example": "127.3.0.1"}
-    monkeypatch.setattr(lookups, "ask", lambda name: [found[name]])
+    monkeypatch.setattr(host_lookups, "ask", lambda name: [found[name]])
 
     async def test() -> None:
         extra = 'worker_networks = ["127.0.0.0/16"]\nadmin = "127.0.0.1:8099"\n'
@@ -98,7 +97,7 @@
         answer.wait(20)
         return ["127.0.0.1"]
 
-    monkeypatch.setattr(lookups, "ask", ask)
+    monkeypatch.setattr(host_lookups, "ask", ask)
 
     async def test() -> None:
         async with hosting(tmp_path, "a", "b", follow=0.02) as place:
@@ -120,7 +119,7 @@
                 await asyncio.sleep(0.005)
             assert time.monotonic() - began < 5  # fifty names at 5 s each would be far more
             assert (await place.ask(a)).status == 200  # by the worker that has an address
-            assert len(asked) <= lookups.MOST_RUNNING
+            assert len(asked) <= host_lookups.MOST_RUNNING
             answer.set()
             await until(lambda: len(place.door.residents[a.uid].part.host.upstream.pools) >= 2)  # type: ignore[union-attr]
 
@@ -129,8 +128,8 @@
 
 def test_a_name_that_moves_is_followed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     found = ["127.0.0.1"]
-    monkeypatch.setattr(lookups, "ask", lambda name: list(found))
-    monkeypatch.setattr(door_module, "RENEW", 0.05)
+    monkeypatch.setattr(host_lookups, "ask", lambda name: list(found))
+    monkeypatch.setattr(hosting_gateway, "RENEW", 0.05)
 
     async def test() -> None:
         async with hosting(tmp_path, "a", follow=0.02) as place:
--- a/tests/hosting/test_counts.py
+++ b/tests/hosting/test_tenant_counters.py
@@ -11,9 +11,9 @@
 import pytest
 
 from ivymux.data_plane.limits import Address
-from ivymux.hosting import counts
-from ivymux.hosting.counts import SharedCounter, TenantCounter
+from ivymux.hosting import tenant_counters
 from ivymux.hosting.site import read_hosting
+from ivymux.hosting.tenant_counters import SharedCounter, TenantCounter
 from ivymux.service.site import SiteError
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.server import TallyServer
@@ -79,7 +79,7 @@
 
 
 def test_answers_find_the_module_that_called_and_floods_leave_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counts, "MOST_OUT", 5)
+    monkeypatch.setattr(tenant_counters, "MOST_OUT", 5)
 
     async def test() -> None:
         store = Store()
--- a/tests/inventory/test_judge.py
+++ b/tests/inventory/test_change_policy.py
@@ -6,10 +6,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ivymux.inventory.judge import Change, Judge, Limits, confirmation, cut_reason, differences, digest
+from ivymux.inventory.change_policy import (
+    Change,
+    Judge,
+    Limits,
+    confirmation,
+    cut_reason,
+    differences,
+    digest,
+)
+from ivymux.inventory.csv_reader import read_sheet
+from ivymux.inventory.file_stability import Settle
 from ivymux.inventory.model import Inventory, Shape, Worker
-from ivymux.inventory.settle import Settle
-from ivymux.inventory.sheet import read_sheet
 from ivymux.inventory.snapshot import Snapshot, SnapshotError, decode, encode
 
 from . import damage
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from ivymux.inventory.ansible import Beside, RangeError, expand, read_ansible, write_ansible
+from ivymux.inventory.csv_reader import read_sheet, write_sheet
 from ivymux.inventory.model import Inventory, InventoryError, Worker
-from ivymux.inventory.sheet import read_sheet, write_sheet
 
 from . import damage
 
--- a/tests/membership/test_keeping.py
+++ b/tests/membership/test_keeping.py
@@ -18,9 +18,9 @@
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import FilesError, read, stamp
-from ivymux.membership.keeper import HISTORY, Keeper
+from ivymux.membership.member_list import SLICE, Roster, worker_number
 from ivymux.membership.resolver import Resolver
-from ivymux.membership.roster import SLICE, Roster, worker_number
+from ivymux.membership.snapshot_store import HISTORY, Keeper
 from orchidhill import interface as i
 from tests.sockets import run
 
@@ -29,7 +29,7 @@
 from pathlib import Path
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import Snapshot
-from ivymux.membership.keeper import Keeper
+from ivymux.membership.snapshot_store import Keeper
 keeper = Keeper(Path(sys.argv[1]))
 number = keeper.next_number()
 print(number, flush=True)
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -18,13 +18,13 @@
 
 from ivymux.data_plane.limits import ConfigError
 from ivymux.inventory.ansible import write_ansible
+from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.inventory.sheet import write_sheet
 from ivymux.inventory.snapshot import decode
 from ivymux.membership import files as files_module
 from ivymux.membership import source as source_module
-from ivymux.membership.keeper import Keeper
 from ivymux.membership.reader import Done, Task, read_beside, work
+from ivymux.membership.snapshot_store import Keeper
 from ivymux.membership.source import InventorySource
 from ivymux.service.standalone import Standalone, open_standalone
 from standins import worker as stand
@@ -603,7 +603,7 @@
     async def test() -> None:
         path = tmp_path / "w.csv"
         path.write_bytes(damage.SHEET.encode())
-        from ivymux.inventory.judge import Limits
+        from ivymux.inventory.change_policy import Limits
 
         whole = await read_beside(Task(str(path), Limits(), None, None))
         assert whole.inventory is not None and whole == work(Task(str(path), Limits(), None, None))
--- a/tests/proxy/test_claimed.py
+++ b/tests/proxy/test_claimed.py
@@ -12,8 +12,8 @@
 from ivymux.data_plane.frontend import Answer, Call
 from ivymux.data_plane.host import Host, Open
 from ivymux.data_plane.upstream import Result
-from ivymux.proxy.module import module_settings
-from ivymux.proxy.style import style
+from ivymux.proxy.answer_policy import style
+from ivymux.proxy.module_settings import module_settings
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
--- a/tests/proxy/test_counter.py
+++ b/tests/proxy/test_distributed_counter.py
@@ -9,9 +9,9 @@
 import pytest
 
 from ivymux.data_plane.limits import Address
-from ivymux.proxy.counter import HeldCounter
-from ivymux.proxy.counts import Counts
-from ivymux.proxy.holders import Holders
+from ivymux.proxy.counter_holders import Holders
+from ivymux.proxy.distributed_counter import HeldCounter
+from ivymux.proxy.lease_counts import Counts
 from ivymux.transport.connection import Line, Listener
 from orchidhill.interface import Count, Counted, Late, Outcome
 
--- a/tests/proxy/test_actions.py
+++ b/tests/proxy/test_keyed_actions.py
@@ -8,8 +8,8 @@
 import pytest
 
 from ivymux.data_plane.frontend import Answer, BadRequest
-from ivymux.proxy.actions import FIELD, action, again, answer_of, kept, key_of
-from ivymux.proxy.claims import Claims
+from ivymux.proxy.action_claims import Claims
+from ivymux.proxy.keyed_actions import FIELD, action, again, answer_of, kept, key_of
 from ivymux.transport.connection import Dialler, TransportError
 
 
--- a/tests/proxy/test_counts.py
+++ b/tests/proxy/test_lease_counts.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ivymux.proxy.counts import Counts
-from ivymux.proxy.holders import Holders
-from ivymux.proxy.tables import customer
+from ivymux.proxy.counter_holders import Holders
+from ivymux.proxy.lease_counts import Counts
+from ivymux.proxy.name_tables import customer
 from ivymux.testdesk.clocked import START
 from ivymux.testdesk.quotas import Doors, HeldByDoors, Tenant, plan
 from orchidhill.interface import Count
--- a/tests/proxy/test_roll.py
+++ b/tests/proxy/test_membership_view.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from ivymux.proxy.holders import AWAY, SEATS, SETTLED, Holders
-from ivymux.proxy.roll import LOST, OFF, QUIESCING, UP, Roll
+from ivymux.proxy.counter_holders import AWAY, SEATS, SETTLED, Holders
+from ivymux.proxy.membership_view import LOST, OFF, QUIESCING, UP, Roll
 from ivymux.runtime.clock import SystemClock
 
 
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -11,7 +11,7 @@
 from ivymux.data_plane.frontend import Answer
 from ivymux.data_plane.limits import Address, Bounds
 from ivymux.data_plane.server import Server
-from ivymux.proxy.pages import READINESS, PagesFront
+from ivymux.proxy.status_pages import READINESS, PagesFront
 from ivymux.runtime.early_listener import fitting, front
 from ivymux.transport.connection import RETRY_MOST, RETRY_SOON, SOON, pause
 
--- a/tests/proxy/test_switch.py
+++ b/tests/proxy/test_switch.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ivymux.proxy.module import module_settings
+from ivymux.proxy.module_settings import module_settings
 from orchidhill import interface as i
 from orchidhill.interface import Effect, Outcome, State, Why
 from orchidhill.switch import MOST_TRIES, SILENT, Switch, Terms
--- a/tests/registry/test_register.py
+++ b/tests/registry/test_backend_records.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ivymux.registry.register import LOST, OFF, QUIESCING, UP, CallError, Register
+from ivymux.registry.backend_records import LOST, OFF, QUIESCING, UP, CallError, Register
 
 
 def call(seq: int, state: str = "in_service", **changes: Any) -> dict[str, Any]:
--- a/tests/registry/test_calls.py
+++ b/tests/registry/test_calls.py
@@ -6,8 +6,8 @@
 import json
 from pathlib import Path
 
+from ivymux.registry.backend_records import UP
 from ivymux.registry.program import Registry
-from ivymux.registry.register import UP
 from ivymux.runtime.settings import load
 from ivymux.testdesk.lab import Lab
 
--- a/tests/registry/test_grey.py
+++ b/tests/registry/test_outlier_detection.py
@@ -5,8 +5,8 @@
 import asyncio
 from pathlib import Path
 
-from ivymux.proxy.doubts import Doubts, doubtful
-from ivymux.registry.grey import FIRST, LEAST, MOST, PART, Grey
+from ivymux.proxy.failure_reports import Doubts, doubtful
+from ivymux.registry.outlier_detection import FIRST, LEAST, MOST, PART, Grey
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
 from ivymux.testdesk.lab import Lab
--- a/tests/registry/test_reach.py
+++ b/tests/registry/test_proxy_reachability.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ivymux.registry.reach import REMEMBERED, ProxyReach
+from ivymux.registry.proxy_reachability import REMEMBERED, ProxyReach
 
 ALL = [f"10.0.0.{n}" for n in range(1, 13)]
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -13,7 +13,7 @@
 
 from ivymux.data_plane.server import Server
 from ivymux.platform.config import Config, parse
-from ivymux.platform.frontdoor import FrontDoor
+from ivymux.platform.program import FrontDoor
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -12,7 +12,7 @@
 from ivymux.fault_injection.request_matcher import LEASE
 from ivymux.fault_injection.trial_set import digest
 from ivymux.testdesk.lab import Lab, document, lab
-from ivymux.trialdesk import line
+from ivymux.trial_command import line
 from standins.backend import Backend
 
 CALLERS = {"clerks": "key-one", "clerks-hall": "key-one-more", "chairs": "key-two"}  # two begin alike
--- a/tests/tenants/making.py
+++ b/tests/tenants/making.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
+from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.inventory.sheet import write_sheet
 from ivymux.routes.description import compile_description
 from ivymux.service.site import PlanPart
 from ivymux.tenants.model import CustomerPart, InventoryRef, KeyEntry, RoutesPart, Tenant, digest, site_of
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -7,7 +7,7 @@
 from ivymux.data_plane.client_departures import BOUND, Departures, OnDeparture
 from ivymux.data_plane.frontend import Answer
 from ivymux.proxy.metrics import metrics_text
-from ivymux.proxy.pages import METRICS, PagesFront
+from ivymux.proxy.status_pages import METRICS, PagesFront
 
 
 def test_what_is_left_and_how_its_attempts_end_is_told_once() -> None:
--- a/tests/test_frontdoor.py
+++ b/tests/test_platform_program.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ivymux.data_plane.server import IDLE_TIMEOUT, MOST_HEAD, MOST_PIPELINED
-from ivymux.platform.front import MOST_BODY
+from ivymux.platform.frontend import MOST_BODY
 from orchidhill import interface as i
 from orchidhill.admission import WINDOW, mix
 from orchidhill.interface import Outcome
--- a/tests/testdesk/faulty.py
+++ b/tests/testdesk/faulty.py
@@ -14,9 +14,9 @@
 from ivymux.data_plane.frontend import Answer, BadRequest
 from ivymux.data_plane.host import Host
 from ivymux.data_plane.upstream import Attempt
-from ivymux.proxy.front import SystemFront
+from ivymux.proxy.answer_policy import SystemStyle
+from ivymux.proxy.frontend import SystemFront
 from ivymux.proxy.program import Door
-from ivymux.proxy.style import SystemStyle
 from orchidhill import interface as i
 from orchidhill.interface import Outcome, State
 from orchidhill.switch import Switch
