--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -39,7 +39,7 @@
 from ivymux.proxy.name_tables import Tables
 from ivymux.registry.backend_records import Register
 from ivymux.routing_config.route_plan import MOST_TEXT, Plan, plan_of
-from ivymux.testdesk.losses import started
+from ivymux.simulation.loss_scenarios import started
 from ivymux.transport.frames import pack
 
 PROXIES, BACKENDS, SERVICES, ROUTES, TENANTS = 830, 6800, 130, 4700, 60_000
--- a/bench/control.py
+++ b/bench/control.py
@@ -2,8 +2,8 @@
 
     python -m bench.control [--quick] [--runs N] [--jobs N] [--json FILE|-]
 
-A model (ivymux/testdesk/losses.py) in simulated time, cores of 3 to 5 machines, 20 delays from 0 to 6 s.
-A broken promise ends the run with the case that plays it again.
+A model (ivymux/simulation/loss_scenarios.py) in simulated time, cores of 3 to 5 machines, 20 delays from 0 to
+6 s. A broken promise ends the run with the case that plays it again.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from typing import Any
 
 from bench.common import figure, parser, report
-from ivymux.testdesk.cores import Broken, Cores
-from ivymux.testdesk.losses import (
+from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.loss_scenarios import (
     ROLES,
     SYNC_TIME,
     departure,
--- a/bench/epochs.py
+++ b/bench/epochs.py
@@ -3,8 +3,8 @@
     python -m bench.epochs [--quick] [--schedules N] [--first SEED] [--jobs N] [--json FILE|-]
     python -m bench.epochs --play 4:kill:m0,9:wipe:m0     # one pair again
 
-A model (ivymux/testdesk/cores.py, schedules.py) in simulated time.  A broken promise ends the run with the
-seed or the faults that play it again.
+A model (ivymux/simulation/core_cluster.py, fault_schedules.py) in simulated time.  A broken promise ends the
+run with the seed or the faults that play it again.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from collections.abc import Iterator
 
 from bench.common import figure, parser, report
-from ivymux.testdesk.cores import Broken, Cores
-from ivymux.testdesk.schedules import Fault, after, placed, play, two_changes
+from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.fault_schedules import Fault, after, placed, play, two_changes
 
 QUICK = 400
 SCHEDULES = 100_000
--- a/bench/evening.py
+++ b/bench/evening.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from bench.common import figure, html, parser, report
-from ivymux.testdesk.evening import Evening, Play, Size
-from ivymux.testdesk.lab import lab
+from ivymux.simulation.conversation_load import Evening, Play, Size
+from ivymux.simulation.local_cluster import lab
 
 NEVER = ("doubled", "answered and without effect", "refused and with effect")
 
--- a/bench/explore.py
+++ b/bench/explore.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from bench.common import figure, parser, report
-from ivymux.testdesk.explore import WORLDS, Find, explore, shrink
-from ivymux.testdesk.seeded import FAULTS, RARE, UNSEEN
+from ivymux.simulation.exploration import WORLDS, Find, explore, shrink
+from ivymux.simulation.seeded_faults import FAULTS, RARE, UNSEEN
 
 QUICK, SEEDS = 30, 600
 MOST_S = 600.0  # within which a seeded fault has to be found
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -2,8 +2,8 @@
 
     python -m bench.quotas [--quick] [--json FILE|-]
 
-A model (ivymux/testdesk/quotas.py): all doors' decisions, one holder, tenants; no clock and no socket, so a
-run has the same figures on every machine.
+A model (ivymux/simulation/quota_sharing.py): all doors' decisions, one holder, tenants; no clock and no
+socket, so a run has the same figures on every machine.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from typing import Any
 
 from bench.common import figure, parser, report
-from ivymux.testdesk.clocked import START
-from ivymux.testdesk.quotas import Doors, HeldByDoors, Tenant, plan
+from ivymux.simulation.event_queue import START
+from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
 
 DOORS = (11, 85, 300, 1000)
 SECONDS = 15.0
--- a/bench/servers.py
+++ b/bench/servers.py
@@ -2,9 +2,9 @@
 
     python -m bench.servers [--quick] [--json FILE|-]
 
-A model (ivymux/testdesk/servers.py): all doors' decisions, servers of differing speed; no clock or socket, so
-a run has the same figures on every machine.  Each is played as it is, with doors that all begin with the same
-server, and with failures that doors keep to themselves.
+A model (ivymux/simulation/backend_selection.py): all doors' decisions, servers of differing speed; no clock
+or socket, so a run has the same figures on every machine.  Each is played as it is, with doors that all begin
+with the same server, and with failures that doors keep to themselves.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from typing import Any
 
 from bench.common import figure, parser, report
-from ivymux.testdesk.clocked import START
-from ivymux.testdesk.servers import Floor, Kind
+from ivymux.simulation.backend_selection import Floor, Kind
+from ivymux.simulation.event_queue import START
 from orchidhill import switch
 
 DOORS = (11, 85, 300, 1000)
--- a/bench/trials.py
+++ b/bench/trials.py
@@ -29,7 +29,7 @@
 
 from bench.common import figure, html, parser, quantile, report
 from ivymux.fault_injection.request_matcher import LEASE
-from ivymux.testdesk.lab import Lab, lab
+from ivymux.simulation.local_cluster import Lab, lab
 
 DOORS, CORES, PARTNERS = 12, 3, 8
 CAUGHT = "partner-3"  # whose requests are tried
--- a/ivymux/__main__.py
+++ b/ivymux/__main__.py
@@ -24,7 +24,7 @@
         print(f"ivymux: the role {former} is named {FORMER_ROLES[former]} now", file=sys.stderr)
         sys.exit(2)
     if len(sys.argv) > 1 and sys.argv[1] == "replay":
-        from ivymux.testdesk.replay import main as replay
+        from ivymux.simulation.replay import main as replay
 
         sys.exit(replay(sys.argv[2:]))
     if len(sys.argv) > 1 and sys.argv[1] == "trial":
--- a/ivymux/testdesk/servers.py
+++ b/ivymux/simulation/backend_selection.py
@@ -16,7 +16,7 @@
 from ivymux.proxy.failure_reports import doubtful
 from ivymux.proxy.module_settings import module_settings
 from ivymux.registry.outlier_detection import Grey
-from ivymux.testdesk.clocked import START, Clocked
+from ivymux.simulation.event_queue import START, Clocked
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 from orchidhill.switch import Switch, Terms
--- a/ivymux/testdesk/control.py
+++ b/ivymux/simulation/control_plane.py
@@ -15,9 +15,9 @@
 from ivymux.config_store.history import Identity
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
-from ivymux.testdesk.cores import GRACE, Broken, Cores
-from ivymux.testdesk.losses import SYNC_TIME
-from ivymux.testdesk.schedules import Callers, Make
+from ivymux.simulation.core_cluster import GRACE, Broken, Cores
+from ivymux.simulation.fault_schedules import Callers, Make
+from ivymux.simulation.loss_scenarios import SYNC_TIME
 
 SPARES = 3  # machines that may be added in the course of a day
 PHASE = 5.0  # seconds in which faults begin
--- a/ivymux/testdesk/evening.py
+++ b/ivymux/simulation/conversation_load.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ivymux.testdesk.lab import Lab
+from ivymux.simulation.local_cluster import Lab
 from standins.backend import Backend, Ran
 
 HOST = "minutes.example"
--- a/ivymux/testdesk/explore.py
+++ b/ivymux/simulation/exploration.py
@@ -13,12 +13,12 @@
 
 from ivymux.config_store.replica import Replica
 from ivymux.registry import outlier_detection
-from ivymux.testdesk.clocked import START
-from ivymux.testdesk.control import Control
-from ivymux.testdesk.cores import Broken
-from ivymux.testdesk.quotas import Doors, HeldByDoors, Tenant, plan
-from ivymux.testdesk.schedules import FAULTS, Fault, Make, two_changes
-from ivymux.testdesk.trialrun import Happening, Run, drawn
+from ivymux.simulation.control_plane import Control
+from ivymux.simulation.core_cluster import Broken
+from ivymux.simulation.event_queue import START
+from ivymux.simulation.fault_schedules import FAULTS, Fault, Make, two_changes
+from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
+from ivymux.simulation.trial_model import Happening, Run, drawn
 
 Events = tuple[str, ...]
 STEPS = 40  # of the core's run in which faults are placed
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Core:
-    """Three core machines, two changes of the configuration, faults at steps (schedules.py)."""
+    """Three core machines, two changes of the configuration, faults at steps (fault_schedules.py)."""
 
     make: Make = Replica
     name: str = "core"
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trials:
-    """Trials that start and end while doors and registries are cut off and start anew (trialrun.py)."""
+    """Trials that start and end while doors and registries are cut off and start anew (trial_model.py)."""
 
     name: str = "trials"
 
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quotas:
-    """A tenant that floods eight doors while who holds its counts is lost (quotas.py)."""
+    """A tenant that floods eight doors while who holds its counts is lost (quota_sharing.py)."""
 
     name: str = "quotas"
 
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cuts:
-    """A tenant floods six doors that are cut off and come back; each holds by its own list (quotas.py)."""
+    """A tenant floods six doors that are cut off and return; each uses its own list (quota_sharing.py)."""
 
     name: str = "cuts"
 
--- a/ivymux/testdesk/schedules.py
+++ b/ivymux/simulation/fault_schedules.py
@@ -19,7 +19,7 @@
 from ivymux.config_store.records import DurableState
 from ivymux.config_store.replica import Replica
 from ivymux.idempotency.record_store import ANSWERED, DONE, FREE, GO, LOST
-from ivymux.testdesk.cores import GRACE, Answer, Broken, Cores, Disk, Machine
+from ivymux.simulation.core_cluster import GRACE, Answer, Broken, Cores, Disk, Machine
 
 Make = Callable[[DurableState, float], Replica]
 KINDS = ("kill", "wipe", "cut", "one", "link", "loss", "slow", "stuck", "all", "calm", "aimed")
--- a/ivymux/testdesk/losses.py
+++ b/ivymux/simulation/loss_scenarios.py
@@ -8,8 +8,8 @@
 from ivymux.config_store.history import Identity
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
-from ivymux.testdesk.cores import Broken, Cores
-from ivymux.testdesk.schedules import Make
+from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.fault_schedules import Make
 
 PRIMARY, BACKUP, WITNESS = "primary", "backup", "witness"
 ROLES = (PRIMARY, BACKUP, WITNESS)
--- a/ivymux/testdesk/quotas.py
+++ b/ivymux/simulation/quota_sharing.py
@@ -16,7 +16,7 @@
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.lease_counts import Counts
 from ivymux.proxy.module_settings import module_settings
-from ivymux.testdesk.clocked import START, Clocked
+from ivymux.simulation.event_queue import START, Clocked
 from orchidhill import interface as i
 from orchidhill.switch import Switch, Terms
 
--- a/ivymux/testdesk/replay.py
+++ b/ivymux/simulation/replay.py
@@ -17,8 +17,8 @@
 from absl import flags
 
 from ivymux.runtime.log import fail
-from ivymux.testdesk import day as days
-from ivymux.testdesk.day import (
+from ivymux.simulation import day_file
+from ivymux.simulation.day_file import (
     Answered,
     Ask,
     Change,
@@ -39,8 +39,8 @@
     Start,
     Told,
 )  # fmt: skip
-from ivymux.testdesk.lab import ENTRY, Lab, document, lab
-from ivymux.testdesk.rules import Breach, check
+from ivymux.simulation.local_cluster import ENTRY, Lab, document, lab
+from ivymux.simulation.rules import Breach, check
 from standins import backend as standin
 
 FIRST = 1  # version of the configuration that holds when a day begins
@@ -272,18 +272,18 @@
     try:
         names = values(["ivymux replay", *arguments])[1:]
         if values.make:
-            day, doing = days.draw(values.seed, values.seconds, values.rate)
-            Path(values.make).write_bytes(days.write([day, *doing]))
+            day, doing = day_file.draw(values.seed, values.seconds, values.rate)
+            Path(values.make).write_bytes(day_file.write([day, *doing]))
             print(f"{values.make}: {len(doing)} events in {values.seconds:g} s")
             return 0
         if len(names) != 1:
             raise flags.Error("name one day; --record FILE, --check, --make FILE --seed N")
-        day, doing, seen = days.read(Path(names[0]).read_bytes())
+        day, doing, seen = day_file.read(Path(names[0]).read_bytes())
         if not values.check:
             with tempfile.TemporaryDirectory() as folder:
                 seen = asyncio.run(played(day, doing, Path(folder)))
         if values.record:
-            Path(values.record).write_bytes(days.write([day, *doing, *seen]))
+            Path(values.record).write_bytes(day_file.write([day, *doing, *seen]))
     except (flags.Error, DayError, OSError) as error:
         return fail(error)
     found = judged(day, doing, seen)
--- a/ivymux/testdesk/rules/__init__.py
+++ b/ivymux/simulation/rules/__init__.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Iterable
 
-from ivymux.testdesk.day import Day, Doing, Seen
-from ivymux.testdesk.rules import answers, configuration, leaving, load
-from ivymux.testdesk.rules.history import Breach, Checker, History
+from ivymux.simulation.day_file import Day, Doing, Seen
+from ivymux.simulation.rules import answers, configuration, departures, load
+from ivymux.simulation.rules.history import Breach, Checker, History
 
 CHECKERS: tuple[Checker, ...] = (
     answers.mixed, answers.unasked, answers.twice, answers.refused, answers.denied,
-    configuration.routed, configuration.reverted, leaving.drained, leaving.stays_ready, leaving.gone,
-    leaving.cut, load.quotas, load.attempts, load.budget, load.time_left, load.overdue, load.starved,
+    configuration.routed, configuration.reverted, departures.drained, departures.stays_ready, departures.gone,
+    departures.cut, load.quotas, load.attempts, load.budget, load.time_left, load.overdue, load.starved,
     configuration.acknowledged, configuration.lost,
 )  # fmt: skip
 
--- a/ivymux/testdesk/rules/answers.py
+++ b/ivymux/simulation/rules/answers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ivymux.testdesk.rules.history import Breach, History, repeatable
+from ivymux.simulation.rules.history import Breach, History, repeatable
 
 PROMISES = (408, 421, 429, 503)  # to a client they say that its request has not run
 ALLOWED_ERRORS = (408, 409, 421, 429)
--- a/ivymux/testdesk/rules/configuration.py
+++ b/ivymux/simulation/rules/configuration.py
@@ -5,8 +5,8 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from ivymux.testdesk.day import Left, Ran, Read, Told
-from ivymux.testdesk.rules.history import CONTACT, Breach, History
+from ivymux.simulation.day_file import Left, Ran, Read, Told
+from ivymux.simulation.rules.history import CONTACT, Breach, History
 
 CONFIG_APPLY = 2.5
 REVERT_SLACK = 0.25
--- a/ivymux/testdesk/rules/leaving.py
+++ b/ivymux/simulation/rules/departures.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from ivymux.testdesk.day import Left
-from ivymux.testdesk.rules.history import CONTACT, Breach, History, repeatable
+from ivymux.simulation.day_file import Left
+from ivymux.simulation.rules.history import CONTACT, Breach, History, repeatable
 
 DRAIN = 2.5
 READY_BOUND = 4.0  # seconds after SIGTERM by which a door no longer counts as ready
--- a/ivymux/testdesk/rules/history.py
+++ b/ivymux/simulation/rules/history.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ivymux.testdesk.day import (
+from ivymux.simulation.day_file import (
     Answered,
     Ask,
     Change,
--- a/ivymux/testdesk/rules/load.py
+++ b/ivymux/simulation/rules/load.py
@@ -5,8 +5,8 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from ivymux.testdesk.rules.answers import TENANT
-from ivymux.testdesk.rules.history import Breach, History
+from ivymux.simulation.rules.answers import TENANT
+from ivymux.simulation.rules.history import Breach, History
 
 WINDOW = 5.0
 EXCESS, SLACK = 0.1, 20.0
--- a/ivymux/testdesk/seeded.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -25,9 +25,9 @@
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.lease_counts import Book, Counts
 from ivymux.registry import outlier_detection
-from ivymux.testdesk.control import Control
-from ivymux.testdesk.cores import Cores, Disk
-from ivymux.testdesk.explore import Core, Cuts, Doubts, Quotas, Trials, World
+from ivymux.simulation.control_plane import Control
+from ivymux.simulation.core_cluster import Cores, Disk
+from ivymux.simulation.exploration import Core, Cuts, Doubts, Quotas, Trials, World
 from orchidhill import interface as i
 
 Seeded = Callable[[], contextlib.AbstractContextManager[World]]
@@ -370,7 +370,7 @@
 }
 
 # Those that these worlds did not show, in 1,500 to 4,000 days of the core, 400 of cuts.  Random schedules
-# (schedules.py, `play`) show the first.
+# (fault_schedules.py, `play`) show the first.
 UNSEEN: dict[str, Seeded] = {
     "core: a lease that is not waited out": lambda: contextlib.nullcontext(Core(Hasty)),
     "core: an epoch whose backup has not the state": lambda: contextlib.nullcontext(Core(Unbacked)),
--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -19,8 +19,8 @@
 )
 from ivymux.config_store.records import DurableState, EpochRecord
 from ivymux.config_store.replica import Replica
-from ivymux.testdesk.cores import Broken, Cores
-from ivymux.testdesk.schedules import Make, placed, play, two_changes
+from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.fault_schedules import Make, placed, play, two_changes
 
 SCHEDULES = int(os.environ.get("EPOCH_SCHEDULES", "400"))
 
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -16,8 +16,8 @@
 from ivymux.config_store.history import MOST_CHANGES, ChangeHistory, Identity, digest_of
 from ivymux.config_store.messages import ReplicaMessage, StateTransfer
 from ivymux.config_store.records import ConfigurationState
-from ivymux.testdesk.cores import Broken, Cores
-from ivymux.testdesk.losses import (
+from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.loss_scenarios import (
     BACKUP,
     PRIMARY,
     ROLES,
--- a/tests/config_store/test_tickets.py
+++ b/tests/config_store/test_tickets.py
@@ -20,8 +20,8 @@
 )
 from ivymux.config_store.replica import Replica
 from ivymux.idempotency.record_store import Book
-from ivymux.testdesk.cores import Answer, Broken, Cores
-from ivymux.testdesk.schedules import play
+from ivymux.simulation.core_cluster import Answer, Broken, Cores
+from ivymux.simulation.fault_schedules import play
 
 from .test_epochs import started
 
--- a/tests/fault_injection/test_request_matcher.py
+++ b/tests/fault_injection/test_request_matcher.py
@@ -10,7 +10,7 @@
 from ivymux.fault_injection.guard import Guard, GuardError
 from ivymux.fault_injection.request_matcher import LEASE, Catch
 from ivymux.fault_injection.trial_set import REFUSE, Board, Trial, digest, ended, started
-from ivymux.testdesk.trialrun import Run
+from ivymux.simulation.trial_model import Run
 
 KEY, OTHER = b"key-one", b"key-one-more"
 
--- a/tests/proxy/test_lease_counts.py
+++ b/tests/proxy/test_lease_counts.py
@@ -9,8 +9,8 @@
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.lease_counts import Counts
 from ivymux.proxy.name_tables import customer
-from ivymux.testdesk.clocked import START
-from ivymux.testdesk.quotas import Doors, HeldByDoors, Tenant, plan
+from ivymux.simulation.event_queue import START
+from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
 from orchidhill.interface import Count
 
 
--- a/tests/registry/test_applied.py
+++ b/tests/registry/test_applied.py
@@ -7,7 +7,7 @@
 
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
-from ivymux.testdesk.lab import Lab
+from ivymux.simulation.local_cluster import Lab
 from ivymux.transport.connection import Line
 from ivymux.transport.frames import Frames, Message
 
--- a/tests/registry/test_calls.py
+++ b/tests/registry/test_calls.py
@@ -9,7 +9,7 @@
 from ivymux.registry.backend_records import UP
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
-from ivymux.testdesk.lab import Lab
+from ivymux.simulation.local_cluster import Lab
 
 from ..sockets import run, until
 
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -9,7 +9,7 @@
 from ivymux.registry.outlier_detection import FIRST, LEAST, MOST, PART, Grey
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
-from ivymux.testdesk.lab import Lab
+from ivymux.simulation.local_cluster import Lab
 from ivymux.transport.connection import Line
 from ivymux.transport.frames import Frames, Message
 from orchidhill.interface import Outcome
--- a/tests/testdesk/faulty.py
+++ b/tests/simulation/faulty.py
@@ -1,4 +1,4 @@
-"""Starts a program with a seeded fault: `python -m tests.testdesk.faulty FAULT ROLE --settings FILE`.
+"""Starts a program with a seeded fault: `python -m tests.simulation.faulty FAULT ROLE --settings FILE`.
 
 Each fault is one that a change of the code could bring, and breaks a rule that a checker looks at.
 """
--- a/tests/testdesk/test_servers.py
+++ b/tests/simulation/test_backend_selection.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ivymux.testdesk.clocked import START
-from ivymux.testdesk.servers import Floor, Kind
+from ivymux.simulation.backend_selection import Floor, Kind
+from ivymux.simulation.event_queue import START
 
 DOORS = 85
 
--- a/tests/testdesk/test_control.py
+++ b/tests/simulation/test_control_plane.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ivymux.testdesk.control import Control, ControlFault
+from ivymux.simulation.control_plane import Control, ControlFault
 
 FOUND = {
     "two with the same number, and the third gone": (
--- a/tests/testdesk/test_explore.py
+++ b/tests/simulation/test_exploration.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from ivymux.testdesk.explore import WORLDS, Find, World, explore, shrink
-from ivymux.testdesk.seeded import FAULTS
+from ivymux.simulation.exploration import WORLDS, Find, World, explore, shrink
+from ivymux.simulation.seeded_faults import FAULTS
 
 DAYS = {"core": 60, "control": 150, "trials": 40, "quotas": 4, "cuts": 6, "doubts": 40}
 MOST_EVENTS = 12
--- a/tests/testdesk/test_replay.py
+++ b/tests/simulation/test_replay.py
@@ -7,15 +7,15 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from ivymux.testdesk import day as days
-from ivymux.testdesk.day import Answered, DayError, Ran
-from ivymux.testdesk.replay import main
+from ivymux.simulation import day_file
+from ivymux.simulation.day_file import Answered, DayError, Ran
+from ivymux.simulation.replay import main
 
 
 def test_a_day_that_is_drawn_is_the_same_again_and_reads_back() -> None:
-    day, doing = days.draw(7, 5.0)
-    assert (day, doing) == days.draw(7, 5.0) != days.draw(8, 5.0)
-    assert days.read(days.write([day, *doing])) == (day, doing, [])
+    day, doing = day_file.draw(7, 5.0)
+    assert (day, doing) == day_file.draw(7, 5.0) != day_file.draw(8, 5.0)
+    assert day_file.read(day_file.write([day, *doing])) == (day, doing, [])
 
 
 BAD = {
@@ -38,7 +38,7 @@
     said = {}
     for what, data in BAD.items():
         with pytest.raises(DayError) as told:
-            days.read(data)
+            day_file.read(data)
         said[what] = str(told.value)
     assert said == snapshot
 
@@ -49,12 +49,12 @@
     made, record = str(tmp_path / "day.jsonl"), tmp_path / "record.jsonl"
     assert main(["--make", made, "--seed", "5", "--seconds", "5", "--rate", "30"]) == 0
     assert main([made, "--record", str(record)]) == 0, capsys.readouterr().out
-    day, doing, seen = days.read(record.read_bytes())
+    day, doing, seen = day_file.read(record.read_bytes())
     assert sum(isinstance(s, Ran) and s.done for s in seen) > 30
     assert main(["--check", str(record)]) == 0
     # The same record with one action that ran once more: it is named.
     signed = next(s for s in seen if isinstance(s, Ran) and s.done and s.target.startswith("/sign/"))
-    record.write_bytes(days.write([day, *doing, *seen, signed]))
+    record.write_bytes(day_file.write([day, *doing, *seen, signed]))
     capsys.readouterr()
     assert main(["--check", str(record)]) == 1
     assert f"broken: TWICE {signed.id}: ran 2 times" in capsys.readouterr().out
--- a/tests/testdesk/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from ivymux.testdesk.day import (
+from ivymux.simulation.day_file import (
     Answered,
     Ask,
     Change,
@@ -26,7 +26,7 @@
     Start,
     Told,
 )  # fmt: skip
-from ivymux.testdesk.rules import check
+from ivymux.simulation.rules import check
 
 DAY = Day(1, 1, rate=1.0, burst=1.0)
 ASKS = [
--- a/tests/testdesk/test_seeded_rules.py
+++ b/tests/simulation/test_seeded_rules.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from ivymux.testdesk.day import FORMAT, Ask, Change, Day, Doing, Kill, Leave, Seen, Spoil
-from ivymux.testdesk.replay import judged, played
-from ivymux.testdesk.rules import Breach
+from ivymux.simulation.day_file import FORMAT, Ask, Change, Day, Doing, Kill, Leave, Seen, Spoil
+from ivymux.simulation.replay import judged, played
+from ivymux.simulation.rules import Breach
 
 SECONDS = 7.0
 READS_A_SECOND, SIGNS_A_SECOND = 12, 8
@@ -45,7 +45,7 @@
 
 def broken(folder: Path, fault: str, rate: float) -> list[Breach]:
     day = Day(FORMAT, 1, doors=1, services={"archive": 4, "desk": 3}, rate=rate, burst=rate, work=0.03)
-    entry = ("-m", "tests.testdesk.faulty", fault)
+    entry = ("-m", "tests.simulation.faulty", fault)
     seen: list[Seen] = asyncio.run(played(day, doing(), folder, entry))
     return judged(day, doing(), seen)
 
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from ivymux.testdesk.lab import Lab, document, lab
+from ivymux.simulation.local_cluster import Lab, document, lab
 
 
 def texts(version: int) -> tuple[dict[str, Any], dict[str, Any]]:
--- a/tests/system/test_evening.py
+++ b/tests/system/test_conversation_load.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from ivymux.testdesk.evening import Evening, Play, Size
-from ivymux.testdesk.lab import lab
+from ivymux.simulation.conversation_load import Evening, Play, Size
+from ivymux.simulation.local_cluster import lab
 
 
 @pytest.mark.alone
--- a/tests/system/test_conversations.py
+++ b/tests/system/test_conversations.py
@@ -7,7 +7,7 @@
 
 from syrupy.assertion import SnapshotAssertion
 
-from ivymux.testdesk.lab import Lab, document, lab
+from ivymux.simulation.local_cluster import Lab, document, lab
 from standins.backend import CLOSE, Backend
 
 
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ivymux.testdesk.lab import Lab, document, lab
+from ivymux.simulation.local_cluster import Lab, document, lab
 from standins.backend import Backend
 
 BOUND = 0.5  # seconds behind a client's leaving by which work for it has ended
--- a/tests/system/test_offsets.py
+++ b/tests/system/test_offsets.py
@@ -14,7 +14,7 @@
 
 import httpx
 
-from ivymux.testdesk.lab import Lab, document, lab
+from ivymux.simulation.local_cluster import Lab, document, lab
 from standins.backend import Backend
 
 
--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -10,7 +10,7 @@
 
 from syrupy.assertion import SnapshotAssertion
 
-from ivymux.testdesk.lab import document, lab
+from ivymux.simulation.local_cluster import document, lab
 from standins.backend import CLOSE, Backend, Ran
 
 
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -11,7 +11,7 @@
 
 from ivymux.fault_injection.request_matcher import LEASE
 from ivymux.fault_injection.trial_set import digest
-from ivymux.testdesk.lab import Lab, document, lab
+from ivymux.simulation.local_cluster import Lab, document, lab
 from ivymux.trial_command import line
 from standins.backend import Backend
 
