--- a/bench/servers.py
+++ b/bench/servers.py
@@ -14,7 +14,7 @@
 from bench.common import figure, parser, report
 from ivymux.simulation.backend_selection import Floor, Kind
 from ivymux.simulation.event_queue import START
-from orchidhill import switch
+from orchidhill import proxy_gateway
 
 DOORS = (11, 85, 300, 1000)
 KINDS = [Kind(0.22, 254.0, 64), Kind(0.29, 85.0, 28, repeatable=False), Kind(0.55, 90.0, 63)]
@@ -24,11 +24,11 @@
 
 
 def play(doors: int, seed: int, form: str) -> Floor:
-    turns, switch.TURNS = switch.TURNS, switch.TURNS if form != FORMS[1] else 0.0
+    turns, proxy_gateway.TURNS = proxy_gateway.TURNS, proxy_gateway.TURNS if form != FORMS[1] else 0.0
     try:
         floor = Floor(doors, KINDS, seed, shared=form != FORMS[2])
     finally:
-        switch.TURNS = turns
+        proxy_gateway.TURNS = turns
 
     def fail() -> None:
         for machine in floor.machines[::16]:
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -37,7 +37,7 @@
 from ivymux.transport.frames import Message
 from orchidhill import interface as i
 from orchidhill.interface import State
-from orchidhill.switch import SILENT, Switch, Terms
+from orchidhill.proxy_gateway import SILENT, Switch, Terms
 
 if TYPE_CHECKING:
     from ivymux.proxy.keyed_requests import Keyed
--- a/ivymux/simulation/backend_selection.py
+++ b/ivymux/simulation/backend_selection.py
@@ -19,7 +19,7 @@
 from ivymux.simulation.event_queue import START, Clocked
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
-from orchidhill.switch import Switch, Terms
+from orchidhill.proxy_gateway import Switch, Terms
 
 TERMS = Terms(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
 HOP = 0.001  # one way between a door and a server
--- a/ivymux/simulation/quota_sharing.py
+++ b/ivymux/simulation/quota_sharing.py
@@ -18,7 +18,7 @@
 from ivymux.proxy.module_settings import module_settings
 from ivymux.simulation.event_queue import START, Clocked
 from orchidhill import interface as i
-from orchidhill.switch import Switch, Terms
+from orchidhill.proxy_gateway import Switch, Terms
 
 TERMS = Terms(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
 ROUND_TRIP = 0.004  # of a call to the counter
--- a/orchidhill/admission.py
+++ b/orchidhill/admission.py
@@ -12,10 +12,10 @@
 from dataclasses import replace
 from hashlib import blake2b
 
-from orchidhill import apart, store
+from orchidhill import bucket_overflow, degraded_mode
 from orchidhill import interface as i
+from orchidhill.call_rate import Pace
 from orchidhill.interface import Outcome, Why
-from orchidhill.pace import Pace
 from orchidhill.state import FIRST_LATENCY, Call, Job, Lease
 
 # Tuned values: seconds, units or plain ratios.
@@ -60,7 +60,7 @@
         self.peers = max(1, settings.peers)
         total = settings.counter_pace if settings.has_counter else 0.0
         self.pace = Pace(total, self.peers, settings.counter_timeout, 1 + self.random.random())
-        self.tally = apart.Watch()
+        self.tally = degraded_mode.Watch()
 
     def dispatch(self, job: Job) -> None:
         """Send a job that was let in to a backend."""
@@ -284,9 +284,10 @@
         """Add what the store has flowed over by; mine is taken off again where another did so first."""
         before = self.level(lease) + call.fix + (0.0 if call.gives else lease.asked)
         if call.gives:
-            return self.give_back(lease, call.fix) if not store.stands(lease.plan, call.fix, before) else None
+            stands = bucket_overflow.stands(lease.plan, call.fix, before)
+            return None if stands else self.give_back(lease, call.fix)
         if lease.wide:
-            if over := store.over(lease.plan, before):  # however few calls there are: it holds the ceiling
+            if over := bucket_overflow.over(lease.plan, before):  # even with few calls: it holds the ceiling
                 self.count(lease, over, gives=True, fix=over)
             return
         # What is missing beyond leases that are out, and a burst, was put there in error: who did so died, or
@@ -445,7 +446,7 @@
         was most likely refused for its quota just now: while calls are short they are for the others.
         """
         again = job.req.is_retry and lease.wide and not lease.met
-        if again or self.tally.seen is not apart.Seen.WELL or not self.pace.rate:
+        if again or self.tally.seen is not degraded_mode.Seen.WELL or not self.pace.rate:
             return False
         wait = (len(self.wanting) + 1 - self.pace.budget(self.now)) / self.pace.rate
         return wait < min(CALL_WAIT * job.cls.aim, job.end - self.now - 4 * TICK)
@@ -453,7 +454,7 @@
     def call_waiting(self) -> None:
         """Calls for those that wait for one, the longest first."""
         for _ in range(len(self.wanting)):
-            if not self.may_call() and self.tally.seen is apart.Seen.WELL:
+            if not self.may_call() and self.tally.seen is degraded_mode.Seen.WELL:
                 break
             lease = self.wanting.popleft()
             self.roll(lease)
@@ -467,10 +468,10 @@
         it earns: by the critical ratio of `over_cost` against the worth lost, and by the denials of a
         customer that was seen lately."""
         plan, width = lease.plan, lease.width
-        if plan.ceiling_rate or plan.over_cost >= apart.DEAR:
+        if plan.ceiling_rate or plan.over_cost >= degraded_mode.DEAR:
             age = self.now - lease.apart_at if lease.apart_at else 0.0
             part = 1 / width if lease.slots else lease.part  # of slots it is not known who had them
-            return apart.share(width, part) * apart.fade(age)
+            return degraded_mode.share(width, part) * degraded_mode.fade(age)
         ratio = plan.over_cost / (1 + plan.over_cost)
         if self.now - lease.checked < FORGET and not lease.wide:
             ratio *= 1 - lease.odds
@@ -488,12 +489,13 @@
         if lease.slots:
             return max(1.0, share * lease.base)
         rank = (self.settings.me - lease.first) % self.peers
-        least = apart.least(lease.plan, lease.width, rank)
-        return max(least, share * apart.store(lease.plan))
+        least = degraded_mode.least(lease.plan, lease.width, rank)
+        return max(least, share * degraded_mode.store(lease.plan))
 
     def refill(self, lease: Lease) -> float:
         # A cap on attempts out lets through as many a second as it holds in a latency.
-        rate = lease.base / self.latency if lease.slots else lease.plan.rate * apart.beside(lease.plan)
+        plan = lease.plan
+        rate = lease.base / self.latency if lease.slots else plan.rate * degraded_mode.beside(plan)
         share = self.share(lease)
         level = min(self.most(lease, share), lease.bucket + (self.now - lease.bucket_at) * share * rate)
         lease.bucket, lease.bucket_at = level, self.now
@@ -519,7 +521,7 @@
 
     def admit_alone(self, lease: Lease, job: Job, units: float) -> None:
         """Let a request in by the local share; what it takes is added when the counter is back."""
-        if self.tally.seen is not apart.Seen.WELL:
+        if self.tally.seen is not degraded_mode.Seen.WELL:
             self.part(lease)
         if self.fits(lease, units):
             lease.credits += units
@@ -565,7 +567,7 @@
 
     def leave(self) -> None:
         """What is leased and not spent goes back, and what is owed is paid: nobody asks here again."""
-        for lease in [held for held in self.holding.values() if self.tally.seen is apart.Seen.WELL]:
+        for lease in [held for held in self.holding.values() if self.tally.seen is degraded_mode.Seen.WELL]:
             self.roll(lease)
             rest, lease.credits, lease.owed = lease.owed - lease.credits, 0.0, 0.0
             if abs(rest) > EPS and not lease.slots:
@@ -573,7 +575,7 @@
 
     def pay(self, lease: Lease) -> None:
         """Add what a customer owes, once its counter answers; a look goes first, as before a lease."""
-        if not self.spare() or self.tally.seen is not apart.Seen.WELL:
+        if not self.spare() or self.tally.seen is not degraded_mode.Seen.WELL:
             return
         if not lease.met or lease.doubts:
             return self.look(lease)
--- a/orchidhill/store.py
+++ b/orchidhill/bucket_overflow.py
@@ -13,7 +13,7 @@
 
 from __future__ import annotations
 
-from orchidhill import apart
+from orchidhill import degraded_mode
 from orchidhill.interface import Plan
 
 LOOSE = 0.5  # of a burst that a name may lack before it is added: each addition costs a call
@@ -24,7 +24,7 @@
     most = LOOSE * plan.burst
     if not plan.ceiling_rate:
         return most
-    return max(0.0, min(most, plan.ceiling_burst - plan.burst - apart.store(plan)))
+    return max(0.0, min(most, plan.ceiling_burst - plan.burst - degraded_mode.store(plan)))
 
 
 def over(plan: Plan, level: float) -> float:
--- a/orchidhill/gateway.py
+++ b/orchidhill/gateway.py
@@ -1,7 +1,7 @@
 """Every decision of the gateway.  Types, events and actions: orchidhill/interface.py.
 
 Reading order: admission.py (leases, trouble at the counter); here backends, attempts and final answers,
-the tick.  Beside it: state.py, pace.py, store.py, apart.py.
+the tick.  Beside it: state.py, call_rate.py, bucket_overflow.py, degraded_mode.py.
 """
 
 from __future__ import annotations
--- a/tests/proxy/test_switch.py
+++ b/tests/proxy/test_proxy_gateway.py
@@ -11,7 +11,7 @@
 from ivymux.proxy.module_settings import module_settings
 from orchidhill import interface as i
 from orchidhill.interface import Effect, Outcome, State, Why
-from orchidhill.switch import MOST_TRIES, SILENT, Switch, Terms
+from orchidhill.proxy_gateway import MOST_TRIES, SILENT, Switch, Terms
 
 CLASSES = tuple(
     i.RequestClass(name, 0.3, 1.2, effect, i.Scope.ALL, 0.0, 1.0, 0.1, False)
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -19,7 +19,7 @@
 from ivymux.proxy.program import Door
 from orchidhill import interface as i
 from orchidhill.interface import Outcome, State
-from orchidhill.switch import Switch
+from orchidhill.proxy_gateway import Switch
 
 
 def swap(owner: Any, name: str, part: Any) -> None:
--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis import strategies as st
 
-from orchidhill import apart
+from orchidhill import degraded_mode
 from standins.world import World, plan
 
 DOORS, LENGTH = 4, 32.0  # seconds of a schedule: more than a window of 20
@@ -113,7 +113,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The search can fail: with the whole quota to each door apart it does, and cuts the schedule down."""
-    monkeypatch.setattr(apart, "share", lambda width, part: 1.0)
+    monkeypatch.setattr(degraded_mode, "share", lambda width, part: 1.0)
     failed: list[list[Fault]] = []
 
     @seed(1)
@@ -158,8 +158,8 @@
 
 
 def test_a_share_fades_when_a_door_is_apart_for_long() -> None:
-    assert apart.fade(10.0) == apart.fade(apart.HOLD) == 1.0
-    assert apart.fade(90.0) == pytest.approx(2 / 3) and apart.fade(1e6) == apart.FADED
+    assert degraded_mode.fade(10.0) == degraded_mode.fade(degraded_mode.HOLD) == 1.0
+    assert degraded_mode.fade(90.0) == pytest.approx(2 / 3) and degraded_mode.fade(1e6) == degraded_mode.FADED
 
 
 @given(
@@ -173,7 +173,9 @@
     own = own[:width]
     whole = sum(own) + unseen
     parts = [mine / max(mine, whole) if whole else 0.0 for mine in own]
-    total = sum(apart.share(width, part) for part in parts) + (width - len(own)) * apart.share(width, 0.0)
+    total = sum(degraded_mode.share(width, part) for part in parts) + (
+        width - len(own)
+    ) * degraded_mode.share(width, 0.0)
     assert total <= 1 + 1e-9
 
 
@@ -184,13 +186,15 @@
     ceiling: float, rate: float, store: float
 ) -> None:
     made = plan(4.0, 8.0, ceiling)
-    assert apart.beside(made) == pytest.approx(rate) and apart.store(made) == pytest.approx(store)
+    assert degraded_mode.beside(made) == pytest.approx(rate) and degraded_mode.store(made) == pytest.approx(
+        store
+    )
 
 
 def test_where_the_doors_are_more_than_the_burst_only_the_first_ones_hold_a_unit() -> None:
     small = plan(1.0, 2.0, 2.0)  # a ceiling of 4 units
-    assert [apart.least(small, 8, rank) for rank in range(8)] == [1.0, 1.0, 0, 0, 0, 0, 0, 0]
-    assert apart.least(small, 2, 1) == 1.0 and apart.least(plan(1.0, 2.0), 8, 7) == 1.0
+    assert [degraded_mode.least(small, 8, rank) for rank in range(8)] == [1.0, 1.0, 0, 0, 0, 0, 0, 0]
+    assert degraded_mode.least(small, 2, 1) == 1.0 and degraded_mode.least(plan(1.0, 2.0), 8, 7) == 1.0
     world = World(8, small, seed=2)
     begin = world.now
     world.load(FLOOD, 40.0, range(8), begin, begin + 25.0)
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from orchidhill import apart, store
+from orchidhill import bucket_overflow, degraded_mode
 from orchidhill import interface as i
+from orchidhill.call_rate import Pace
 from orchidhill.gateway import NEAR, Gateway
-from orchidhill.pace import Pace
 from standins.fleet import Fleet
 from tests.helpers import START, Counter, done, entry, gateway, play, request, sends
 
@@ -158,15 +158,15 @@
 
 def test_a_tally_that_is_back_is_taken_for_well_after_a_few_answers() -> None:
     """Of 200 front doors each calls a silent counter once in some seconds: thirteen answers took as long."""
-    watch = apart.Watch()
+    watch = degraded_mode.Watch()
     for _ in range(60):
         watch.called(START, i.Outcome.TIMEOUT)
     seen = [watch.seen]
     for _ in range(4):
         watch.called(START, i.Outcome.OK)
         seen.append(watch.seen)
-    assert seen[:2] == [apart.Seen.SILENT] * 2  # one of them changes nothing
-    assert seen[-1] is apart.Seen.WELL
+    assert seen[:2] == [degraded_mode.Seen.SILENT] * 2  # one of them changes nothing
+    assert seen[-1] is degraded_mode.Seen.WELL
 
 
 def test_a_gateway_that_leaves_gives_back_what_it_has_not_spent_and_pays_what_it_owes() -> None:
@@ -216,9 +216,11 @@
 def test_under_a_ceiling_a_name_lacks_no_more_than_that_leaves() -> None:
     made = gateway()
     free, under = made.settings.plans[:2]
-    assert store.over(free, free.burst * 1.4) == 0 and store.over(free, free.burst * 1.6) > 0
+    assert (
+        bucket_overflow.over(free, free.burst * 1.4) == 0 and bucket_overflow.over(free, free.burst * 1.6) > 0
+    )
     # A ceiling of two bursts: a full store and as much again let in unasked leave nothing.
-    assert under.ceiling_burst == 2 * under.burst and store.over(under, under.burst + 0.1) > 0
+    assert under.ceiling_burst == 2 * under.burst and bucket_overflow.over(under, under.burst + 0.1) > 0
 
 
 def test_ceilings_hold_where_calls_are_few_and_customers_ask_far_more_than_their_quota() -> None:
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -11,8 +11,8 @@
 ROOT = Path(__file__).parent.parent
 MODULE = ROOT / "orchidhill" / "gateway.py"
 ADMISSION = ROOT / "orchidhill" / "admission.py"
-APART = ROOT / "orchidhill" / "apart.py"
-NAMES = ("admission.py", "apart.py", "pace.py", "state.py", "store.py")
+DEGRADED_MODE = ROOT / "orchidhill" / "degraded_mode.py"
+NAMES = ("admission.py", "degraded_mode.py", "call_rate.py", "state.py", "bucket_overflow.py")
 BESIDE = [ROOT / "orchidhill" / name for name in NAMES]
 DECIDE = tuple(f"orchidhill.{f.stem}" for f in (MODULE, *BESIDE))
 
@@ -20,7 +20,7 @@
 def test_the_module_can_be_read_in_one_sitting() -> None:
     lines = MODULE.read_text().splitlines()
     # With what it does without a tally, in a file of its own.  The platform's bound is 1,200, for all.
-    assert sum(1 for line in [*lines, *APART.read_text().splitlines()] if line.strip()) <= 1000
+    assert sum(1 for line in [*lines, *DEGRADED_MODE.read_text().splitlines()] if line.strip()) <= 1000
     assert max(map(len, lines)) <= 110
     assert all(sum(map(bool, map(str.strip, f.read_text().splitlines()))) <= 620 for f in (MODULE, ADMISSION))
     assert "orchidhill/interface.py" in lines[0]
@@ -98,7 +98,7 @@
     "ivymux.simulation.seeded_faults",
     "ivymux.simulation.backend_selection",
     "ivymux.simulation.trial_model",
-    "orchidhill.switch",
+    "orchidhill.proxy_gateway",
 )
 # Each may import itself and what stands before it; the pure ones are held to more below.
 LAYERS = (
