--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -31,14 +31,14 @@
 from ivymux.config_store import messages
 from ivymux.config_store.actions import Persist
 from ivymux.config_store.durable_store import DurableStore
-from ivymux.config_store.history import MOST_CHANGES, digest_of
+from ivymux.config_store.history import MAX_CHANGES, digest_of
 from ivymux.config_store.messages import ReplicaMessage
 from ivymux.config_store.records import ConfigurationState
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.membership_view import Roll
 from ivymux.proxy.name_tables import Tables
 from ivymux.registry.backend_records import Register
-from ivymux.routing_config.route_plan import MOST_TEXT, Plan, plan_of
+from ivymux.routing_config.route_plan import MAX_TEXT, Plan, plan_of
 from ivymux.simulation.loss_scenarios import started
 from ivymux.transport.frames import pack
 
@@ -275,8 +275,8 @@
     ),
     "store-text": Part("configuration store, by KB of a change", store_text, (13, 100, 1000, 5000), 9000),
     "store-history": Part(
-        "configuration store, by changes remembered", store_history, (64, 512, 2048, MOST_CHANGES),
-        MOST_CHANGES,
+        "configuration store, by changes remembered", store_history, (64, 512, 2048, MAX_CHANGES),
+        MAX_CHANGES,
     ),
     "store-members": Part("configuration store, by members", store_members, (3, 4, 5, 7), CORE_MACHINES),
 }  # fmt: skip
@@ -373,7 +373,7 @@
     text, figures = tables(points)
     if args.markdown:
         print(text)
-    load = f"a configuration of {MOST_TEXT >> 20} MiB at most"
+    load = f"a configuration of {MAX_TEXT >> 20} MiB at most"
     report(args, load, figures, {})
 
 
--- a/bench/explore.py
+++ b/bench/explore.py
@@ -16,8 +16,8 @@
 from ivymux.simulation.seeded_faults import FAULTS, RARE, UNSEEN
 
 QUICK, SEEDS = 30, 600
-MOST_S = 600.0  # within which a seeded fault has to be found
-MOST_EVENTS = 12
+MAX_S = 600.0  # within which a seeded fault has to be found
+MAX_EVENTS = 12
 
 
 def true_world(case: tuple[int, range]) -> Find | None:
@@ -43,7 +43,7 @@
 
 
 def look_for(name: str, first: int, jobs: int) -> None:
-    """Search for a rare fault with all processes, for MOST_S at the most."""
+    """Search for a rare fault with all processes, for MAX_S at the most."""
     began = time.monotonic()
     with multiprocessing.Pool(jobs) as pool:
         spans = ((name, range(n, n + 50)) for n in range(first, first + 1_000_000, 50))
@@ -52,7 +52,7 @@
             if found is not None:
                 print(f"{name}: found after {spent:.0f} s, about {50 * number} days: {found}", flush=True)
                 break
-            if spent > MOST_S:
+            if spent > MAX_S:
                 print(f"{name}: not found in {spent:.0f} s, {50 * number} days", flush=True)
                 break
         pool.terminate()
@@ -91,7 +91,7 @@
             figures[f"{make().name}: days an hour, {args.jobs} processes"] = figure([3600 * rate], "days/h")
         cases = [(name, args.first, 100_000) for name in FAULTS]
         for name, spent, found, least in pool.imap_unordered(seeded, cases):
-            if found is None or least is None or spent > MOST_S or len(least.events) > MOST_EVENTS:
+            if found is None or least is None or spent > MAX_S or len(least.events) > MAX_EVENTS:
                 raise AssertionError(f"{name}: {spent:.0f} s, {least or found}")
             print(f"{name}: {least}")
             figures[f"{name}: until found"] = figure([spent], "s")
--- a/bench/parts.py
+++ b/bench/parts.py
@@ -14,7 +14,7 @@
 import httptools
 import uvloop
 
-MOST_FLOOD = 30.0  # seconds
+MAX_FLOOD = 30.0  # seconds
 ANSWER = b'{"id":7,"title":"minutes of the last meeting"}'
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(ANSWER)
 
@@ -162,7 +162,7 @@
     for number in range(connections):
         await loop.create_connection(lambda n=number: Loader(load, n), "127.0.0.1", port)  # type: ignore[misc]
     print(port, flush=True)
-    await asyncio.sleep(MOST_FLOOD)
+    await asyncio.sleep(MAX_FLOOD)
 
 
 if __name__ == "__main__":
--- a/ivymux/admin/app.py
+++ b/ivymux/admin/app.py
@@ -28,9 +28,9 @@
 from ivymux.tenants.places import ANYWHERE, Places
 from ivymux.tenants.shares import TenantLimits
 
-MOST_BODY = 48 << 20
-PAGE, MOST_PAGE = 50, 200
-MOST_WATCHES = 64
+MAX_BODY = 48 << 20
+PAGE, MAX_PAGE = 50, 200
+MAX_WATCHES = 64
 WATCH_LOOK = 0.2  # seconds between a watch's looks
 WATCH_ALIVE = 15.0  # seconds between its signs of life
 PROBLEM = "application/problem+json"
@@ -207,8 +207,8 @@
     """Where a page begins and how long it is.  Raises ApiError."""
     query = call.request.query_params
     text, limit = query.get("cursor", ""), query.get("limit", str(PAGE))
-    if not (limit.isascii() and limit.isdigit() and 1 <= int(limit[:9]) <= MOST_PAGE and len(limit) < 9):
-        raise ApiError(400, f"limit is a number from 1 to {MOST_PAGE}")
+    if not (limit.isascii() and limit.isdigit() and 1 <= int(limit[:9]) <= MAX_PAGE and len(limit) < 9):
+        raise ApiError(400, f"limit is a number from 1 to {MAX_PAGE}")
     try:
         return base64.b64decode(text + "=" * (-len(text) % 4), b"-_", validate=True).decode(), int(limit)
     except (binascii.Error, ValueError):
@@ -294,8 +294,8 @@
         parts, size = [], 0
         async for part in request.stream():
             size += len(part)
-            if size > MOST_BODY:
-                raise ApiError(413, f"a body has at most {MOST_BODY >> 20} MiB")
+            if size > MAX_BODY:
+                raise ApiError(413, f"a body has at most {MAX_BODY >> 20} MiB")
             parts.append(part)
         return b"".join(parts)
 
@@ -307,7 +307,7 @@
         try:
             principal = await self.principal(request)
             stored = await self.desk.seen(principal, request.path_params["tenant"])
-            if self.watches >= MOST_WATCHES:
+            if self.watches >= MAX_WATCHES:
                 raise ApiError(503, "too many watches", {"Retry-After": "5"})
         except ApiError as error:
             return problem(error)
@@ -390,7 +390,7 @@
 
 OBJECT: dict[str, Any] = {"type": "object"}
 ONE = "/v1/tenants/{tenant}"
-PAGED = (("cursor", {"type": "string"}), ("limit", {"type": "integer", "minimum": 1, "maximum": MOST_PAGE}))
+PAGED = (("cursor", {"type": "string"}), ("limit", {"type": "integer", "minimum": 1, "maximum": MAX_PAGE}))
 READ = (200, 401, 404, 429, 503)
 LISTED = (200, 400, 401, 404, 429, 503)
 CHANGED = (200, 400, 401, 403, 404, 409, 412, 413, 415, 422, 428, 429, 503, 507)
--- a/ivymux/admin/authorization.py
+++ b/ivymux/admin/authorization.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MOST_KNOWN = 4096  # callers that are told apart
+MAX_KNOWN = 4096  # callers that are told apart
 RATE, BURST = 20.0, 60.0  # calls a second of one key, or of one address without one
 FAILED_COST = 10.0  # calls that a wrong key counts as
 OPERATORS = frozenset(("hosts", "limits", "suspended"))  # parts that only an operator changes
@@ -75,6 +75,6 @@
         level = min(BURST, level + max(0.0, now - at) * RATE)
         wait = 0.0 if level >= 1 else (1 - level) / RATE
         self.known[who] = (level - cost if not wait else level), max(at, now)
-        if len(self.known) > MOST_KNOWN:
+        if len(self.known) > MAX_KNOWN:
             self.known.popitem(last=False)
         return wait
--- a/ivymux/admin/operations.py
+++ b/ivymux/admin/operations.py
@@ -53,9 +53,9 @@
 
 EFFECT_WAIT = 5.0  # seconds that an answer waits for front doors to serve what it tells of
 ALIVE = 6.0  # seconds after which a front door that tells nothing is not waited for
-MOST_ADMINS = 40  # of one tenant
-MOST_TEXT = 32 << 20  # bytes of all texts of a description
-MOST_OVERLAP = 30 * 86_400.0  # seconds that a key may still count after another took its place
+MAX_ADMINS = 40  # of one tenant
+MAX_TEXT = 32 << 20  # bytes of all texts of a description
+MAX_OVERLAP = 30 * 86_400.0  # seconds that a key may still count after another took its place
 
 
 @dataclass(slots=True)
@@ -360,9 +360,9 @@
         if (
             not isinstance(overlap, int | float)
             or isinstance(overlap, bool)
-            or not 0 <= overlap <= MOST_OVERLAP
+            or not 0 <= overlap <= MAX_OVERLAP
         ):
-            raise ApiError(422, f"overlap is seconds, from 0 to {MOST_OVERLAP:g}")
+            raise ApiError(422, f"overlap is seconds, from 0 to {MAX_OVERLAP:g}")
 
         async def work(tenant: Tenant) -> Edit:
             old = tenant.keys.get(number)
@@ -439,8 +439,8 @@
         if not isinstance(who, str) or not 1 <= len(who) <= 100 or not who.isprintable():
             raise ApiError(422, 'an administrator has a name: send {"name": NAME}')
         stored = await self.seen(terms.principal, name)
-        if len(await self.call(self.store.admins, stored.uid)) >= MOST_ADMINS:
-            raise ApiError(409, f"a tenant has at most {MOST_ADMINS} administrators: dismiss one first")
+        if len(await self.call(self.store.admins, stored.uid)) >= MAX_ADMINS:
+            raise ApiError(409, f"a tenant has at most {MAX_ADMINS} administrators: dismiss one first")
 
         async def work(tenant: Tenant) -> Edit:
             number, key, kept = secret.make(secret.ADMIN, time.time())
@@ -505,8 +505,8 @@
             found[name] = text.encode()
         except UnicodeEncodeError:
             raise ApiError(422, f"{name[:80]!r} is no text") from None
-    if sum(map(len, found.values())) > MOST_TEXT:
-        raise ApiError(413, f"a description has at most {MOST_TEXT >> 20} MiB")
+    if sum(map(len, found.values())) > MAX_TEXT:
+        raise ApiError(413, f"a description has at most {MAX_TEXT >> 20} MiB")
     return main, found, base
 
 
--- a/ivymux/cli/tenant.py
+++ b/ivymux/cli/tenant.py
@@ -20,7 +20,7 @@
 
 TIMEOUT = 60.0
 TRIES = 3
-MOST_ANSWER = 64 << 20
+MAX_ANSWER = 64 << 20
 
 
 class CallError(Exception):
@@ -76,7 +76,7 @@
         try:
             connection.request(method, target, data, headers)
             answer = connection.getresponse()
-            text = answer.read(MOST_ANSWER)
+            text = answer.read(MAX_ANSWER)
         finally:
             connection.close()
         try:
--- a/ivymux/config_store/durable_store.py
+++ b/ivymux/config_store/durable_store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ivymux.config_store.actions import Persist
-from ivymux.config_store.history import MOST_CHANGES, digest_of
+from ivymux.config_store.history import MAX_CHANGES, digest_of
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord
 from ivymux.data_plane.limits import ConfigError
 from ivymux.idempotency.record_store import Ticket
@@ -119,7 +119,7 @@
     if step.change is not None:
         version, digest = step.change
         change.put(_history_key(version), digest.encode())
-        _delete(change, [key for key, _ in _rows(change, HISTORY)][:-MOST_CHANGES])
+        _delete(change, [key for key, _ in _rows(change, HISTORY)][:-MAX_CHANGES])
     for key, ticket in step.tickets:
         name = TICKET + key.encode()
         if ticket is None:
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -35,8 +35,8 @@
     DEFERENCE,
     JOIN_INTERVAL,
     LONGEST_DEFERENCE,
+    MAX_DEFERENCE,
     MEMBER_SILENCE,
-    MOST_DEFERENCE,
     PROGRESS_TIMEOUT,
     RETRY,
     TRANSFER_RETRY,
@@ -171,7 +171,7 @@
         if not again:
             self.deferred += 1
             self.deferred_since = self.now
-            longest = min(MOST_DEFERENCE, DEFERENCE * (1 << min(self.deferred - 1, 8)))
+            longest = min(MAX_DEFERENCE, DEFERENCE * (1 << min(self.deferred - 1, 8)))
             self.defer_until = self.now + longest
         if progresses:
             at_most = self.deferred_since + LONGEST_DEFERENCE
--- a/ivymux/config_store/history.py
+++ b/ivymux/config_store/history.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from hashlib import blake2b
 
-MOST_CHANGES = 4096  # versions that are remembered; the lowest are forgotten first
+MAX_CHANGES = 4096  # versions that are remembered; the lowest are forgotten first
 DIGEST_BYTES = 16
 
 
@@ -52,7 +52,7 @@
     def take(self, version: int, digest: str) -> None:
         """Remember a change above all that were taken; the lowest is forgotten where there is no room."""
         self.digests[version] = digest
-        while len(self.digests) > MOST_CHANGES:
+        while len(self.digests) > MAX_CHANGES:
             del self.digests[next(iter(self.digests))]
 
     def changes(self) -> tuple[tuple[int, str], ...]:
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -52,11 +52,11 @@
 
 COMPARE_INTERVAL = 5.0  # seconds between comparisons of the copies
 SWEEP_INTERVAL = 1.0  # seconds between looks for records whose time is over
-MOST_IN_MESSAGE = 400  # records in one message of a repair
+MAX_IN_MESSAGE = 400  # records in one message of a repair
 NUMBERS_IN_EPOCH = 1 << 32
 ASK_AGAIN = 0.1  # seconds: when to ask again for what is being written
-MOST_NOTE = 32 << 10  # characters
-MOST_NOTES = 200
+MAX_NOTE = 32 << 10  # characters
+MAX_NOTES = 200
 
 
 class AttemptView(Protocol):
@@ -194,7 +194,7 @@
         answer = {"ok": True, "version": asked.version}
         if held_version >= asked.version:
             return self.wait_for(self.unstored_of(ticket.key), call, answer)
-        if len(asked.text) > MOST_NOTE or (held is None and len(self.book.notes) >= MOST_NOTES):
+        if len(asked.text) > MAX_NOTE or (held is None and len(self.book.notes) >= MAX_NOTES):
             raise TicketError("a note that is too large, or too many")
         self.store(ticket, call)
         return self.reply(answer, wait=True)
@@ -299,7 +299,7 @@
         ranges: list[tuple[int, tuple[Ticket, ...]]] = []
         for place, tickets in self.book.inside(self.book.differing([*message.digests])).items():
             ranges.append((place, tuple(tickets)))
-            if sum(len(inside) for _, inside in ranges) >= MOST_IN_MESSAGE:
+            if sum(len(inside) for _, inside in ranges) >= MAX_IN_MESSAGE:
                 self.send_repair(ranges, last=False)
                 ranges = []
         self.send_repair(ranges, last=True)
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -38,9 +38,9 @@
 ENDS_BEFORE = 1.0  # seconds before the end of `grace` at which a process that holds a copy ends all the same
 LOOK_TO_END = 0.02  # seconds between looks whether it may
 PUT_WAIT = 0.85  # seconds for which a call of the operator may wait here; a caller goes on after one
-MOST_QUEUE = 5000  # actions that may wait for the disk
-MOST_CORES = 32  # core machines that are dialled
-MOST_ASKED = 4000  # calls of registries that are under way
+MAX_QUEUE = 5000  # actions that may wait for the disk
+MAX_CORES = 32  # core machines that are dialled
+MAX_ASKED = 4000  # calls of registries that are under way
 
 log = Log("config_store")
 
@@ -98,7 +98,7 @@
 
     def meet(self, address: str) -> None:
         """Dial another core machine's configuration store from now on."""
-        if address != self.settings.ip and address not in self.peers and len(self.peers) < MOST_CORES:
+        if address != self.settings.ip and address not in self.peers and len(self.peers) < MAX_CORES:
             self.peers[address] = Dialler(
                 Address(address, self.settings.config_store_port), self.heard, on_up=self.greet
             )
@@ -118,7 +118,7 @@
         if kind == "desk":
             self.welcome_registry(line)
         elif kind in calls.TAGS:
-            if len(self.tasks) > MOST_ASKED:
+            if len(self.tasks) > MAX_ASKED:
                 line.answer(message, ok=False)
             else:
                 self.spawn(self.asked(line, message))
@@ -202,7 +202,7 @@
                 self.waiting.append(action)
             else:
                 self.act(action)
-        if len(self.waiting) > MOST_QUEUE:
+        if len(self.waiting) > MAX_QUEUE:
             log.say("the disk does not answer; this process ends.")
             raise SystemExit(3)
         if self.waiting and not self.writing:
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -20,9 +20,9 @@
 if TYPE_CHECKING:
     from ivymux.data_plane.host import Host, Open
 
-MOST_HEAD = 16 * 1024
-MOST_STRAY = 1024  # bytes, such as empty lines, that belong to no request
-MOST_PIPELINED = 4  # requests on one connection that wait for their answers
+MAX_HEAD = 16 * 1024
+MAX_STRAY = 1024  # bytes, such as empty lines, that belong to no request
+MAX_PIPELINED = 4  # requests on one connection that wait for their answers
 READ_TIMEOUT = 2.3  # seconds for a request to come whole, the first one counted from connecting
 IDLE_TIMEOUT = 15.0  # seconds that a connection may stand idle, while there is room for it
 LINGER = 3.0  # seconds that a client has to read the last answer on its connection
@@ -147,7 +147,7 @@
         except httptools.HttpParserError as error:
             cause = error.__context__
             self.reject(cause if isinstance(cause, BadRequest) else BadRequest("malformed request"))
-        if self.stray > MOST_STRAY and not self.arriving:
+        if self.stray > MAX_STRAY and not self.arriving:
             self.reject(BadRequest("no request"))
 
     def discard(self) -> None:
@@ -198,7 +198,7 @@
 
     def on_message_complete(self) -> None:
         self.arriving, self.stray = False, 0
-        if len(self.pending) >= MOST_PIPELINED:
+        if len(self.pending) >= MAX_PIPELINED:
             # One read may hold hundreds of requests, each with an answer of 64 KiB to be kept for its turn.
             raise BadRequest("too many requests at once", 503)
         self.stand(None)
@@ -326,7 +326,7 @@
         self.held = 0
         self.stopping = False
         self.leaving = False  # no connection is kept behind its answer, though new ones are taken
-        self.most_head, self.read_time, self.idle_time = MOST_HEAD, READ_TIMEOUT, IDLE_TIMEOUT
+        self.most_head, self.read_time, self.idle_time = MAX_HEAD, READ_TIMEOUT, IDLE_TIMEOUT
         self.server: asyncio.Server | None = None
         self.waiting: socket.socket | None = None  # listens, and nobody reads there yet
         self.timer = self.loop.call_later(SWEEP, self.sweep)
--- a/ivymux/data_plane/upstream.py
+++ b/ivymux/data_plane/upstream.py
@@ -18,7 +18,7 @@
 from ivymux.data_plane.limits import Address
 from orchidhill.interface import Outcome
 
-MOST_HEAD = 16 * 1024  # with those of interim answers
+MAX_HEAD = 16 * 1024  # with those of interim answers
 CHUNKED = 8  # times its body that an answer may have on the wire, as chunks of one byte may be sent
 BACKEND_PART = 0.5  # of all connections, that one backend may have
 IDLE_PART = 0.5  # of the backend's idle time, after which an idle connection is retired here
@@ -167,7 +167,7 @@
         if self.result is None:
             if error is not None:
                 log.warning("backend %s: spoilt answer: %s", self.pool.name, error.__context__ or error)
-            elif self.read > (CHUNKED * self.style.most_body if self.headed else MOST_HEAD):
+            elif self.read > (CHUNKED * self.style.most_body if self.headed else MAX_HEAD):
                 log.warning("backend %s: an answer without end", self.pool.name)
             else:
                 return
--- a/ivymux/desired/copying.py
+++ b/ivymux/desired/copying.py
@@ -30,7 +30,7 @@
 )
 from ivymux.desired.etcd.plan import adding, read_state
 from ivymux.desired.etcd.store import EtcdStore
-from ivymux.desired.etcd.wire import MOST_OPERATIONS, Compare, Delete, Kv, Put, Range, Txn
+from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Kv, Put, Range, Txn
 from ivymux.desired.model import Admin, Audit, StoreError
 from ivymux.desired.sqlite import SqliteStore, verify
 from ivymux.tenants.model import Tenant
@@ -138,7 +138,7 @@
 
     def put(*ops: Range | Put | Delete) -> None:
         waiting.extend(ops)
-        if len(waiting) >= MOST_OPERATIONS // 4:
+        if len(waiting) >= MAX_OPERATIONS // 4:
             store.transact(Txn((), tuple(waiting)))
             waiting.clear()
 
--- a/ivymux/desired/etcd/client.py
+++ b/ivymux/desired/etcd/client.py
@@ -25,8 +25,8 @@
 )
 from ivymux.desired.model import StoreBusy, StoreDamaged, StoreError
 
-MOST_ANSWER = 64 << 20  # bytes
-MOST_LINE = 16 << 20  # bytes of one answer of a watch
+MAX_ANSWER = 64 << 20  # bytes
+MAX_LINE = 16 << 20  # bytes of one answer of a watch
 CONNECT = 1.0  # seconds
 PAUSE = 0.02  # seconds before a call is made again, doubled each time
 
@@ -135,7 +135,7 @@
                 data = bytearray()
                 for part in answer.iter_bytes():
                     data += part
-                    if len(data) > MOST_ANSWER:
+                    if len(data) > MAX_ANSWER:
                         raise StoreDamaged("etcd's answer has no end")
                 return self.answer(answer.status_code, bytes(data))
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout):
@@ -182,7 +182,7 @@
         held = bytearray()
         for part in answer.iter_bytes():
             held += part
-            if len(held) > MOST_LINE:
+            if len(held) > MAX_LINE:
                 raise StoreDamaged("an answer of etcd's watch has no end")
             *lines, rest = bytes(held).split(b"\n")
             held = bytearray(rest)
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -20,7 +20,7 @@
 from ivymux.tenants.model import Tenant
 
 LOOK = 1.0  # seconds between reads that the watch is held against
-AGAIN, AGAIN_MOST = 0.1, 2.0  # seconds before a watch that broke off begins anew
+AGAIN, AGAIN_MAX = 0.1, 2.0  # seconds before a watch that broke off begins anew
 LIFE = 6  # seconds that a report lives without being renewed
 USAGE = 10.0  # seconds between reports of use
 log = logging.getLogger("ivymux")
@@ -120,7 +120,7 @@
                 self.trouble("watch", "the watch failed; the log says more")
                 stale = True
             self.closed.wait(wait * (0.5 + random.random()))
-            wait = min(AGAIN_MOST, 2 * wait) if stale and "watch" in self.troubles else AGAIN
+            wait = min(AGAIN_MAX, 2 * wait) if stale and "watch" in self.troubles else AGAIN
 
     def watch(self) -> None:
         """Take over what etcd tells, until the watch ends.  Raises StoreError, Compacted."""
--- a/ivymux/desired/etcd/keys.py
+++ b/ivymux/desired/etcd/keys.py
@@ -17,8 +17,8 @@
 from ivymux.tenants.model import Tenant, digest, texts
 
 PIECE = 512 * 1024  # bytes of a text in one key
-MOST_TEXT = 64 << 20  # bytes that a text may have unpacked
-MOST_VALUE = 512 * 1024  # bytes of an audit record or an answer that is kept
+MAX_TEXT = 64 << 20  # bytes that a text may have unpacked
+MAX_VALUE = 512 * 1024  # bytes of an audit record or an answer that is kept
 FEW_CHANGES = 200  # of a record that is too large
 FORM = 1
 T = TypeVar("T")
@@ -159,7 +159,7 @@
     """A text of its pieces.  Raises StoreDamaged where it is not what its name says."""
     try:
         engine = zlib.decompressobj()
-        data = engine.decompress(b"".join((place.data, *rest)), MOST_TEXT)
+        data = engine.decompress(b"".join((place.data, *rest)), MAX_TEXT)
     except zlib.error:
         data = b""
     if len(rest) != place.pieces or digest(data) != name:
@@ -170,7 +170,7 @@
 def recorded(token: str, audit: Audit) -> bytes:
     """An audit record; of one that is too large the first changes, and how many there were."""
     value = zlib.compress(packed(Recorded(token, audit)))
-    if len(value) <= MOST_VALUE:
+    if len(value) <= MAX_VALUE:
         return value
     left = len(audit.changes) - FEW_CHANGES
     few = [{"path": c.get("path", "")} for c in audit.changes[:FEW_CHANGES]]
--- a/ivymux/desired/etcd/plan.py
+++ b/ivymux/desired/etcd/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ivymux.desired.etcd.keys import (
-    MOST_VALUE,
+    MAX_VALUE,
     Head,
     Keys,
     State,
@@ -23,7 +23,7 @@
     recorded,
     unpacked,
 )
-from ivymux.desired.etcd.wire import MOST_OPERATIONS, Compare, Delete, Put, Range, Ranged, Txn
+from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Put, Range, Ranged, Txn
 from ivymux.desired.model import (
     Admin,
     Audit,
@@ -36,7 +36,7 @@
 )
 
 HISTORY = 50  # revisions kept of a tenant
-MOST_AUDIT = 100_000
+MAX_AUDIT = 100_000
 DROPPED = 5  # audit records that one commit may drop
 NOBODY = "no desired state is here: `ivymux operator` begins one, `ivymux restore` puts a copy back"
 
@@ -66,7 +66,7 @@
 def reading(keys: Keys, change: Change, last: int) -> list[Range]:
     """What has to be read; `last` is the newest revision that is known."""
     hosts = change.tenant.hosts if change.tenant is not None else []
-    oldest = max(0, last + 1 - MOST_AUDIT)
+    oldest = max(0, last + 1 - MAX_AUDIT)
     return [
         Range(keys.state),
         Range(keys.tenant(change.name)),
@@ -163,11 +163,11 @@
         if change.repeat is not None:
             key, answer = change.repeat
             kept = packed(Remembered(answer.fingerprint, answer.status, answer.body, answer.etag))
-            if len(kept) > MOST_VALUE:
+            if len(kept) > MAX_VALUE:
                 raise StoreFull("the answer is too large to be kept for a repeat: make less at once")
             operations += [Put(keys.repeat(change.uid, key), kept, lease),
                            Put(keys.repeat_id(key), change.uid.encode(), lease)]  # fmt: skip
-    if len(operations) > MOST_OPERATIONS or len(compares) > MOST_OPERATIONS:
+    if len(operations) > MAX_OPERATIONS or len(compares) > MAX_OPERATIONS:
         raise StoreFull("the change is of too many parts for one transaction: make it in two")
     return revision, Txn(tuple(compares), tuple(operations))
 
@@ -208,6 +208,6 @@
     if not left:
         return None
     dropped = tuple(
-        Delete(keys.blob(uid, name), after(keys.blob(uid, name))) for name in left[:MOST_OPERATIONS]
+        Delete(keys.blob(uid, name), after(keys.blob(uid, name))) for name in left[:MAX_OPERATIONS]
     )
     return Txn((Compare(keys.state, "MOD", "EQUAL", mod),), dropped)
--- a/ivymux/desired/etcd/replica.py
+++ b/ivymux/desired/etcd/replica.py
@@ -13,7 +13,7 @@
 from ivymux.desired.etcd.wire import Event, Kv
 from ivymux.desired.model import Gone, StoreError
 
-MOST_GONE = 10_000  # tenants that went, kept to be told
+MAX_GONE = 10_000  # tenants that went, kept to be told
 STUCK = 2.0  # seconds that a watch may be behind what a read has seen
 
 
@@ -106,8 +106,8 @@
     def bury(self, lost: Iterable[Head]) -> None:
         """Keep who went, as of now; the oldest are forgotten."""
         self.gone += [Gone(head.name, head.uid, self.revision) for head in lost]
-        if len(self.gone) > MOST_GONE:
-            surplus = self.gone[: len(self.gone) - MOST_GONE]
+        if len(self.gone) > MAX_GONE:
+            surplus = self.gone[: len(self.gone) - MAX_GONE]
             self.forgot = max(g.revision for g in surplus)
             del self.gone[: len(surplus)]
 
--- a/ivymux/desired/etcd/wire.py
+++ b/ivymux/desired/etcd/wire.py
@@ -13,7 +13,7 @@
 
 from ivymux.desired.model import StoreBusy, StoreDamaged, StoreError, StoreFull
 
-MOST_OPERATIONS = 120  # in one transaction; etcd's own default is 128
+MAX_OPERATIONS = 120  # in one transaction; etcd's own default is 128
 Json = dict[str, Any]
 
 
@@ -169,7 +169,7 @@
 
 
 def txn_json(txn: Txn) -> Json:
-    assert len(txn.operations) <= MOST_OPERATIONS and len(txn.compares) <= MOST_OPERATIONS
+    assert len(txn.operations) <= MAX_OPERATIONS and len(txn.compares) <= MAX_OPERATIONS
     return {"compare": [compare_json(c) for c in txn.compares],
             "success": [operation_json(op) for op in txn.operations]}  # fmt: skip
 
--- a/ivymux/desired/sqlite.py
+++ b/ivymux/desired/sqlite.py
@@ -32,9 +32,9 @@
 from ivymux.tenants.model import Tenant, texts
 
 HISTORY = 50  # revisions kept of a tenant
-MOST_AUDIT = 100_000
-MOST_GONE = 10_000
-MOST_REPEATS = 10_000
+MAX_AUDIT = 100_000
+MAX_GONE = 10_000
+MAX_REPEATS = 10_000
 REPEAT_LIFE = 86_400.0  # seconds that a creation's answer is remembered
 DOOR_LIFE = 3600.0  # seconds after which a front door that tells nothing is forgotten
 BUSY = 2.0  # seconds to wait for another process
@@ -304,14 +304,14 @@
 
     def trim(self, db: sqlite3.Connection, at: float, revision: int) -> None:
         """Bounds on all that grows with changes."""
-        db.execute("DELETE FROM audit WHERE revision <= ?", (revision - MOST_AUDIT,))
+        db.execute("DELETE FROM audit WHERE revision <= ?", (revision - MAX_AUDIT,))
         (count, last) = db.execute("SELECT count(*), min(revision) FROM gone").fetchone()
-        if count > MOST_GONE:
+        if count > MAX_GONE:
             db.execute("DELETE FROM gone WHERE revision = ?", (last,))
             db.execute("UPDATE state SET forgot = ?", (last,))
         db.execute("DELETE FROM repeats WHERE at < ?", (at - REPEAT_LIFE,))
         surplus = "SELECT key FROM repeats ORDER BY at DESC LIMIT -1 OFFSET ?"
-        db.execute(f"DELETE FROM repeats WHERE key IN ({surplus})", (MOST_REPEATS,))
+        db.execute(f"DELETE FROM repeats WHERE key IN ({surplus})", (MAX_REPEATS,))
 
     def appoint(self, admin: Admin, at: float) -> None:
         """Keep an operator's key: the first one comes from the command line of the machine."""
--- a/ivymux/fault_injection/trial_set.py
+++ b/ivymux/fault_injection/trial_set.py
@@ -26,10 +26,10 @@
     CLOSE: "its connection closed before it is sent",
 }
 STATUSES = (429, 503)  # with which a refusal promises that the request has not run
-MOST_RUNNING = 16
-MOST_TEXT = 24 << 10  # bytes of the board; the oldest ended trials give way
-MOST_DOCUMENT = 8 << 10  # and of what an operator sends
-MOST_DELAY = 10.0  # seconds
+MAX_RUNNING = 16
+MAX_TEXT = 24 << 10  # bytes of the board; the oldest ended trials give way
+MAX_DOCUMENT = 8 << 10  # and of what an operator sends
+MAX_DELAY = 10.0  # seconds
 LONGEST = 600.0  # seconds, where the settings say nothing
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,47}", re.ASCII)
 DIGEST = re.compile(r"[0-9a-f]{12,64}", re.ASCII)
@@ -162,8 +162,8 @@
 
 def document(text: bytes) -> TrialDocument:
     """Raises TrialError."""
-    if len(text) > MOST_DOCUMENT:
-        raise TrialError(f"a trial of {len(text)} bytes; {MOST_DOCUMENT} at most", 413)
+    if len(text) > MAX_DOCUMENT:
+        raise TrialError(f"a trial of {len(text)} bytes; {MAX_DOCUMENT} at most", 413)
     try:
         return msgspec.json.decode(text, type=TrialDocument)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -173,7 +173,7 @@
 def ending(text: bytes) -> EndDocument:
     """Raises TrialError."""
     try:
-        return msgspec.json.decode(text[:MOST_DOCUMENT], type=EndDocument)
+        return msgspec.json.decode(text[:MAX_DOCUMENT], type=EndDocument)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise TrialError(f"the end of a trial: {error}; send by and why") from None
 
@@ -201,7 +201,7 @@
         raise TrialError(f"service: {sent.service[:60]!r} is no service of version {plan.version}")
     if len(sent.zone) > 100:
         raise TrialError("zone: write a zone's name")
-    delay = seconds(sent.delay, "delay", 0.0, MOST_DELAY)
+    delay = seconds(sent.delay, "delay", 0.0, MAX_DELAY)
     if (sent.does == DELAY) != (delay > 0):
         raise TrialError("delay: give one where does is delay, and only there")
     return Trial(
@@ -235,8 +235,8 @@
             " end it, or narrow one",
             409,
         )
-    if len(board.running) >= MOST_RUNNING:
-        raise TrialError(f"{MOST_RUNNING} trials run; end one first", 409)
+    if len(board.running) >= MAX_RUNNING:
+        raise TrialError(f"{MAX_RUNNING} trials run; end one first", 409)
     past = tuple(t for t in board.past if t.name != trial.name)
     return fitted(Board(board.version + 1, (*board.running, trial), past))
 
@@ -264,7 +264,7 @@
 def fitted(board: Board) -> Board:
     """Within its bound; the oldest of the ended give way."""
     past = board.past
-    while past and len(replace(board, past=past).text()) > MOST_TEXT:
+    while past and len(replace(board, past=past).text()) > MAX_TEXT:
         past = past[:-1]
     return replace(board, past=past)
 
--- a/ivymux/hosting/host_lookups.py
+++ b/ivymux/hosting/host_lookups.py
@@ -9,7 +9,7 @@
 from ivymux.membership.resolver import LookUp
 
 THREADS = 32
-MOST_RUNNING = 2  # of one tenant: a look-up that hangs holds its thread until the system gives it up
+MAX_RUNNING = 2  # of one tenant: a look-up that hangs holds its thread until the system gives it up
 
 
 def ask(name: str) -> list[str]:
@@ -23,7 +23,7 @@
 
     def of_tenant(self) -> LookUp:
         """One tenant's look-up.  A name that is waited for no longer goes on counting while it runs."""
-        gate = asyncio.Semaphore(MOST_RUNNING)
+        gate = asyncio.Semaphore(MAX_RUNNING)
 
         async def look_up(name: str) -> list[str]:
             await gate.acquire()
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -34,8 +34,8 @@
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
 
-MOST_NAMES = 50_000  # of one tenant's tally
-MOST_UNREAD = 16
+MAX_NAMES = 50_000  # of one tenant's tally
+MAX_UNREAD = 16
 NAMES_WAIT = 0.3  # seconds that a change waits for look-ups
 CHECKED = 512  # workers judged before requests go between
 log = logging.getLogger("ivymux")
@@ -91,7 +91,7 @@
         self.served_by: OrdinaryFront | None = None  # that takes its requests; None while nobody does
         self.part: Part | None = None
         self.former: list[Part] = []
-        self.tally = Store(MOST_NAMES)
+        self.tally = Store(MAX_NAMES)
         self.roster = Roster()
         look_up = terms.lookups.of_tenant() if terms.lookups is not None else system
         self.resolver = Resolver(look_up)
@@ -148,7 +148,7 @@
         self.callers = callers
         front = OrdinaryFront(
             table, callers, tenant.header, site.plans, self.terms.doors,
-            self.terms.body, MOST_UNREAD, self.terms.trusted, lambda: True, make_id,
+            self.terms.body, MAX_UNREAD, self.terms.trusted, lambda: True, make_id,
         )  # fmt: skip
         self.tenant, self.revision = tenant, revision
         self.served_by = None if tenant.suspended or self.leaving else front
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -23,7 +23,7 @@
 from ivymux.membership.resolver import LIFE
 from ivymux.routes.model import Compiled
 from ivymux.service.lifecycle import Door
-from ivymux.service.site import MOST_ANSWERS
+from ivymux.service.site import MAX_ANSWERS
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.server import TallyServer
 from ivymux.tally.store import Store as TallyStore
@@ -54,7 +54,7 @@
         told = Told()  # refusals of all tenants
         self.terms = Terms(
             hosting.file.name, hosting.file.tally.doors, limits.body_kb * 1024, answer,
-            max(answer, int(limits.memory_mb * MOST_ANSWERS * (1 << 20)) // 4),
+            max(answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)) // 4),
             min(limits.tenant_upstream, bounds.upstream), tuple(hosting.file.trusted_proxies),
             places=hosting.places, lookups=self.lookups, told=told,
         )  # fmt: skip
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -17,8 +17,8 @@
 from ivymux.tenants.shares import Share, Shares
 
 BEYOND = "This tenant asks for more than its part of the service."
-MOST_NAME = 300  # bytes of a Host field that can name a tenant
-MOST_WAIT = 60
+MAX_NAME = 300  # bytes of a Host field that can name a tenant
+MAX_WAIT = 60
 
 
 class HostedFront:
@@ -45,7 +45,7 @@
 
     def beyond(self, wait: float) -> Answer:
         """The refusal of a request beyond its tenant's part: made once for each number of seconds."""
-        seconds = min(MOST_WAIT, max(1, math.ceil(wait)))
+        seconds = min(MAX_WAIT, max(1, math.ceil(wait)))
         found = self.refusals.get(seconds)
         if found is None:
             found = Answer(429, problem(429, BEYOND, ""), TYPE, float(seconds))
@@ -110,7 +110,7 @@
                 named = value
                 break
         asked = self.server.residents.get(named.decode("latin-1"))  # as it mostly is
-        if asked is None and len(named) <= MOST_NAME:
+        if asked is None and len(named) <= MAX_NAME:
             asked = self.server.find(named)
         self.asked, self.holder = asked, None
         self.recognize()
--- a/ivymux/hosting/site.py
+++ b/ivymux/hosting/site.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
-from ivymux.service.site import MOST_ANSWERS, SiteError, address, bounded
+from ivymux.service.site import MAX_ANSWERS, SiteError, address, bounded
 from ivymux.tally.engine import RedisPart, check
 from ivymux.tenants.places import Places
 
@@ -101,7 +101,7 @@
         bounded("limits.body_kb", limits.body_kb, 1, 64 * 1024)
         bounded("limits.answer_kb", limits.answer_kb, 1, 64 * 1024)
         bounded("limits.tenant_upstream", limits.tenant_upstream, 4, 100_000)
-        if limits.answer_kb / 1024 > limits.memory_mb * MOST_ANSWERS:
+        if limits.answer_kb / 1024 > limits.memory_mb * MAX_ANSWERS:
             raise ConfigError("limits.answer_kb is more than an eighth of limits.memory_mb")
         if bool(file.store) == (file.etcd is not None):
             raise ConfigError("write store, a file, or a table etcd: one of the two")
--- a/ivymux/hosting/tenant_counters.py
+++ b/ivymux/hosting/tenant_counters.py
@@ -13,7 +13,7 @@
 from ivymux.tenants.names import counter_name
 from orchidhill.interface import Count, Counted, Late, Outcome
 
-MOST_OUT = 200  # calls of one tenant that wait for their answers
+MAX_OUT = 200  # calls of one tenant that wait for their answers
 
 
 @dataclass(slots=True, kw_only=True)
@@ -64,7 +64,7 @@
         self.out = 0
 
     def add(self, count: Count) -> None:
-        if self.out >= MOST_OUT:
+        if self.out >= MAX_OUT:
             # Who asks that much leaves the connections to the others; its module slows down for it.
             self.done(Counted(count.name, Outcome.FULL, 0.0, 0.0))
             return
--- a/ivymux/idempotency/record_store.py
+++ b/ivymux/idempotency/record_store.py
@@ -23,9 +23,9 @@
 OPEN, DONE, LOST, FREE = "open", "done", "lost", "free"
 STATES = (OPEN, DONE, LOST, FREE)
 RANGES = 256  # of keys, by their first two digits
-MOST_TICKETS = 60_000
-MOST_BYTES = 24 << 20  # of answers, over all tickets
-MOST_ANSWER = 64 << 10  # characters of one answer, as it is kept
+MAX_TICKETS = 60_000
+MAX_BYTES = 24 << 20  # of answers, over all tickets
+MAX_ANSWER = 64 << 10  # characters of one answer, as it is kept
 FREE_KEPT = 30.0  # seconds for which a free one is kept, so that late copies of it are known
 KEY_DIGITS = 32
 NOTE = "note "  # before the name of a note, in the place of a claim; no age ends it
@@ -51,7 +51,7 @@
     answer: str = ""  # what a repeat is answered with; empty: it was not kept
 
     def __post_init__(self) -> None:
-        if self.state not in STATES or len(self.key) != KEY_DIGITS or len(self.answer) > MOST_ANSWER:
+        if self.state not in STATES or len(self.key) != KEY_DIGITS or len(self.answer) > MAX_ANSWER:
             raise TicketError("a ticket out of its bounds")
         int(self.key, 16)
 
@@ -200,7 +200,7 @@
     def full(self, tenant: str, rules: Rules) -> bool:
         """Whether a tenant has its part; where the book is full, more than an even one."""
         own = self.held.get(tenant, 0)
-        crowded = len(self.tickets) >= MOST_TICKETS and own * len(self.held) >= MOST_TICKETS
+        crowded = len(self.tickets) >= MAX_TICKETS and own * len(self.held) >= MAX_TICKETS
         return own >= rules.most_for_tenant or crowded
 
     def ended(self, key: str, claim: str, state: str, answer: str, rules: Rules) -> Ticket | None:
@@ -208,7 +208,7 @@
         held = self.tickets.get(key)
         if held is None or held.claim != claim or held.state != OPEN or state not in (DONE, LOST, FREE):
             return None
-        small = len(answer) <= min(rules.most_answer, MOST_ANSWER) and self.bytes + len(answer) <= MOST_BYTES
+        small = len(answer) <= min(rules.most_answer, MAX_ANSWER) and self.bytes + len(answer) <= MAX_BYTES
         return replace(held, state=state, answer=answer if state == DONE and small else "")
 
 
--- a/ivymux/idempotency/settings.py
+++ b/ivymux/idempotency/settings.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from ivymux.idempotency.record_store import MOST_ANSWER, Rules
+from ivymux.idempotency.record_store import MAX_ANSWER, Rules
 
-MOST_TEXT = 16 << 10  # bytes
+MAX_TEXT = 16 << 10  # bytes
 TIME = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s|m|h)", re.ASCII)
 UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
-LEAST_KEPT, MOST_KEPT = 60.0, 24 * 3600.0  # seconds
+LEAST_KEPT, MAX_KEPT = 60.0, 24 * 3600.0  # seconds
 NAME = re.compile(r"[A-Za-z0-9-]{1,64}", re.ASCII)
 
 
@@ -52,12 +52,12 @@
         raise TermsError("settings_version: write a whole number of 0 or more")
     found = TIME.fullmatch(document.kept_for)
     kept = float(found[1]) * UNITS[found[2]] if found else -1.0
-    if not LEAST_KEPT <= kept <= MOST_KEPT:
+    if not LEAST_KEPT <= kept <= MAX_KEPT:
         raise TermsError(f"kept_for: {document.kept_for!r}; write a time from 60s to 24h, as 15m")
     if not 1 <= document.most_per_tenant <= 50_000:
         raise TermsError(f"most_per_tenant: {document.most_per_tenant}; write 1 to 50000")
-    if not 0 <= document.most_answer_bytes <= MOST_ANSWER:
-        raise TermsError(f"most_answer_bytes: {document.most_answer_bytes}; write 0 to {MOST_ANSWER}")
+    if not 0 <= document.most_answer_bytes <= MAX_ANSWER:
+        raise TermsError(f"most_answer_bytes: {document.most_answer_bytes}; write 0 to {MAX_ANSWER}")
     name = document.conversation_header
     if name and not NAME.fullmatch(name):
         raise TermsError(f"conversation_header: {name!r} is no header's name; write letters, digits and -")
@@ -67,8 +67,8 @@
 
 def read(text: bytes) -> Terms:
     """The settings in a text.  Raises TermsError."""
-    if len(text) > MOST_TEXT:
-        raise TermsError(f"the settings have {len(text)} bytes; {MOST_TEXT} at most")
+    if len(text) > MAX_TEXT:
+        raise TermsError(f"the settings have {len(text)} bytes; {MAX_TEXT} at most")
     try:
         return compile(msgspec.json.decode(text, type=TermsDocument))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/ivymux/inventory/ansible.py
+++ b/ivymux/inventory/ansible.py
@@ -15,7 +15,7 @@
 import yaml
 
 from ivymux.inventory.model import (
-    MOST_WORKERS,
+    MAX_WORKERS,
     Cell,
     Findings,
     Inventory,
@@ -30,8 +30,8 @@
 )  # fmt: skip
 from ivymux.text import TextError, compose_yaml
 
-MOST_GROUPS = 5_000
-MOST_LEVELS = 50
+MAX_GROUPS = 5_000
+MAX_LEVELS = 50
 GROUP = re.compile(r"[A-Za-z_][A-Za-z0-9_.-]{0,127}", re.ASCII)
 RANGE = re.compile(r"\[([0-9A-Za-z]*):([0-9A-Za-z]+)(?::(\d+))?\]", re.ASCII)
 LETTERS = string.ascii_letters
@@ -94,8 +94,8 @@
             width = len(first)
             if len(last) != width:
                 raise RangeError(f"{pattern[:60]!r} has ends of different length")
-        if (end - begin) // step >= MOST_WORKERS:
-            raise RangeError(f"{pattern[:60]!r} makes more than {MOST_WORKERS} names")
+        if (end - begin) // step >= MAX_WORKERS:
+            raise RangeError(f"{pattern[:60]!r} makes more than {MAX_WORKERS} names")
         values = [str(n).zfill(width) for n in range(begin, end + 1, step)]
     elif len(first) == len(last) == 1 and first in LETTERS and last in LETTERS:
         values = list(LETTERS[LETTERS.index(first) : LETTERS.index(last) + 1 : step])
@@ -104,8 +104,8 @@
     if not values:
         raise RangeError(f"{pattern[:60]!r} ends before it begins")
     before, rest = pattern[: found.start()], expand(pattern[found.end() :])
-    if len(values) * len(rest) > MOST_WORKERS:
-        raise RangeError(f"{pattern[:60]!r} makes more than {MOST_WORKERS} names")
+    if len(values) * len(rest) > MAX_WORKERS:
+        raise RangeError(f"{pattern[:60]!r} makes more than {MAX_WORKERS} names")
     return [before + value + tail for value in values for tail in rest]
 
 
@@ -138,8 +138,8 @@
             if not GROUP.fullmatch(name):
                 self.error(place_of(key), f"{name[:60]!r} is no name of a group")
                 continue
-            if level > MOST_LEVELS or len(self.groups) > MOST_GROUPS:
-                self.error(place_of(key), f"more than {MOST_GROUPS} groups, or {MOST_LEVELS} levels of them")
+            if level > MAX_LEVELS or len(self.groups) > MAX_GROUPS:
+                self.error(place_of(key), f"more than {MAX_GROUPS} groups, or {MAX_LEVELS} levels of them")
                 return
             group = self.group(name, place_of(key))
             if parent is not None:
@@ -195,8 +195,8 @@
                     host.vars[variable] = cell
                 host.groups.add(group.name)
                 group.hosts.setdefault(name, place)
-            if len(self.hosts) > MOST_WORKERS:
-                self.error(place, f"more than {MOST_WORKERS} hosts")
+            if len(self.hosts) > MAX_WORKERS:
+                self.error(place, f"more than {MAX_WORKERS} hosts")
                 return
 
     def read_vars(self, node: yaml.MappingNode) -> Vars:
--- a/ivymux/inventory/csv_reader.py
+++ b/ivymux/inventory/csv_reader.py
@@ -21,9 +21,9 @@
     mangled,
 )  # fmt: skip
 
-MOST_BYTES = 16 << 20
-MOST_COLUMNS = 200
-MOST_CELL = 4096
+MAX_BYTES = 16 << 20
+MAX_COLUMNS = 200
+MAX_CELL = 4096
 ALIASES = {
     "name": "name host-id server worker id hostname node",
     "address": "address ip addr ip-address host ipaddress endpoint dial",
@@ -49,8 +49,8 @@
 
 def text_of(data: bytes, findings: Findings) -> str | None:
     """The text of a sheet in UTF-8 or UTF-16; None where it is neither, which is found."""
-    if len(data) > MOST_BYTES:
-        findings.error(0, 0, f"larger than {MOST_BYTES >> 20} MiB")
+    if len(data) > MAX_BYTES:
+        findings.error(0, 0, f"larger than {MAX_BYTES >> 20} MiB")
         return None
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
         encoding = "utf-16"
@@ -167,8 +167,8 @@
         if told is not None:
             findings.error(line, 0, "a row behind the row with the count")
             break
-        if len(row) > MOST_COLUMNS:
-            findings.error(line, 0, f"more than {MOST_COLUMNS} columns")
+        if len(row) > MAX_COLUMNS:
+            findings.error(line, 0, f"more than {MAX_COLUMNS} columns")
             continue
         if fields is None:
             fields, header_line = header_of(row, line, findings), line
@@ -203,9 +203,9 @@
     values: dict[str, Cell] = {}
     for number, cell in enumerate(row, 1):
         field = fields.get(number)
-        if len(cell) > MOST_CELL:
+        if len(cell) > MAX_CELL:
             findings.error(
-                line, number, f"column {column_name(number)} holds more than {MOST_CELL} characters"
+                line, number, f"column {column_name(number)} holds more than {MAX_CELL} characters"
             )
             return None
         if field is not None:
--- a/ivymux/inventory/model.py
+++ b/ivymux/inventory/model.py
@@ -12,8 +12,8 @@
 
 State = Literal["ready", "draining", "out"]
 STATES: tuple[State, ...] = ("ready", "draining", "out")
-MOST_WORKERS = 20_000
-MOST_FINDINGS = 200
+MAX_WORKERS = 20_000
+MAX_FINDINGS = 200
 FIELDS = ("name", "address", "port", "room", "bay", "kind", "weight", "state")
 NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._-]{0,126}[A-Za-z0-9])?", re.ASCII)
 LABEL = re.compile(r"[A-Za-z0-9]([A-Za-z0-9_ .-]{0,62}[A-Za-z0-9])?", re.ASCII)
@@ -29,8 +29,8 @@
 ERRORS = frozenset(
     ("#ref!", "#n/a", "#name?", "#value!", "#div/0!", "#null!", "#num!", "#spill!", "########")
 )
-LEAST_WEIGHT, MOST_WEIGHT = 0.001, 1000.0
-MOST_BAY = 1 << 31
+LEAST_WEIGHT, MAX_WEIGHT = 0.001, 1000.0
+MAX_BAY = 1 << 31
 
 
 T = TypeVar("T")
@@ -68,11 +68,11 @@
 
     def error(self, line: int, column: int, text: str) -> None:
         self.errors += 1
-        if len(self.kept) < MOST_FINDINGS or self.errors == 1:
+        if len(self.kept) < MAX_FINDINGS or self.errors == 1:
             self.kept.append(Finding("error", self.file, line, column, text[:300]))
 
     def warning(self, line: int, column: int, text: str) -> None:
-        if len(self.kept) < MOST_FINDINGS:
+        if len(self.kept) < MAX_FINDINGS:
             self.kept.append(Finding("warning", self.file, line, column, text[:300]))
 
 
@@ -222,7 +222,7 @@
 
 def read_bay(text: str) -> int:
     text = plain(text)
-    if not WHOLE.fullmatch(text) or int(text) > MOST_BAY:
+    if not WHOLE.fullmatch(text) or int(text) > MAX_BAY:
         raise FieldError(f"{text[:40]!r} is no bay: a whole number from 0")
     return int(text)
 
@@ -231,8 +231,8 @@
     text = plain(text)
     if "," in text:
         raise FieldError(f"{text[:40]!r} has a comma; write the decimal point")
-    if not DECIMAL.fullmatch(text) or not LEAST_WEIGHT <= float(text) <= MOST_WEIGHT:
-        raise FieldError(f"{text[:40]!r} is no weight: a number from {LEAST_WEIGHT:g} to {MOST_WEIGHT:g}")
+    if not DECIMAL.fullmatch(text) or not LEAST_WEIGHT <= float(text) <= MAX_WEIGHT:
+        raise FieldError(f"{text[:40]!r} is no weight: a number from {LEAST_WEIGHT:g} to {MAX_WEIGHT:g}")
     return float(text)
 
 
@@ -332,8 +332,8 @@
         findings.warning(place.line, place.column, text)
     if not names and not findings.errors:
         findings.error(0, 0, "no worker at all: an empty list is never taken")
-    if len(names) > MOST_WORKERS:
-        findings.error(0, 0, f"more than {MOST_WORKERS} workers")
+    if len(names) > MAX_WORKERS:
+        findings.error(0, 0, f"more than {MAX_WORKERS} workers")
     if findings.errors:
         raise InventoryError(findings.kept)
     return Inventory(tuple(sorted(worker for worker, _ in names.values())))
--- a/ivymux/membership/files.py
+++ b/ivymux/membership/files.py
@@ -10,12 +10,12 @@
 from msgspec.structs import replace
 
 from ivymux.inventory.ansible import Beside, read_ansible
-from ivymux.inventory.csv_reader import MOST_BYTES, read_sheet
+from ivymux.inventory.csv_reader import MAX_BYTES, read_sheet
 from ivymux.inventory.model import Own, Reading
 
 SHEETS = (".csv", ".tsv", ".txt")
 ANSIBLE = (".yml", ".yaml", ".json")
-MOST_FILES = 5_000
+MAX_FILES = 5_000
 FOLDERS = ("group_vars", "host_vars")
 
 
@@ -50,8 +50,8 @@
         for at, folders, files in os.walk(top, onerror=unreadable) if top.exists() else ():
             folders.sort()
             found += [Path(at) / name for name in sorted(files) if not name.startswith((".", "~"))]
-            if len(found) > MOST_FILES:
-                raise FilesError(f"more than {MOST_FILES} files beside {path.name}")
+            if len(found) > MAX_FILES:
+                raise FilesError(f"more than {MAX_FILES} files beside {path.name}")
     return [p for p in found if p.suffix.lower() in (*ANSIBLE, "")]
 
 
@@ -81,7 +81,7 @@
         raise FilesError(f"{path} is not there")
     try:
         with open(path, "rb") as source:
-            data = source.read(MOST_BYTES + 1)
+            data = source.read(MAX_BYTES + 1)
         folders: dict[str, dict[str, dict[str, bytes]]] = {folder: {} for folder in FOLDERS}
         size = len(data)
         for part in beside(path):
@@ -89,8 +89,8 @@
             name = Path(rest[0]).stem if len(rest) == 1 else rest[0]
             content = part.read_bytes()
             size += len(content)
-            if size > MOST_BYTES:
-                raise FilesError(f"{path} and what stands beside it is larger than {MOST_BYTES >> 20} MiB")
+            if size > MAX_BYTES:
+                raise FilesError(f"{path} and what stands beside it is larger than {MAX_BYTES >> 20} MiB")
             folders[folder].setdefault(name, {})[str(part.relative_to(path.parent))] = content
     except FilesError:
         raise
--- a/ivymux/membership/reader.py
+++ b/ivymux/membership/reader.py
@@ -17,8 +17,8 @@
 from ivymux.inventory.change_policy import Change, Judge, Limits, cut_reason, differences
 from ivymux.inventory.model import Finding, Inventory, InventoryError, Own, Shape
 
-MOST_MEMORY = 1 << 30  # bytes of address space
-MOST_CPU = 30  # seconds
+MAX_MEMORY = 1 << 30  # bytes of address space
+MAX_CPU = 30  # seconds
 TIMEOUT = 45.0
 
 
@@ -71,8 +71,8 @@
 
 
 def main() -> int:
-    resource.setrlimit(resource.RLIMIT_AS, (MOST_MEMORY, MOST_MEMORY))
-    resource.setrlimit(resource.RLIMIT_CPU, (MOST_CPU, MOST_CPU))
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY, MAX_MEMORY))
+    resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU, MAX_CPU))
     os.nice(10)
     task = msgspec.msgpack.decode(sys.stdin.buffer.read(), type=Task)
     try:
--- a/ivymux/platform/counter.py
+++ b/ivymux/platform/counter.py
@@ -19,12 +19,12 @@
 from orchidhill.interface import Count, Counted, Late, Outcome
 
 LINES = 4  # connections; the counter holds 32 of a front door
-MOST_PENDING = 1000  # calls on one connection that wait for their answers
+MAX_PENDING = 1000  # calls on one connection that wait for their answers
 PING_AFTER = 2.0  # seconds without a call after which a PING keeps the connection from standing idle
 DEAD_AFTER = 2.0  # seconds with calls out and no byte back: the machine behind it has vanished
-RETRY_FIRST, RETRY_MOST = 0.05, 1.0  # seconds between attempts to connect
+RETRY_FIRST, RETRY_MAX = 0.05, 1.0  # seconds between attempts to connect
 CONNECT_TIMEOUT = 1.0
-MOST_ANSWER = 64 * 1024  # bytes; a total is far shorter
+MAX_ANSWER = 64 * 1024  # bytes; a total is far shorter
 TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")  # neither nan nor inf
 
 log = logging.getLogger(__name__)
@@ -63,7 +63,7 @@
 
     def call(self, count: Count, now: float) -> None:
         call = Call(count, now, self)
-        if len(self.calls) + len(self.held) >= MOST_PENDING:
+        if len(self.calls) + len(self.held) >= MAX_PENDING:
             self.owner.settle(call, Outcome.FULL)
             return
         if self.transport is None and not self.connecting:  # refused a moment ago; it tries again shortly
@@ -153,7 +153,7 @@
                 return
             self.fail_held()
             self.owner.loop.call_later(self.wait, self.connect)
-            self.wait = min(RETRY_MOST, 2 * self.wait)
+            self.wait = min(RETRY_MAX, 2 * self.wait)
             self.owner.tried()
         else:
             if self.owner.shared is None:  # else the time comes first: it counts from the first event on
@@ -206,7 +206,7 @@
                 if not self.calls:
                     raise hiredis.ProtocolError("an answer that no call waits for")
                 self.answer(self.calls.popleft(), reply)
-            if self.unread > MOST_ANSWER:
+            if self.unread > MAX_ANSWER:
                 raise hiredis.ProtocolError("an answer without end")
         except hiredis.ProtocolError as error:  # framing is lost: nothing behind it can be matched
             log.warning("counter: %s", error)
--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -17,10 +17,10 @@
 from ivymux.platform.config import plain
 from orchidhill.interface import Entry, Listing, Members, State
 
-MOST_LINE = 4 << 20  # bytes of one line; a longer one ends the watch
+MAX_LINE = 4 << 20  # bytes of one line; a longer one ends the watch
 SILENT_AFTER = 7.0  # seconds: an empty line comes every 2 s while the agent is well
 ANSWER_AFTER = 1.0  # seconds: the whole list comes at once, or, asked for while discovery is down, never
-RETRY_FIRST, RETRY_MOST = 0.1, 0.5  # seconds between attempts to watch
+RETRY_FIRST, RETRY_MAX = 0.1, 0.5  # seconds between attempts to watch
 CONNECT_TIMEOUT = 1.0
 STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 
@@ -131,7 +131,7 @@
                     self.source.take(line)
         else:
             self.rest += body
-        if len(self.rest) > MOST_LINE:
+        if len(self.rest) > MAX_LINE:
             self.rest = b""
             self.end("a line without an end")
 
@@ -172,7 +172,7 @@
             with contextlib.suppress(OSError, TimeoutError):
                 await self.watch()
             # One that lasted was well: come back at once; one that did not must not be hammered.
-            wait = RETRY_FIRST if time.monotonic() - began > 2 * RETRY_MOST else min(RETRY_MOST, 2 * wait)
+            wait = RETRY_FIRST if time.monotonic() - began > 2 * RETRY_MAX else min(RETRY_MAX, 2 * wait)
             await asyncio.sleep(wait)
 
     async def watch(self) -> None:
--- a/ivymux/platform/frontend.py
+++ b/ivymux/platform/frontend.py
@@ -9,7 +9,7 @@
 from ivymux.platform.protocol_settings import Reader
 from orchidhill import interface as i
 
-MOST_BODY = 64 * 1024  # bytes of a request's body, by the protocol
+MAX_BODY = 64 * 1024  # bytes of a request's body, by the protocol
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
     413: "Content Too Large", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
@@ -23,7 +23,7 @@
 class PlatformFront:
     """Requests and answers as the platform's protocol page has them."""
 
-    most_body = MOST_BODY
+    most_body = MAX_BODY
     head_status = 400
     half_close = False
     close_refused = True
--- a/ivymux/platform/protocol_settings.py
+++ b/ivymux/platform/protocol_settings.py
@@ -12,7 +12,7 @@
 from orchidhill.interface import Effect
 
 CUSTOMERS = 1 << 33
-MOST_TERMS = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
+MAX_TERMS = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
 SINGLE = frozenset(
     b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
     b" client-retry".split()
@@ -109,7 +109,7 @@
         # A client waits for all its tries no longer than its class's deadline, so none is held longer.
         timeout = min(cls.deadline, parse_timeout(headers.get(b"request-timeout", b"")))
         terms = headers.get(b"x-call-terms", b"")
-        if len(terms) > MOST_TERMS:
+        if len(terms) > MAX_TERMS:
             raise BadRequest("malformed X-Call-Terms")
         units, spread, first = parse_call_terms(terms)
         if not (0 < units <= self.most_units and 0 < spread <= self.peers and first < self.peers):
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -15,7 +15,7 @@
     from ivymux.proxy.program import Door
 
 NEAR_FIRST = 0.1  # seconds for which a door waits for the configuration from its own zone
-MOST_SHUN = 10.0  # seconds for which a door leaves a backend alone by the core's word
+MAX_SHUN = 10.0  # seconds for which a door leaves a backend alone by the core's word
 
 log = Log("proxy")
 
@@ -78,7 +78,7 @@
             door.changed()
         elif kind == "shun":
             if number := door.number(str(message["id"])):
-                door.host.post(i.Shun(number, min(MOST_SHUN, float(message["for"]))))
+                door.host.post(i.Shun(number, min(MAX_SHUN, float(message["for"]))))
         elif kind == "cores":
             door.meet(message["l"])
         elif kind == "note":
--- a/ivymux/proxy/counter_holders.py
+++ b/ivymux/proxy/counter_holders.py
@@ -22,7 +22,7 @@
 KEPT = 30.0  # seconds: no window is longer
 TOGETHER = 3.0  # seconds within which all doors start that were lost together
 AWAY = 30.0  # seconds for which a part of each quota is kept for a door that went: it may be alive, cut off
-MOST_NAMED = 20_000
+MAX_NAMED = 20_000
 
 Seats = tuple[str, ...]
 NOBODY: Seats = ("",) * SEATS
@@ -101,7 +101,7 @@
             return None
         found = self.named.get(name)
         if found is None:
-            if len(self.named) > MOST_NAMED:
+            if len(self.named) > MAX_NAMED:
                 self.named.clear()
             found = self.named[name] = self.seated(self.times, self.seats, began)[customer % SEATS]
         return found
--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -14,14 +14,14 @@
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.lease_counts import Counts
 from ivymux.runtime.log import Log
-from ivymux.tally.store import MOST_AMOUNT, TallyFull
+from ivymux.tally.store import MAX_AMOUNT, TallyFull
 from ivymux.transport.connection import Dialler, Line
 from ivymux.transport.frames import Message
 from orchidhill.interface import Count, Counted, Late, Outcome
 
-MOST_UNSENT = 500  # calls that wait for a connection
-MOST_SPAN = 3600.0  # seconds, of a rule's window or of what is told late
-MOST_OUT = 2_000  # calls that wait for their answers
+MAX_UNSENT = 500  # calls that wait for a connection
+MAX_SPAN = 3600.0  # seconds, of a rule's window or of what is told late
+MAX_OUT = 2_000  # calls that wait for their answers
 
 log = Log("proxy")
 
@@ -38,12 +38,12 @@
 def plain(value: object) -> float:
     """A number that can be counted with.  Raises ValueError."""
     made = float(value) if isinstance(value, int | float) else math.nan
-    if not abs(made) <= MOST_AMOUNT:
+    if not abs(made) <= MAX_AMOUNT:
         raise ValueError(f"no number to count with: {value!r:.40}")
     return made
 
 
-def least(value: object, most: float = MOST_AMOUNT) -> float:
+def least(value: object, most: float = MAX_AMOUNT) -> float:
     """The same, of nothing below 0 and nothing above a bound.  Raises ValueError."""
     made = plain(value)
     if not 0 <= made <= most:
@@ -135,10 +135,10 @@
         if (
             (line is None or not line.up)
             and (line is None or line.tried < 1)
-            and len(self.unsent) < MOST_UNSENT
+            and len(self.unsent) < MAX_UNSENT
         ):
             return False
-        if line is None or not line.up or len(self.out) > MOST_OUT:
+        if line is None or not line.up or len(self.out) > MAX_OUT:
             self.settle(pending, Counted(count.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
             return True
         self.number += 1
@@ -234,9 +234,9 @@
         if self.holders.holder(int(name), int(customer), now - plain(since)) == self.me:
             count = Count(
                 int(name), plain(amount), plain(life), int(call), plain(drained), plain(since), int(customer),
-                least(rate), least(burst), least(span, MOST_SPAN), least(seed),
+                least(rate), least(burst), least(span, MAX_SPAN), least(seed),
                 plain(known[0]) if known else 0.0, int(known[1]) if known else 0,
-                least(late), least(spread, MOST_SPAN),
+                least(late), least(spread, MAX_SPAN),
             )  # fmt: skip
             with contextlib.suppress(TallyFull):
                 answer["t"] = self.counts.add(count, str(message["by"]), now)
--- a/ivymux/proxy/lease_counts.py
+++ b/ivymux/proxy/lease_counts.py
@@ -19,8 +19,8 @@
 from ivymux.tally.store import Store, TallyCall
 from orchidhill.interface import Count
 
-MOST_NAMES = 100_000
-MOST_IDLE = 60.0  # seconds after which what was granted to a tenant is of no matter any more
+MAX_NAMES = 100_000
+MAX_IDLE = 60.0  # seconds after which what was granted to a tenant is of no matter any more
 SURE = 1e18  # of a name that began by the worst case: nothing that its store lacked can come on top
 LUMP = 0.5  # of a burst, what a tenant that is taken over is granted less to begin with
 STEP = 0.1  # seconds: how finely it is kept when something was granted
@@ -98,7 +98,7 @@
 
 class Counts:
     def __init__(self, holders: Holders, incarnation: int) -> None:
-        self.store = Store(MOST_NAMES)
+        self.store = Store(MAX_NAMES)
         self.holders, self.incarnation = holders, incarnation
         self.books: dict[int, Book] = {}
 
@@ -137,7 +137,7 @@
     def open(self, count: Count, now: float) -> Book:
         """A tenant that nothing is known of: as if it had been granted its rate and what its store lacks."""
         if len(self.books) > 2 * len(self.store.totals) + 64:
-            self.books = {c: b for c, b in self.books.items() if now - b.at < MOST_IDLE}
+            self.books = {c: b for c, b in self.books.items() if now - b.at < MAX_IDLE}
         lost = count.drained > 0 and not self.holders.trusted(count.customer, count.since, now)
         level = count.burst
         if lost:
--- a/ivymux/proxy/module_settings.py
+++ b/ivymux/proxy/module_settings.py
@@ -8,11 +8,11 @@
 COUNTER_TIMEOUT = 0.25
 COUNTER_PACE = 400.0  # calls a second that a door may make to begin with
 ATTEMPTS = 6  # of one try, those that reached nobody too
-MOST_RETRY_AFTER = 0.6
+MAX_RETRY_AFTER = 0.6
 
 
 def module_settings() -> i.Settings:
-    limits = i.Limits(ATTEMPTS, False, True, False, True, MOST_RETRY_AFTER, CONNECT_TIMEOUT)
+    limits = i.Limits(ATTEMPTS, False, True, False, True, MAX_RETRY_AFTER, CONNECT_TIMEOUT)
     rules = i.Rules(0.5, 2.5, 1.0, 0.0, 0.0, 0.0, 0.0)
     return i.Settings(
         0, 8, 0, (), 0.025, (), (), rules, limits, True, 0.01, COUNTER_TIMEOUT, False, True, "", "none", (),
--- a/ivymux/registry/backend_records.py
+++ b/ivymux/registry/backend_records.py
@@ -13,8 +13,8 @@
 
 UP, QUIESCING, LOST, OFF = "up", "quiescing", "lost", "off"
 STATES = {"in_service": UP, "quiescing": QUIESCING}
-MOST_RECORDS = 20_000
-MOST_NEWS = 4_000  # changes that are kept for doors that come again
+MAX_RECORDS = 20_000
+MAX_NEWS = 4_000  # changes that are kept for doors that come again
 TOMBSTONE = 120.0  # seconds for which an ended id is known
 
 
@@ -42,7 +42,7 @@
         """`silent`: seconds without a word after which a backend counts as lost."""
         self.silent = silent
         self.records: dict[str, Record] = {}
-        self.news: deque[tuple[int, str]] = deque(maxlen=MOST_NEWS)
+        self.news: deque[tuple[int, str]] = deque(maxlen=MAX_NEWS)
         self.number = 0  # of the last change
 
     def beat(self, id: str, body: Any, now: float) -> bool:
@@ -58,7 +58,7 @@
         warm = milliseconds(body.get("warmup_left", "0ms"))
         found = self.records.get(id)
         if found is None:
-            if len(self.records) >= MOST_RECORDS:
+            if len(self.records) >= MAX_RECORDS:
                 raise CallError("too many backends; raise no more here")
             found = Record(
                 id, service, address, zone, max(1, capacity), state, seq, now + warm, now, self.silent
@@ -81,7 +81,7 @@
         """The id ends for good, also one that was never heard of."""
         found = self.records.get(id)
         if found is None:
-            if len(self.records) >= MOST_RECORDS:
+            if len(self.records) >= MAX_RECORDS:
                 raise CallError("too many backends")
             found = self.records[id] = Record(id, "", "", "", 1, UP, 0, now, now, self.silent)
         found.heard = now
--- a/ivymux/registry/outlier_detection.py
+++ b/ivymux/registry/outlier_detection.py
@@ -18,7 +18,7 @@
 FIRST, MOST = 2.0, 8.0  # seconds for which a backend is left alone
 AGAIN = 4.0  # seconds behind that within which it counts as the same trouble
 PART = 1 / 3  # of a service, the most that is left alone at once
-MOST_KNOWN = 5000  # backends
+MAX_KNOWN = 5000  # backends
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
         """
         found = self.seen.get(backend)
         if found is None:
-            if len(self.seen) >= MOST_KNOWN:
+            if len(self.seen) >= MAX_KNOWN:
                 self.forget(now)
             found = self.seen[backend] = Seen()
         found.met.append((now, door, count))
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -23,7 +23,7 @@
 from ivymux.registry.outlier_detection import Grey
 from ivymux.registry.proxy_reachability import ProxyReach
 from ivymux.registry.trial_endpoints import TrialCalls
-from ivymux.routing_config.route_plan import MOST_TEXT, PlanError
+from ivymux.routing_config.route_plan import MAX_TEXT, PlanError
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
 from ivymux.transport.connection import Dialler, Line, Listener, TransportError
@@ -35,12 +35,12 @@
 APPLIED_WAIT = 0.3  # of that, the most that is waited for doors to have a configuration in force
 HEARD_WAIT = 0.45  # seconds for which a call waits until the doors have heard
 SWEEP = 0.25
-MOST_DOUBT = 10_000  # failures in one message of a door
+MAX_DOUBT = 10_000  # failures in one message of a door
 TOGETHER = 0.05  # seconds: doors that come and go within them are told of in one message
-MOST_BEAT = 16 * 1024  # bytes
+MAX_BEAT = 16 * 1024  # bytes
 
 PASS = 0.88  # seconds for which a door's call about an action may take here
-MOST_PASSING = 4000
+MAX_PASSING = 4000
 DOORS_PART = 0.4  # of the descriptors, that doors may hold
 
 NOT_REACHED = "this machine does not reach the doors just now; call another core machine"
@@ -112,7 +112,7 @@
         calls = min(settings.sockets - 200 - most_doors, 2000)
         bounds = Bounds.of(max(64, calls), settings.memory_mb)
         self.server = Server(
-            DeskFront(self, MOST_TEXT), settings.listen["control_addr"], bounds, self.desk.as_host()
+            DeskFront(self, MAX_TEXT), settings.listen["control_addr"], bounds, self.desk.as_host()
         )
         self.notes: dict[str, tuple[int, str]] = {}  # settings of the system's own, by name
         self.passing: set[asyncio.Task[None]] = set()  # doors' calls about actions
@@ -167,7 +167,7 @@
         elif kind == "trial":
             self.trials().heard(line, message, door.id, door.zone)
         elif kind in ("claim", "end"):
-            if len(self.passing) >= MOST_PASSING:
+            if len(self.passing) >= MAX_PASSING:
                 line.answer(message, ok=False)
             else:
                 self.spawn(self.pass_on(line, message))
@@ -267,7 +267,7 @@
 
     def doubted(self, door: DoorLine, id: str, count: int) -> None:
         """Failures that a door met at a backend.  Raises ValueError for what no door sends."""
-        if not 0 < count < MOST_DOUBT:
+        if not 0 < count < MAX_DOUBT:
             raise ValueError("a doubt")
         record = self.register.records.get(id)
         if record is None or record.state != UP:
@@ -339,8 +339,8 @@
 
     @declare("PUT", "/instances/{}")
     async def beat(self, asked: Asked) -> Answer:
-        if len(asked.body) > MOST_BEAT:
-            return fault(413, f"a call of {len(asked.body)} bytes; {MOST_BEAT} at most")
+        if len(asked.body) > MAX_BEAT:
+            return fault(413, f"a call of {len(asked.body)} bytes; {MAX_BEAT} at most")
         before = self.register.number
         try:
             changed = self.register.beat(asked.name, msgspec.json.decode(asked.body), time.monotonic())
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -33,8 +33,8 @@
 READ = 0.4  # seconds between readings of the board, while a trial runs
 CALL = 0.8  # seconds of one
 OLD = 30.0  # seconds for which a door's last word on a trial is shown
-MOST_COUNT = 1 << 53
-MOST_SHOWN = 2000  # doors that one status names
+MAX_COUNT = 1 << 53
+MAX_SHOWN = 2000  # doors that one status names
 AGAIN = 5  # times that a change is made anew where another came between
 NOBODY = "no core machine can answer for trials just now; repeat the call"
 FAST = "trials change too fast; repeat the call"
@@ -143,10 +143,10 @@
         version = int(message["v"])
         counts = {}
         for name, (on, asked, caught, since) in dict(message["c"]).items():
-            if not 0 <= int(caught) <= int(asked) < MOST_COUNT:
+            if not 0 <= int(caught) <= int(asked) < MAX_COUNT:
                 raise ValueError("counts of a trial")
             counts[str(name)[:48]] = (bool(on), int(asked), int(caught), float(since))
-        if len(counts) > trial_set.MOST_RUNNING:
+        if len(counts) > trial_set.MAX_RUNNING:
             raise ValueError("too many trials")
         self.words[door] = Word(now, version, zone, counts)
         if message.get("o") is not None:
@@ -174,7 +174,7 @@
         now = time.monotonic()
         asked, caught = self.sums(trial.name)
         there, lacking = [], []
-        for door in sorted({d.id for d in self.registry.doors.values()})[:MOST_SHOWN]:
+        for door in sorted({d.id for d in self.registry.doors.values()})[:MAX_SHOWN]:
             word = self.words.get(door)
             said = word.counts.get(trial.name) if word is not None and now - word.at < OLD else None
             if said is None or not said[0]:
--- a/ivymux/routes/classes.py
+++ b/ivymux/routes/classes.py
@@ -4,7 +4,7 @@
 
 from orchidhill.interface import Effect, RequestClass, Scope
 
-MOST_CLASSES = 4096  # in use at once; the module keeps some state for each
+MAX_CLASSES = 4096  # in use at once; the module keeps some state for each
 
 
 class TooManyClasses(ValueError):
@@ -37,9 +37,9 @@
         kept = {self.numbers[cls] for cls in wanted if cls in self.numbers}
         free = [n for n in range(len(self.listed)) if not self.held[n] and n not in kept]
         new = [cls for cls in wanted if cls not in self.numbers]
-        if len(self.listed) - len(free) + len(new) > MOST_CLASSES:
+        if len(self.listed) - len(free) + len(new) > MAX_CLASSES:
             raise TooManyClasses(
-                f"over {MOST_CLASSES} distinct classes: let operations share class, aim, deadline and worth"
+                f"over {MAX_CLASSES} distinct classes: let operations share class, aim, deadline and worth"
             )
         free.reverse()
         for cls in new:
--- a/ivymux/routes/description.py
+++ b/ivymux/routes/description.py
@@ -35,8 +35,8 @@
 from orchidhill.interface import Effect
 
 VERSION = re.compile(r"3\.[01]\.\d+(-.+)?")
-MOST_BASES = 16  # base paths of one operation
-MOST_SCHEMA_ERRORS = 20
+MAX_BASES = 16  # base paths of one operation
+MAX_SCHEMA_ERRORS = 20
 VARIABLE = re.compile(r"\{([^{}]+)\}")
 ServerList = tuple[str, ...]
 
@@ -102,7 +102,7 @@
             self.too_many()
             return False
         try:
-            problems = list(islice(meta_schema(version[:3]).iter_errors(self.root), MOST_SCHEMA_ERRORS))
+            problems = list(islice(meta_schema(version[:3]).iter_errors(self.root), MAX_SCHEMA_ERRORS))
         except ValueError as caught:  # what the validator can't look at, such as 300 levels
             error(self.name, "", f"can't be validated: {caught}")
             return False
@@ -258,8 +258,8 @@
                 if base and not base.startswith("/"):
                     base = "/" + base
                 bases[base] = None
-        if len(bases) > MOST_BASES:
-            self.findings.error(file, place, f"more than {MOST_BASES} base paths; name one in the site file")
+        if len(bases) > MAX_BASES:
+            self.findings.error(file, place, f"more than {MAX_BASES} base paths; name one in the site file")
             return outer
         return tuple(bases) or outer
 
@@ -280,7 +280,7 @@
             choices.append([str(v) for v in values] if isinstance(values, list) else [variable["default"]])
         made: list[str] = []
         for values in product(*choices):
-            if len(made) > MOST_BASES:
+            if len(made) > MAX_BASES:
                 break  # one more than is taken: the caller tells
             filled = dict(zip(names, values, strict=True))
             made.append(VARIABLE.sub(lambda found, filled=filled: filled[found[1]], url))  # type: ignore[misc]
--- a/ivymux/routes/extension.py
+++ b/ivymux/routes/extension.py
@@ -16,7 +16,7 @@
 FIELDS = ("class", "effect", "cost", "aim", "deadline", "worth", "key")
 CLASS = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
 FIELD_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]{1,64}")  # a header's name (RFC 9110, 5.1)
-MOST_COST = 1e6
+MAX_COST = 1e6
 Report = Callable[[str, str], None]  # a place below the extension, and what is wrong there
 
 
@@ -74,9 +74,9 @@
 
 def read_cost(raw: Any, report: Report) -> Cost | None:
     if not isinstance(raw, dict):
-        amount = number(raw, MOST_COST)
+        amount = number(raw, MAX_COST)
         if amount is None:
-            report("/cost", f"a cost is a number over 0 and up to {MOST_COST:g}, or from, per and most")
+            report("/cost", f"a cost is a number over 0 and up to {MAX_COST:g}, or from, per and most")
             return None
         return Cost(amount)
     for name in raw:
@@ -87,12 +87,12 @@
     if source not in ("query", "path", "header") or not name:
         report("/cost/from", "write query.NAME, path.NAME or header.NAME")
         return None
-    per, most = number(raw.get("per", 1), 1e12), number(raw.get("most"), MOST_COST)
+    per, most = number(raw.get("per", 1), 1e12), number(raw.get("most"), MAX_COST)
     if per is None:
         report("/cost/per", "not a number over 0")
         return None
     if most is None or most < 1:
-        report("/cost/most", f"a cost from a parameter needs a bound from 1 to {MOST_COST:g}")
+        report("/cost/most", f"a cost from a parameter needs a bound from 1 to {MAX_COST:g}")
         return None
     absent = number(raw.get("absent", 1), most)
     if absent is None:
--- a/ivymux/routes/model.py
+++ b/ivymux/routes/model.py
@@ -11,7 +11,7 @@
 Level = Literal["error", "warning", "note"]
 METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")  # OpenAPI 3.1, 4.8.9
 READS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE"})  # safe by RFC 9110, 9.2.1, unless declared otherwise
-MOST_FINDINGS = 200  # kept of one description; the rest is only counted
+MAX_FINDINGS = 200  # kept of one description; the rest is only counted
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -45,7 +45,7 @@
     def add(self, level: Level, file: str, place: str, text: str) -> None:
         if level == "error":
             self.errors += 1
-        if len(self.kept) < MOST_FINDINGS or (level == "error" and self.errors == 1):
+        if len(self.kept) < MAX_FINDINGS or (level == "error" and self.errors == 1):
             self.kept.append(Finding(level, file, place, text[:300]))
         else:
             self.left_out += 1
--- a/ivymux/routes/refs.py
+++ b/ivymux/routes/refs.py
@@ -10,10 +10,10 @@
 from urllib.parse import unquote
 
 from ivymux.routes.model import Findings
-from ivymux.text import MOST_BYTES, TextError, parse
+from ivymux.text import MAX_BYTES, TextError, parse
 
-MOST_FILES = 200
-MOST_HOPS = 32  # references one behind another
+MAX_FILES = 200
+MAX_HOPS = 32  # references one behind another
 SCHEME = re.compile(r"[A-Za-z][A-Za-z0-9+.-]*:")
 LITERAL = frozenset(("example", "examples", "default", "enum", "const"))  # hold data, not references
 Read = Callable[[str], bytes]  # a file's bytes, by its path from the description's folder; raises OSError
@@ -35,15 +35,15 @@
     def load(self, name: str) -> Any:
         """The value of a file.  Raises RefError, TextError."""
         if name not in self.values:
-            if len(self.values) >= MOST_FILES:
-                raise RefError(f"more than {MOST_FILES} files")
+            if len(self.values) >= MAX_FILES:
+                raise RefError(f"more than {MAX_FILES} files")
             try:
                 data = self.read(name)
             except OSError as error:
                 raise RefError(f"cannot read {name}: {error.strerror or error}") from None
             self.size += len(data)
-            if self.size > MOST_BYTES:
-                raise RefError(f"the files are larger than {MOST_BYTES >> 20} MiB together")
+            if self.size > MAX_BYTES:
+                raise RefError(f"the files are larger than {MAX_BYTES >> 20} MiB together")
             self.digests[name] = sha256(data).hexdigest()
             try:
                 self.values[name] = parse(data)
@@ -79,7 +79,7 @@
         """A value, or what it refers to in the end.  Raises RefError, TextError."""
         seen: set[tuple[str, str]] = set()
         while isinstance(value, dict) and isinstance(value.get("$ref"), str):
-            if (file, place) in seen or len(seen) > MOST_HOPS:
+            if (file, place) in seen or len(seen) > MAX_HOPS:
                 raise RefError("a reference that leads back to itself")
             seen.add((file, place))
             file, place, value = self.follow(file, value["$ref"])
--- a/ivymux/routes/target.py
+++ b/ivymux/routes/target.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from urllib.parse import quote_from_bytes, unquote_to_bytes
 
-MOST_SEGMENTS = 64
+MAX_SEGMENTS = 64
 UNRESERVED = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~"
 PLAIN = UNRESERVED + b"!$&'()*+,=:@/"  # what a path in the one spelling is made of
 QUERY = bytes(c for c in range(33, 127) if c != ord("#"))
@@ -42,7 +42,7 @@
         text = path.decode("ascii")
         if text[:1] == "/" and "//" not in text and "/." not in text:
             segments = text[1:].split("/")
-            if len(segments) <= MOST_SEGMENTS:
+            if len(segments) <= MAX_SEGMENTS:
                 return Target(path, query if mark else None, segments)
     return unusual(target)
 
@@ -64,7 +64,7 @@
     if ESCAPE.search(path):
         raise TargetError("a percent sign that begins no escape")
     raw = path[1:].split(b"/")
-    if len(raw) > MOST_SEGMENTS:
+    if len(raw) > MAX_SEGMENTS:
         raise TargetError("too many segments")
     segments = [read_segment(part, number == len(raw) - 1) for number, part in enumerate(raw)]
     sent = "/" + "/".join(quote_from_bytes(segment.encode(), SENT) for segment in segments)
--- a/ivymux/routes/template.py
+++ b/ivymux/routes/template.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from urllib.parse import unquote_to_bytes
 
-MOST_PARAMETERS = 8  # in one segment
-MOST_SEGMENTS = 64
+MAX_PARAMETERS = 8  # in one segment
+MAX_SEGMENTS = 64
 
 
 class TemplateError(ValueError):
@@ -84,8 +84,8 @@
         rest = rest[closed + 1 :]
     if "}" in rest or any("}" in literal for literal in literals):
         raise TemplateError(f"{text!r} has a brace that was not opened")
-    if len(names) > MOST_PARAMETERS:
-        raise TemplateError(f"{text!r} has more than {MOST_PARAMETERS} parameters")
+    if len(names) > MAX_PARAMETERS:
+        raise TemplateError(f"{text!r} has more than {MAX_PARAMETERS} parameters")
     literals.append(decoded(rest))
     return Segment(tuple(literals), tuple(names))
 
@@ -95,8 +95,8 @@
     if not path.startswith("/"):
         raise TemplateError("a path begins with a slash")
     segments = tuple(parse_segment(part) for part in path[1:].split("/"))
-    if len(segments) > MOST_SEGMENTS:
-        raise TemplateError(f"more than {MOST_SEGMENTS} segments")
+    if len(segments) > MAX_SEGMENTS:
+        raise TemplateError(f"more than {MAX_SEGMENTS} segments")
     for number, segment in enumerate(segments):
         if segment.literal in (".", ".."):
             raise TemplateError("a dot segment: no served target holds one")
--- a/ivymux/routing_config/route_plan.py
+++ b/ivymux/routing_config/route_plan.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-MOST_DEADLINE = 600.0  # seconds
-MOST_TEXT = 6 << 20  # bytes of a configuration
+MAX_DEADLINE = 600.0  # seconds
+MAX_TEXT = 6 << 20  # bytes of a configuration
 TIME = re.compile(r"(-?\d{1,12}(?:\.\d{1,9})?)(ms|s)", re.ASCII)
 KINDS = {"idempotent": True, "non_idempotent": False}
 
@@ -158,8 +158,8 @@
 
 def read(text: bytes) -> Document:
     """The document in a configuration's text.  Raises PlanError."""
-    if len(text) > MOST_TEXT:
-        raise PlanError(f"the configuration has {len(text)} bytes; {MOST_TEXT} at most")
+    if len(text) > MAX_TEXT:
+        raise PlanError(f"the configuration has {len(text)} bytes; {MAX_TEXT} at most")
     try:
         raw: Any = msgspec.json.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -243,7 +243,7 @@
     if line.route_type not in KINDS:
         raise PlanError(f"{where}.route_type: {line.route_type!r}; write idempotent or non_idempotent")
     deadline = seconds(line.deadline, f"{where}.deadline", 30.0)
-    if not 0 < deadline <= MOST_DEADLINE:
+    if not 0 < deadline <= MAX_DEADLINE:
         raise PlanError(f"{where}.deadline: {line.deadline!r}; write more than 0 and ten minutes at most")
     if line.weighted_split is not None:
         parts = [(part.service_name, number_of(part.weight_value, where)) for part in line.weighted_split]
--- a/ivymux/runtime/log.py
+++ b/ivymux/runtime/log.py
@@ -7,7 +7,7 @@
 
 from eliot import add_destinations, log_message
 
-MOST_A_SECOND = 20
+MAX_A_SECOND = 20
 
 
 class Said:
@@ -23,7 +23,7 @@
                 print(f"log: {self.left_out} lines were left out", flush=True)
             self.second, self.seen, self.left_out = second, 0, 0
         self.seen += 1
-        if self.seen > MOST_A_SECOND:
+        if self.seen > MAX_A_SECOND:
             self.left_out += 1
             return
         text = message.get("says")
--- a/ivymux/service/callers.py
+++ b/ivymux/service/callers.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b, sha256
 
 SCHEME = "sha256:"
-MOST_KEY = 256  # bytes of a key
+MAX_KEY = 256  # bytes of a key
 MINT = "iv_"  # what a made key begins with, so that scanners of repositories can find it
 
 
@@ -58,4 +58,4 @@
                 raise CallerError(f"keys[{place}]: this key is another customer's")
 
     def find(self, key: bytes) -> Caller | None:
-        return self.known.get(sha256(key).digest()) if len(key) <= MOST_KEY else None
+        return self.known.get(sha256(key).digest()) if len(key) <= MAX_KEY else None
--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -21,12 +21,12 @@
 from ivymux import __version__
 from ivymux.routes.model import Compiled, DescriptionError, Finding, Options
 from ivymux.routes.refs import Read
-from ivymux.text import MOST_BYTES
+from ivymux.text import MAX_BYTES
 
-MOST_MEMORY = 3 << 30  # bytes of address space
-MOST_CPU = 60  # seconds
+MAX_MEMORY = 3 << 30  # bytes of address space
+MAX_CPU = 60  # seconds
 TIMEOUT = 90.0
-MOST_OUTPUT = 256 << 20
+MAX_OUTPUT = 256 << 20
 GOOD, BAD = b"+", b"-"
 MAGIC = b"ivymux-routes-1\n"
 
@@ -54,7 +54,7 @@
         with open(target, "rb") as source:
             if not os.path.isfile(source.fileno()):
                 raise OSError(None, "it is not a file")
-            return source.read(MOST_BYTES + 1)
+            return source.read(MAX_BYTES + 1)
 
     return read
 
@@ -74,8 +74,8 @@
 
 def main() -> int:
     """The child's part."""
-    resource.setrlimit(resource.RLIMIT_AS, (MOST_MEMORY, MOST_MEMORY))
-    resource.setrlimit(resource.RLIMIT_CPU, (MOST_CPU, MOST_CPU))
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY, MAX_MEMORY))
+    resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU, MAX_CPU))
     os.nice(10)
     from ivymux.routes.description import compile_description
 
@@ -126,11 +126,11 @@
         if child.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 child.kill()
-    if out[:1] == GOOD and len(out) <= MOST_OUTPUT:
+    if out[:1] == GOOD and len(out) <= MAX_OUTPUT:
         return msgspec.msgpack.decode(out[1:], type=Compiled)
     if out[:1] == BAD:
         raise DescriptionError(msgspec.msgpack.decode(out[1:], type=list[Finding]))
-    raise CompilerError(f"{path}: needs more than {MOST_CPU} s or {MOST_MEMORY >> 30} GiB to compile")
+    raise CompilerError(f"{path}: needs more than {MAX_CPU} s or {MAX_MEMORY >> 30} GiB to compile")
 
 
 # --- the cache -------------------------------------------------------------------------------------
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -148,9 +148,9 @@
 
 
 SCOPES = {"all": i.Scope.ALL, "room": i.Scope.ZONE, "bay": i.Scope.CELL}
-MOST_DEADLINE = 60.0
+MAX_DEADLINE = 60.0
 PACE = 20_000.0  # calls a second that a tally of ours, or Redis, bears to begin with
-MOST_ANSWERS = 1 / 8  # of the memory, for answers that are coming in
+MAX_ANSWERS = 1 / 8  # of the memory, for answers that are coming in
 
 
 def read_site(text: str, name: str) -> Site:
@@ -181,7 +181,7 @@
     for place, value in positive.items():
         bounded(place, value, 1e-3, 1e6)
     for place, value in (("defaults.aim", file.defaults.aim), ("defaults.deadline", file.defaults.deadline)):
-        bounded(place, value, 1e-3, MOST_DEADLINE)
+        bounded(place, value, 1e-3, MAX_DEADLINE)
     bounded("description.watch", file.description.watch, 0, 3600)
     bounded("description.most_operations", file.description.most_operations, 1, 1_000_000)
     bounded("keyed.memory", file.keyed.memory, 0, 86400)
@@ -200,7 +200,7 @@
         bounded(f"rules.{field}", getattr(file.rules, field), 0, 3600)
     bounded("rules.cold_share", file.rules.cold_share, 0.01, 1)
     bounded("rules.fall_multiple", file.rules.fall_multiple, 0.1, 100)
-    if limits.answer_kb / 1024 > limits.memory_mb * MOST_ANSWERS:
+    if limits.answer_kb / 1024 > limits.memory_mb * MAX_ANSWERS:
         raise ConfigError("limits.answer_kb is more than an eighth of limits.memory_mb")
     if file.keyed.scope not in SCOPES:
         raise ConfigError(f"keyed.scope is {file.keyed.scope!r}; write all, room or bay")
@@ -221,7 +221,7 @@
     for name, terms in file.classes.items():
         for field in ("aim", "deadline", "worth"):
             if (value := getattr(terms, field)) is not None:
-                bounded(f"classes.{name}.{field}", value, 1e-3, MOST_DEADLINE if field != "worth" else 1e6)
+                bounded(f"classes.{name}.{field}", value, 1e-3, MAX_DEADLINE if field != "worth" else 1e6)
     for number, network in enumerate(file.trusted_proxies):
         try:
             ip_network(network)
@@ -230,7 +230,7 @@
     listed = workers(file.workers)
     options = Options(
         base_path(file.description.base), file.defaults.aim, file.defaults.deadline, file.defaults.worth,
-        file.classes, MOST_DEADLINE, file.description.most_operations,
+        file.classes, MAX_DEADLINE, file.description.most_operations,
     )  # fmt: skip
     return Site(
         file, address("listen", file.listen), read_callers(file.callers, names),
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -30,7 +30,7 @@
 from ivymux.service.compiler import CompilerError, obtain, unchanged
 from ivymux.service.frontend import OrdinaryFront
 from ivymux.service.lifecycle import Door
-from ivymux.service.site import MOST_ANSWERS, SCOPES, Site, SiteError, findings, read_site, settings
+from ivymux.service.site import MAX_ANSWERS, SCOPES, Site, SiteError, findings, read_site, settings
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.local import LocalCounter
 from ivymux.tally.server import TallyServer
@@ -75,7 +75,7 @@
             pass
         self.table.enter()
         answer = limits.answer_kb * 1024
-        style = Style(True, answer, int(limits.memory_mb * MOST_ANSWERS * (1 << 20)))
+        style = Style(True, answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)))
         upstream = Upstream(
             limits.connect_timeout, limits.worker_idle, tuple(file.reports), bounds.upstream, style
         )
--- a/ivymux/simulation/control_plane.py
+++ b/ivymux/simulation/control_plane.py
@@ -31,7 +31,7 @@
 )  # fmt: skip
 ALL_MACHINES = ("kill all", "power all", "aimed", "halves", "loss")
 ROLES = ("primary", "backup", "primary", "backup", "m0", "m1", "m2", "m3", "m4")
-MOST_FAULTS = 4  # in one phase
+MAX_FAULTS = 4  # in one phase
 SEQUENCES = 0.4  # part of the phases whose faults are drawn as a sequence
 
 
@@ -92,7 +92,7 @@
             faults += drawn_sequence(chance, phase)
             continue
         at = chance.uniform(0.1, 2.0)
-        for _ in range(chance.randint(1, MOST_FAULTS)):
+        for _ in range(chance.randint(1, MAX_FAULTS)):
             kind = chance.choice(ONE_MACHINE if chance.random() < 0.8 else ALL_MACHINES)
             # Around a lease's length is where a vote may be forgotten, or given twice.
             lasts = chance.choice((0.1, 0.4, round(chance.uniform(0.6, 1.4), 2), 1.5, 3.0, 8.0))
--- a/ivymux/simulation/day_file.py
+++ b/ivymux/simulation/day_file.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-MOST_LINE = 1 << 16  # bytes
-MOST_LINES = 500_000
+MAX_LINE = 1 << 16  # bytes
+MAX_LINES = 500_000
 FORMAT = 2
 LEAVING = 0.2  # of the reads of a drawn day, whose clients leave
 LEAVES_AFTER = 0.1  # seconds
@@ -185,14 +185,14 @@
 def read(data: bytes) -> tuple[Day, list[Doing], list[Seen]]:
     """A day, what is done on it and what was seen.  Raises DayError."""
     lines = data.splitlines()
-    if len(lines) > MOST_LINES:
-        raise DayError(f"{len(lines)} lines; {MOST_LINES} at most: cut the day in parts")
+    if len(lines) > MAX_LINES:
+        raise DayError(f"{len(lines)} lines; {MAX_LINES} at most: cut the day in parts")
     day: Day | None = None
     doing: list[Doing] = []
     seen: list[Seen] = []
     for number, line in enumerate(lines, 1):
-        if len(line) > MOST_LINE:
-            raise DayError(f"line {number}: {len(line)} bytes; {MOST_LINE} at most")
+        if len(line) > MAX_LINE:
+            raise DayError(f"line {number}: {len(line)} bytes; {MAX_LINE} at most")
         try:
             found = LINES.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/ivymux/simulation/exploration.py
+++ b/ivymux/simulation/exploration.py
@@ -22,7 +22,7 @@
 
 Events = tuple[str, ...]
 STEPS = 40  # of the core's run in which faults are placed
-MOST_FAULTS = 8
+MAX_FAULTS = 8
 FLOODED = 9.0  # seconds of a flood
 CUT_DOORS = 6
 
@@ -48,7 +48,7 @@
     def draw(self, chance: random.Random) -> Events:
         """One disk is lost at the most, and then nothing else happens to other machines by themselves."""
         kinds = [kind for kind in FAULTS if kind != "wipe"]
-        count = chance.randint(1, MOST_FAULTS)
+        count = chance.randint(1, MAX_FAULTS)
         kinds = chance.choices(kinds, k=count)
         faults = [Fault(chance.randrange(STEPS), kind, chance.choice(FAULTS[kind])) for kind in kinds]
         if chance.random() < 0.3:
--- a/ivymux/simulation/fault_schedules.py
+++ b/ivymux/simulation/fault_schedules.py
@@ -187,7 +187,7 @@
 }  # fmt: skip
 DOWN = 0.6  # seconds for which a process is away
 CUT = 1.6  # and a cut lasts
-MOST_STEPS = 60  # after the first change in which faults are placed; a run without any has 10
+MAX_STEPS = 60  # after the first change in which faults are placed; a run without any has 10
 
 
 @dataclass(frozen=True, slots=True)
@@ -316,7 +316,7 @@
 
     One disk may be lost; a cut of another machine takes the place of an earlier one.
     """
-    for step in range(first.step, min(steps, MOST_STEPS)):
+    for step in range(first.step, min(steps, MAX_STEPS)):
         for second in placed(step):
             if first.kind == "wipe":
                 may = second.kind != "wipe" and second.machine in (first.machine, ALL)
--- a/ivymux/simulation/replay.py
+++ b/ivymux/simulation/replay.py
@@ -45,7 +45,7 @@
 
 FIRST = 1  # version of the configuration that holds when a day begins
 QUIET = 2.5  # seconds after the last event for answers that are on their way
-MOST_BODY = 500
+MAX_BODY = 500
 SLOW_WORK = 1.5  # seconds that a slow backend takes for a request
 STALL, STALL_LOOK = 0.15, 0.05  # seconds late that count as a stall, between looks for one
 LOOK = 0.5  # seconds between questions whether a door takes clients
@@ -191,7 +191,7 @@
         self.seen.append(
             Answered(
                 self.now(), sent, event.id, answer.status_code, head.get("try-id", ""),
-                head.get("server-seal", ""), answer.text[:MOST_BODY],
+                head.get("server-seal", ""), answer.text[:MAX_BODY],
             )
         )  # fmt: skip
 
--- a/ivymux/simulation/rules/load.py
+++ b/ivymux/simulation/rules/load.py
@@ -10,7 +10,7 @@
 
 WINDOW = 5.0
 EXCESS, SLACK = 0.1, 20.0
-MOST_ATTEMPTS = 2  # of a route, as replay's configurations have it
+MAX_ATTEMPTS = 2  # of a route, as replay's configurations have it
 ATTEMPTS_FEW = 3  # tries that may run at more backends
 RETRY_RATIO, RETRY_WINDOW, RETRY_SLACK = 0.2, 10.0, 56
 TOLD_TIME = 2  # the form of days from which on backends tell what time they were given
@@ -38,10 +38,10 @@
     over = []
     for id, runs in history.runs.items():
         backends = {run.backend for run in runs if run.done and run.backend not in history.leaving}
-        if len(backends) > MOST_ATTEMPTS:
+        if len(backends) > MAX_ATTEMPTS:
             over.append(id)
     if len(over) > ATTEMPTS_FEW:
-        yield Breach("BUDGET", over[0], f"{len(over)} tries ran on more than {MOST_ATTEMPTS} backends each")
+        yield Breach("BUDGET", over[0], f"{len(over)} tries ran on more than {MAX_ATTEMPTS} backends each")
 
 
 def budget(history: History) -> Iterable[Breach]:
--- a/ivymux/simulation/trial_model.py
+++ b/ivymux/simulation/trial_model.py
@@ -33,7 +33,7 @@
 CALLERS = ("kava", "kava-hearts", "kava hearts", "derwent")  # some begin alike
 SKEW = 0.5  # seconds that a door's system time may be off
 HELD_UP = 6.0  # seconds for which a cut may hold a message up
-MOST_FAR = 0.3  # seconds of an ordinary message
+MAX_FAR = 0.3  # seconds of an ordinary message
 READ = 0.4
 
 
@@ -115,7 +115,7 @@
 
     def send(self, place: tuple[str, int], what: Callable[[], None]) -> None:
         """A message to or from a place: late, held up by a cut, or lost."""
-        far = self.chance.uniform(0.001, MOST_FAR)
+        far = self.chance.uniform(0.001, MAX_FAR)
         held = self.cut.get(place, 0.0) - self.now
         if held > 0:
             if self.chance.random() < 0.5:
--- a/ivymux/tally/durable.py
+++ b/ivymux/tally/durable.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from ivymux.tally.journal import JournalError, head, read, record
-from ivymux.tally.store import MOST_LIFE, MOST_NAMES, Store
+from ivymux.tally.store import MAX_LIFE, MAX_NAMES, Store
 
 SYNC = 0.1  # seconds between writes to the disk itself
 LOOK = 1.0  # seconds between looks at the file's size
@@ -35,7 +35,7 @@
 class DurableStore(Store):
     """Times are Unix times, as names live on over a restart; a clock that goes back stands still here."""
 
-    def __init__(self, path: Path, most_names: int = MOST_NAMES) -> None:
+    def __init__(self, path: Path, most_names: int = MAX_NAMES) -> None:
         """Go on with what the file holds.  Raises DurableError; one that is no tally's is left as it is."""
         super().__init__(most_names)
         self.path, self.incarnation = path, secrets.token_bytes(16)
@@ -79,7 +79,7 @@
         total = super().add(name, amount, life, now)
         ends = self.lives.get(name)
         if ends is None:
-            ends = self.lives[name] = now + min(life, MOST_LIFE)
+            ends = self.lives[name] = now + min(life, MAX_LIFE)
         self.pending.append(record(name, total, ends))
         return total
 
--- a/ivymux/tally/engine.py
+++ b/ivymux/tally/engine.py
@@ -31,8 +31,8 @@
 SHA = hashlib.sha1(SCRIPT.encode()).hexdigest()  # by which the server knows it
 LANES = 16  # calls out at once; those of one name follow each other in one lane
 SLOTS = 16384
-MOST_LIFE = 60_000  # milliseconds
-RETRY_FIRST, RETRY_MOST = 0.05, 1.0  # seconds between calls while nobody can be reached
+MAX_LIFE = 60_000  # milliseconds
+RETRY_FIRST, RETRY_MAX = 0.05, 1.0  # seconds between calls while nobody can be reached
 TABLE = []
 for _byte in range(256):
     _crc = _byte << 8
@@ -96,10 +96,10 @@
     """What the script is called with: an amount, a life in milliseconds from one in seconds, a birth, whose
     call it is and its number (0: it never comes again).
     """
-    span = max(1, min(MOST_LIFE, round(life * 1000)))
+    span = max(1, min(MAX_LIFE, round(life * 1000)))
     return b"%.6f" % amount, b"%d" % span, b"%d" % born, caller, b"%d" % call
 
 
 def pause(before: float, chance: float) -> tuple[float, float]:
     """Seconds until the next try, and the pause to go on from; `chance` from 0 to 1 keeps doors apart."""
-    return before * (0.5 + chance / 2), min(RETRY_MOST, 2 * before)
+    return before * (0.5 + chance / 2), min(RETRY_MAX, 2 * before)
--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -31,7 +31,7 @@
 from ivymux.tally.engine import LANES, RETRY_FIRST, SCRIPT, SHA, RedisPart, arguments, lane, pause
 from orchidhill.interface import Count, Counted, Late, Outcome
 
-MOST_PENDING = 1000  # calls in one lane
+MAX_PENDING = 1000  # calls in one lane
 LOST = 2.0  # seconds after which an answer is waited for no more
 CONNECT = 1.0  # seconds for a connection
 LOG_EVERY = 1.0  # seconds between lines about trouble
@@ -99,7 +99,7 @@
 
     def put(self, call: Call) -> bool:
         """Whether the call may yet be answered; else it is told at once why not."""
-        if len(self.queue) >= MOST_PENDING:
+        if len(self.queue) >= MAX_PENDING:
             self.owner.settle(call, Outcome.FULL)
         elif call.began < self.closed_until:  # nobody could be reached a moment ago
             self.owner.settle(call, Outcome.CONNECT_FAILED)
--- a/ivymux/tally/server.py
+++ b/ivymux/tally/server.py
@@ -13,8 +13,8 @@
 from ivymux.data_plane.limits import Address
 from ivymux.tally.store import BadCall, Store, TallyFull, read_call, written
 
-MOST_CONNECTIONS = 512
-MOST_UNREAD = 64 * 1024  # bytes of one call
+MAX_CONNECTIONS = 512
+MAX_UNREAD = 64 * 1024  # bytes of one call
 PONG = b"+PONG\r\n"
 
 
@@ -28,7 +28,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.owner.callers.add(self)
-        if len(self.owner.callers) > MOST_CONNECTIONS:
+        if len(self.owner.callers) > MAX_CONNECTIONS:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -51,7 +51,7 @@
             while (call := self.reader.gets()) is not False:
                 self.unread = 0
                 answers.append(self.owner.answer(call))
-            if self.unread > MOST_UNREAD:
+            if self.unread > MAX_UNREAD:
                 raise hiredis.ProtocolError("a call without end")
         except hiredis.ProtocolError:
             answers.append(b"-ERR Protocol error\r\n")
--- a/ivymux/tally/store.py
+++ b/ivymux/tally/store.py
@@ -8,9 +8,9 @@
 from collections import deque
 from dataclasses import dataclass
 
-MOST_NAMES = 1_000_000
-MOST_LIFE = 60.0  # seconds; longer ones count as this
-MOST_AMOUNT = 1e9
+MAX_NAMES = 1_000_000
+MAX_LIFE = 60.0  # seconds; longer ones count as this
+MAX_AMOUNT = 1e9
 LAST_CALLS = 4  # of a caller for a name, that are known if they come again
 NUMBER = re.compile(rb"-?\d{1,20}(\.\d{1,20})?", re.ASCII)
 LIFE = re.compile(rb"\d{1,15}", re.ASCII)
@@ -27,7 +27,7 @@
 class Store:
     """Counts by name; a new name is forgotten after the life that its first call gave it."""
 
-    def __init__(self, most_names: int = MOST_NAMES) -> None:
+    def __init__(self, most_names: int = MAX_NAMES) -> None:
         self.most_names = most_names
         self.incarnation = b""  # of which counts these are a continuation; empty: of its process alone
         self.totals: dict[bytes, float] = {}
@@ -56,7 +56,7 @@
         if total is None:
             if len(self.totals) >= self.most_names:
                 raise TallyFull
-            heapq.heappush(self.ends, (now + min(life, MOST_LIFE), name))
+            heapq.heappush(self.ends, (now + min(life, MAX_LIFE), name))
             total = 0.0
         total += amount
         self.totals[name] = total
@@ -88,11 +88,11 @@
         raise BadCall("a call that may come again is named CALLER:NUMBER")
     if not 1 <= len(name) <= 64:
         raise BadCall("a name has 1 to 64 bytes")
-    if not NUMBER.fullmatch(amount) or not abs(float(amount)) <= MOST_AMOUNT:
+    if not NUMBER.fullmatch(amount) or not abs(float(amount)) <= MAX_AMOUNT:
         raise BadCall("an amount is a decimal number up to 1e9")
     if not LIFE.fullmatch(life) or int(life) < 1:
         raise BadCall("a life is a whole number of milliseconds from 1")
-    return TallyCall(name, float(amount), min(MOST_LIFE, int(life) / 1000), caller, number)
+    return TallyCall(name, float(amount), min(MAX_LIFE, int(life) / 1000), caller, number)
 
 
 def written(total: float) -> bytes:
--- a/ivymux/tenants/merge.py
+++ b/ivymux/tenants/merge.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-MOST_DIFFERENCES = 200
+MAX_DIFFERENCES = 200
 
 
 def merge(target: Any, patch: Any) -> Any:
@@ -39,7 +39,7 @@
                 found.append({"path": pointer(here), "after": after[name]})
             else:
                 found += differences(before[name], after[name], here)
-            if len(found) >= MOST_DIFFERENCES:
+            if len(found) >= MAX_DIFFERENCES:
                 break
-        return found[:MOST_DIFFERENCES]
+        return found[:MAX_DIFFERENCES]
     return [{"path": pointer(place), "before": before, "after": after}]
--- a/ivymux/tenants/model.py
+++ b/ivymux/tenants/model.py
@@ -35,8 +35,8 @@
 
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 HOST = re.compile(r"[a-z0-9_]([a-z0-9_-]{0,61}[a-z0-9_])?(\.[a-z0-9_]([a-z0-9_-]{0,61}[a-z0-9_])?)*\.?")
-MOST_HOSTS, MOST_PLANS, MOST_CUSTOMERS, MOST_KEYS = 50, 200, 50_000, 50_000
-MOST_FINDINGS = 100
+MAX_HOSTS, MAX_PLANS, MAX_CUSTOMERS, MAX_KEYS = 50, 200, 50_000, 50_000
+MAX_FINDINGS = 100
 
 
 class CustomerPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -98,7 +98,7 @@
     """A document that can't be a tenant's."""
 
     def __init__(self, findings: list[Finding]) -> None:
-        self.findings = findings[:MOST_FINDINGS]
+        self.findings = findings[:MAX_FINDINGS]
         super().__init__(findings[0].text if findings else "it can't be taken")
 
 
@@ -161,7 +161,7 @@
         found.append(Finding("error", path, text))
 
     for field, most in (
-        ("hosts", MOST_HOSTS), ("plans", MOST_PLANS), ("customers", MOST_CUSTOMERS), ("keys", MOST_KEYS)
+        ("hosts", MAX_HOSTS), ("plans", MAX_PLANS), ("customers", MAX_CUSTOMERS), ("keys", MAX_KEYS)
     ):  # fmt: skip
         if len(getattr(tenant, field)) > most:
             error(f"/{field}", f"there are {len(getattr(tenant, field))}; {most} are taken")
--- a/ivymux/tenants/secret.py
+++ b/ivymux/tenants/secret.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from ivymux.service.callers import MOST_KEY, Caller
+from ivymux.service.callers import MAX_KEY, Caller
 
 CALLER, ADMIN = "iv", "ivadm"
 FORM = re.compile(rb"(iv|ivadm)_([0-9a-f]{16})_([A-Za-z0-9_-]{43})")
 NOBODY = "0" * 64
-MOST_MET = 2048  # keys of a tenant that are known by their hash
+MAX_MET = 2048  # keys of a tenant that are known by their hash
 
 
 class Kept(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -46,7 +46,7 @@
 
 def split(key: bytes, prefix: str) -> tuple[str, bytes] | None:
     """A key's id and secret; None for what can't be one."""
-    if len(key) > MOST_KEY or (found := FORM.fullmatch(key)) is None or found[1] != prefix.encode():
+    if len(key) > MAX_KEY or (found := FORM.fullmatch(key)) is None or found[1] != prefix.encode():
         return None
     return found[2].decode(), found[3]
 
@@ -67,7 +67,7 @@
 
     def find(self, key: bytes) -> Caller | None:
         """Whose key it is.  One that fitted before is found by its hash, which tells nothing of the key."""
-        if len(key) > MOST_KEY:
+        if len(key) > MAX_KEY:
             return None
         name = sha256(key).digest()
         found = self.met.get(name)
@@ -78,7 +78,7 @@
             found = self.keys.get(parts[0])
             if not fits(found[0] if found else None, parts[1], self.clock()) or found is None:
                 return None
-            if len(self.met) >= MOST_MET:
+            if len(self.met) >= MAX_MET:
                 self.met.clear()
             self.met[name] = found
         kept, caller = found
--- a/ivymux/text.py
+++ b/ivymux/text.py
@@ -8,9 +8,9 @@
 
 import yaml
 
-MOST_BYTES = 64 << 20  # of one file
-MOST_DEPTH = 200
-MOST_NODES = 6_000_000  # with aliases unfolded
+MAX_BYTES = 64 << 20  # of one file
+MAX_DEPTH = 200
+MAX_NODES = 6_000_000  # with aliases unfolded
 BOOLEANS = {"true": True, "True": True, "TRUE": True, "false": False, "False": False, "FALSE": False}
 
 
@@ -106,7 +106,7 @@
             open_nodes.discard(id(node))
             sizes[id(node)] = 1 + sum(sizes[id(child)] for child in children)
             depths[id(node)] = 1 + max((depths[id(child)] for child in children), default=0)
-            if sizes[id(node)] > MOST_NODES or depths[id(node)] > MOST_DEPTH:
+            if sizes[id(node)] > MAX_NODES or depths[id(node)] > MAX_DEPTH:
                 raise TextError("unfolds to more than can be read", mark.line + 1, mark.column + 1)
         elif id(node) in open_nodes:
             raise TextError("an alias holds itself", mark.line + 1, mark.column + 1)
@@ -129,14 +129,14 @@
     for count, event in enumerate(yaml.parse(text, Loader=Loader)):
         if isinstance(event, yaml.CollectionStartEvent):
             depth += 1
-            if depth > MOST_DEPTH:
+            if depth > MAX_DEPTH:
                 mark = event.start_mark
                 raise TextError(
                     "nested too deeply", mark.line + 1 if mark else 0, mark.column + 1 if mark else 0
                 )
         elif isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
-        if count > MOST_NODES:
+        if count > MAX_NODES:
             raise TextError("more than can be read")
 
 
@@ -149,8 +149,8 @@
 
     Keys are plain text, each once in its mapping.
     """
-    if len(data) > MOST_BYTES:
-        raise TextError(f"larger than {MOST_BYTES >> 20} MiB")
+    if len(data) > MAX_BYTES:
+        raise TextError(f"larger than {MAX_BYTES >> 20} MiB")
     text = decode(data)
     if not text.strip():
         return None
@@ -221,8 +221,8 @@
 
 def parse(data: bytes) -> Any:
     """The value of a JSON or YAML text in UTF-8, with or without a byte order mark.  Raises TextError."""
-    if len(data) > MOST_BYTES:
-        raise TextError(f"larger than {MOST_BYTES >> 20} MiB")
+    if len(data) > MAX_BYTES:
+        raise TextError(f"larger than {MAX_BYTES >> 20} MiB")
     text = decode(data)
     if text.lstrip()[:1] in ("{", "["):
         try:
--- a/ivymux/transport/connection.py
+++ b/ivymux/transport/connection.py
@@ -14,11 +14,11 @@
 CONNECT_TIMEOUT = 0.8  # seconds
 PING = 0.7  # seconds without a word after which one is said
 SILENT = 2.0  # seconds without a word after which the connection counts as dead
-RETRY_FIRST, RETRY_MOST = 0.04, 0.5  # seconds between attempts to connect
+RETRY_FIRST, RETRY_MAX = 0.04, 0.5  # seconds between attempts to connect
 SOON = 30  # attempts in a row, nearly all within the start of a process that was killed, for which
 RETRY_SOON = 0.08  # it is the most: a process that comes back is met at once
-MOST_UNSENT = 16 << 20  # bytes that may wait for a peer that does not read
-MOST_HELD = 600  # connections that one listener holds
+MAX_UNSENT = 16 << 20  # bytes that may wait for a peer that does not read
+MAX_HELD = 600  # connections that one listener holds
 
 
 class TransportError(Exception):
@@ -85,7 +85,7 @@
         """Bytes that `pack` made; the same may go to many."""
         if not self.up or self.transport is None or self.transport.is_closing():
             return
-        if self.transport.get_write_buffer_size() > MOST_UNSENT:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT:
             self.abort()
             return
         self.said = time.monotonic()
@@ -150,7 +150,7 @@
 
 def pause(tried: int) -> float:
     """Seconds before the next attempt to connect, after so many in a row that failed."""
-    return min(RETRY_SOON if tried < SOON else RETRY_MOST, RETRY_FIRST * (1 << min(tried, 4)))
+    return min(RETRY_SOON if tried < SOON else RETRY_MAX, RETRY_FIRST * (1 << min(tried, 4)))
 
 
 class Dialler:
@@ -230,7 +230,7 @@
         on_message: Callable[[Line, Message], None],
         on_up: Callable[[Line], None] | None = None,
         on_down: Callable[[Line], None] | None = None,
-        most: int = MOST_HELD,
+        most: int = MAX_HELD,
     ) -> None:
         """`most`: connections that are held at once."""
         self.on_message, self.on_up, self.on_down = on_message, on_up, on_down
--- a/ivymux/transport/frames.py
+++ b/ivymux/transport/frames.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-MOST_FRAME = 8 << 20  # bytes of one message; a whole configuration fits
-MOST_DIGITS = len(str(MOST_FRAME))
+MAX_FRAME = 8 << 20  # bytes of one message; a whole configuration fits
+MAX_DIGITS = len(str(MAX_FRAME))
 
 Message = dict[str, Any]
 _encode = msgspec.json.Encoder().encode
@@ -21,15 +21,15 @@
 def pack(message: Message) -> bytes:
     """One message as a netstring.  Raises FrameError where it is larger than a peer would take."""
     body = _encode(message)
-    if len(body) > MOST_FRAME:
-        raise FrameError(f"a message of {len(body)} bytes, over {MOST_FRAME}")
+    if len(body) > MAX_FRAME:
+        raise FrameError(f"a message of {len(body)} bytes, over {MAX_FRAME}")
     return b"%d:%s," % (len(body), body)
 
 
 class Frames:
     """Takes bytes as they come, gives whole messages."""
 
-    def __init__(self, most: int = MOST_FRAME) -> None:
+    def __init__(self, most: int = MAX_FRAME) -> None:
         self.most = most
         self.held = bytearray()
 
@@ -40,9 +40,9 @@
         found: list[Message] = []
         at = 0
         while True:
-            colon = held.find(b":", at, at + MOST_DIGITS + 1)
+            colon = held.find(b":", at, at + MAX_DIGITS + 1)
             if colon < 0:
-                if len(held) - at > MOST_DIGITS:
+                if len(held) - at > MAX_DIGITS:
                     raise FrameError("no length before a message")
                 break
             digits = bytes(held[at:colon])
--- a/orchidhill/admission.py
+++ b/orchidhill/admission.py
@@ -29,7 +29,7 @@
 CALL_WAIT = 0.3  # part of its class's aim for which a request waits until a call may be made
 LIKELY = 0.5  # odds of a lease below which a look goes before it
 FRESH_TOTAL = 0.005  # seconds for which a look counts
-MOST_WAIT = 1.0  # seconds, or that in which two units come, after which a refused customer is asked for anew
+MAX_WAIT = 1.0  # seconds, or that in which two units come, after which a refused customer is asked for anew
 NEWEST = 0.3  # weight of the newest grant or denial, the newest report, a reported against an own attempt
 UNASKED = 0.8  # strain from which only what the counter granted is let in
 MARGIN = 0.03  # time kept before a deadline or a memory span runs out
@@ -409,7 +409,7 @@
             # What comes is for all its gateways: the more often it was denied, the rarer it is asked for.
             wait = 2 * TICK if lease.slots else max(0.0, missing) / lease.plan.rate
             if lease.wide:
-                wait = min(wait / max(lease.odds, 0.1), max(MOST_WAIT, 2 / lease.plan.rate))
+                wait = min(wait / max(lease.odds, 0.1), max(MAX_WAIT, 2 / lease.plan.rate))
             lease.denied_until = self.now + wait
             refused, lease.waiters = lease.waiters, deque()
             for job in (job for job in refused if not job.closed):
--- a/orchidhill/proxy_gateway.py
+++ b/orchidhill/proxy_gateway.py
@@ -18,16 +18,16 @@
 
 # Tuned values: seconds, requests or plain ratios.
 FIRST_PART = 0.3  # of a class's aim, the guess of its latency before its first answer
-MOST_FIRST = 1.0  # seconds, the most of that guess
+MAX_FIRST = 1.0  # seconds, the most of that guess
 FIRST_SEEN = 4  # answers that the guess weighs
 SMOOTH = 0.1  # weight of the newest latency
 DEPTH = 4.0  # times its slots that a door lets one server hold of its own requests
 BUDGET = 0.6  # part of the operators' ratio of further tries that is used
 FIRST_TRIES = 1.0  # further tries that a service has at the start
-MOST_TRIES = 2.0  # and that it may save up: all doors together stay under the operators' slack
+MAX_TRIES = 2.0  # and that it may save up: all doors together stay under the operators' slack
 SILENT = 1  # kind of an entry whose server is not leaving, but silent
 DOWN = 0.6  # for which a server that could not be reached is left alone, doubled with each time
-MOST_DOWN = 5.0
+MAX_DOWN = 5.0
 SILENCE = 5.0  # times its class's latency without a word for which a server counts as silent
 LOST = 8.0  # and after which a repeatable attempt is given to another
 LEAST_SILENCE = 0.4  # seconds
@@ -75,7 +75,7 @@
 
 def first_usual(cls: i.RequestClass) -> float:
     """A class's latency as it is taken to be before its first answer, in seconds."""
-    return min(MOST_FIRST, FIRST_PART * cls.aim)
+    return min(MAX_FIRST, FIRST_PART * cls.aim)
 
 
 @dataclass(frozen=True, slots=True)
@@ -351,7 +351,7 @@
         job.tried.append(server.entry.backend)
         if len(job.tried) == 1:
             service = self.service(job.req.service)
-            service.tries = min(MOST_TRIES, service.tries + BUDGET * self.terms.retry_ratio)
+            service.tries = min(MAX_TRIES, service.tries + BUDGET * self.terms.retry_ratio)
         self.actions.append(i.Send(job.req.request, server.entry.backend, 0.0))
 
     def on_finished(self, event: i.Finished) -> None:
@@ -403,7 +403,7 @@
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             server.fails += 1
             if outcome is Outcome.CONNECT_FAILED or server.fails > 2:
-                down = min(MOST_DOWN, DOWN * 2 ** min(4, server.fails - 1))
+                down = min(MAX_DOWN, DOWN * 2 ** min(4, server.fails - 1))
                 server.down_until = max(server.down_until, self.now + down)
 
     def observe_departure(self, server: Server, pace: float) -> None:
--- a/standins/etcd.py
+++ b/standins/etcd.py
@@ -27,8 +27,8 @@
 from starlette.routing import Route
 
 Json = dict[str, Any]
-MOST_REQUEST = 1536 * 1024  # bytes, --max-request-bytes
-MOST_OPERATIONS = 128  # --max-txn-ops
+MAX_REQUEST = 1536 * 1024  # bytes, --max-request-bytes
+MAX_OPERATIONS = 128  # --max-txn-ops
 
 
 class Refused(Exception):
@@ -224,7 +224,7 @@
 
     def txn(self, asked: Json) -> Json:
         success, failed = asked.get("success", []), asked.get("failure", [])
-        if max(len(asked.get("compare", [])), len(success), len(failed)) > MOST_OPERATIONS:
+        if max(len(asked.get("compare", [])), len(success), len(failed)) > MAX_OPERATIONS:
             raise Refused(3, "too many operations in txn request")
         for branch in (success, failed):
             check_puts(branch)
@@ -475,7 +475,7 @@
             await asyncio.sleep(0.01)
         if faults.slow:
             await asyncio.sleep(faults.slow)
-        if len(body) > MOST_REQUEST * 4 // 3:
+        if len(body) > MAX_REQUEST * 4 // 3:
             raise Refused(3, "request is too large")
         named = not self.etcd.users or path == "/v3/auth/authenticate"
         if not named and request.headers.get("authorization", "") not in self.etcd.tokens:
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -387,9 +387,9 @@
     assert all(pace.ask("a", 0.0) == 0 for _ in range(int(authorization.BURST)))
     wait = pace.ask("a", 0.0)
     assert wait > 0 and pace.ask("a", wait) == 0 and pace.ask("b", 0.0) == 0
-    for n in range(authorization.MOST_KNOWN + 10):
+    for n in range(authorization.MAX_KNOWN + 10):
         pace.ask(f"x{n}", 1.0)
-    assert len(pace.known) == authorization.MOST_KNOWN
+    assert len(pace.known) == authorization.MAX_KNOWN
 
 
 @pytest.mark.parametrize("text", ["", "*", "1", '""', '"x"', 'W/"1"', '"1', "'1'", '"\uff11"'])
--- a/tests/admin/test_etcd.py
+++ b/tests/admin/test_etcd.py
@@ -121,7 +121,7 @@
 
 
 def test_a_tenants_administrators_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operations, "MOST_ADMINS", 2)
+    monkeypatch.setattr(operations, "MAX_ADMINS", 2)
 
     async def test() -> None:
         async with scene() as (olga, _, _store):
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -13,7 +13,7 @@
 from ivymux.config_store import durable_store
 from ivymux.config_store.actions import Persist
 from ivymux.config_store.durable_store import DurableStore, DurableStoreError
-from ivymux.config_store.history import MOST_CHANGES, ChangeHistory, Identity, digest_of
+from ivymux.config_store.history import MAX_CHANGES, ChangeHistory, Identity, digest_of
 from ivymux.config_store.messages import ReplicaMessage, StateTransfer
 from ivymux.config_store.records import ConfigurationState
 from ivymux.simulation.core_cluster import Broken, Cores
@@ -32,7 +32,7 @@
 )
 
 DELAYS = (0.0, 0.5, 1.0, 3.0)
-MOST_TRIED = 6  # epochs in 30 s
+MAX_TRIED = 6  # epochs in 30 s
 
 
 @pytest.mark.parametrize("count", [3, 4, 5])
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("count", [3, 4])
 def test_where_all_other_disks_hang_no_epoch_after_the_other_is_tried(count: int) -> None:
     for seed in range(3):
-        assert hanging_disks(seed, count) <= MOST_TRIED
+        assert hanging_disks(seed, count) <= MAX_TRIED
 
 
 @pytest.mark.parametrize("role", ROLES)
@@ -183,20 +183,20 @@
 
 def test_a_history_forgets_the_lowest_versions_first() -> None:
     history = ChangeHistory()
-    for version in range(MOST_CHANGES + 10):
+    for version in range(MAX_CHANGES + 10):
         history.take(version, digest_of(str(version)))
-    assert len(history.digests) == MOST_CHANGES and history.newest() == MOST_CHANGES + 9
+    assert len(history.digests) == MAX_CHANGES and history.newest() == MAX_CHANGES + 9
     assert history.identify(9, digest_of("9")) is Identity.SUPERSEDED
     assert history.identify(10, digest_of("10")) is Identity.TAKEN
     assert history.identify(10, digest_of("x")) is Identity.CONFLICT
-    assert history.identify(MOST_CHANGES + 10, digest_of("x")) is Identity.NEW
+    assert history.identify(MAX_CHANGES + 10, digest_of("x")) is Identity.NEW
 
 
 def test_a_store_keeps_the_history_within_its_bound(tmp_path: Path) -> None:
     store = DurableStore(tmp_path)
     store.load("a", True, ("a", "b", "c"))
-    whole = tuple((version, digest_of(str(version))) for version in range(MOST_CHANGES))
-    store.write([Persist(state=ConfigurationState(1, MOST_CHANGES - 1, "text"), history=whole)])
+    whole = tuple((version, digest_of(str(version))) for version in range(MAX_CHANGES))
+    store.write([Persist(state=ConfigurationState(1, MAX_CHANGES - 1, "text"), history=whole)])
     store.write([Persist(state=ConfigurationState(1, 9000, "newest"), change=(9000, digest_of("newest")))])
     store.close()
     again = DurableStore(tmp_path).load("a", False, ())
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -74,7 +74,7 @@
 
 def test_history_audit_and_texts_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(plan, "HISTORY", 3)
-    monkeypatch.setattr(plan, "MOST_AUDIT", 5)
+    monkeypatch.setattr(plan, "MAX_AUDIT", 5)
     with stored() as (server, store):
         last = 0
         for turn in range(8):
--- a/tests/desired/test_replica.py
+++ b/tests/desired/test_replica.py
@@ -80,7 +80,7 @@
 
 
 def test_who_went_is_bounded_and_then_all_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(replica_module, "MOST_GONE", 3)
+    monkeypatch.setattr(replica_module, "MAX_GONE", 3)
     made = loaded(*(head(name, 1) for name in "abcdef"))
     for turn, name in enumerate("abcde", 10):
         made.apply([Event(KEYS.tenant(name), None), *told(state(turn, turn))], turn)
--- a/tests/desired/test_sqlite.py
+++ b/tests/desired/test_sqlite.py
@@ -74,7 +74,7 @@
 
 
 def test_history_audit_and_what_is_gone_are_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("HISTORY", 3), ("MOST_AUDIT", 5), ("MOST_GONE", 2), ("MOST_REPEATS", 2)):
+    for name, value in (("HISTORY", 3), ("MAX_AUDIT", 5), ("MAX_GONE", 2), ("MAX_REPEATS", 2)):
         monkeypatch.setattr(sqlite_module, name, value)
     store = SqliteStore(tmp_path / "s.db")
     last = 0
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -106,7 +106,7 @@
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follower_module, "LOOK", 0.05)
     monkeypatch.setattr(follower_module, "AGAIN", 0.02)
-    monkeypatch.setattr(follower_module, "AGAIN_MOST", 0.1)
+    monkeypatch.setattr(follower_module, "AGAIN_MAX", 0.1)
     monkeypatch.setattr(replica_module, "STUCK", 0.3)
 
 
--- a/tests/hosting/test_places.py
+++ b/tests/hosting/test_places.py
@@ -119,7 +119,7 @@
                 await asyncio.sleep(0.005)
             assert time.monotonic() - began < 5  # fifty names at 5 s each would be far more
             assert (await place.ask(a)).status == 200  # by the worker that has an address
-            assert len(asked) <= host_lookups.MOST_RUNNING
+            assert len(asked) <= host_lookups.MAX_RUNNING
             answer.set()
             await until(lambda: len(place.door.residents[a.uid].part.host.upstream.pools) >= 2)  # type: ignore[union-attr]
 
--- a/tests/hosting/test_tenant_counters.py
+++ b/tests/hosting/test_tenant_counters.py
@@ -79,7 +79,7 @@
 
 
 def test_answers_find_the_module_that_called_and_floods_leave_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tenant_counters, "MOST_OUT", 5)
+    monkeypatch.setattr(tenant_counters, "MAX_OUT", 5)
 
     async def test() -> None:
         store = Store()
--- a/tests/idempotency/test_record_store.py
+++ b/tests/idempotency/test_record_store.py
@@ -17,7 +17,7 @@
     GO,
     IN_HAND,
     LOST,
-    MOST_ANSWER,
+    MAX_ANSWER,
     NOTE,
     UNKNOWN,
     Book,
@@ -78,7 +78,7 @@
 
 
 def test_a_full_book_refuses_who_has_more_than_an_even_part(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ivymux.idempotency.record_store.MOST_TICKETS", 4)
+    monkeypatch.setattr("ivymux.idempotency.record_store.MAX_TICKETS", 4)
     book, rules = Book(), Rules(most_for_tenant=100)
     for key in range(3):
         book.take(ticket(key, number=key + 1), 0.0)
@@ -133,7 +133,7 @@
         (0, "z" * 32),
         (6, "gone"),
         (7, None),
-        (8, "x" * (MOST_ANSWER + 1)),
+        (8, "x" * (MAX_ANSWER + 1)),
         (5, "s"),
     ):
         with pytest.raises(TicketError):
--- a/tests/proxy/test_proxy_gateway.py
+++ b/tests/proxy/test_proxy_gateway.py
@@ -11,7 +11,7 @@
 from ivymux.proxy.module_settings import module_settings
 from orchidhill import interface as i
 from orchidhill.interface import Effect, Outcome, State, Why
-from orchidhill.proxy_gateway import MOST_TRIES, SILENT, Switch, Terms
+from orchidhill.proxy_gateway import MAX_TRIES, SILENT, Switch, Terms
 
 CLASSES = tuple(
     i.RequestClass(name, 0.3, 1.2, effect, i.Scope.ALL, 0.0, 1.0, 0.1, False)
@@ -120,7 +120,7 @@
         for other in more:
             floor.ended(request, 1, other, Outcome.OK)
         floor.now += 0.05
-    assert 0.2 * firsts * 0.5 < again <= 0.2 * firsts + MOST_TRIES
+    assert 0.2 * firsts * 0.5 < again <= 0.2 * firsts + MAX_TRIES
 
 
 def test_requests_go_to_servers_of_their_service_that_are_ready() -> None:
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -13,7 +13,7 @@
 from ivymux.data_plane.server import Server
 from ivymux.proxy.status_pages import READINESS, PagesFront
 from ivymux.runtime.early_listener import fitting, front
-from ivymux.transport.connection import RETRY_MOST, RETRY_SOON, SOON, pause
+from ivymux.transport.connection import RETRY_MAX, RETRY_SOON, SOON, pause
 
 from ..sockets import run
 
@@ -81,5 +81,5 @@
 
 def test_a_process_that_was_killed_is_tried_often_and_one_that_is_gone_seldom() -> None:
     waits = [pause(tried) for tried in range(SOON + 5)]
-    assert max(waits[:SOON]) == RETRY_SOON and waits[-1] == RETRY_MOST
+    assert max(waits[:SOON]) == RETRY_SOON and waits[-1] == RETRY_MAX
     assert sum(waits[:SOON]) > 2.0  # a process that is killed is back, and listens, within that
--- a/tests/routes/test_description.py
+++ b/tests/routes/test_description.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from ivymux.routes.model import MOST_FINDINGS, ClassTerms, Cost, Options
-from ivymux.routes.refs import MOST_FILES
+from ivymux.routes.model import MAX_FINDINGS, ClassTerms, Cost, Options
+from ivymux.routes.refs import MAX_FILES
 from orchidhill.interface import Effect
 from tests.test_text import bomb
 
@@ -254,7 +254,7 @@
 
 def test_files_without_end_are_bounded() -> None:
     files: dict[str, Any] = {
-        f"f{n}__json": {"x": {"$ref": f"f{n + 1}.json#/x"}} for n in range(MOST_FILES + 20)
+        f"f{n}__json": {"x": {"$ref": f"f{n + 1}.json#/x"}} for n in range(MAX_FILES + 20)
     }
     document = described({"/a": {"get": operation(parameters=[{"$ref": "f0.json#/x"}])}})
     assert "error" in errors(document, **files)
@@ -287,7 +287,7 @@
 
 def test_a_million_mistakes_are_told_in_a_bounded_list() -> None:
     document = described({f"/a{n}": {"get": operation(x={"effect": "no"})} for n in range(3000)})
-    assert len(errors(document).splitlines()) <= MOST_FINDINGS
+    assert len(errors(document).splitlines()) <= MAX_FINDINGS
 
 
 def test_deep_json_is_one_error() -> None:
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ivymux.routes.classes import MOST_CLASSES, ClassTable, TooManyClasses
+from ivymux.routes.classes import MAX_CLASSES, ClassTable, TooManyClasses
 from ivymux.routes.compare import compare
 from ivymux.routes.table import BadParameter, Decision, NoRoute, Table
 from orchidhill.interface import Effect, RequestClass, Scope
@@ -181,7 +181,7 @@
     classes = ClassTable(6.0, Scope.CELL)
     table({"/a": {"get": operation()}}, classes)
     before = (list(classes.listed), dict(classes.numbers), set(classes.current))
-    many = {classes.make(f"c{n}", Effect.SAFE, 1.0, 2.0, 1.0) for n in range(MOST_CLASSES + 1)}
+    many = {classes.make(f"c{n}", Effect.SAFE, 1.0, 2.0, 1.0) for n in range(MAX_CLASSES + 1)}
     with pytest.raises(TooManyClasses):
         classes.put(many)
     assert (classes.listed, classes.numbers, classes.current) == before
--- a/tests/simulation/test_exploration.py
+++ b/tests/simulation/test_exploration.py
@@ -10,7 +10,7 @@
 from ivymux.simulation.seeded_faults import FAULTS
 
 DAYS = {"core": 60, "control": 150, "trials": 40, "quotas": 4, "cuts": 6, "doubts": 40}
-MOST_EVENTS = 12
+MAX_EVENTS = 12
 
 
 @pytest.mark.parametrize("make", WORLDS)
@@ -25,7 +25,7 @@
         found = explore(world, range(1, 400))
         assert found is not None
         least = shrink(world, found)
-        assert len(least.events) <= MOST_EVENTS and world.play(least.events) == least.broken
+        assert len(least.events) <= MAX_EVENTS and world.play(least.events) == least.broken
 
 
 class Pairs:
--- a/tests/tally/test_redis.py
+++ b/tests/tally/test_redis.py
@@ -291,7 +291,7 @@
 
 
 def test_a_lane_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(redis_module, "MOST_PENDING", 3)
+    monkeypatch.setattr(redis_module, "MAX_PENDING", 3)
 
     async def test() -> None:
         async with calling(await Redis().start()) as calls:
--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -147,7 +147,7 @@
 
 def test_a_full_tally_and_too_many_callers(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(server, "MOST_CONNECTIONS", 2)
+        monkeypatch.setattr(server, "MAX_CONNECTIONS", 2)
         tally = TallyServer(Store(most_names=1))
         port = await tally.start(Address("127.0.0.1", 0))
         one = b"*4\r\n$5\r\nTALLY\r\n$1\r\na\r\n$1\r\n1\r\n$4\r\n9000\r\n"
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -9,7 +9,7 @@
 
 from ivymux.data_plane.limits import parse_address
 from ivymux.platform import counter as counter_module
-from ivymux.platform.counter import DEAD_AFTER, LINES, MOST_PENDING, Counter, Line
+from ivymux.platform.counter import DEAD_AFTER, LINES, MAX_PENDING, Counter, Line
 from orchidhill.interface import Count, Counted, Late, Outcome
 
 from .sockets import Tally, listening, run, until
@@ -302,7 +302,7 @@
 
         async with listening(silent) as dial:
             counter, heard = start(dial, timeout=10.0)
-            for _ in range(MOST_PENDING + 1):
+            for _ in range(MAX_PENDING + 1):
                 counter.add(Count(8, 1.0, 4.0))
             assert [c.outcome for c in heard] == [Outcome.FULL]
             counter.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -174,7 +174,7 @@
 
 
 def test_a_line_without_end_ends_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "MOST_LINE", 1000)
+    monkeypatch.setattr(discovery, "MAX_LINE", 1000)
 
     async def test() -> None:
         async def endless(reader: Any, writer: Any) -> None:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).parent.parent
 PAGES = sorted([*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")])
-MOST_LINE = 140  # characters, outside tables and code
+MAX_LINE = 140  # characters, outside tables and code
 LOG_LINE = re.compile(r"(proxy|registry|config_store|switchboard|directory|station): \w")
 LINK = re.compile(r"\]\(([^)\s#]+)(#[^)\s]*)?\)")
 HEADING = re.compile(r"^#+ (.*)$", re.M)
@@ -36,7 +36,7 @@
 def test_a_page_can_be_read(page: Path) -> None:
     for number, line in prose(page):
         assert not LOG_LINE.match(line), f"{page.name}:{number}: a line of a log"
-        assert len(line) <= MOST_LINE, f"{page.name}:{number}: {len(line)} characters"
+        assert len(line) <= MAX_LINE, f"{page.name}:{number}: {len(line)} characters"
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from ivymux.data_plane.server import IDLE_TIMEOUT, MOST_HEAD, MOST_PIPELINED
-from ivymux.platform.frontend import MOST_BODY
+from ivymux.data_plane.server import IDLE_TIMEOUT, MAX_HEAD, MAX_PIPELINED
+from ivymux.platform.frontend import MAX_BODY
 from orchidhill import interface as i
 from orchidhill.admission import WINDOW, mix
 from orchidhill.interface import Outcome
@@ -93,8 +93,8 @@
         (0, "X-Call-Terms", "units=nan,spread=1,first=0", 400),
         (1, "Idempotency-Key", "", 400),  # keyed, but with no key to drop a repeat by
         (2, "Idempotency-Key", "5c0f", 400),
-        (0, "X-Pad", "x" * MOST_HEAD, 400),
-        (2, "Content-Length", str(MOST_BODY + 1), 413),
+        (0, "X-Pad", "x" * MAX_HEAD, 400),
+        (2, "Content-Length", str(MAX_BODY + 1), 413),
         (2, "Content-Length", "x", 400),
     ],
 )
@@ -148,25 +148,25 @@
 
 def test_pipelined_requests_are_bounded() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MOST_BODY))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY))
         async with (
             listening(backend.handle) as dial,
             front_door(dial, react=send_on) as (door, script),
             Client(door.server) as client,
         ):
             client.writer.write(b"".join(client.request() for _ in range(100)))
-            answers = [await read_message(client.reader) for _ in range(MOST_PIPELINED + 1)]
-            assert [a.status for a in answers] == [200] * MOST_PIPELINED + [503]
+            answers = [await read_message(client.reader) for _ in range(MAX_PIPELINED + 1)]
+            assert [a.status for a in answers] == [200] * MAX_PIPELINED + [503]
             assert "retry-after" in answers[-1].headers
             assert await client.reader.read() == b""  # the rest is not read as requests
-            assert len(script.of(i.Request)) == MOST_PIPELINED
+            assert len(script.of(i.Request)) == MAX_PIPELINED
 
     run(test())
 
 
 def test_a_client_that_does_not_read_its_answers_is_not_read_either() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MOST_BODY))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY))
         async with (
             listening(backend.handle) as dial,
             front_door(dial, react=send_on) as (door, _),
@@ -184,14 +184,14 @@
             client.writer.write(client.request())
             for _ in range(asked + 1):  # once it reads, all of it comes
                 answer = await read_message(client.reader)
-                assert (answer.status, len(answer.body)) == (200, MOST_BODY)
+                assert (answer.status, len(answer.body)) == (200, MAX_BODY)
 
     run(test())
 
 
 def test_a_client_that_never_reads_does_not_keep_its_connection() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MOST_BODY))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY))
         async with (
             listening(backend.handle) as dial,
             front_door(dial, react=send_on) as (door, _),
@@ -223,7 +223,7 @@
 
         async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
             first = await client.send(client.request() + client.request())
-            assert MOST_PIPELINED >= 2
+            assert MAX_PIPELINED >= 2
             assert [first.status, int((await client.reader.readline()).split()[1])] == [502, 503]
 
     run(test())
--- a/tests/test_text.py
+++ b/tests/test_text.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ivymux.text import MOST_DEPTH, TextError, parse
+from ivymux.text import MAX_DEPTH, TextError, parse
 
 
 def bomb(levels: int) -> bytes:
@@ -56,7 +56,7 @@
         (b"? [a]\n: b", "a key is not plain text"),
         (b"a: b\xff\n", "line 1, column 5: not UTF-8"),
         (b"[" * 100_000, "nested too deeply"),
-        (b"- " * (MOST_DEPTH + 5), "nested too deeply"),
+        (b"- " * (MAX_DEPTH + 5), "nested too deeply"),
     ],
 )
 def test_what_is_wrong_is_told_with_its_place(data: bytes, told: str) -> None:
