--- a/ivymux/data_plane/frontend.py
+++ b/ivymux/data_plane/frontend.py
@@ -64,7 +64,7 @@
     on_departure: OnDeparture = OnDeparture.RUN_ON
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """One kind of front door: the platform's, or one of ordinary HTTP."""
 
     most_body: int  # bytes of a request's body
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from ivymux.data_plane.frontend import CUT, Answer, BadRequest, Call, Front
+from ivymux.data_plane.frontend import CUT, Answer, BadRequest, Call, Frontend
 from ivymux.data_plane.limits import BACKLOG, Address, Bounds
 from ivymux.data_plane.refusal_log import Told
 from ivymux.data_plane.refusals import DOOR
@@ -308,7 +308,7 @@
 class Server:
     client: type[Client] = Client
 
-    def __init__(self, front: Front, listen: Address, bounds: Bounds, host: Host | None) -> None:
+    def __init__(self, front: Frontend, listen: Address, bounds: Bounds, host: Host | None) -> None:
         """Without a host its clients name one for each request."""
         self.front, self.listen, self.host = front, listen, host
         self.most_clients, self.surplus = bounds.clients, bounds.surplus
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -23,7 +23,7 @@
 from ivymux.routes.classes import ClassTable, TooManyClasses
 from ivymux.routes.model import Compiled
 from ivymux.routes.table import Table
-from ivymux.service.frontend import OrdinaryFront
+from ivymux.service.frontend import HttpFrontend
 from ivymux.service.site import SCOPES, Site, settings
 from ivymux.tally.local import LocalCounter
 from ivymux.tally.store import Store
@@ -88,7 +88,7 @@
         self.uid, self.name, self.terms, self.shares, self.share = uid, name, terms, shares, share
         self.revision = 0
         self.tenant: Tenant | None = None
-        self.served_by: OrdinaryFront | None = None  # that takes its requests; None while nobody does
+        self.served_by: HttpFrontend | None = None  # that takes its requests; None while nobody does
         self.part: Part | None = None
         self.former: list[Part] = []
         self.tally = Store(MAX_NAMES)
@@ -146,7 +146,7 @@
         moved = not fresh and self.inventory != inventory
         self.part, self.roster, self.inventory = part, roster, inventory
         self.callers = callers
-        front = OrdinaryFront(
+        front = HttpFrontend(
             table, callers, tenant.header, site.plans, self.terms.doors,
             self.terms.body, MAX_UNREAD, self.terms.trusted, lambda: True, make_id,
         )  # fmt: skip
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -16,7 +16,7 @@
 from ivymux.desired.model import DoorStore, Gone, Report, Stored, StoreError
 from ivymux.hosting.host_lookups import LookUps
 from ivymux.hosting.hosted_tenant import Resident, Terms, Unserved
-from ivymux.hosting.server import HostedFront, HostedServer
+from ivymux.hosting.server import HostedFrontend, HostedServer
 from ivymux.hosting.site import Hosting
 from ivymux.hosting.tenant_counters import Shared, SharedCounter
 from ivymux.inventory.model import Inventory
@@ -64,7 +64,7 @@
         self.hosts: dict[str, Resident] = {}
         self.leaving: list[Resident] = []
         unread = max(8, int(limits.memory_mb * HELD_PART * (1 << 20)) // answer)
-        self.front = HostedFront(limits.body_kb * 1024, unread, lambda: not self.server.stopping)
+        self.front = HostedFrontend(limits.body_kb * 1024, unread, lambda: not self.server.stopping)
         self.server = HostedServer(self.front, hosting.listen, bounds, self.shares, self.hosts)
         self.server.told = told
         self.revision = -1  # up to which the desired state is followed
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -12,7 +12,7 @@
 from ivymux.data_plane.server import Client, Exchange, Server
 from ivymux.hosting.hosted_tenant import Resident
 from ivymux.service.callers import Caller
-from ivymux.service.frontend import READY, OrdinaryFront, encode, refusal
+from ivymux.service.frontend import READY, HttpFrontend, encode, refusal
 from ivymux.service.problem import TYPE, problem
 from ivymux.tenants.shares import Share, Shares
 
@@ -21,7 +21,7 @@
 MAX_WAIT = 60
 
 
-class HostedFront:
+class HostedFrontend:
     """What is told alike to the clients of all tenants; each tenant's own front takes its requests."""
 
     head_status = 400
@@ -92,7 +92,7 @@
     def __init__(self, server: HostedServer) -> None:
         super().__init__(server)
         self.asked: Resident | None = None  # whose host name the request has that is coming in
-        self.front: OrdinaryFront | None = None  # that has looked at its key
+        self.front: HttpFrontend | None = None  # that has looked at its key
         self.caller: Caller | None = None
         self.stranger: BadRequest | None = None  # why its key does not count
         self.resident: Resident | None = None  # whom the connection counts for
@@ -218,7 +218,7 @@
     client = HostedClient
 
     def __init__(
-        self, front: HostedFront, listen: Address, bounds: Bounds, shares: Shares,
+        self, front: HostedFrontend, listen: Address, bounds: Bounds, shares: Shares,
         residents: dict[str, Resident],
     ) -> None:  # fmt: skip
         super().__init__(front, listen, bounds, None)
--- a/ivymux/platform/frontend.py
+++ b/ivymux/platform/frontend.py
@@ -20,7 +20,7 @@
 )
 
 
-class PlatformFront:
+class PlatformFrontend:
     """Requests and answers as the platform's protocol page has them."""
 
     most_body = MAX_BODY
--- a/ivymux/platform/program.py
+++ b/ivymux/platform/program.py
@@ -20,7 +20,7 @@
 from ivymux.platform.config import Config, load
 from ivymux.platform.counter import Counter
 from ivymux.platform.discovery import Discovery, Names
-from ivymux.platform.frontend import PlatformFront
+from ivymux.platform.frontend import PlatformFrontend
 from ivymux.platform.protocol_settings import Reader
 from orchidhill.gateway import Gateway
 
@@ -48,7 +48,7 @@
         return self.seen <= self.MOST
 
 
-class FrontDoor:
+class PlatformGateway:
     """The parts of one front door, wired together."""
 
     def __init__(self, config: Config) -> None:
@@ -69,7 +69,7 @@
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
             host.members(members, addresses)
         self.discovery = Discovery(config.discovery, names, host.members)
-        front = PlatformFront(Reader(settings, config.most_units), self.ready)
+        front = PlatformFrontend(Reader(settings, config.most_units), self.ready)
         self.server = Server(front, config.listen, config.bounds, host)
         # SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
         self.drain_time = min(3.0, max((c.deadline for c in settings.classes), default=3.0)) + 0.4
@@ -121,7 +121,7 @@
     terminated = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, terminated.set)
-    doors: list[FrontDoor] = []
+    doors: list[PlatformGateway] = []
 
     def reload() -> None:
         for door in doors:
@@ -129,7 +129,7 @@
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     config = load(env)
-    door = FrontDoor(config)
+    door = PlatformGateway(config)
     doors.append(door)
     try:
         await door.start()
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -39,7 +39,7 @@
 START = 0.5  # seconds in which a door that has just started most likely has one
 
 
-class SystemFront:
+class ProxyFrontend:
     half_close = False
     close_refused = False
     head_status = 431
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -21,13 +21,13 @@
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.distributed_counter import HeldCounter
 from ivymux.proxy.failure_reports import Doubts, WatchedHost
-from ivymux.proxy.frontend import SystemFront
+from ivymux.proxy.frontend import ProxyFrontend
 from ivymux.proxy.lease_counts import Counts
 from ivymux.proxy.membership_view import LOST, OFF, UP, Backend, DoorPlace, Roll, RollError
 from ivymux.proxy.metrics import figures, metrics_text
 from ivymux.proxy.module_settings import CONNECT_TIMEOUT, COUNTER_TIMEOUT, module_settings
 from ivymux.proxy.name_tables import Tables
-from ivymux.proxy.status_pages import METRICS, READINESS, PagesFront
+from ivymux.proxy.status_pages import METRICS, READINESS, StatusPagesFrontend
 from ivymux.routing_config.route_plan import PlanError, plan_of
 from ivymux.runtime.clock import SystemClock
 from ivymux.runtime.early_listener import fitting
@@ -89,7 +89,7 @@
         self.catcher: Catcher | None = None
         # Requests and those that ended without service, at each sweep: what trials are held against.
         self.counted: deque[tuple[float, int, int]] = deque(maxlen=COUNTED)
-        self.front = SystemFront(
+        self.front = ProxyFrontend(
             self.tables, self.instance, lambda: max(1, len(self.holders.came)), self.keys, self.number
         )
         self.server = Server(self.front, settings.listen["front_addr"], bounds, self.host)
@@ -97,12 +97,14 @@
         self.server.waiting = fitting(waiting, front.host, front.port)
         own_bounds = Bounds(64, 8, 0, 1 << 16)
         self.ready_server = Server(
-            PagesFront({READINESS: self.readiness}), settings.listen["ready_addr"], own_bounds, None
+            StatusPagesFrontend({READINESS: self.readiness}), settings.listen["ready_addr"], own_bounds, None
         )
         self.metrics_server: Server | None = None
         if settings.metrics_port is not None:
             address = Address(settings.ip, settings.metrics_port)
-            self.metrics_server = Server(PagesFront({METRICS: self.metrics}), address, own_bounds, None)
+            self.metrics_server = Server(
+                StatusPagesFrontend({METRICS: self.metrics}), address, own_bounds, None
+            )
         self.listener = Listener(self.counter.asked)
         self.cores: dict[str, CoreConnection] = {}
         self.version, self.applied_at = -1, 0.0
--- a/ivymux/proxy/status_pages.py
+++ b/ivymux/proxy/status_pages.py
@@ -13,7 +13,7 @@
 Page = Callable[[], Answer]
 
 
-class PagesFront:
+class StatusPagesFrontend:
     """A front whose requests are all answered by the door itself, by their path."""
 
     half_close = False
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -28,7 +28,7 @@
 from ivymux.runtime.settings import Settings
 from ivymux.transport.connection import Dialler, Line, Listener, TransportError
 from ivymux.transport.frames import Message, pack
-from ivymux.transport.http_calls import JSON, Asked, Desk, DeskFront, declare, fault
+from ivymux.transport.http_calls import JSON, Asked, Desk, DeskFrontend, declare, fault
 
 SILENT_BEATS = 2.3  # beats without a word after which a backend counts as lost
 CALL = 0.95  # seconds for which a call of the operator may take; after one it goes to another machine
@@ -112,7 +112,7 @@
         calls = min(settings.sockets - 200 - most_doors, 2000)
         bounds = Bounds.of(max(64, calls), settings.memory_mb)
         self.server = Server(
-            DeskFront(self, MAX_TEXT), settings.listen["control_addr"], bounds, self.desk.as_host()
+            DeskFrontend(self, MAX_TEXT), settings.listen["control_addr"], bounds, self.desk.as_host()
         )
         self.notes: dict[str, tuple[int, str]] = {}  # settings of the system's own, by name
         self.passing: set[asyncio.Task[None]] = set()  # doors' calls about actions
--- a/ivymux/service/frontend.py
+++ b/ivymux/service/frontend.py
@@ -47,7 +47,7 @@
     def find(self, key: bytes) -> Caller | None: ...
 
 
-class OrdinaryFront:
+class HttpFrontend:
     """One standalone front door's requests and answers."""
 
     head_status = 400
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -28,7 +28,7 @@
 from ivymux.routes.model import Compiled, DescriptionError
 from ivymux.routes.table import Table
 from ivymux.service.compiler import CompilerError, obtain, unchanged
-from ivymux.service.frontend import OrdinaryFront
+from ivymux.service.frontend import HttpFrontend
 from ivymux.service.lifecycle import Door
 from ivymux.service.site import MAX_ANSWERS, SCOPES, Site, SiteError, findings, read_site, settings
 from ivymux.tally.clock import SharedClock
@@ -101,7 +101,7 @@
         else:
             self.host.counter = LocalCounter(self.store, self.host.post)
         unread = max(8, int(limits.memory_mb * HELD_PART * (1 << 20)) // answer)
-        self.front = OrdinaryFront(
+        self.front = HttpFrontend(
             self.table, site.callers, file.callers.header, site.plans, file.tally.doors,
             limits.body_kb * 1024, unread, tuple(file.trusted_proxies), self.ready, self.make_id,
         )  # fmt: skip
--- a/ivymux/transport/http_calls.py
+++ b/ivymux/transport/http_calls.py
@@ -68,7 +68,7 @@
     handler: Handler | None = None
 
 
-class DeskFront:
+class DeskFrontend:
     """The data plane's front for outside calls of the core."""
 
     head_status = 431
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -11,13 +11,13 @@
 from ivymux.data_plane.frontend import Answer
 from ivymux.data_plane.limits import Address, Bounds
 from ivymux.data_plane.server import Server
-from ivymux.proxy.status_pages import READINESS, PagesFront
+from ivymux.proxy.status_pages import READINESS, StatusPagesFrontend
 from ivymux.runtime.early_listener import fitting, front
 from ivymux.transport.connection import RETRY_MAX, RETRY_SOON, SOON, pause
 
 from ..sockets import run
 
-READY = PagesFront({READINESS: lambda: Answer(200)})
+READY = StatusPagesFrontend({READINESS: lambda: Answer(200)})
 
 
 def test_who_comes_before_a_door_reads_is_answered_once_it_does() -> None:
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -15,7 +15,7 @@
 from ivymux.data_plane.host import Host
 from ivymux.data_plane.upstream import Attempt
 from ivymux.proxy.answer_policy import SystemStyle
-from ivymux.proxy.frontend import SystemFront
+from ivymux.proxy.frontend import ProxyFrontend
 from ivymux.proxy.program import Door
 from orchidhill import interface as i
 from orchidhill.interface import Outcome, State
@@ -52,15 +52,15 @@
 
 def payloads(change: Callable[[bytes], bytes], extra: float = 0.0) -> None:
     """What goes to backends is changed."""
-    true = SystemFront.take
+    true = ProxyFrontend.take
 
-    def take(self: SystemFront, *args: Any) -> Any:
+    def take(self: ProxyFrontend, *args: Any) -> Any:
         call = true(self, *args)
         if not isinstance(call, Answer) and (to := call.to) is not None:
             call.to = lambda left, backend: change(to(left + extra, backend))
         return call
 
-    swap(SystemFront, "take", take)
+    swap(ProxyFrontend, "take", take)
 
 
 def key_passed_on() -> None:
@@ -78,26 +78,26 @@
 
 
 def proper_requests_denied() -> None:
-    true, count = SystemFront.take, [0]
+    true, count = ProxyFrontend.take, [0]
 
-    def take(self: SystemFront, *args: Any) -> Any:
+    def take(self: ProxyFrontend, *args: Any) -> Any:
         count[0] += 1
         if count[0] % 5 == 0:
             raise BadRequest("no route", 404)
         return true(self, *args)
 
-    swap(SystemFront, "take", take)
+    swap(ProxyFrontend, "take", take)
 
 
 def kind_not_served() -> None:
-    true = SystemFront.take
+    true = ProxyFrontend.take
 
-    def take(self: SystemFront, method: bytes, target: bytes, *args: Any) -> Any:
+    def take(self: ProxyFrontend, method: bytes, target: bytes, *args: Any) -> Any:
         if target.startswith(b"/sign/"):
             raise BadRequest("not now", 503)
         return true(self, method, target, *args)
 
-    swap(SystemFront, "take", take)
+    swap(ProxyFrontend, "take", take)
 
 
 def configuration_not_applied() -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -13,7 +13,7 @@
 
 from ivymux.data_plane.server import Server
 from ivymux.platform.config import Config, parse
-from ivymux.platform.program import FrontDoor
+from ivymux.platform.program import PlatformGateway
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 
@@ -289,9 +289,9 @@
 @contextlib.asynccontextmanager
 async def front_door(
     *dials: str, react: Callable[[Any], list[i.Action]] | None = None, counter: str = "", **changes: str
-) -> AsyncIterator[tuple[FrontDoor, Script]]:
+) -> AsyncIterator[tuple[PlatformGateway, Script]]:
     known = [host_line(f"s-{n:08x}", dial) for n, dial in enumerate(dials, 1)]
-    door = FrontDoor(config(known, counter, **changes))
+    door = PlatformGateway(config(known, counter, **changes))
     script = Script(react or (lambda event: []))
     if react is not None:
         door.host.gateway = script  # type: ignore[assignment]
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -7,7 +7,7 @@
 from ivymux.data_plane.client_departures import BOUND, Departures, OnDeparture
 from ivymux.data_plane.frontend import Answer
 from ivymux.proxy.metrics import metrics_text
-from ivymux.proxy.status_pages import METRICS, PagesFront
+from ivymux.proxy.status_pages import METRICS, StatusPagesFrontend
 
 
 def test_what_is_left_and_how_its_attempts_end_is_told_once() -> None:
@@ -38,7 +38,9 @@
 
 
 def test_metrics_are_one_figure_a_line_and_other_paths_are_not_found() -> None:
-    front = PagesFront({METRICS: lambda: Answer(200, metrics_text({"clients": 3, "longest_seconds": 0.25}))})
+    front = StatusPagesFrontend(
+        {METRICS: lambda: Answer(200, metrics_text({"clients": 3, "longest_seconds": 0.25}))}
+    )
     page = front.local(METRICS + b"?x=1")
     assert page is not None
     assert page.body == b"ivymux_proxy_clients 3\nivymux_proxy_longest_seconds 0.25\n"
