--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -22,7 +22,7 @@
 from bench.common import arguments, figure, report
 from bench.system import CORES, System, document
 from ivymux.data_plane.limits import Address
-from ivymux.transport.connection import Dialler, Line
+from ivymux.transport.connection import Connection, Connector
 from ivymux.transport.frames import Message, pack
 
 DOORS = (11, 85, 300, 1000)
@@ -31,7 +31,7 @@
 SPAN = 6.0  # seconds over which CPU is counted
 
 
-class Counted(Line):
+class Counted(Connection):
     """A connection that counts its bytes."""
 
     counted = 0
@@ -45,8 +45,8 @@
         super().write(data)
 
 
-class Held(Dialler):
-    kind = Counted
+class Held(Connector):
+    connection_class = Counted
 
 
 class Door:
@@ -55,18 +55,18 @@
     def __init__(self, number: int, port: int) -> None:
         self.id = f"10.9.{number // 250}.{number % 250}:7342"
         self.version, self.at = -1, 0.0
-        self.lines = [Held(Address(core, port), self.heard, on_up=self.up) for core in CORES]
+        self.lines = [Held(Address(core, port), self.heard, on_connect=self.up) for core in CORES]
 
-    def up(self, line: Line) -> None:
+    def up(self, line: Connection) -> None:
         line.send(
             {"k": "door", "id": self.id, "ip": "10.9.0.1", "port": 7342, "zone": "b", "run": "", "n": 0}
         )
 
-    def heard(self, line: Line, message: Message) -> None:
+    def heard(self, line: Connection, message: Message) -> None:
         kind = message["k"]
         if kind in ("news", "here"):
             line.send({"k": "ack", "n": message["n"]})
-        if kind in ("config", "here") and message["v"] > self.version and line is self.lines[0].line:
+        if kind in ("config", "here") and message["v"] > self.version and line is self.lines[0].connection:
             line.send({"k": "want"})
         elif kind == "text" and message["v"] > self.version:
             self.version, self.at = message["v"], time.perf_counter()
@@ -130,7 +130,7 @@
         await system.take([])
         doors = [Door(n, system.inner + 1) for n in range(count)]
         async with asyncio.timeout(60):
-            while any(d.version < 1 or not all(line.up for line in d.lines) for d in doors):
+            while any(d.version < 1 or not all(line.is_connected for line in d.lines) for d in doors):
                 await asyncio.sleep(0.05)
 
         async def busiest() -> tuple[float, float, float]:
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -31,7 +31,7 @@
 from ivymux.data_plane.limits import Address
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
-from ivymux.transport.connection import Dialler, Line, Listener, TransportError
+from ivymux.transport.connection import Connection, Connector, Listener, TransportError
 from ivymux.transport.frames import Message
 
 TICK = 0.05  # seconds
@@ -63,9 +63,9 @@
         self.waiting: deque[Action] = deque()  # what rests on a write that is not done
         self.writing: list[Persist] = []  # what the disk is at
         self.resting: list[Action] = []  # what goes out once it is done
-        self.peers: dict[str, Dialler] = {}
-        self.listener = Listener(self.heard, on_down=self.lost)
-        self.registries: set[Line] = set()  # that listen
+        self.peers: dict[str, Connector] = {}
+        self.listener = Listener(self.heard, on_disconnect=self.lost)
+        self.registries: set[Connection] = set()  # that listen
         self.calls: dict[int, asyncio.Future[None]] = {}
         self.number = 0
         self.published: Publish | None = None
@@ -99,18 +99,18 @@
     def meet(self, address: str) -> None:
         """Dial another core machine's configuration store from now on."""
         if address != self.settings.ip and address not in self.peers and len(self.peers) < MAX_CORES:
-            self.peers[address] = Dialler(
-                Address(address, self.settings.config_store_port), self.heard, on_up=self.greet
+            self.peers[address] = Connector(
+                Address(address, self.settings.config_store_port), self.heard, on_connect=self.greet
             )
 
-    def greet(self, line: Line) -> None:
+    def greet(self, line: Connection) -> None:
         greeting = Greeting(self.replica.me, self.settings.ip, PROTOCOL_VERSION)
         line.send(messages.encode(greeting))
         self.replica.meet()
 
     # --- messages ------------------------------------------------------------------------------------
 
-    def heard(self, line: Line, message: Message) -> None:
+    def heard(self, line: Connection, message: Message) -> None:
         if messages.TAG in message:
             self.heard_replica(line, message)
             return
@@ -125,7 +125,7 @@
         elif kind == "get":
             self.get(line, message)
 
-    def heard_replica(self, line: Line, message: Message) -> None:
+    def heard_replica(self, line: Connection, message: Message) -> None:
         try:
             typed = messages.decode(message)
             if isinstance(typed, Greeting):
@@ -139,7 +139,7 @@
                     f"a message that no configuration store sends was left: {error} ({self.spoilt} so far)."
                 )
 
-    def greeted(self, line: Line, greeting: Greeting) -> None:
+    def greeted(self, line: Connection, greeting: Greeting) -> None:
         if greeting.version != PROTOCOL_VERSION:
             if greeting.address not in self.other_versions:
                 self.other_versions.add(greeting.address)
@@ -151,7 +151,7 @@
         line.peer = greeting.address
         self.meet(greeting.address)
 
-    def welcome_registry(self, line: Line) -> None:
+    def welcome_registry(self, line: Connection) -> None:
         self.registries.add(line)
         if self.published is not None:
             line.send(self.news(self.published))
@@ -159,7 +159,7 @@
             line.send(self.note(note))
         line.send({"k": "cores", "l": self.cores})
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: Connection) -> None:
         self.registries.discard(line)
 
     def news(self, published: Publish) -> Message:
@@ -176,7 +176,7 @@
         """The core machines there are, for who asks the registries."""
         record = self.replica.record
         there = {address_of(m) for m in record.members} if record is not None else set()
-        there |= {a for a, p in self.peers.items() if p.up} | {self.settings.ip}
+        there |= {a for a, p in self.peers.items() if p.is_connected} | {self.settings.ip}
         cores = sorted(there)
         if cores != self.cores:
             self.cores = cores
@@ -185,7 +185,7 @@
             self.tell_registries({"k": "cores", "l": cores})
         for address, peer in list(self.peers.items()):
             gone = (
-                peer.tried > 40
+                peer.failed_attempts > 40
                 and address not in cores
                 and all(address != s.host for s in self.settings.seeds)
             )
@@ -278,7 +278,7 @@
             return address_of(replica.primary)
         return None
 
-    async def asked(self, line: Line, message: Message) -> None:
+    async def asked(self, line: Connection, message: Message) -> None:
         """A call that who leads answers: this machine, or another.  Answered within PUT_WAIT."""
         until = time.monotonic() + float(message.get("w") or PUT_WAIT)
         while time.monotonic() < until:
@@ -313,7 +313,7 @@
             return None
         peer = self.peers.get(first)
         left = until - time.monotonic()
-        if peer is None or not peer.up or left <= 0.02:
+        if peer is None or not peer.is_connected or left <= 0.02:
             return None
         passed = {**{k: v for k, v in message.items() if k != "n"}, "passed": True, "w": left}
         try:
@@ -322,7 +322,7 @@
             return None
         return {k: v for k, v in told.items() if k != "re"} if told.get("ok") is True else None
 
-    def get(self, line: Line, message: Message) -> None:
+    def get(self, line: Connection, message: Message) -> None:
         if self.replica.may_serve(time.monotonic()):
             state = self.replica.state
             have = state is not None and state.version >= 0
@@ -332,10 +332,10 @@
             return
         self.spawn(self.get_there(line, message))
 
-    async def get_there(self, line: Line, message: Message) -> None:
+    async def get_there(self, line: Connection, message: Message) -> None:
         first = self.leader()
         peer = self.peers.get(first) if first is not None and not message.get("passed") else None
-        if peer is not None and peer.up:
+        if peer is not None and peer.is_connected:
             try:
                 told = await peer.call({"k": "get", "passed": True}, 0.7)
                 line.answer(message, ok=told.get("ok"), v=told.get("v"), t=told.get("t"))
--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -14,7 +14,7 @@
 from ivymux.idempotency.record_store import DONE, FREE, GO, LOST
 from ivymux.idempotency.settings import Terms
 from ivymux.proxy.keyed_actions import Action, answer_of, kept
-from ivymux.transport.connection import Dialler, TransportError
+from ivymux.transport.connection import Connector, TransportError
 from ivymux.transport.frames import Message
 
 ASK = 1.5  # seconds for which a claim is tried; a lost leader is replaced within one
@@ -32,7 +32,7 @@
 class Claims:
     """All claims of one door; `cores` gives the lines to the core, the nearest first."""
 
-    def __init__(self, cores: Callable[[], list[Dialler]]) -> None:
+    def __init__(self, cores: Callable[[], list[Connector]]) -> None:
         self.cores = cores
         self.life = secrets.token_hex(8)  # of this process: what it claimed before is not its own any more
         self.numbers = itertools.count(1)
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -7,7 +7,7 @@
 
 from ivymux.data_plane.limits import Address
 from ivymux.runtime.log import Log
-from ivymux.transport.connection import Dialler, Line
+from ivymux.transport.connection import Connection, Connector
 from ivymux.transport.frames import Message
 from orchidhill import interface as i
 
@@ -28,9 +28,9 @@
         self.version, self.zone = -1, ""
         self.asked_at = 0.0
         address = Address(ip, door.settings.registry_port)
-        self.line = Dialler(address, self.heard, on_up=self.up, on_down=self.down)
+        self.line = Connector(address, self.heard, on_connect=self.up, on_disconnect=self.down)
 
-    def up(self, line: Line) -> None:
+    def up(self, line: Connection) -> None:
         source = self.door.roll.source(self.ip)
         settings = self.door.settings
         line.send(
@@ -38,13 +38,13 @@
              "zone": settings.zone, "run": source.run, "n": source.number, "age": self.door.age()}
         )  # fmt: skip
 
-    def down(self, line: Line) -> None:
+    def down(self, line: Connection) -> None:
         if self.door.roll.source(self.ip).up:
             self.door.roll.lost(self.ip, time.monotonic())
             self.door.clock.forget(self.ip)
             self.door.changed()
 
-    def heard(self, line: Line, message: Message) -> None:
+    def heard(self, line: Connection, message: Message) -> None:
         try:
             self.hear(line, message)
         except (KeyError, TypeError, ValueError) as error:
@@ -53,7 +53,7 @@
                 log.say(f"a message that no registry sends ended its connection: {error}.")
             line.abort()
 
-    def hear(self, line: Line, message: Message) -> None:
+    def hear(self, line: Connection, message: Message) -> None:
         door, kind, now = self.door, message["k"], time.monotonic()
         if kind == "news":
             if not door.roll.news(self.ip, int(message["f"]), int(message["n"]), message["i"], now):
@@ -95,15 +95,15 @@
 
     def have(self) -> None:
         """Acknowledge the configuration that is in force here."""
-        if self.door.version >= 0 and self.line.up:
+        if self.door.version >= 0 and self.line.is_connected:
             self.line.send({"k": "have", "v": self.door.version})
 
     def want(self, late: bool = False) -> None:
         """Ask for a configuration that this door lacks: at its own zone's core machine first."""
         door = self.door
-        if self.version <= door.version or not self.line.up:
+        if self.version <= door.version or not self.line.is_connected:
             return
-        near = any(c.zone == door.settings.zone and c.line.up for c in door.cores.values())
+        near = any(c.zone == door.settings.zone and c.line.is_connected for c in door.cores.values())
         if self.zone != door.settings.zone and near and not late:
             door.loop.call_later(NEAR_FIRST, self.want, True)
             return
--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -15,7 +15,7 @@
 from ivymux.proxy.lease_counts import Counts
 from ivymux.runtime.log import Log
 from ivymux.tally.store import MAX_AMOUNT, TallyFull
-from ivymux.transport.connection import Dialler, Line
+from ivymux.transport.connection import Connection, Connector
 from ivymux.transport.frames import Message
 from orchidhill.interface import Count, Counted, Late, Outcome
 
@@ -32,7 +32,7 @@
     def __init__(self, count: Count, began: float) -> None:
         self.count, self.began = count, began
         self.told: Counted | None = None
-        self.line: Line | None = None
+        self.line: Connection | None = None
 
 
 def plain(value: object) -> float:
@@ -65,7 +65,7 @@
         self.me, self.holders, self.counts = me, holders, counts
         self.timeout, self.post = timeout, post
         self.loop = asyncio.get_running_loop()
-        self.lines: dict[str, Dialler] = {}
+        self.lines: dict[str, Connector] = {}
         self.places: dict[str, Address] = {}  # of the doors there are
         self.born: dict[Address, int] = {}  # the incarnation of the counts behind each, as last told
         self.queues: dict[int, deque[Pending]] = {}
@@ -88,13 +88,13 @@
             self.line(door)
         self.flush()
 
-    def line(self, door: str | None) -> Dialler | None:
+    def line(self, door: str | None) -> Connector | None:
         found = self.lines.get(door) if door is not None else None
         if found is None and door is not None and door != self.me and door in self.places:
-            found = self.lines[door] = Dialler(self.places[door], self.heard, self.came_up, self.down)
+            found = self.lines[door] = Connector(self.places[door], self.heard, self.came_up, self.down)
         return found
 
-    def came_up(self, line: Line) -> None:
+    def came_up(self, line: Connection) -> None:
         self.loop.call_soon(self.flush)
 
     # --- calls ---------------------------------------------------------------------------------------
@@ -133,16 +133,16 @@
             return True
         line = self.line(holder)
         if (
-            (line is None or not line.up)
-            and (line is None or line.tried < 1)
+            (line is None or not line.is_connected)
+            and (line is None or line.failed_attempts < 1)
             and len(self.unsent) < MAX_UNSENT
         ):
             return False
-        if line is None or not line.up or len(self.out) > MAX_OUT:
+        if line is None or not line.is_connected or len(self.out) > MAX_OUT:
             self.settle(pending, Counted(count.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
             return True
         self.number += 1
-        pending.line = line.line
+        pending.line = line.connection
         self.out[self.number] = pending
         # Whom it knows its last total from it needs not say again.
         known = [round(count.known, 4), count.knew] if count.knew != self.born.get(line.address) else []
@@ -180,17 +180,19 @@
             assert first.told is not None
             self.post(first.told)
 
-    def down(self, line: Line) -> None:
+    def down(self, line: Connection) -> None:
         for number, pending in [(n, p) for n, p in self.out.items() if p.line is line]:
             del self.out[number]
             if pending.told is None:
                 # It may have been added before the connection ended.
                 self.settle(pending, Counted(pending.count.name, Outcome.RESET, 0.0, 0.0))
 
-    def heard(self, line: Line, message: Message) -> None:
+    def heard(self, line: Connection, message: Message) -> None:
         self.guarded(self.answered, line, message)
 
-    def guarded(self, take: Callable[[Line, Message], None], line: Line, message: Message) -> None:
+    def guarded(
+        self, take: Callable[[Connection, Message], None], line: Connection, message: Message
+    ) -> None:
         """What no door sends ends its connection, counted."""
         try:
             take(line, message)
@@ -200,7 +202,7 @@
                 log.say(f"a message that no door sends ended its connection: {error} ({self.spoilt} so far).")
             line.abort()
 
-    def answered(self, line: Line, message: Message) -> None:
+    def answered(self, line: Connection, message: Message) -> None:
         if message.get("k") != "sum":
             return
         pending = self.out.pop(int(message["c"]), None)
@@ -219,10 +221,10 @@
 
     # --- calls of other doors --------------------------------------------------------------------------
 
-    def asked(self, line: Line, message: Message) -> None:
+    def asked(self, line: Connection, message: Message) -> None:
         self.guarded(self.add_for, line, message)
 
-    def add_for(self, line: Line, message: Message) -> None:
+    def add_for(self, line: Connection, message: Message) -> None:
         """Another door's call."""
         if message.get("k") != "add":
             return
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -16,7 +16,7 @@
 from ivymux.proxy.membership_view import UP, Backend
 from ivymux.routing_config.route_plan import Route
 from ivymux.runtime.log import Log
-from ivymux.transport.connection import Dialler
+from ivymux.transport.connection import Connector
 
 log = Log("proxy")
 
@@ -31,7 +31,9 @@
 
 
 class Keyed:
-    def __init__(self, lines: Callable[[], list[Dialler]], backends: Callable[[], Iterable[Backend]]) -> None:
+    def __init__(
+        self, lines: Callable[[], list[Connector]], backends: Callable[[], Iterable[Backend]]
+    ) -> None:
         """`lines`: to the core, the nearest first; `backends`: all that the door knows."""
         self.claims, self.homes = Claims(lines), Homes()
         self.backends = backends
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -33,7 +33,7 @@
 from ivymux.runtime.early_listener import fitting
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
-from ivymux.transport.connection import Dialler, Listener
+from ivymux.transport.connection import Connector, Listener
 from ivymux.transport.frames import Message
 from orchidhill import interface as i
 from orchidhill.interface import State
@@ -135,9 +135,9 @@
     def instance(self, backend: int) -> bytes:
         return self.ids.get(backend, b"gone")
 
-    def lines(self) -> list[Dialler]:
+    def lines(self) -> list[Connector]:
         """The lines to the core that are up, those of this door's zone first."""
-        up = [core for core in self.cores.values() if core.line.up]
+        up = [core for core in self.cores.values() if core.line.is_connected]
         return [core.line for core in sorted(up, key=lambda c: (c.zone != self.settings.zone, c.ip))]
 
     def keys(self) -> Keyed:
@@ -226,9 +226,9 @@
             if ip not in self.cores and len(self.cores) < 32:
                 parse_address(f"{ip}:1")
                 self.cores[ip] = CoreConnection(self, ip)
-        told = {ip for c in self.cores.values() if c.line.up for ip in cores}
+        told = {ip for c in self.cores.values() if c.line.is_connected for ip in cores}
         for ip, core in list(self.cores.items()):
-            if core.line.tried > 60 and ip not in told:
+            if core.line.failed_attempts > 60 and ip not in told:
                 core.line.close()
                 del self.cores[ip]
 
--- a/ivymux/proxy/trial_client.py
+++ b/ivymux/proxy/trial_client.py
@@ -17,7 +17,7 @@
 from ivymux.fault_injection.request_matcher import RENEW, Catch
 from ivymux.fault_injection.trial_set import CLOSE, DELAY, LOSE, TrialError, read
 from ivymux.runtime.log import Log
-from ivymux.transport.connection import Dialler, TransportError
+from ivymux.transport.connection import Connector, TransportError
 
 CALL = 0.5  # seconds of one question
 KEPT = 10.0  # seconds of counts from before a trial, which others' failures are held against
@@ -41,7 +41,7 @@
 
 class Catcher:
     def __init__(
-        self, zone: str, id: str, host: Host, lines: Callable[[], list[Dialler]],
+        self, zone: str, id: str, host: Host, lines: Callable[[], list[Connector]],
         system: Callable[[float], float], kept: Iterable[tuple[float, int, int]],
     ) -> None:  # fmt: skip
         """`lines`: to the core; `system`: the system's time at a steady time; `kept`: what `others` gave at
@@ -121,7 +121,7 @@
         first = next(((a, f) for at, a, f in self.kept if now - at <= KEPT), (asked, failed))
         return asked - first[0], failed - first[1]
 
-    async def ask(self, line: Dialler, message: dict[str, Any]) -> None:
+    async def ask(self, line: Connector, message: dict[str, Any]) -> None:
         began = time.monotonic()
         try:
             told = await line.call(message, CALL)
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -26,7 +26,7 @@
 from ivymux.routing_config.route_plan import MAX_TEXT, PlanError
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
-from ivymux.transport.connection import Dialler, Line, Listener, TransportError
+from ivymux.transport.connection import Connection, Connector, Listener, TransportError
 from ivymux.transport.frames import Message, pack
 from ivymux.transport.http_calls import JSON, Asked, Desk, DeskFrontend, declare, fault
 
@@ -69,7 +69,7 @@
 class DoorLine:
     """A door that holds a connection here."""
 
-    line: Line
+    line: Connection
     id: str
     address: str
     port: int
@@ -91,13 +91,15 @@
         self.run_id = secrets.token_hex(6)  # another run's numbers mean nothing here
         self.steady_unix = time.time() - time.monotonic()
         self.register = Register(SILENT_BEATS * settings.beat)
-        self.doors: dict[Line, DoorLine] = {}
+        self.doors: dict[Connection, DoorLine] = {}
         self.reach = ProxyReach()
         # Of its descriptors a part is for doors, the rest for outside calls.
         most_doors = max(64, int(settings.sockets * DOORS_PART))
-        self.listener = Listener(self.heard, on_down=self.lost, most=most_doors)
+        self.listener = Listener(self.heard, on_disconnect=self.lost, max_connections=most_doors)
         own = Address(settings.ip, settings.config_store_port)
-        self.config_store = Dialler(own, self.from_config_store, on_up=lambda line: line.send({"k": "desk"}))
+        self.config_store = Connector(
+            own, self.from_config_store, on_connect=lambda line: line.send({"k": "desk"})
+        )
         self.version = -1
         self.text = ""
         self.applied: list[tuple[int, asyncio.Future[None]]] = []  # who waits for all doors, and for what
@@ -136,7 +138,7 @@
 
     # --- doors -----------------------------------------------------------------------------------------
 
-    def heard(self, line: Line, message: Message) -> None:
+    def heard(self, line: Connection, message: Message) -> None:
         try:
             self.hear(line, message)
         except (KeyError, TypeError, ValueError) as error:
@@ -145,7 +147,7 @@
                 log.say(f"a message that no door sends ended its connection: {error} ({self.spoilt} so far).")
             line.abort()
 
-    def hear(self, line: Line, message: Message) -> None:
+    def hear(self, line: Connection, message: Message) -> None:
         kind = message["k"]
         if kind == "door":
             self.welcome(line, message)
@@ -177,7 +179,7 @@
         self.passing.add(task)
         task.add_done_callback(self.passing.discard)
 
-    async def pass_on(self, line: Line, message: Message) -> None:
+    async def pass_on(self, line: Connection, message: Message) -> None:
         """A door's call about an action goes to who leads the configuration stores."""
         asked = {name: value for name, value in message.items() if name != "n"}
         try:
@@ -208,7 +210,7 @@
         await asyncio.wait([waiting], timeout=max(0.0, most))
         self.applied.remove((version, waiting))
 
-    def welcome(self, line: Line, message: Message) -> None:
+    def welcome(self, line: Connection, message: Message) -> None:
         """A door that comes: what it lacks, and the others are told of it."""
         now = time.monotonic()
         door = DoorLine(
@@ -252,7 +254,7 @@
             if len(stirred) > 1 or door.id not in stirred:  # one that comes has just been told of itself
                 door.line.write(told)
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: Connection) -> None:
         door = self.doors.pop(line, None)
         if door is None:
             return
@@ -308,7 +310,7 @@
 
     # --- the configuration store -----------------------------------------------------------------------
 
-    def from_config_store(self, line: Line, message: Message) -> None:
+    def from_config_store(self, line: Connection, message: Message) -> None:
         kind = message.get("k")
         if kind == "config":
             version, text = int(message["v"]), str(message["t"])
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -23,7 +23,7 @@
 from ivymux.fault_injection.trial_set import Board, Trial, TrialError
 from ivymux.routing_config.route_plan import Plan, PlanError, plan_of
 from ivymux.runtime.log import Log
-from ivymux.transport.connection import Line, TransportError
+from ivymux.transport.connection import Connection, TransportError
 from ivymux.transport.frames import Message
 from ivymux.transport.http_calls import JSON, Asked, fault
 
@@ -137,7 +137,7 @@
 
     # --- doors -------------------------------------------------------------------------------------------
 
-    def heard(self, line: Line, message: Message, door: str, zone: str) -> None:
+    def heard(self, line: Connection, message: Message, door: str, zone: str) -> None:
         """A door's question and its counts.  Raises ValueError for what no door sends."""
         now = time.monotonic()
         version = int(message["v"])
--- a/ivymux/transport/connection.py
+++ b/ivymux/transport/connection.py
@@ -1,4 +1,7 @@
-"""Held connections: one that was dialled or taken, messages on it, calls with answers, silence noticed."""
+"""Persistent TCP connections between the system's processes: messages, calls with answers, liveness checks.
+
+`Connection` is one connection, `Connector` keeps an outgoing one open, `Listener` accepts incoming ones.
+"""
 
 from __future__ import annotations
 
@@ -11,256 +14,270 @@
 from ivymux.data_plane.limits import Address
 from ivymux.transport.frames import FrameError, Frames, Message, pack
 
-CONNECT_TIMEOUT = 0.8  # seconds
-PING = 0.7  # seconds without a word after which one is said
-SILENT = 2.0  # seconds without a word after which the connection counts as dead
-RETRY_FIRST, RETRY_MAX = 0.04, 0.5  # seconds between attempts to connect
-SOON = 30  # attempts in a row, nearly all within the start of a process that was killed, for which
-RETRY_SOON = 0.08  # it is the most: a process that comes back is met at once
-MAX_UNSENT = 16 << 20  # bytes that may wait for a peer that does not read
-MAX_HELD = 600  # connections that one listener holds
+CONNECT_TIMEOUT_S = 0.8
+PING_INTERVAL_S = 0.7  # a ping is sent after this long without any other message
+RECEIVE_TIMEOUT_S = 2.0  # a connection on which nothing arrives for this long counts as dead
+FIRST_RETRY_DELAY_S = 0.04
+MAX_RETRY_DELAY_S = 0.5
+# A killed process is back within about FAST_RETRIES attempts.  The delay stays short for that long, so that
+# its peers reconnect as soon as it listens.
+FAST_RETRIES = 30
+MAX_FAST_RETRY_DELAY_S = 0.08
+MAX_UNSENT_BYTES = 16 << 20  # written to a peer that does not read
+MAX_CONNECTIONS = 600  # of one listener
+PING_TOLERANCE = 0.95  # share of PING_INTERVAL_S, so that a check slightly early still sends its ping
+
+# Keys of every message, and the kind that this module handles itself.
+KIND = "k"
+CALL_NUMBER = "n"
+REPLY_TO = "re"
+PING = "ping"
 
 
 class TransportError(Exception):
-    """A call that could not be carried: no connection, or no answer in time."""
+    """A call could not be made: there is no connection, or no answer arrived in time."""
 
 
-class Line(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """One connection to another process of the system."""
 
     def __init__(
         self,
-        on_message: Callable[[Line, Message], None],
-        on_up: Callable[[Line], None] | None = None,
-        on_down: Callable[[Line], None] | None = None,
+        on_message: Callable[[Connection, Message], None],
+        on_connect: Callable[[Connection], None] | None = None,
+        on_disconnect: Callable[[Connection], None] | None = None,
     ) -> None:
-        self.on_message, self.on_up, self.on_down = on_message, on_up, on_down
+        self.on_message, self.on_connect, self.on_disconnect = on_message, on_connect, on_disconnect
         self.transport: asyncio.Transport | None = None
         self.frames = Frames()
-        self.heard = self.said = time.monotonic()
-        self.peer: Any = None  # whatever the owner knows of the other end
-        self.calls: dict[int, asyncio.Future[Message]] = {}
-        self.numbers = itertools.count(1)
-        self.timer: asyncio.TimerHandle | None = None
-        self.up = False
-        self.ended = False
-        self.spoilt = 0
+        self.last_received_at = self.last_sent_at = time.monotonic()
+        self.peer: Any = None  # set by the owner to whatever identifies the other end
+        self.pending_calls: dict[int, asyncio.Future[Message]] = {}
+        self.call_numbers = itertools.count(1)
+        self.liveness_timer: asyncio.TimerHandle | None = None
+        self.is_connected = False
+        self.is_aborted = False
+        self.frame_errors = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.ended:  # it came up in the very moment in which it was given up
+        if self.is_aborted:  # abort() was called while the connection was being established
             self.transport.abort()
             return
-        self.heard = self.said = time.monotonic()
-        self.up = True
-        self.timer = asyncio.get_running_loop().call_later(PING, self.watch)
-        if self.on_up is not None:
-            self.on_up(self)
+        self.last_received_at = self.last_sent_at = time.monotonic()
+        self.is_connected = True
+        self.liveness_timer = asyncio.get_running_loop().call_later(PING_INTERVAL_S, self.check_liveness)
+        if self.on_connect is not None:
+            self.on_connect(self)
 
     def data_received(self, data: bytes) -> None:
-        self.heard = time.monotonic()
+        self.last_received_at = time.monotonic()
         try:
             messages = self.frames.feed(data)
         except FrameError:
-            self.spoilt += 1
+            self.frame_errors += 1
             self.abort()
             return
         for message in messages:
-            number = message.get("re")
-            if number is not None:
-                waiting = self.calls.pop(number, None) if isinstance(number, int) else None
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(message)
-            elif message.get("k") == "ping":
+            call_number = message.get(REPLY_TO)
+            if call_number is not None:
+                pending = self.pending_calls.pop(call_number, None) if isinstance(call_number, int) else None
+                if pending is not None and not pending.done():
+                    pending.set_result(message)
+            elif message.get(KIND) == PING:
                 pass
             else:
                 self.on_message(self, message)
-            if not self.up:
+            if not self.is_connected:
                 return
 
     def send(self, message: Message) -> None:
         self.write(pack(message))
 
     def write(self, data: bytes) -> None:
-        """Bytes that `pack` made; the same may go to many."""
-        if not self.up or self.transport is None or self.transport.is_closing():
+        """Write a message that `pack` encoded; one encoded message may go to many connections."""
+        if not self.is_connected or self.transport is None or self.transport.is_closing():
             return
-        if self.transport.get_write_buffer_size() > MAX_UNSENT:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort()
             return
-        self.said = time.monotonic()
+        self.last_sent_at = time.monotonic()
         try:
             self.transport.write(data)
-        except RuntimeError:  # the loop closed it unseen: a connect that was cancelled as it came up
+        except RuntimeError:  # the loop closed it without notice: a connect cancelled while it completed
             self.abort()
 
     async def call(self, message: Message, timeout: float) -> Message:
-        """Send a message that is answered by one with `re`.  Raises TransportError."""
-        if not self.up:
+        """Send a message and return its answer, which has its number under `re`.  Raises TransportError."""
+        if not self.is_connected:
             raise TransportError("not connected")
-        number = next(self.numbers)
-        waiting: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self.calls[number] = waiting
-        self.send({**message, "n": number})
+        call_number = next(self.call_numbers)
+        pending: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
+        self.pending_calls[call_number] = pending
+        self.send({**message, CALL_NUMBER: call_number})
         try:
-            return await asyncio.wait_for(waiting, timeout)
+            return await asyncio.wait_for(pending, timeout)
         except TimeoutError:
             raise TransportError("no answer in time") from None
         finally:
-            self.calls.pop(number, None)
+            self.pending_calls.pop(call_number, None)
 
     def answer(self, message: Message, **fields: Any) -> None:
-        """Answer a call."""
-        self.send({"re": message.get("n"), **fields})
+        """Answer the call that `message` carries."""
+        self.send({REPLY_TO: message.get(CALL_NUMBER), **fields})
 
-    def watch(self) -> None:
+    def check_liveness(self) -> None:
+        """Abort a connection on which nothing arrives any more; send a ping if nothing else was sent."""
         now = time.monotonic()
-        if not self.up:
+        if not self.is_connected:
             return
-        if now - self.heard > SILENT:
+        if now - self.last_received_at > RECEIVE_TIMEOUT_S:
             self.abort()
             return
-        if now - self.said >= PING * 0.95:
-            self.send({"k": "ping"})
-        self.timer = asyncio.get_running_loop().call_later(PING, self.watch)
+        if now - self.last_sent_at >= PING_INTERVAL_S * PING_TOLERANCE:
+            self.send({KIND: PING})
+        self.liveness_timer = asyncio.get_running_loop().call_later(PING_INTERVAL_S, self.check_liveness)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.down()
+        self.mark_disconnected()
 
-    def down(self) -> None:
-        if not self.up:
+    def mark_disconnected(self) -> None:
+        """Fail the pending calls and notify the owner, once per connection."""
+        if not self.is_connected:
             return
-        self.up = False
-        if self.timer is not None:
-            self.timer.cancel()
-        for waiting in self.calls.values():
-            if not waiting.done():
-                waiting.set_exception(TransportError("the connection ended"))
-                waiting.exception()  # seen, also where nobody waits any more
-        self.calls.clear()
-        if self.on_down is not None:
-            self.on_down(self)
+        self.is_connected = False
+        if self.liveness_timer is not None:
+            self.liveness_timer.cancel()
+        for pending in self.pending_calls.values():
+            if not pending.done():
+                pending.set_exception(TransportError("the connection ended"))
+                pending.exception()  # marks it as retrieved, or asyncio logs it if the caller was cancelled
+        self.pending_calls.clear()
+        if self.on_disconnect is not None:
+            self.on_disconnect(self)
 
     def abort(self) -> None:
-        self.ended = True
+        self.is_aborted = True
         if self.transport is not None:
             self.transport.abort()
-        self.down()
+        self.mark_disconnected()
 
 
-def pause(tried: int) -> float:
-    """Seconds before the next attempt to connect, after so many in a row that failed."""
-    return min(RETRY_SOON if tried < SOON else RETRY_MAX, RETRY_FIRST * (1 << min(tried, 4)))
+def reconnect_delay(failed_attempts: int) -> float:
+    """Return the seconds to wait before the next connect, after `failed_attempts` failures in a row."""
+    max_delay = MAX_FAST_RETRY_DELAY_S if failed_attempts < FAST_RETRIES else MAX_RETRY_DELAY_S
+    return min(max_delay, FIRST_RETRY_DELAY_S * (1 << min(failed_attempts, 4)))
 
 
-class Dialler:
-    """Keeps one connection to an address, and dials again whenever it ends."""
+class Connector:
+    """Keeps one connection to an address open and reconnects whenever it ends."""
 
-    kind: type[Line] = Line
+    connection_class: type[Connection] = Connection
 
     def __init__(
         self,
         address: Address,
-        on_message: Callable[[Line, Message], None],
-        on_up: Callable[[Line], None] | None = None,
-        on_down: Callable[[Line], None] | None = None,
+        on_message: Callable[[Connection, Message], None],
+        on_connect: Callable[[Connection], None] | None = None,
+        on_disconnect: Callable[[Connection], None] | None = None,
     ) -> None:
         self.address = address
-        self.on_message, self.on_up, self.on_down = on_message, on_up, on_down
-        self.line: Line | None = None
-        self.closed = False
-        self.tried = 0  # attempts in a row that failed
-        self.task = asyncio.get_running_loop().create_task(self.keep())
+        self.on_message, self.on_connect, self.on_disconnect = on_message, on_connect, on_disconnect
+        self.connection: Connection | None = None
+        self.is_closed = False
+        self.failed_attempts = 0  # in a row
+        self.task = asyncio.get_running_loop().create_task(self.keep_connected())
 
     @property
-    def up(self) -> bool:
-        return self.line is not None and self.line.up
+    def is_connected(self) -> bool:
+        return self.connection is not None and self.connection.is_connected
 
-    async def keep(self) -> None:
+    async def keep_connected(self) -> None:
         loop = asyncio.get_running_loop()
-        while not self.closed:
-            ended = asyncio.Event()
-
-            def down(line: Line, ended: asyncio.Event = ended) -> None:
-                ended.set()
-                if self.on_down is not None:
-                    self.on_down(line)
-
-            line = self.kind(self.on_message, self.on_up, down)
-            made = (lambda held: lambda: held)(line)
-            line.peer = self.address
-            # Known before it is up: what hears of that may send at once.
-            self.line = line
+        while not self.is_closed:
+            disconnected = asyncio.Event()
+
+            def handle_disconnect(connection: Connection, disconnected: asyncio.Event = disconnected) -> None:
+                disconnected.set()
+                if self.on_disconnect is not None:
+                    self.on_disconnect(connection)
+
+            connection = self.connection_class(self.on_message, self.on_connect, handle_disconnect)
+            protocol_factory = (lambda protocol: lambda: protocol)(connection)
+            connection.peer = self.address
+            # Set before connecting: the on_connect callback may send through this connector at once.
+            self.connection = connection
             try:
-                async with asyncio.timeout(CONNECT_TIMEOUT):
-                    await loop.create_connection(made, self.address.host, self.address.port)
-                self.tried = 0
-                await ended.wait()
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    await loop.create_connection(protocol_factory, self.address.host, self.address.port)
+                self.failed_attempts = 0
+                await disconnected.wait()
             except (OSError, TimeoutError):
-                self.tried += 1
-                if line.transport is not None:
-                    line.abort()
-            if not self.closed:
-                await asyncio.sleep(pause(self.tried))
+                self.failed_attempts += 1
+                if connection.transport is not None:
+                    connection.abort()
+            if not self.is_closed:
+                await asyncio.sleep(reconnect_delay(self.failed_attempts))
 
     def send(self, message: Message) -> bool:
-        """Whether there was a connection to send it on."""
-        if self.line is None or not self.line.up:
+        """Send a message if connected; return whether it was sent."""
+        if self.connection is None or not self.connection.is_connected:
             return False
-        self.line.send(message)
+        self.connection.send(message)
         return True
 
     async def call(self, message: Message, timeout: float) -> Message:
-        if self.line is None or not self.line.up:
+        """Send a message and return its answer.  Raises TransportError."""
+        if self.connection is None or not self.connection.is_connected:
             raise TransportError("not connected")
-        return await self.line.call(message, timeout)
+        return await self.connection.call(message, timeout)
 
     def close(self) -> None:
-        self.closed = True
+        self.is_closed = True
         self.task.cancel()
-        if self.line is not None:
-            self.line.abort()
+        if self.connection is not None:
+            self.connection.abort()
 
 
 class Listener:
-    """Takes connections of other processes of the system."""
+    """Accepts connections from other processes of the system."""
 
     def __init__(
         self,
-        on_message: Callable[[Line, Message], None],
-        on_up: Callable[[Line], None] | None = None,
-        on_down: Callable[[Line], None] | None = None,
-        most: int = MAX_HELD,
+        on_message: Callable[[Connection, Message], None],
+        on_connect: Callable[[Connection], None] | None = None,
+        on_disconnect: Callable[[Connection], None] | None = None,
+        max_connections: int = MAX_CONNECTIONS,
     ) -> None:
-        """`most`: connections that are held at once."""
-        self.on_message, self.on_up, self.on_down = on_message, on_up, on_down
-        self.most = most
-        self.lines: set[Line] = set()
+        """Connections over `max_connections` are aborted as soon as they are accepted."""
+        self.on_message, self.on_connect, self.on_disconnect = on_message, on_connect, on_disconnect
+        self.max_connections = max_connections
+        self.connections: set[Connection] = set()
         self.server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> int:
-        """Listen; the port.  Raises OSError."""
+        """Listen at `address`; return the port.  Raises OSError."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(self.make, address.host, address.port, backlog=512)
+        self.server = await loop.create_server(self.create_protocol, address.host, address.port, backlog=512)
         return int(self.server.sockets[0].getsockname()[1])
 
-    def make(self) -> Line:
-        return Line(self.on_message, self.add, self.drop)
+    def create_protocol(self) -> Connection:
+        return Connection(self.on_message, self.add_connection, self.remove_connection)
 
-    def add(self, line: Line) -> None:
-        self.lines.add(line)
-        if len(self.lines) > self.most:
-            line.abort()
-        elif self.on_up is not None:
-            self.on_up(line)
+    def add_connection(self, connection: Connection) -> None:
+        self.connections.add(connection)
+        if len(self.connections) > self.max_connections:
+            connection.abort()
+        elif self.on_connect is not None:
+            self.on_connect(connection)
 
-    def drop(self, line: Line) -> None:
-        self.lines.discard(line)
-        if self.on_down is not None:
-            self.on_down(line)
+    def remove_connection(self, connection: Connection) -> None:
+        self.connections.discard(connection)
+        if self.on_disconnect is not None:
+            self.on_disconnect(connection)
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for line in list(self.lines):
-            line.abort()
+        for connection in list(self.connections):
+            connection.abort()
--- a/tests/proxy/test_distributed_counter.py
+++ b/tests/proxy/test_distributed_counter.py
@@ -12,7 +12,7 @@
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.distributed_counter import HeldCounter
 from ivymux.proxy.lease_counts import Counts
-from ivymux.transport.connection import Line, Listener
+from ivymux.transport.connection import Connection, Listener
 from orchidhill.interface import Count, Counted, Late, Outcome
 
 from ..sockets import run, until
@@ -60,7 +60,7 @@
         # The holder goes with a call on its way: it may have been added, and is told once.
         two.counter.holders.use(there("two"), time.monotonic())
         one.counter.add(Count(theirs[1], 1.0, 60.0, customer=theirs[1]))
-        for line in list(two.listener.lines):
+        for line in list(two.listener.connections):
             line.abort()
         two.listener.close()
         await until(lambda: len(one.told) == 5)
@@ -118,10 +118,10 @@
 def test_what_no_door_sends_ends_its_connection_and_counts_nothing(spoilt: dict[str, Any]) -> None:
     async def test() -> None:
         one = Door("one", set())
-        line = Line(lambda line, message: None)
-        line.up = True
+        line = Connection(lambda line, message: None)
+        line.is_connected = True
         one.counter.asked(line, spoilt)
-        assert line.ended and one.counter.spoilt == 1 and not one.counter.counts.store.totals
+        assert line.is_aborted and one.counter.spoilt == 1 and not one.counter.counts.store.totals
         one.counter.close()
 
     run(test())
--- a/tests/proxy/test_keyed_actions.py
+++ b/tests/proxy/test_keyed_actions.py
@@ -10,7 +10,7 @@
 from ivymux.data_plane.frontend import Answer, BadRequest
 from ivymux.proxy.action_claims import Claims
 from ivymux.proxy.keyed_actions import FIELD, action, again, answer_of, kept, key_of
-from ivymux.transport.connection import Dialler, TransportError
+from ivymux.transport.connection import Connector, TransportError
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
 ) -> None:
     async def day() -> None:
         core = Core(*says)
-        claims = Claims(lambda: [cast(Dialler, core)])
+        claims = Claims(lambda: [cast(Connector, core)])
         loop = asyncio.get_running_loop()
         claim = claims.make(made(), loop.time() + 0.4, b"try")
         heard: asyncio.Future[Answer | None] = loop.create_future()
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -13,7 +13,12 @@
 from ivymux.data_plane.server import Server
 from ivymux.proxy.status_pages import READINESS, StatusPagesFrontend
 from ivymux.runtime.early_listener import fitting, front
-from ivymux.transport.connection import RETRY_MAX, RETRY_SOON, SOON, pause
+from ivymux.transport.connection import (
+    FAST_RETRIES,
+    MAX_FAST_RETRY_DELAY_S,
+    MAX_RETRY_DELAY_S,
+    reconnect_delay,
+)
 
 from ..sockets import run
 
@@ -80,6 +85,6 @@
 
 
 def test_a_process_that_was_killed_is_tried_often_and_one_that_is_gone_seldom() -> None:
-    waits = [pause(tried) for tried in range(SOON + 5)]
-    assert max(waits[:SOON]) == RETRY_SOON and waits[-1] == RETRY_MAX
-    assert sum(waits[:SOON]) > 2.0  # a process that is killed is back, and listens, within that
+    waits = [reconnect_delay(tried) for tried in range(FAST_RETRIES + 5)]
+    assert max(waits[:FAST_RETRIES]) == MAX_FAST_RETRY_DELAY_S and waits[-1] == MAX_RETRY_DELAY_S
+    assert sum(waits[:FAST_RETRIES]) > 2.0  # a process that is killed is back, and listens, within that
--- a/tests/registry/test_applied.py
+++ b/tests/registry/test_applied.py
@@ -8,16 +8,16 @@
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
 from ivymux.simulation.local_cluster import Lab
-from ivymux.transport.connection import Line
+from ivymux.transport.connection import Connection
 from ivymux.transport.frames import Frames, Message
 
 from ..sockets import run, until
 
 
-def met(registry: Registry, number: int) -> Line:
+def met(registry: Registry, number: int) -> Connection:
     """A door's connection, as far as the registry can tell."""
-    line = Line(registry.heard, on_down=registry.lost)
-    line.up = True
+    line = Connection(registry.heard, on_disconnect=registry.lost)
+    line.is_connected = True
     registry.hear(
         line,
         {"k": "door", "id": f"d{number}", "ip": "127.0.0.9", "port": 1, "zone": "hall", "run": "", "n": 0},
@@ -56,7 +56,7 @@
     run(test())
 
 
-class Heard(Line):
+class Heard(Connection):
     """A connection that keeps what is written to it."""
 
     told: list[Message]
@@ -71,9 +71,9 @@
     async def test() -> None:
         lab = Lab(tmp_path)
         registry = Registry(load(lab.settings(lab.cores[0], True)))
-        first = Heard(registry.heard, on_down=registry.lost)
+        first = Heard(registry.heard, on_disconnect=registry.lost)
         first.told = []
-        first.up = True
+        first.is_connected = True
         registry.welcome(first, {"id": "d", "ip": "127.0.0.8", "port": 1, "zone": "hall", "run": "", "n": 0})
         first.told.clear()
         lines = [met(registry, number) for number in range(40)]
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -10,7 +10,7 @@
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
 from ivymux.simulation.local_cluster import Lab
-from ivymux.transport.connection import Line
+from ivymux.transport.connection import Connection
 from ivymux.transport.frames import Frames, Message
 from orchidhill.interface import Outcome
 
@@ -77,7 +77,7 @@
     asyncio.run(test())
 
 
-class Heard(Line):
+class Heard(Connection):
     """A connection that keeps what is written to it."""
 
     told: list[Message]
@@ -92,8 +92,8 @@
         registry = Registry(load(lab.settings(lab.cores[0], True)))
         lines = []
         for number in range(3):
-            line = Heard(registry.heard, on_down=registry.lost)
-            line.up, line.told = True, []
+            line = Heard(registry.heard, on_disconnect=registry.lost)
+            line.is_connected, line.told = True, []
             registry.welcome(
                 line, {"id": f"d{number}", "ip": "127.0.0.8", "port": 1, "zone": "hall", "run": "", "n": 0}
             )
@@ -106,7 +106,7 @@
             registry.heard(line, {"k": "doubt", "l": [["i-0", 2], ["none", 1]]})
         assert [line.told for line in lines] == [[{"k": "shun", "id": "i-0", "for": FIRST}]] * 3
         registry.heard(lines[0], {"k": "doubt", "l": [["i-0", 0]]})
-        assert not lines[0].up and registry.spoilt == 1
+        assert not lines[0].is_connected and registry.spoilt == 1
         await registry.stop()
         await lab.close()
 
--- a/tests/transport/test_replaced.py
+++ b/tests/transport/test_replaced.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ivymux.transport.connection import Line, TransportError
+from ivymux.transport.connection import Connection, TransportError
 from ivymux.transport.frames import pack
 
 
@@ -27,8 +27,8 @@
         pass
 
 
-def connected() -> Line:
-    line = Line(lambda line, message: None)
+def connected() -> Connection:
+    line = Connection(lambda line, message: None)
     line.connection_made(cast(asyncio.BaseTransport, Silent()))
     return line
 
@@ -44,13 +44,13 @@
         new = connected()
         second = asyncio.create_task(new.call({"k": "claim", "key": "second"}, 5.0))
         await asyncio.sleep(0)
-        assert new.calls.keys() == {1}  # the same number as the call that was lost
+        assert new.pending_calls.keys() == {1}  # the same number as the call that was lost
         old.data_received(pack({"re": 1, "ok": True, "verdict": "answered", "answer": "to first"}))
         await asyncio.sleep(0)
         assert not second.done()
         new.data_received(pack({"re": 1, "ok": True, "verdict": "go"}))
         assert (await second)["verdict"] == "go"
-        new.down()
+        new.mark_disconnected()
 
     asyncio.run(test())
 
@@ -63,6 +63,6 @@
         line.data_received(pack({"re": 1, "text": "one"}) + pack({"re": 1, "text": "again"}))
         line.data_received(pack({"re": 9, "text": "nobody's"}) + pack({"re": 2, "text": "two"}))
         assert [(await call)["text"] for call in calls] == ["one", "two"]
-        line.down()
+        line.mark_disconnected()
 
     asyncio.run(test())
