--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -35,7 +35,7 @@
 from ivymux.config_store.messages import ReplicaMessage
 from ivymux.config_store.records import ConfigurationState
 from ivymux.proxy.counter_holders import Holders
-from ivymux.proxy.membership_view import Roll
+from ivymux.proxy.membership_view import MembershipView
 from ivymux.proxy.name_tables import Tables
 from ivymux.registry.backend_records import Register
 from ivymux.routing_config.route_plan import MAX_TEXT, Plan, plan_of
@@ -160,13 +160,13 @@
     """The whole list as a proxy takes it in."""
     lines = registry(size).whole(1.0)
 
-    def take() -> Roll:
-        made = Roll()
-        made.snapshot("a", "run", size, True, lines, [], 1.0)
+    def take() -> MembershipView:
+        made = MembershipView()
+        made.apply_snapshot("a", "run", size, True, lines, [], 1.0)
         return made
 
-    roll, taken = timed(take)
-    _, swept = timed(lambda: roll.sweep(1.5))
+    membership, taken = timed(take)
+    _, swept = timed(lambda: membership.expire_backends(1.5))
     return {
         "processor time to take the list in": (1000 * taken, "ms"),
         "processor time of a sweep": (1000 * swept, "ms"),
@@ -180,10 +180,10 @@
         [f"10.9.{n // 250}.{n % 250}:7342", f"10.9.{n // 250}.{n % 250}", 7342, "zone", float(n)]
         for n in range(size)
     ]
-    roll = Roll()
-    roll.snapshot("a", "run", 0, True, [], doors, 1000.0)
+    membership = MembershipView()
+    membership.apply_snapshot("a", "run", 0, True, [], doors, 1000.0)
     holders = Holders(str(doors[0][0]), 0.0)
-    there = {id: place.came for id, place in roll.doors().items()}
+    there = {id: place.joined_at for id, place in membership.proxies().items()}
     _, first = timed(lambda: holders.use(there, 1000.0))
     joined = {**there, "10.9.9.9:7342": 999.0}
     _, join = timed(lambda: holders.use(joined, 1001.0))
--- a/ivymux/proxy/__init__.py
+++ b/ivymux/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy of the system: the data plane behind a front that speaks the users' protocol."""
+"""The system's proxy: routes clients' requests to backends by the configuration and membership in force."""
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -31,16 +31,17 @@
         self.line = Connector(address, self.heard, on_connect=self.up, on_disconnect=self.down)
 
     def up(self, line: Connection) -> None:
-        source = self.door.roll.source(self.ip)
+        source = self.door.membership.registry(self.ip)
         settings = self.door.settings
         line.send(
             {"k": "door", "id": self.door.id, "ip": settings.ip, "port": settings.door_port,
-             "zone": settings.zone, "run": source.run, "n": source.number, "age": self.door.age()}
+             "zone": settings.zone, "run": source.incarnation_id, "n": source.last_sequence,
+             "age": self.door.age()}
         )  # fmt: skip
 
     def down(self, line: Connection) -> None:
-        if self.door.roll.source(self.ip).up:
-            self.door.roll.lost(self.ip, time.monotonic())
+        if self.door.membership.registry(self.ip).connected:
+            self.door.membership.on_disconnected(self.ip, time.monotonic())
             self.door.clock.forget(self.ip)
             self.door.changed()
 
@@ -56,7 +57,9 @@
     def hear(self, line: Connection, message: Message) -> None:
         door, kind, now = self.door, message["k"], time.monotonic()
         if kind == "news":
-            if not door.roll.news(self.ip, int(message["f"]), int(message["n"]), message["i"], now):
+            if not door.membership.apply_changes(
+                self.ip, int(message["f"]), int(message["n"]), message["i"], now
+            ):
                 self.up(line)  # a gap: what is missing comes with its answer
                 return
             door.changed()
@@ -64,7 +67,7 @@
         elif kind == "here":
             self.zone, self.version = str(message["zone"]), int(message["v"])
             door.clock.hear(self.ip, float(message["t"]), now)
-            door.roll.snapshot(
+            door.membership.apply_snapshot(
                 self.ip, str(message["run"]), int(message["n"]), message["whole"] is True, message["i"],
                 message["doors"], now,
             )  # fmt: skip
@@ -74,7 +77,7 @@
             self.have()
             self.want()
         elif kind == "doors":
-            door.roll.told_doors(self.ip, message["on"], message["off"], now)
+            door.membership.update_proxies(self.ip, message["on"], message["off"], now)
             door.changed()
         elif kind == "shun":
             if number := door.number(str(message["id"])):
--- a/ivymux/proxy/membership_view.py
+++ b/ivymux/proxy/membership_view.py
@@ -1,23 +1,30 @@
-"""What a door knows of backends, doors and core machines: the words of all its registries, put together.
-Pure.
+"""A proxy's view of backends, other proxies and core machines, merged from all registries.  Pure.
 
-Each registry tells what it heard itself; they do not copy one another.  Of a backend the word with the
-highest `call_seq` counts, its end before all.  A backend that no connected registry knows is kept for a
-while: its own registry may have just gone, and its calls go to another one.
+Each registry reports only what it received itself; registries do not copy one another.  For a backend, the
+report with the highest `call_seq` decides, except that the end of a backend is final whoever reports it.  A
+backend that no connected registry lists is kept for a while, since its own registry may have just failed, and
+its heartbeats then reach another one.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
-ORPHAN = 6.0  # seconds for which a backend is kept that no connected registry knows
-END_KEPT = 120.0  # and for which an ended id is
+ORPHAN_RETENTION_S = 6.0  # for a backend that no connected registry lists
+ENDED_RETENTION_S = 120.0  # for the id of a backend that has ended
 UP, QUIESCING, LOST, OFF = "up", "quiescing", "lost", "off"
 
 
-class RollError(ValueError):
-    """News that no correct registry sends."""
+class MembershipError(ValueError):
+    """A registry's message is malformed."""
+
+
+class BackendReport(NamedTuple):
+    """One registry's latest report on a backend."""
+
+    call_seq: int
+    state: str
 
 
 @dataclass(slots=True)
@@ -28,170 +35,179 @@
     zone: str
     capacity: int
     state: str
-    seq: int
+    call_seq: int
     warm_until: float
-    number: int  # this door's own, for its module
-    seen_at: float = 0.0  # when a connected registry last had it
-    sources: dict[str, tuple[int, str]] = field(default_factory=dict)  # seq and state by registry
+    number: int  # identifies the backend in this proxy's decision module
+    last_listed_at: float = 0.0  # when a connected registry last listed it
+    reports: dict[str, BackendReport] = field(default_factory=dict)  # by registry
 
 
 @dataclass(frozen=True, slots=True)
-class DoorPlace:
-    """A door, as a registry tells of it."""
+class ProxyLocation:
+    """A proxy, as a registry reports it."""
 
     address: str
     port: int
     zone: str
-    came: float  # since when it is there, steady seconds of the door that hears it
+    joined_at: float  # in the local process's steady seconds
 
     @classmethod
-    def read(cls, told: Any, now: float) -> DoorPlace:
-        _, address, port, zone, age = told
+    def decode(cls, entry: Any, now: float) -> ProxyLocation:
+        _, address, port, zone, age = entry
         return cls(str(address), int(port), str(zone), now - max(0.0, float(age)))
 
 
 @dataclass(slots=True)
-class Source:
-    """One registry, as it is connected now."""
+class RegistryState:
+    """One registry, as of the current or the last connection to it."""
 
-    run: str = ""
-    number: int = 0
-    doors: dict[str, DoorPlace] = field(default_factory=dict)
-    up: bool = False
+    incarnation_id: str = ""
+    last_sequence: int = 0  # of its numbered changes
+    proxies: dict[str, ProxyLocation] = field(default_factory=dict)
+    connected: bool = False
 
 
-class Roll:
+class MembershipView:
     def __init__(self) -> None:
         self.backends: dict[str, Backend] = {}
         self.by_number: dict[int, Backend] = {}
-        self.sources: dict[str, Source] = {}
-        self.next = 0
-        self.changed: dict[int, Backend] = {}  # since the last `take`
-        self.doors_changed = False
-
-    def source(self, name: str) -> Source:
-        return self.sources.setdefault(name, Source())
-
-    def snapshot(
-        self, name: str, run: str, number: int, whole: bool, lines: Any, doors: Any, now: float
-    ) -> None:
-        """A registry's first word on a connection: all it has, or what changed since its last one."""
-        source = self.source(name)
-        source.run, source.number, source.up = run, number, True
-        source.doors = {str(d[0]): DoorPlace.read(d, now) for d in doors}
-        self.doors_changed = True
-        if whole:
+        self.registries: dict[str, RegistryState] = {}
+        self.last_number = 0
+        self.changed: dict[int, Backend] = {}  # since the last `drain_changes`
+        self.proxies_changed = False
+
+    def registry(self, name: str) -> RegistryState:
+        return self.registries.setdefault(name, RegistryState())
+
+    def apply_snapshot(
+        self, name: str, incarnation_id: str, sequence: int, complete: bool, backends: Any, proxies: Any,
+        now: float,
+    ) -> None:  # fmt: skip
+        """Apply a registry's first message on a connection.
+
+        It lists all backends if `complete`, otherwise those that changed since the last message.
+        """
+        registry = self.registry(name)
+        registry.incarnation_id, registry.last_sequence, registry.connected = incarnation_id, sequence, True
+        registry.proxies = {str(entry[0]): ProxyLocation.decode(entry, now) for entry in proxies}
+        self.proxies_changed = True
+        if complete:
             for backend in self.backends.values():
-                if backend.sources.pop(name, None) is not None:
-                    self.judge(backend, now)
-        self.lines(name, lines, now)
-
-    def news(self, name: str, start: int, number: int, lines: Any, now: float) -> bool:
-        """Numbered changes; False where some before them are missing."""
-        source = self.source(name)
-        if start != source.number:
+                if backend.reports.pop(name, None) is not None:
+                    self.recompute_state(backend, now)
+        self.apply_backends(name, backends, now)
+
+    def apply_changes(self, name: str, previous: int, sequence: int, backends: Any, now: float) -> bool:
+        """Apply numbered changes; returns False, and applies none, if earlier ones are missing."""
+        registry = self.registry(name)
+        if previous != registry.last_sequence:
             return False
-        source.number = number
-        self.lines(name, lines, now)
+        registry.last_sequence = sequence
+        self.apply_backends(name, backends, now)
         return True
 
-    def lines(self, name: str, lines: Any, now: float) -> None:
+    def apply_backends(self, name: str, backends: Any, now: float) -> None:
         try:
-            for id, service, address, zone, capacity, state, seq, warm in lines:
-                self.line(name, str(id), str(service), str(address), str(zone), int(capacity), str(state),
-                          int(seq), now + float(warm), now)  # fmt: skip
+            for id, service, address, zone, capacity, state, call_seq, warm_up_left in backends:
+                self.apply_backend(
+                    name, str(id), str(service), str(address), str(zone), int(capacity), str(state),
+                    int(call_seq), now + float(warm_up_left), now,
+                )  # fmt: skip
         except (TypeError, ValueError) as error:
-            raise RollError(f"a backend's line: {error}") from None
+            raise MembershipError(f"malformed backend entry: {error}") from None
 
-    def line(
-        self, name: str, id: str, service: str, address: str, zone: str, capacity: int, state: str, seq: int,
-        warm_until: float, now: float,
+    def apply_backend(
+        self, name: str, id: str, service: str, address: str, zone: str, capacity: int, state: str,
+        call_seq: int, warm_until: float, now: float,
     ) -> None:  # fmt: skip
-        found = self.backends.get(id)
-        if found is None:
-            self.next += 1
-            found = Backend(id, service, address, zone, capacity, state, seq, warm_until, self.next)
-            self.backends[id] = self.by_number[self.next] = found
-            self.changed[found.number] = found
-        elif seq >= found.seq and state != OFF and found.state != OFF:
-            if (found.service, found.address) != (service, address):
-                self.changed[found.number] = found
-            found.service, found.address, found.zone, found.capacity = service, address, zone, capacity
-        found.sources[name] = (seq, state)
-        found.seen_at = now
-        self.judge(found, now)
-
-    def judge(self, backend: Backend, now: float) -> None:
-        """The state that all words together give."""
-        was = backend.state
-        if was == OFF:
+        backend = self.backends.get(id)
+        if backend is None:
+            self.last_number += 1
+            number = self.last_number
+            backend = Backend(id, service, address, zone, capacity, state, call_seq, warm_until, number)
+            self.backends[id] = self.by_number[number] = backend
+            self.changed[backend.number] = backend
+        elif call_seq >= backend.call_seq and state != OFF and backend.state != OFF:
+            if (backend.service, backend.address) != (service, address):
+                self.changed[backend.number] = backend
+            backend.service, backend.address = service, address
+            backend.zone, backend.capacity = zone, capacity
+        backend.reports[name] = BackendReport(call_seq, state)
+        backend.last_listed_at = now
+        self.recompute_state(backend, now)
+
+    def recompute_state(self, backend: Backend, now: float) -> None:
+        """Derive a backend's state from the reports of all registries."""
+        previous = backend.state
+        if previous == OFF:
             return
-        words = [word for source, word in backend.sources.items() if self.source(source).up]
-        if any(state == OFF for _, state in backend.sources.values()):
+        connected = [report for name, report in backend.reports.items() if self.registry(name).connected]
+        if any(report.state == OFF for report in backend.reports.values()):
             state = OFF
-        elif not words:
-            state = was
+        elif not connected:
+            state = previous
         else:
-            seq = max(backend.seq, *(seq for seq, _ in words))
-            newest = [state for s, state in words if s == seq]
-            if was == QUIESCING or QUIESCING in newest:
+            call_seq = max(backend.call_seq, *(report.call_seq for report in connected))
+            newest = [report.state for report in connected if report.call_seq == call_seq]
+            if previous == QUIESCING or QUIESCING in newest:
                 state = QUIESCING
             elif not newest:
-                state = was  # who heard of it last is not connected: its word stands
+                state = previous  # the newest report came from a registry that is not connected now
             else:
                 state = UP if UP in newest else LOST
-            backend.seq = seq
-        if state != was:
+            backend.call_seq = call_seq
+        if state != previous:
             backend.state = state
             self.changed[backend.number] = backend
 
-    def lost(self, name: str, now: float) -> None:
-        """The connection to a registry has ended."""
-        source = self.source(name)
-        source.up, source.doors, self.doors_changed = False, {}, True
+    def on_disconnected(self, name: str, now: float) -> None:
+        """Handle the end of the connection to a registry."""
+        registry = self.registry(name)
+        registry.connected, registry.proxies, self.proxies_changed = False, {}, True
         for backend in self.backends.values():
-            if name in backend.sources:
-                backend.seen_at = now
+            if name in backend.reports:
+                backend.last_listed_at = now
 
-    def sweep(self, now: float) -> None:
-        """Backends that nobody knows any more; only while some registry is connected."""
-        if not any(s.up for s in self.sources.values()):
+    def expire_backends(self, now: float) -> None:
+        """Expire backends that no registry lists any more, only while at least one is connected."""
+        if not self.is_connected():
             return
         for backend in list(self.backends.values()):
-            if any(self.source(name).up for name in backend.sources):
-                backend.seen_at = now if backend.state not in (OFF, LOST) else backend.seen_at
-                if backend.state not in (OFF, LOST):
-                    continue
-            quiet = now - backend.seen_at
-            if backend.state in (UP, QUIESCING) and quiet > ORPHAN:
+            listed = any(self.registry(name).connected for name in backend.reports)
+            if listed and backend.state not in (OFF, LOST):
+                backend.last_listed_at = now
+                continue
+            unlisted_for = now - backend.last_listed_at
+            if backend.state in (UP, QUIESCING) and unlisted_for > ORPHAN_RETENTION_S:
                 backend.state = LOST
                 self.changed[backend.number] = backend
-            elif backend.state in (OFF, LOST) and quiet > END_KEPT:
+            elif backend.state in (OFF, LOST) and unlisted_for > ENDED_RETENTION_S:
                 del self.backends[backend.id], self.by_number[backend.number]
 
-    def take(self) -> list[Backend]:
-        """What changed since the last look."""
+    def drain_changes(self) -> list[Backend]:
+        """Return the backends that changed since the last call."""
         changed, self.changed = list(self.changed.values()), {}
         return changed
 
-    def told_doors(self, name: str, come: Any, gone: Any, now: float) -> None:
-        """A registry's word on doors that have come, and on the ids of those that have gone."""
-        source = self.source(name)
-        for door in come:
-            source.doors[str(door[0])] = DoorPlace.read(door, now)
-        for id in gone:
-            source.doors.pop(str(id), None)
-        self.doors_changed = True
-
-    def doors(self) -> dict[str, DoorPlace]:
-        """All doors that some connected registry sees, by id: as who has seen them for longest tells."""
-        found: dict[str, DoorPlace] = {}
-        for source in self.sources.values():
-            if source.up:
-                for id, place in source.doors.items():
-                    if id not in found or place.came < found[id].came:
-                        found[id] = place
+    def update_proxies(self, name: str, joined: Any, left: Any, now: float) -> None:
+        """Apply a registry's report of proxies that joined, and of the ids of those that left."""
+        registry = self.registry(name)
+        for entry in joined:
+            registry.proxies[str(entry[0])] = ProxyLocation.decode(entry, now)
+        for id in left:
+            registry.proxies.pop(str(id), None)
+        self.proxies_changed = True
+
+    def proxies(self) -> dict[str, ProxyLocation]:
+        """Return all proxies that a connected registry lists, by id, each with its earliest join time."""
+        found: dict[str, ProxyLocation] = {}
+        for registry in self.registries.values():
+            if registry.connected:
+                for id, location in registry.proxies.items():
+                    if id not in found or location.joined_at < found[id].joined_at:
+                        found[id] = location
         return found
 
-    def in_touch(self) -> bool:
-        return any(source.up for source in self.sources.values())
+    def is_connected(self) -> bool:
+        """Whether any registry is connected."""
+        return any(registry.connected for registry in self.registries.values())
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -23,7 +23,15 @@
 from ivymux.proxy.failure_reports import Doubts, WatchedHost
 from ivymux.proxy.frontend import ProxyFrontend
 from ivymux.proxy.lease_counts import Counts
-from ivymux.proxy.membership_view import LOST, OFF, UP, Backend, DoorPlace, Roll, RollError
+from ivymux.proxy.membership_view import (
+    LOST,
+    OFF,
+    UP,
+    Backend,
+    MembershipError,
+    MembershipView,
+    ProxyLocation,
+)
 from ivymux.proxy.metrics import figures, metrics_text
 from ivymux.proxy.module_settings import CONNECT_TIMEOUT, COUNTER_TIMEOUT, module_settings
 from ivymux.proxy.name_tables import Tables
@@ -66,7 +74,7 @@
         self.id = f"{settings.ip}:{settings.door_port}"
         now = time.monotonic()
         self.clock = SystemClock(time.time(), now)
-        self.roll, self.tables = Roll(), Tables()
+        self.membership, self.tables = MembershipView(), Tables()
         self.holders = Holders(self.id, now, settings.initial)
         bounds = Bounds.of(max(64, settings.sockets - 260), settings.memory_mb)
         held = int(settings.memory_mb * HELD_PART * (1 << 20))
@@ -116,7 +124,7 @@
         self.listing = 0
         self.touch = False
         self.touched_at = math.inf  # since when it is in touch with the core
-        self.known_doors: dict[str, DoorPlace] = {}  # as last heard of, in touch
+        self.known_doors: dict[str, ProxyLocation] = {}  # as last heard of, in touch
         self.told_at = self.claims_told_at = self.departed_told_at = 0.0
         self.taking: asyncio.Task[None] | None = None
 
@@ -145,18 +153,18 @@
         if self.keyed is None:
             from ivymux.proxy.keyed_requests import Keyed
 
-            self.keyed = Keyed(self.lines, self.roll.backends.values)
+            self.keyed = Keyed(self.lines, self.membership.backends.values)
             if self.terms:
                 self.keyed.use(self.terms)
         return self.keyed
 
     def number(self, backend: str) -> int:
         """A backend's number here, by its id; 0 for none."""
-        found = self.roll.backends.get(backend)
+        found = self.membership.backends.get(backend)
         return found.number if found is not None else 0
 
     def id_of(self, backend: int) -> str:
-        found = self.roll.by_number.get(backend)
+        found = self.membership.by_number.get(backend)
         return found.id if found is not None else ""
 
     def age(self) -> float:
@@ -235,25 +243,25 @@
     def changed(self) -> None:
         """Something of backends or doors has changed: the module and the counter are told."""
         now = time.monotonic()
-        if self.roll.doors_changed:
-            self.roll.doors_changed = False
-            doors = self.roll.doors()
-            if not self.roll.in_touch():
+        if self.membership.proxies_changed:
+            self.membership.proxies_changed = False
+            doors = self.membership.proxies()
+            if not self.membership.is_connected():
                 # Out of touch: the others no longer count on this door, and will have named another holder.
                 doors = {d: self.known_doors[d] for d in self.known_doors if d != self.id}
             else:
                 self.known_doors = doors
-            self.holders.use({id: door.came for id, door in doors.items()}, now)
+            self.holders.use({id: door.joined_at for id, door in doors.items()}, now)
             self.counter.place({id: Address(d.address, d.port) for id, d in doors.items()}, now)
             if doors:
                 self.host.post(i.Doors(len(set(doors) | {self.id})))
-        if self.roll.in_touch() != self.touch:
+        if self.membership.is_connected() != self.touch:
             self.touch = not self.touch
             self.touched_at = now if self.touch else math.inf
             log.say(
                 "hears the core." if self.touch else "hears no core machine; serves on with what it knows."
             )
-        backends = self.roll.take()
+        backends = self.membership.drain_changes()
         if backends:
             self.members(backends)
 
@@ -313,9 +321,9 @@
 
     def sweep(self) -> None:
         try:
-            self.roll.sweep(time.monotonic())
+            self.membership.expire_backends(time.monotonic())
             self.changed()
-        except RollError:
+        except MembershipError:
             pass
         self.doubts.sample()
         self.counted.append((time.monotonic(), self.host.number, self.host.told.refusals.unserved()))
--- a/tests/proxy/test_membership_view.py
+++ b/tests/proxy/test_membership_view.py
@@ -1,79 +1,81 @@
-"""What a door makes of its registries' words; who holds counts; system time."""
+"""The membership view that a proxy merges from its registries; counter holders; the system clock."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from ivymux.proxy.counter_holders import AWAY, SEATS, SETTLED, Holders
-from ivymux.proxy.membership_view import LOST, OFF, QUIESCING, UP, Roll
+from ivymux.proxy.membership_view import LOST, OFF, QUIESCING, UP, MembershipView
 from ivymux.runtime.clock import SystemClock
 
 
-def line(id: str, state: str, seq: int, address: str = "10.0.0.9:80", service: str = "archive") -> list[Any]:
+def entry(id: str, state: str, seq: int, address: str = "10.0.0.9:80", service: str = "archive") -> list[Any]:
+    """A backend, as a registry lists it."""
     return [id, service, address, "hall", 2, state, seq, 0.0]
 
 
-def told(roll: Roll, source: str, *lines: list[Any], now: float = 0.0, whole: bool = True) -> None:
-    roll.snapshot(source, "run", 1, whole, lines, [], now)
-
-
-def test_the_highest_call_counts_whoever_tells_of_it() -> None:
-    roll = Roll()
-    told(roll, "a", line("i-1", QUIESCING, 7))
-    told(roll, "b", line("i-1", UP, 6))
-    assert roll.backends["i-1"].state == QUIESCING
-    told(roll, "c", line("i-1", OFF, 0))
-    told(roll, "d", line("i-1", UP, 9))
-    assert roll.backends["i-1"].state == OFF
-
-
-def test_who_lost_a_backend_is_overruled_by_who_heard_it_later() -> None:
-    roll = Roll()
-    told(roll, "a", line("i-1", LOST, 5))
-    assert roll.backends["i-1"].state == LOST
-    told(roll, "b", line("i-1", UP, 6))
-    assert roll.backends["i-1"].state == UP
-    roll.news("b", 1, 2, [line("i-1", LOST, 6)], 5.0)
-    assert roll.backends["i-1"].state == LOST
-
-
-def test_a_gap_in_the_news_is_seen() -> None:
-    roll = Roll()
-    told(roll, "a", line("i-1", UP, 1))
-    assert not roll.news("a", 4, 5, [line("i-1", OFF, 2)], 0.0)
-    assert roll.backends["i-1"].state == UP
-    assert roll.news("a", 1, 5, [line("i-1", OFF, 2)], 0.0)
-    assert roll.backends["i-1"].state == OFF
-
-
-def test_a_backend_outlives_its_registry_for_a_while() -> None:
-    roll = Roll()
-    told(roll, "a", line("i-1", UP, 1), now=0.0)
-    told(roll, "b", now=0.0)
-    roll.lost("a", 1.0)
-    roll.sweep(6.0)
-    assert roll.backends["i-1"].state == UP
-    roll.sweep(7.5)
-    assert roll.backends["i-1"].state == LOST
-    roll.lost("b", 8.0)
-    told(roll, "a", line("i-2", UP, 1), now=9.0)
-    roll.lost("a", 9.5)
-    roll.sweep(60.0)  # with no core machine in touch nothing is let go
-    assert roll.backends["i-2"].state == UP
-
-
-def test_doors_are_those_that_any_registry_sees() -> None:
-    roll = Roll()
-    roll.snapshot("a", "r", 0, True, [], [["d1", "10.0.0.1", 7, "hall", 5.0]], 0.0)
-    roll.snapshot(
-        "b", "r", 0, True, [], [["d1", "10.0.0.1", 7, "hall", 5.0], ["d2", "10.0.0.2", 7, "hall", 5.0]], 0.0
-    )
-    assert set(roll.doors()) == {"d1", "d2"}
-    roll.told_doors("b", [], ["d2"], 0.0)
-    assert set(roll.doors()) == {"d1"}
-    roll.lost("a", 1.0)
-    roll.lost("b", 1.0)
-    assert not roll.doors() and not roll.in_touch()
+def snapshot(
+    view: MembershipView, registry: str, *entries: list[Any], now: float = 0.0, complete: bool = True
+) -> None:
+    view.apply_snapshot(registry, "run", 1, complete, entries, [], now)
+
+
+def test_the_report_with_the_highest_call_number_decides_and_an_end_is_final() -> None:
+    view = MembershipView()
+    snapshot(view, "a", entry("i-1", QUIESCING, 7))
+    snapshot(view, "b", entry("i-1", UP, 6))
+    assert view.backends["i-1"].state == QUIESCING
+    snapshot(view, "c", entry("i-1", OFF, 0))
+    snapshot(view, "d", entry("i-1", UP, 9))
+    assert view.backends["i-1"].state == OFF
+
+
+def test_a_later_report_overrules_a_registry_that_lost_the_backend() -> None:
+    view = MembershipView()
+    snapshot(view, "a", entry("i-1", LOST, 5))
+    assert view.backends["i-1"].state == LOST
+    snapshot(view, "b", entry("i-1", UP, 6))
+    assert view.backends["i-1"].state == UP
+    view.apply_changes("b", 1, 2, [entry("i-1", LOST, 6)], 5.0)
+    assert view.backends["i-1"].state == LOST
+
+
+def test_changes_after_a_gap_are_not_applied() -> None:
+    view = MembershipView()
+    snapshot(view, "a", entry("i-1", UP, 1))
+    assert not view.apply_changes("a", 4, 5, [entry("i-1", OFF, 2)], 0.0)
+    assert view.backends["i-1"].state == UP
+    assert view.apply_changes("a", 1, 5, [entry("i-1", OFF, 2)], 0.0)
+    assert view.backends["i-1"].state == OFF
+
+
+def test_a_backend_is_kept_for_a_while_after_its_registry_disconnects() -> None:
+    view = MembershipView()
+    snapshot(view, "a", entry("i-1", UP, 1), now=0.0)
+    snapshot(view, "b", now=0.0)
+    view.on_disconnected("a", 1.0)
+    view.expire_backends(6.0)
+    assert view.backends["i-1"].state == UP
+    view.expire_backends(7.5)
+    assert view.backends["i-1"].state == LOST
+    view.on_disconnected("b", 8.0)
+    snapshot(view, "a", entry("i-2", UP, 1), now=9.0)
+    view.on_disconnected("a", 9.5)
+    view.expire_backends(60.0)  # without a connected core machine no backend expires
+    assert view.backends["i-2"].state == UP
+
+
+def test_the_proxies_are_those_that_any_connected_registry_lists() -> None:
+    view = MembershipView()
+    first, second = ["d1", "10.0.0.1", 7, "hall", 5.0], ["d2", "10.0.0.2", 7, "hall", 5.0]
+    view.apply_snapshot("a", "r", 0, True, [], [first], 0.0)
+    view.apply_snapshot("b", "r", 0, True, [], [first, second], 0.0)
+    assert set(view.proxies()) == {"d1", "d2"}
+    view.update_proxies("b", [], ["d2"], 0.0)
+    assert set(view.proxies()) == {"d1"}
+    view.on_disconnected("a", 1.0)
+    view.on_disconnected("b", 1.0)
+    assert not view.proxies() and not view.is_connected()
 
 
 def test_one_door_fewer_moves_only_its_own_names() -> None:
