--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -25,7 +25,7 @@
 from ivymux.config_store.calls import encode as encode_call
 from ivymux.config_store.messages import TicketStored, TicketWrite, encode
 from ivymux.data_plane.frontend import Answer
-from ivymux.idempotency.record_store import DONE, KEY_DIGITS, Ticket
+from ivymux.idempotency.record_store import DONE, KEY_DIGITS, IdempotencyRecord
 from ivymux.proxy.keyed_actions import kept
 from ivymux.transport.frames import pack
 
@@ -122,7 +122,7 @@
 
 def between() -> float:
     """Bytes from a core machine to who leads, from there to the backup and back, for a claim and its end."""
-    ticket = Ticket("a" * KEY_DIGITS, "partner-one", f"{'b' * 16}/12345", "c" * 16, "d" * 16, 3.2)
+    ticket = IdempotencyRecord("a" * KEY_DIGITS, "partner-one", f"{'b' * 16}/12345", "c" * 16, "d" * 16, 3.2)
     fields = [(b"content-type", b"text/plain"), (b"server-seal", b"e" * 24)]
     answer = kept(Answer(200, ANSWER, headers=fields), 9999)
     passed = {"passed": True, "w": 0.85, "n": 1234}
--- a/ivymux/config_store/actions.py
+++ b/ivymux/config_store/actions.py
@@ -9,7 +9,7 @@
 from ivymux.config_store import messages
 from ivymux.config_store.messages import ReplicaMessage
 from ivymux.config_store.records import ConfigurationState, EpochRecord, NoteInForce
-from ivymux.idempotency.record_store import Ticket
+from ivymux.idempotency.record_store import IdempotencyRecord
 
 EVERYONE = "*"  # the address of all core machines that are known
 
@@ -24,7 +24,7 @@
     record: EpochRecord | None = None
     promised: tuple[int, str] | None = None
     state: ConfigurationState | None = None
-    tickets: tuple[tuple[str, Ticket | None], ...] = ()
+    tickets: tuple[tuple[str, IdempotencyRecord | None], ...] = ()
     history: tuple[tuple[int, str], ...] | None = None
     change: tuple[int, str] | None = None
     same_primary: bool = False  # of a record: the one before it has the same primary
--- a/ivymux/config_store/calls.py
+++ b/ivymux/config_store/calls.py
@@ -26,7 +26,7 @@
 
 
 class ClaimAction(Call, frozen=True, tag="claim"):
-    """Open the idempotency record of an action before it goes to a backend; fields as in `Ticket`."""
+    """Open an action's idempotency record before the action goes to a backend."""
 
     key: str
     tenant: str
--- a/ivymux/config_store/durable_store.py
+++ b/ivymux/config_store/durable_store.py
@@ -17,7 +17,7 @@
 from ivymux.config_store.history import MAX_CHANGES, digest_of
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord
 from ivymux.data_plane.limits import ConfigError
-from ivymux.idempotency.record_store import Ticket
+from ivymux.idempotency.record_store import IdempotencyRecord
 
 MAP_SIZE = 96 << 20  # bytes of the file at most
 FOLDER = "exchange"  # within the disk's folder; stores of earlier releases have it
@@ -91,9 +91,9 @@
             return ((int(state[1]), digest_of(str(state[2]))),)
         return found
 
-    def tickets(self) -> list[Ticket]:
+    def tickets(self) -> list[IdempotencyRecord]:
         with self.env.begin() as look:
-            return [Ticket.read(msgspec.json.decode(value)) for _, value in _rows(look, TICKET)]
+            return [IdempotencyRecord.read(msgspec.json.decode(value)) for _, value in _rows(look, TICKET)]
 
     def write(self, steps: list[Persist]) -> None:
         """Write all of it in one commit.  Raises DurableStoreError."""
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -43,10 +43,10 @@
     KEY_DIGITS,
     NOTE,
     OPEN,
-    Book,
+    IdempotencyRecord,
+    IdempotencyRecordError,
+    RecordStore,
     Rules,
-    Ticket,
-    TicketError,
     Verdict,
 )
 
@@ -94,7 +94,7 @@
 class UnstoredTicket:
     """A change of the book that is not on both disks yet, with the calls that wait for it."""
 
-    ticket: Ticket
+    ticket: IdempotencyRecord
     calls: list[int]
     sent_at: float
     written_at: float
@@ -102,10 +102,10 @@
     on_backup: bool = False
 
 
-def note_ticket(name: str, version: int, text: str) -> Ticket:
+def note_ticket(name: str, version: int, text: str) -> IdempotencyRecord:
     """The record in which a note is kept."""
     key = blake2b(f"{NOTE}{name}".encode(), digest_size=KEY_DIGITS // 2).hexdigest()
-    return Ticket(key, "", NOTE + name, name, str(version), 0.0, DONE, 0, text)
+    return IdempotencyRecord(key, "", NOTE + name, name, str(version), 0.0, DONE, 0, text)
 
 
 def verdict_answer(verdict: Verdict) -> dict[str, Any]:
@@ -123,7 +123,7 @@
     """The book of a replica."""
 
     replica: EpochView
-    book: Book = field(default_factory=Book)
+    book: RecordStore = field(default_factory=RecordStore)
     unstored: dict[int, UnstoredTicket] = field(default_factory=dict)  # by number
     last_number: int = 0  # of the last change made or taken here
     compare_at: float = 0.0
@@ -148,7 +148,7 @@
         if isinstance(asked, ReadNote):
             note = self.notes.get(asked.name, NoteInForce(asked.name, -1, ""))
             return self.reply({"ok": True, "version": note.version, "text": note.text})
-        raise TicketError(f"no such call: {type(asked).__name__}")
+        raise IdempotencyRecordError(f"no such call: {type(asked).__name__}")
 
     def reply(self, answer: dict[str, Any], wait: bool = False) -> Reply:
         return Reply(self.replica.actions, answer, wait)
@@ -160,7 +160,7 @@
         return self.reply(answer, wait=unstored is not None)
 
     def claim(self, call: int, asked: ClaimAction) -> Reply:
-        ticket = Ticket(asked.key, asked.tenant, asked.claim, asked.place, asked.body, asked.life)
+        ticket = IdempotencyRecord(asked.key, asked.tenant, asked.claim, asked.place, asked.body, asked.life)
         verdict = self.book.judge(ticket, self.rules, self.replica.now)
         held = self.book.tickets.get(ticket.key)
         unstored = self.unstored_of(ticket.key)
@@ -195,7 +195,7 @@
         if held_version >= asked.version:
             return self.wait_for(self.unstored_of(ticket.key), call, answer)
         if len(asked.text) > MAX_NOTE or (held is None and len(self.book.notes) >= MAX_NOTES):
-            raise TicketError("a note that is too large, or too many")
+            raise IdempotencyRecordError("a note that is too large, or too many")
         self.store(ticket, call)
         return self.reply(answer, wait=True)
 
@@ -211,7 +211,7 @@
 
     # --- at the primary ----------------------------------------------------------------------------------
 
-    def store(self, ticket: Ticket, call: int) -> None:
+    def store(self, ticket: IdempotencyRecord, call: int) -> None:
         """Write a change to both disks; its call is answered then."""
         replica = self.replica
         assert replica.leading is not None
@@ -223,7 +223,7 @@
         replica.actions.append(Persist(tickets=((made.key, made),)))
         replica.send(address_of(replica.me), TicketStored(replica.me, replica.leading.number, made.number))
 
-    def send_ticket(self, ticket: Ticket) -> None:
+    def send_ticket(self, ticket: IdempotencyRecord) -> None:
         epoch, backup = self.pair()
         self.replica.send(backup, TicketWrite(self.replica.me, epoch, ticket))
 
@@ -296,7 +296,7 @@
             return
         if len(message.digests) != len(self.book.digests):
             return
-        ranges: list[tuple[int, tuple[Ticket, ...]]] = []
+        ranges: list[tuple[int, tuple[IdempotencyRecord, ...]]] = []
         for place, tickets in self.book.inside(self.book.differing([*message.digests])).items():
             ranges.append((place, tuple(tickets)))
             if sum(len(inside) for _, inside in ranges) >= MAX_IN_MESSAGE:
@@ -312,7 +312,7 @@
         in_force = leading is not None and leading.number == epoch and self.replica.is_writable()
         return leading.backup if in_force and leading is not None and not self.unstored else ""
 
-    def send_repair(self, ranges: list[tuple[int, tuple[Ticket, ...]]], last: bool) -> None:
+    def send_repair(self, ranges: list[tuple[int, tuple[IdempotencyRecord, ...]]], last: bool) -> None:
         epoch, backup = self.pair()
         digest = self.book.root() if last else None
         repair = BookRepair(self.replica.me, epoch, self.last_number, tuple(ranges), digest)
@@ -364,10 +364,10 @@
         # One that left before changes that are here already would undo them.
         if not self.follows(message.epoch, message.sender) or message.last_number < self.last_number:
             return
-        changes: list[tuple[str, Ticket | None]] = []
+        changes: list[tuple[str, IdempotencyRecord | None]] = []
         for place, tickets in message.ranges:
             if not 0 <= place < len(self.book.digests):
-                raise TicketError("no range of keys")
+                raise IdempotencyRecordError("no range of keys")
             changes += self.book.mend(place, list(tickets), self.replica.now)
         if changes:
             self.replica.actions.append(Persist(tickets=tuple(changes)))
--- a/ivymux/config_store/messages.py
+++ b/ivymux/config_store/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ivymux.config_store.records import EpochRecord, NoteInForce
-from ivymux.idempotency.record_store import Ticket
+from ivymux.idempotency.record_store import IdempotencyRecord
 
 PROTOCOL_VERSION = 2
 TAG = "kind"
@@ -179,7 +179,7 @@
 
 class TicketWrite(ReplicaMessage, frozen=True, tag="ticket_write"):
     epoch: int
-    ticket: Ticket
+    ticket: IdempotencyRecord
 
 
 class TicketStored(ReplicaMessage, frozen=True, tag="ticket_stored"):
@@ -218,7 +218,7 @@
 
     epoch: int
     last_number: int
-    ranges: tuple[tuple[int, tuple[Ticket, ...]], ...]
+    ranges: tuple[tuple[int, tuple[IdempotencyRecord, ...]], ...]
     digest: int | None = None
 
 
--- a/ivymux/config_store/records.py
+++ b/ivymux/config_store/records.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ivymux.idempotency.record_store import Ticket
+from ivymux.idempotency.record_store import IdempotencyRecord
 
 
 class EpochRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -47,7 +47,7 @@
     promised: int
     promised_to: str
     state: ConfigurationState | None
-    tickets: dict[str, Ticket] = field(default_factory=dict)
+    tickets: dict[str, IdempotencyRecord] = field(default_factory=dict)
     history: tuple[tuple[int, str], ...] = ()  # versions that were taken, with the digests of their texts
 
 
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -13,7 +13,7 @@
 from ivymux.config_store.messages import DiskSynced, Refusal, ReplicaMessage
 from ivymux.config_store.records import DurableState, EpochRecord, address_of, is_majority
 from ivymux.config_store.timing import BACKUP_SILENCE, LEASE
-from ivymux.idempotency.record_store import Book
+from ivymux.idempotency.record_store import RecordStore
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
         # Votes from before a restart are not known: until they have ended only their holder gets a promise.
         self.held_until = now + LEASE if durable.record is not None else 0.0
         self.wait_until = 0.0  # before this machine begins an attempt
-        book = Book()
+        book = RecordStore()
         for ticket in durable.tickets.values():
             book.take(ticket, now)
         self.tickets = self.ticket_replication(self, book)
--- a/ivymux/idempotency/record_store.py
+++ b/ivymux/idempotency/record_store.py
@@ -33,11 +33,11 @@
 GO, IN_HAND, ANSWERED, UNKNOWN, DIFFERS, FULL = "go", "in hand", "answered", "unknown", "differs", "full"
 
 
-class TicketError(ValueError):
+class IdempotencyRecordError(ValueError):
     """A ticket, or a call about one, that no correct process sends."""
 
 
-class Ticket(msgspec.Struct, frozen=True, array_like=True):
+class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
     """One action, by the digest of its tenant and key.  Raises TicketError where it is out of its bounds."""
 
     key: str
@@ -52,7 +52,7 @@
 
     def __post_init__(self) -> None:
         if self.state not in STATES or len(self.key) != KEY_DIGITS or len(self.answer) > MAX_ANSWER:
-            raise TicketError("a ticket out of its bounds")
+            raise IdempotencyRecordError("a ticket out of its bounds")
         int(self.key, 16)
 
     @property
@@ -63,14 +63,14 @@
         return [*msgspec.structs.astuple(self)]
 
     @staticmethod
-    def read(wire: Any) -> Ticket:
+    def read(wire: Any) -> IdempotencyRecord:
         """Raises TicketError."""
-        if not isinstance(wire, list) or len(wire) != len(Ticket.__struct_fields__):
-            raise TicketError("no ticket")
+        if not isinstance(wire, list) or len(wire) != len(IdempotencyRecord.__struct_fields__):
+            raise IdempotencyRecordError("no ticket")
         try:
-            return msgspec.convert(wire, Ticket)
+            return msgspec.convert(wire, IdempotencyRecord)
         except msgspec.ValidationError as error:
-            raise TicketError(f"no ticket: {error}") from None
+            raise IdempotencyRecordError(f"no ticket: {error}") from None
 
     def digest(self) -> int:
         text = "\0".join(map(str, self.wire()))
@@ -97,11 +97,11 @@
 
 
 @dataclass(slots=True)
-class Book:
-    tickets: dict[str, Ticket] = field(default_factory=dict)
+class RecordStore:
+    tickets: dict[str, IdempotencyRecord] = field(default_factory=dict)
     learned: dict[str, float] = field(default_factory=dict)  # steady time, the oldest first; not of notes
     free: dict[str, float] = field(default_factory=dict)  # the same, of free ones
-    notes: dict[str, Ticket] = field(default_factory=dict)
+    notes: dict[str, IdempotencyRecord] = field(default_factory=dict)
     digests: list[int] = field(default_factory=lambda: [0] * RANGES)
     held: dict[str, int] = field(default_factory=dict)  # tickets by tenant
     bytes: int = 0  # of answers
@@ -112,7 +112,7 @@
 
     # --- copies ------------------------------------------------------------------------------------------
 
-    def take(self, ticket: Ticket, now: float) -> bool:
+    def take(self, ticket: IdempotencyRecord, now: float) -> bool:
         """Take a copy in, unless a later one is held; whether that changed anything."""
         held = self.tickets.get(ticket.key)
         if held is not None and held.number >= ticket.number:
@@ -144,17 +144,19 @@
         """The ranges in which another copy is not this one."""
         return [n for n, (mine, other) in enumerate(zip(self.digests, digests, strict=True)) if mine != other]
 
-    def inside(self, ranges: Iterable[int]) -> dict[int, list[Ticket]]:
-        found: dict[int, list[Ticket]] = {n: [] for n in ranges}
+    def inside(self, ranges: Iterable[int]) -> dict[int, list[IdempotencyRecord]]:
+        found: dict[int, list[IdempotencyRecord]] = {n: [] for n in ranges}
         for key, ticket in self.tickets.items():
             if (at := place(key)) in found:
                 found[at].append(ticket)
         return found
 
-    def mend(self, at: int, tickets: list[Ticket], now: float) -> list[tuple[str, Ticket | None]]:
+    def mend(
+        self, at: int, tickets: list[IdempotencyRecord], now: float
+    ) -> list[tuple[str, IdempotencyRecord | None]]:
         """Make one range what the newer copy has there; the changes, None for what is gone."""
         there = {t.key: t for t in tickets}
-        changes: list[tuple[str, Ticket | None]] = []
+        changes: list[tuple[str, IdempotencyRecord | None]] = []
         for key in [k for k in self.tickets if place(k) == at and k not in there]:
             self.drop(key)
             changes.append((key, None))
@@ -177,7 +179,7 @@
 
     # --- claims ------------------------------------------------------------------------------------------
 
-    def judge(self, asked: Ticket, rules: Rules, now: float) -> Verdict:
+    def judge(self, asked: IdempotencyRecord, rules: Rules, now: float) -> Verdict:
         """What holds of a claim.  GO: `asked` may be taken in, and holds once both copies have it."""
         held = self.tickets.get(asked.key)
         if held is None or held.state == FREE:
@@ -203,7 +205,7 @@
         crowded = len(self.tickets) >= MAX_TICKETS and own * len(self.held) >= MAX_TICKETS
         return own >= rules.most_for_tenant or crowded
 
-    def ended(self, key: str, claim: str, state: str, answer: str, rules: Rules) -> Ticket | None:
+    def ended(self, key: str, claim: str, state: str, answer: str, rules: Rules) -> IdempotencyRecord | None:
         """The ticket as its claim ends it; None where that is not its to end, or has ended."""
         held = self.tickets.get(key)
         if held is None or held.claim != claim or held.state != OPEN or state not in (DONE, LOST, FREE):
--- a/tests/config_store/test_fencing.py
+++ b/tests/config_store/test_fencing.py
@@ -27,12 +27,12 @@
 )
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord
 from ivymux.config_store.replica import Replica
-from ivymux.idempotency.record_store import Ticket
+from ivymux.idempotency.record_store import IdempotencyRecord
 
 MEMBERS = ("a/1", "b/1", "c/1")
 OLD = EpochRecord(4, "a/1", "b/1", MEMBERS)
 NEW = EpochRecord(6, "c/1", "b/1", MEMBERS)
-TICKET = Ticket("0" * 32, "tenant", "door/1", "place", "body", 2.0, number=4 << 32)
+TICKET = IdempotencyRecord("0" * 32, "tenant", "door/1", "place", "body", 2.0, number=4 << 32)
 ACKNOWLEDGED = (Promise, Accepted, LeaseGrant, StateStored, WriteStored, TicketStored, BookDigests)
 OF_OLD_PRIMARY: tuple[ReplicaMessage, ...] = (
     PromiseRequest("a/1", 5, OLD),
--- a/tests/config_store/test_tickets.py
+++ b/tests/config_store/test_tickets.py
@@ -19,7 +19,7 @@
     TicketWrite,
 )
 from ivymux.config_store.replica import Replica
-from ivymux.idempotency.record_store import Book
+from ivymux.idempotency.record_store import RecordStore
 from ivymux.simulation.core_cluster import Answer, Broken, Cores
 from ivymux.simulation.fault_schedules import play
 
@@ -43,7 +43,7 @@
     raise AssertionError("nobody answers")
 
 
-def book(cores: Cores, ip: str) -> Book:
+def book(cores: Cores, ip: str) -> RecordStore:
     member = cores.machines[ip].replica
     assert member is not None
     return member.tickets.book
--- a/tests/idempotency/test_record_store.py
+++ b/tests/idempotency/test_record_store.py
@@ -20,23 +20,23 @@
     MAX_ANSWER,
     NOTE,
     UNKNOWN,
-    Book,
+    IdempotencyRecord,
+    IdempotencyRecordError,
+    RecordStore,
     Rules,
-    Ticket,
-    TicketError,
     place,
 )  # fmt: skip
 
 RULES = Rules(kept=900.0, most_for_tenant=3, most_answer=50)
 
 
-def ticket(key: int, claim: str = "d/1", tenant: str = "t", **more: object) -> Ticket:
-    made = Ticket(f"{key:032x}", tenant, claim, "place", "body", 4.0)
+def ticket(key: int, claim: str = "d/1", tenant: str = "t", **more: object) -> IdempotencyRecord:
+    made = IdempotencyRecord(f"{key:032x}", tenant, claim, "place", "body", 4.0)
     return replace(made, **more)
 
 
 def test_a_key_is_claimed_once_and_ended_by_its_own_claim() -> None:
-    book, one, other = Book(), ticket(1), ticket(1, "d/2")
+    book, one, other = RecordStore(), ticket(1), ticket(1, "d/2")
     assert book.judge(one, RULES, 10.0).kind == GO
     assert book.take(replace(one, number=1), 10.0)
     assert book.judge(one, RULES, 10.1).kind == GO  # the same claim, asked again
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize(("state", "verdict"), [(FREE, GO), (LOST, UNKNOWN), (DONE, ANSWERED)])
 def test_what_an_end_means_for_the_next_claim(state: str, verdict: str) -> None:
-    book = Book()
+    book = RecordStore()
     book.take(ticket(1, number=1), 0.0)
     ended = book.ended(f"{1:032x}", "d/1", state, "a", RULES)
     assert ended is not None and book.take(replace(ended, number=2), 1.0)
@@ -62,14 +62,14 @@
 
 
 def test_a_late_copy_undoes_nothing() -> None:
-    book = Book()
+    book = RecordStore()
     free = ticket(1, state=FREE, number=7)
     assert book.take(free, 0.0) and not book.take(ticket(1, number=6), 1.0)
     assert book.tickets[free.key] == free
 
 
 def test_one_tenant_that_fills_its_part_is_told_and_no_other() -> None:
-    book = Book()
+    book = RecordStore()
     for key in range(3):
         book.take(ticket(key, number=key + 1), 0.0)
     assert book.judge(ticket(9), RULES, 1.0).kind == FULL
@@ -79,7 +79,7 @@
 
 def test_a_full_book_refuses_who_has_more_than_an_even_part(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ivymux.idempotency.record_store.MAX_TICKETS", 4)
-    book, rules = Book(), Rules(most_for_tenant=100)
+    book, rules = RecordStore(), Rules(most_for_tenant=100)
     for key in range(3):
         book.take(ticket(key, number=key + 1), 0.0)
     book.take(ticket(7, tenant="u", number=9), 0.0)
@@ -88,14 +88,14 @@
 
 
 def test_an_answer_over_the_bound_is_not_kept_and_its_ticket_is() -> None:
-    book = Book()
+    book = RecordStore()
     book.take(ticket(1, number=1), 0.0)
     ended = book.ended(f"{1:032x}", "d/1", DONE, "x" * 51, RULES)
     assert ended is not None and ended.state == DONE and ended.answer == ""
 
 
 def test_tickets_age_and_free_ones_sooner() -> None:
-    book = Book()
+    book = RecordStore()
     book.take(ticket(1, state=DONE, number=1), 0.0)
     book.take(ticket(2, state=FREE, number=2), 1.0)
     assert book.aged(RULES, FREE_KEPT) == []
@@ -108,7 +108,7 @@
 def test_copies_that_differ_anywhere_are_mended_to_the_newer() -> None:
     chance = random.Random(5)
     for _ in range(60):
-        mine, other = Book(), Book()
+        mine, other = RecordStore(), RecordStore()
         for number in range(1, 80):
             made = ticket(chance.getrandbits(128), number=number, state=chance.choice((DONE, FREE, "open")))
             for book in (mine, other):
@@ -127,7 +127,7 @@
 
 def test_a_ticket_that_no_process_sends_is_refused() -> None:
     whole = ticket(1, number=3).wire()
-    assert Ticket.read(whole).number == 3
+    assert IdempotencyRecord.read(whole).number == 3
     for at, wrong in (
         (0, "short"),
         (0, "z" * 32),
@@ -136,7 +136,7 @@
         (8, "x" * (MAX_ANSWER + 1)),
         (5, "s"),
     ):
-        with pytest.raises(TicketError):
-            Ticket.read([*whole[:at], wrong, *whole[at + 1 :]])
-    with pytest.raises(TicketError):
-        Ticket.read(whole[:-1])
+        with pytest.raises(IdempotencyRecordError):
+            IdempotencyRecord.read([*whole[:at], wrong, *whole[at + 1 :]])
+    with pytest.raises(IdempotencyRecordError):
+        IdempotencyRecord.read(whole[:-1])
