--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -28,7 +28,14 @@
 from ivymux.runtime.settings import Settings
 from ivymux.transport.connection import Connection, Connector, Listener, TransportError
 from ivymux.transport.frames import Message, pack
-from ivymux.transport.http_calls import JSON, Asked, Desk, DeskFrontend, declare, fault
+from ivymux.transport.http_calls import (
+    JSON,
+    HttpCallDispatcher,
+    HttpCallFrontend,
+    HttpRequest,
+    endpoint,
+    error_answer,
+)
 
 SILENT_BEATS = 2.3  # beats without a word after which a backend counts as lost
 CALL = 0.95  # seconds for which a call of the operator may take; after one it goes to another machine
@@ -53,7 +60,7 @@
     if told["outcome"] == Identity.CONFLICT.value:
         digests = f"digest {told['known_digest']}, this one {told['digest']}"
         why = f"version {version} was taken with other content ({digests})"
-        return fault(409, f"{why}; read the configuration, and send the change under a higher version")
+        return error_answer(409, f"{why}; read the configuration, and send the change under a higher version")
     said = {
         "config_version": version, "outcome": told["outcome"], "digest": told["digest"],
         "held_version": told["held_version"], "held_digest": told["known_digest"],
@@ -110,11 +117,14 @@
         self.shunned = 0
         self.stirring: asyncio.TimerHandle | None = None
         self.cores: list[str] = [settings.ip]
-        self.desk = Desk(self)
+        self.http_calls = HttpCallDispatcher(self)
         calls = min(settings.sockets - 200 - most_doors, 2000)
         bounds = Bounds.of(max(64, calls), settings.memory_mb)
         self.server = Server(
-            DeskFrontend(self, MAX_TEXT), settings.listen["control_addr"], bounds, self.desk.as_host()
+            HttpCallFrontend(self, MAX_TEXT),
+            settings.listen["control_addr"],
+            bounds,
+            self.http_calls.as_host(),
         )
         self.notes: dict[str, tuple[int, str]] = {}  # settings of the system's own, by name
         self.passing: set[asyncio.Task[None]] = set()  # doors' calls about actions
@@ -339,50 +349,50 @@
 
     # --- outside calls -------------------------------------------------------------------------------------
 
-    @declare("PUT", "/instances/{}")
-    async def beat(self, asked: Asked) -> Answer:
-        if len(asked.body) > MAX_BEAT:
-            return fault(413, f"a call of {len(asked.body)} bytes; {MAX_BEAT} at most")
+    @endpoint("PUT", "/instances/{}")
+    async def beat(self, request: HttpRequest) -> Answer:
+        if len(request.body) > MAX_BEAT:
+            return error_answer(413, f"a call of {len(request.body)} bytes; {MAX_BEAT} at most")
         before = self.register.number
         try:
-            changed = self.register.beat(asked.name, msgspec.json.decode(asked.body), time.monotonic())
+            changed = self.register.beat(request.name, msgspec.json.decode(request.body), time.monotonic())
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            return fault(400, "the body is no whole JSON")
+            return error_answer(400, "the body is no whole JSON")
         except CallError as error:
-            return fault(400, str(error))
+            return error_answer(400, str(error))
         if changed:
             self.tell_since(before)
-        record = self.register.records[asked.name]
+        record = self.register.records[request.name]
         if changed or record.state == QUIESCING:  # also where an earlier call of the same was cut short
             reached = await self.all_heard(record.number)
         else:
             connected = [door.address for door in self.doors.values()]
             reached = self.reach.suffices(connected, time.monotonic())
         if not reached:
-            return fault(503, NOT_REACHED)
+            return error_answer(503, NOT_REACHED)
         own = self.server.listen
         return Answer(200, msgspec.json.encode({"beat_target": f"{own.host}:{own.port}"}), JSON)
 
-    @declare("DELETE", "/instances/{}")
-    async def leave(self, asked: Asked) -> Answer:
+    @endpoint("DELETE", "/instances/{}")
+    async def leave(self, request: HttpRequest) -> Answer:
         before = self.register.number
-        if self.register.leave(asked.name, time.monotonic()):
+        if self.register.leave(request.name, time.monotonic()):
             self.tell_since(before)
         if not await self.all_heard(self.register.number):
-            return fault(503, NOT_REACHED)
+            return error_answer(503, NOT_REACHED)
         return Answer(200, b"{}", JSON)
 
-    @declare("PUT", "/configuration")
-    async def put(self, asked: Asked) -> Answer:
+    @endpoint("PUT", "/configuration")
+    async def put(self, request: HttpRequest) -> Answer:
         from ivymux.routing_config.validation import plan_of  # it takes long to import: not at the start
 
         try:
-            plan = plan_of(asked.body)
-            text = asked.body.decode()
+            plan = plan_of(request.body)
+            text = request.body.decode()
         except PlanError as error:
-            return fault(400, str(error))
+            return error_answer(400, str(error))
         except UnicodeDecodeError:
-            return fault(400, "the configuration is not UTF-8")
+            return error_answer(400, "the configuration is not UTF-8")
         began = time.monotonic()
         told = await self.stored(PutConfiguration(plan.version, text))
         if isinstance(told, Answer):
@@ -399,57 +409,57 @@
         try:
             told = await self.config_store.call(encode(call), CALL)
         except TransportError as error:
-            return fault(503, f"the store of configuration does not answer: {error}; repeat the call")
+            return error_answer(503, f"the store of configuration does not answer: {error}; repeat the call")
         if not told.get("ok"):
-            return fault(503, "no core machine can take a change just now; repeat the call")
+            return error_answer(503, "no core machine can take a change just now; repeat the call")
         return told
 
-    @declare("GET", "/configuration")
-    async def get(self, asked: Asked) -> Answer:
+    @endpoint("GET", "/configuration")
+    async def get(self, request: HttpRequest) -> Answer:
         try:
             told = await self.config_store.call({"k": "get"}, 0.9)
         except TransportError as error:
-            return fault(503, f"the store of configuration does not answer: {error}; repeat the call")
+            return error_answer(503, f"the store of configuration does not answer: {error}; repeat the call")
         if not told.get("ok"):
-            return fault(
+            return error_answer(
                 503, "no core machine can answer for the newest configuration just now; repeat the call"
             )
         if int(told["v"]) < 0:
-            return fault(404, "there is no configuration yet; send one by PUT /configuration")
+            return error_answer(404, "there is no configuration yet; send one by PUT /configuration")
         return Answer(200, str(told["t"]).encode(), JSON)
 
-    @declare("PUT", "/conversations")
-    async def put_conversations(self, asked: Asked) -> Answer:
+    @endpoint("PUT", "/conversations")
+    async def put_conversations(self, request: HttpRequest) -> Answer:
         from ivymux.idempotency.settings import TermsError
         from ivymux.idempotency.validation import read  # it takes long to import: not at the start
 
         try:
-            terms = read(asked.body)
-            text = asked.body.decode()
+            terms = read(request.body)
+            text = request.body.decode()
         except TermsError as error:
-            return fault(400, str(error))
+            return error_answer(400, str(error))
         told = await self.stored(PutNote(CONVERSATIONS, terms.version, text))
         if isinstance(told, Answer):
             return told
         if told.get("taken") is False:
             why = f"version {terms.version} was taken with other settings; send these under a higher one"
-            return fault(409, why)
+            return error_answer(409, why)
         return Answer(200, msgspec.json.encode({"settings_version": terms.version}), JSON)
 
-    @declare("GET", "/conversations")
-    async def get_conversations(self, asked: Asked) -> Answer:
+    @endpoint("GET", "/conversations")
+    async def get_conversations(self, request: HttpRequest) -> Answer:
         """As this machine knows them; a core machine that is cut off may know older ones."""
         _, text = self.notes.get(CONVERSATIONS, (-1, ""))
         if not text:
-            return fault(404, "there are no settings of conversations; the defaults are in force")
+            return error_answer(404, "there are no settings of conversations; the defaults are in force")
         return Answer(200, text.encode(), JSON)
 
     async def stop(self) -> None:
         """Calls that are on their way are answered; doors learn of it by their connections' end."""
         self.server.stop_listening()
         until = time.monotonic() + 1.0
-        while self.desk.tasks and time.monotonic() < until:
-            await asyncio.wait(self.desk.tasks, timeout=0.1)
+        while self.http_calls.tasks and time.monotonic() < until:
+            await asyncio.wait(self.http_calls.tasks, timeout=0.1)
         self.ending = True
         if self.stirring is not None:
             self.stirring.cancel()
--- a/ivymux/registry/trial_endpoints.py
+++ b/ivymux/registry/trial_endpoints.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ivymux.data_plane.frontend import Answer
-from ivymux.transport.http_calls import Asked, declare
+from ivymux.transport.http_calls import HttpRequest, endpoint
 
 if TYPE_CHECKING:
     from ivymux.registry.trial_service import Trials
@@ -23,18 +23,18 @@
             self.intercepts = Trials(registry, self.longest_trial)
         return self.intercepts
 
-    @declare("PUT", "/trials/{}")
-    async def put_trial(self, asked: Asked) -> Answer:
-        return await self.trials().put(asked)
+    @endpoint("PUT", "/trials/{}")
+    async def put_trial(self, request: HttpRequest) -> Answer:
+        return await self.trials().put(request)
 
-    @declare("DELETE", "/trials/{}")
-    async def end_trial(self, asked: Asked) -> Answer:
-        return await self.trials().end(asked)
+    @endpoint("DELETE", "/trials/{}")
+    async def end_trial(self, request: HttpRequest) -> Answer:
+        return await self.trials().end(request)
 
-    @declare("GET", "/trials")
-    async def list_trials(self, asked: Asked) -> Answer:
+    @endpoint("GET", "/trials")
+    async def list_trials(self, request: HttpRequest) -> Answer:
         return await self.trials().list()
 
-    @declare("GET", "/trials/{}")
-    async def get_trial(self, asked: Asked) -> Answer:
-        return await self.trials().get(asked.name)
+    @endpoint("GET", "/trials/{}")
+    async def get_trial(self, request: HttpRequest) -> Answer:
+        return await self.trials().get(request.name)
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -25,7 +25,7 @@
 from ivymux.runtime.log import Log
 from ivymux.transport.connection import Connection, TransportError
 from ivymux.transport.frames import Message
-from ivymux.transport.http_calls import JSON, Asked, fault
+from ivymux.transport.http_calls import JSON, HttpRequest, error_answer
 
 if TYPE_CHECKING:
     from ivymux.registry.program import Registry
@@ -200,17 +200,17 @@
                 return None
         return self.plan
 
-    async def put(self, asked: Asked) -> Answer:
+    async def put(self, request: HttpRequest) -> Answer:
         """Start a trial, or tell (`dry_run`) what would be started."""
         from ivymux.fault_injection.validation import document  # it takes long to import
 
         try:
-            sent = document(asked.body)
+            sent = document(request.body)
             for _ in range(AGAIN):
                 board = await self.read()
                 if board is None:
-                    return fault(503, NOBODY)
-                trial = trial_set.made(asked.name, sent, self.configured(), time.time(), self.longest)
+                    return error_answer(503, NOBODY)
+                trial = trial_set.made(request.name, sent, self.configured(), time.time(), self.longest)
                 known = next((t for t in board.running if t.name == trial.name), None)
                 if known is not None and same(known, trial):
                     return told(self.status(known))  # once more: its answer was lost
@@ -221,24 +221,24 @@
                     log.say(f"trial {trial.name} is started: {trial.does}, share {trial.share:g}.")
                     return told(self.status(trial))
         except TrialError as error:
-            return fault(error.status, str(error))
-        return fault(503, FAST)
+            return error_answer(error.status, str(error))
+        return error_answer(503, FAST)
 
-    async def end(self, asked: Asked) -> Answer:
+    async def end(self, request: HttpRequest) -> Answer:
         from ivymux.fault_injection.validation import ending
 
         try:
-            sent = ending(asked.body)
-            ended = await self.close(asked.name, sent.by, sent.why)
+            sent = ending(request.body)
+            ended = await self.close(request.name, sent.by, sent.why)
         except TrialError as error:
-            return fault(error.status, str(error))
-        log.say(f"trial {asked.name} is ended by an operator.")
+            return error_answer(error.status, str(error))
+        log.say(f"trial {request.name} is ended by an operator.")
         return told(trial_set.shown(ended))
 
     async def list(self) -> Answer:
         board = await self.read()
         if board is None:
-            return fault(503, NOBODY)
+            return error_answer(503, NOBODY)
         return told(
             {
                 "board_version": board.version,
@@ -250,10 +250,10 @@
     async def get(self, name: str) -> Answer:
         board = await self.read()
         if board is None:
-            return fault(503, NOBODY)
+            return error_answer(503, NOBODY)
         trial = board.find(name)
         if trial is None:
-            return fault(404, f"there is no trial {name[:60]!r}; GET /trials lists them")
+            return error_answer(404, f"there is no trial {name[:60]!r}; GET /trials lists them")
         return told(trial_set.shown(trial) if trial.ended else self.status(trial))
 
 
--- a/ivymux/transport/http_calls.py
+++ b/ivymux/transport/http_calls.py
@@ -1,4 +1,4 @@
-"""Outside calls of backends and operators: each declared beside its handler, served over HTTP."""
+"""HTTP calls from backends and operators: endpoints declared on their handlers, dispatch, JSON errors."""
 
 from __future__ import annotations
 
@@ -14,62 +14,67 @@
 if TYPE_CHECKING:
     from ivymux.data_plane.host import Host
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK", 204: "No Content", 307: "Temporary Redirect", 400: "Bad Request", 404: "Not Found",
     405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
     431: "Request Header Fields Too Large", 500: "Internal Server Error", 503: "Service Unavailable",
 }  # fmt: skip
 JSON = b"application/json"
-CALL_TIME = 5.0  # seconds after which a call has ended whatever happens
+CALL_TIMEOUT_S = 5.0  # a call that takes longer is answered with 503
+NAME_PLACEHOLDER = "{}"  # at the end of an endpoint's path, in place of the name in a request's path
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """One call as its handler gets it."""
+class HttpRequest:
+    """One request as its endpoint's handler gets it."""
 
-    name: str  # what stands in the path in the place of {}
+    name: str  # the part of the path in place of {}; empty where the endpoint has none
     body: bytes
 
 
-Handler = Callable[[Any, Asked], Awaitable[Answer]]  # the first is its owner
+Handler = Callable[[Any, HttpRequest], Awaitable[Answer]]  # a method: its first argument is the owner
 
 
 @dataclass(frozen=True, slots=True)
-class Declared:
+class Endpoint:
+    """A method and a path with the handler that serves them."""
+
     method: bytes
-    before: bytes  # the path up to the name
-    named: bool
+    path_prefix: bytes  # the path, or the part of it before the name
+    has_name: bool
     handler: Handler
 
 
-def declare(method: str, path: str) -> Callable[[Handler], Handler]:
-    """Declare a call; a path that ends in {} has a name there."""
+def endpoint(method: str, path: str) -> Callable[[Handler], Handler]:
+    """Declare the decorated method as an endpoint's handler.  A path that ends in {} takes a name there."""
 
     def mark(handler: Handler) -> Handler:
-        named = path.endswith("{}")
-        cast(Any, handler).declared = Declared(
-            method.encode(), path.removesuffix("{}").encode(), named, handler
+        has_name = path.endswith(NAME_PLACEHOLDER)
+        cast(Any, handler).declared = Endpoint(
+            method.encode(), path.removesuffix(NAME_PLACEHOLDER).encode(), has_name, handler
         )
         return handler
 
     return mark
 
 
-def declared(owner: object) -> list[Declared]:
-    """The calls of an owner's class and of those that it is made of."""
-    parts = [part for kind in type(owner).__mro__ for part in vars(kind).values()]
-    found = [getattr(part, "declared", None) for part in parts]
-    return [d for d in found if isinstance(d, Declared)]
+def endpoints_of(owner: object) -> list[Endpoint]:
+    """Return the endpoints that the owner's class and its base classes declare."""
+    attributes = [value for cls in type(owner).__mro__ for value in vars(cls).values()]
+    found = [getattr(value, "declared", None) for value in attributes]
+    return [value for value in found if isinstance(value, Endpoint)]
 
 
 @dataclass(slots=True)
-class DeskCall(Call):
-    asked: Asked | None = None
+class HttpCall(Call):
+    """A request with the handler that serves it, as the data plane's server passes it on."""
+
+    request: HttpRequest | None = None
     handler: Handler | None = None
 
 
-class DeskFrontend:
-    """The data plane's front for outside calls of the core."""
+class HttpCallFrontend:
+    """The data plane's frontend for HTTP calls from backends and operators to a core machine."""
 
     head_status = 431
     half_close = True
@@ -78,7 +83,7 @@
 
     def __init__(self, owner: object, most_body: int) -> None:
         self.owner, self.most_body = owner, most_body
-        self.calls = declared(owner)
+        self.endpoints = endpoints_of(owner)
 
     def local(self, target: bytes) -> Answer | None:
         return None
@@ -87,81 +92,87 @@
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
         path = target.partition(b"?")[0]
-        known = False
-        for call in self.calls:
-            name = path[len(call.before) :]
-            if not path.startswith(call.before) or bool(name) != call.named:
+        path_is_known = False
+        for endpoint in self.endpoints:
+            name = path[len(endpoint.path_prefix) :]
+            if not path.startswith(endpoint.path_prefix) or bool(name) != endpoint.has_name:
                 continue
-            known = True
-            if call.method == method:
-                asked = Asked(name.decode("latin-1"), b"".join(body))
-                return DeskCall(
+            path_is_known = True
+            if endpoint.method == method:
+                request = HttpRequest(name.decode("latin-1"), b"".join(body))
+                return HttpCall(
                     b"",
-                    time.monotonic() + CALL_TIME,
-                    _no_module,
-                    _no_module,
-                    asked=asked,
-                    handler=call.handler,
+                    time.monotonic() + CALL_TIMEOUT_S,
+                    _not_forwarded,
+                    _not_forwarded,
+                    request=request,
+                    handler=endpoint.handler,
                 )
-        raise BadRequest("no such call here; see the calls of backends and operators", 405 if known else 404)
+        status = 405 if path_is_known else 404
+        raise BadRequest("no such call here; see the calls of backends and operators", status)
 
     def refusal(self, error: BadRequest) -> Answer:
-        return fault(error.status, str(error))
+        return error_answer(error.status, str(error))
 
     def encode(self, answer: Answer, close: bool, call: Call | None) -> bytes:
-        top = f"HTTP/1.1 {answer.status} {REASONS.get(answer.status, 'Answer')}\r\n"
-        top += f"Content-Length: {len(answer.body)}\r\n"
+        head = f"HTTP/1.1 {answer.status} {REASON_PHRASES.get(answer.status, 'Answer')}\r\n"
+        head += f"Content-Length: {len(answer.body)}\r\n"
         if answer.content_type:
-            top += f"Content-Type: {answer.content_type.decode()}\r\n"
+            head += f"Content-Type: {answer.content_type.decode()}\r\n"
         if close:
-            top += "Connection: close\r\n"
-        return top.encode() + b"\r\n" + answer.body
+            head += "Connection: close\r\n"
+        return head.encode() + b"\r\n" + answer.body
 
 
-def _no_module(_: float) -> Any:
-    raise AssertionError("a call of the core goes to its handler")
+def _not_forwarded(_: float) -> Any:
+    raise AssertionError("an HTTP call to a core machine goes to its handler, never to a backend")
 
 
-def fault(status: int, text: str) -> Answer:
+def error_answer(status: int, text: str) -> Answer:
+    """Build an answer with a JSON body that gives the error's text."""
     import msgspec
 
     return Answer(status, msgspec.json.encode({"error": text}), JSON)
 
 
-class Desk:
-    """Hands calls to their handlers; the server takes it for its host."""
+class HttpCallDispatcher:
+    """Runs the handler of each HTTP call; stands in for the `Host` that the data plane's server expects."""
 
     def __init__(self, owner: object) -> None:
         self.owner = owner
         self.told = Told()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.failed = 0
+        self.failed_calls = 0
 
     def as_host(self) -> Host:
         return cast("Host", self)
 
     def request(self, call: Call, reply: Callable[[Answer], None], over: Callable[[], None]) -> Any:
-        assert isinstance(call, DeskCall)
-        task = asyncio.get_running_loop().create_task(self.carry(call, reply, over))
+        """Start the call's handler in a task; `reply` takes its answer, `over` is called after that."""
+        assert isinstance(call, HttpCall)
+        task = asyncio.get_running_loop().create_task(self.handle(call, reply, over))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        return _Taken(self)
+        return _OpenRequest(self)
 
-    async def carry(self, call: DeskCall, reply: Callable[[Answer], None], over: Callable[[], None]) -> None:
-        assert call.handler is not None and call.asked is not None
+    async def handle(self, call: HttpCall, reply: Callable[[Answer], None], over: Callable[[], None]) -> None:
+        assert call.handler is not None and call.request is not None
         try:
-            async with asyncio.timeout(CALL_TIME):
-                answer = await call.handler(self.owner, call.asked)
+            async with asyncio.timeout(CALL_TIMEOUT_S):
+                answer = await call.handler(self.owner, call.request)
         except Exception as error:
-            self.failed += 1
-            answer = fault(503, f"the call could not be carried: {type(error).__name__}; repeat it")
+            self.failed_calls += 1
+            text = f"the call could not be carried: {type(error).__name__}; repeat it"
+            answer = error_answer(503, text)
         reply(answer)
         over()
 
     def left(self, request: object) -> None:
-        """A caller that goes away changes nothing: what it asked is done all the same."""
+        """Ignore that the client disconnected: a handler that has started runs to its end."""
 
 
 @dataclass(slots=True)
-class _Taken:
-    host: Desk
+class _OpenRequest:
+    """What the server keeps of a request that is being handled."""
+
+    host: HttpCallDispatcher
