--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -40,7 +40,7 @@
 from ivymux.registry.backend_records import Register
 from ivymux.routing_config.route_plan import MAX_TEXT, Plan, plan_of
 from ivymux.simulation.loss_scenarios import started
-from ivymux.transport.frames import pack
+from ivymux.transport.frames import encode_frame
 
 PROXIES, BACKENDS, SERVICES, ROUTES, TENANTS = 830, 6800, 130, 4700, 60_000
 CORE_MACHINES = 5
@@ -145,7 +145,7 @@
             made.beat(f"i-{number:08x}", msgspec.json.decode(body), 1.0)
 
     _, beats = timed(all_beat)
-    whole, listed = timed(lambda: pack({"k": "here", "i": made.whole(1.0)}))
+    whole, listed = timed(lambda: encode_frame({"k": "here", "i": made.whole(1.0)}))
     _, swept = timed(lambda: made.sweep(1.5))
     return {
         "processor time of all beats once, without HTTP": (1000 * beats, "ms"),
@@ -187,11 +187,11 @@
     _, first = timed(lambda: holders.use(there, 1000.0))
     joined = {**there, "10.9.9.9:7342": 999.0}
     _, join = timed(lambda: holders.use(joined, 1001.0))
-    told = pack({"k": "doors", "on": doors[:1], "off": []})
+    told = encode_frame({"k": "doors", "on": doors[:1], "off": []})
     return {
         "processor time as all come": (1000 * first, "ms"),
         "processor time as one comes": (1000 * join, "ms"),
-        "bytes of a list of all": (len(pack({"k": "here", "doors": doors})) / 1000, "KB"),
+        "bytes of a list of all": (len(encode_frame({"k": "here", "doors": doors})) / 1000, "KB"),
         "bytes to all as one comes": (size * len(told) / 1000, "KB"),
     }
 
@@ -200,7 +200,7 @@
     """A change of so many kilobytes at the configuration store; its disk is this machine's."""
     text = "x" * (size * 1000)
     change = messages.WriteRequest("10.1.0.1/first", 7, 1, 2, text)
-    packed, packing = timed(lambda: pack(messages.encode(change)))
+    packed, packing = timed(lambda: encode_frame(messages.encode(change)))
     with tempfile.TemporaryDirectory() as folder:
         store = DurableStore(Path(folder))
         steps = [Persist(state=ConfigurationState(7, 2, text), change=(2, digest_of(text)))]
@@ -221,7 +221,7 @@
     """A transfer of the state with a history of so many changes."""
     changes = tuple((version, digest_of(str(version))) for version in range(size))
     transfer = messages.StateTransfer("10.1.0.1/first", 7, size, "", changes, 0)
-    packed, packing = timed(lambda: pack(messages.encode(transfer)))
+    packed, packing = timed(lambda: encode_frame(messages.encode(transfer)))
     with tempfile.TemporaryDirectory() as folder:
         store = DurableStore(Path(folder))
         _, cpu = timed(lambda: store.write([Persist(history=changes)]))
@@ -243,7 +243,7 @@
     def counted(source: str, target: str, message: ReplicaMessage) -> None:
         if source != target:
             sent[0] += 1
-            sent[1] += len(pack(messages.encode(message)))
+            sent[1] += len(encode_frame(messages.encode(message)))
         send(source, target, message)
 
     cores.send = counted  # type: ignore[method-assign]
--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -27,7 +27,7 @@
 from ivymux.data_plane.frontend import Answer
 from ivymux.idempotency.record_store import DONE, KEY_DIGITS, IdempotencyRecord
 from ivymux.proxy.keyed_actions import kept
-from ivymux.transport.frames import pack
+from ivymux.transport.frames import encode_frame
 
 DOORS = (3, 8, 32)
 CONNECTIONS = 32  # in all
@@ -130,11 +130,11 @@
     claim = {**encode_call(claimed), **passed}
     end = {**encode_call(EndAction(ticket.key, ticket.claim, DONE, answer)), **passed}
     told = {"re": 1234, "ok": True, "verdict": "go", "after": 0.0, "answer": "", "what": ""}
-    total = sum(len(pack(m)) for m in (claim, end, told, {"re": 1234, "ok": True}))
+    total = sum(len(encode_frame(m)) for m in (claim, end, told, {"re": 1234, "ok": True}))
     for state, text in (("open", ""), (DONE, answer)):
         copy = replace(ticket, state=state, answer=text, number=7 << 32)
-        total += len(pack(encode(TicketWrite("10.1.0.33/first", 7, copy))))
-        total += len(pack(encode(TicketStored("10.2.0.33/first", 7, 7 << 32))))
+        total += len(encode_frame(encode(TicketWrite("10.1.0.33/first", 7, copy))))
+        total += len(encode_frame(encode(TicketStored("10.2.0.33/first", 7, 7 << 32))))
     return float(total)
 
 
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -23,7 +23,7 @@
 from bench.system import CORES, System, document
 from ivymux.data_plane.limits import Address
 from ivymux.transport.connection import Connection, Connector
-from ivymux.transport.frames import Message, pack
+from ivymux.transport.frames import Message, encode_frame
 
 DOORS = (11, 85, 300, 1000)
 BACKENDS, BEAT = 155, 1.5
@@ -190,7 +190,7 @@
     for count in DOORS[:2] if args.quick else DOORS:
         with tempfile.TemporaryDirectory() as name:
             figures |= await measure(Path(name), count, 3 if args.quick else 10)
-    size = len(pack({"k": "text", "v": 1, "t": json.dumps(configuration(1))}))
+    size = len(encode_frame({"k": "text", "v": 1, "t": json.dumps(configuration(1))}))
     load = f"{len(CORES)} core machines, {BACKENDS} backends, a configuration of {size} bytes"
     report(args, load, figures, {})
 
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -27,7 +27,7 @@
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
 from ivymux.transport.connection import Connection, Connector, Listener, TransportError
-from ivymux.transport.frames import Message, pack
+from ivymux.transport.frames import Message, encode_frame
 from ivymux.transport.http_calls import (
     JSON,
     HttpCallDispatcher,
@@ -259,7 +259,8 @@
         self.stirring, self.stirred_at = None, time.monotonic()
         stirred, self.stirred = self.stirred, {}
         come = [d.told(self.stirred_at) for d, on in stirred.values() if on]
-        told = pack({"k": "doors", "on": come, "off": [id for id, (_, on) in stirred.items() if not on]})
+        left = [id for id, (_, on) in stirred.items() if not on]
+        told = encode_frame({"k": "doors", "on": come, "off": left})
         for door in self.doors.values():
             if len(stirred) > 1 or door.id not in stirred:  # one that comes has just been told of itself
                 door.line.write(told)
@@ -292,14 +293,14 @@
             self.shunned += 1
             if self.shunned in (1, 10, 100, 1000):
                 log.say(f"doors leave backend {id} alone for {span:g} s: it fails ({self.shunned} so far).")
-            told = pack({"k": "shun", "id": id, "for": span})
+            told = encode_frame({"k": "shun", "id": id, "for": span})
             for other in self.doors.values():
                 other.line.write(told)
 
     def tell_since(self, before: int) -> None:
         """Changes of the register after a number go to all doors, encoded once."""
         lines = self.register.since(before, time.monotonic()) or []
-        data = pack({"k": "news", "f": before, "n": self.register.number, "i": lines})
+        data = encode_frame({"k": "news", "f": before, "n": self.register.number, "i": lines})
         for door in self.doors.values():
             door.line.write(data)
 
@@ -326,15 +327,15 @@
             version, text = int(message["v"]), str(message["t"])
             if version > self.version:
                 self.version, self.text = version, text
-                self.packed = pack({"k": "text", "v": version, "t": text})
-                told = pack({"k": "config", "v": version})
+                self.packed = encode_frame({"k": "text", "v": version, "t": text})
+                told = encode_frame({"k": "config", "v": version})
                 for door in self.doors.values():
                     door.line.write(told)
         elif kind == "note":
             name, version, text = str(message["name"]), int(message["v"]), str(message["t"])
             if version > self.notes.get(name, (-1, ""))[0]:
                 self.notes[name] = version, text
-                data = pack(note(name, version, text))
+                data = encode_frame(note(name, version, text))
                 for door in self.doors.values():
                     door.line.write(data)
                 if name == TRIALS:
@@ -343,7 +344,7 @@
             cores = [str(c) for c in message["l"]]
             if cores != self.cores:
                 self.cores = cores
-                told = pack({"k": "cores", "l": cores})
+                told = encode_frame({"k": "cores", "l": cores})
                 for door in self.doors.values():
                     door.line.write(told)
 
--- a/ivymux/transport/__init__.py
+++ b/ivymux/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Held connections between the system's own processes: netstrings of JSON, calls, their bounds."""
+"""Persistent connections between the system's own processes and HTTP calls from outside."""
--- a/ivymux/transport/connection.py
+++ b/ivymux/transport/connection.py
@@ -12,7 +12,7 @@
 from typing import Any, cast
 
 from ivymux.data_plane.limits import Address
-from ivymux.transport.frames import FrameError, Frames, Message, pack
+from ivymux.transport.frames import FrameDecoder, FrameError, Message, encode_frame
 
 CONNECT_TIMEOUT_S = 0.8
 PING_INTERVAL_S = 0.7  # a ping is sent after this long without any other message
@@ -49,7 +49,7 @@
     ) -> None:
         self.on_message, self.on_connect, self.on_disconnect = on_message, on_connect, on_disconnect
         self.transport: asyncio.Transport | None = None
-        self.frames = Frames()
+        self.frame_decoder = FrameDecoder()
         self.last_received_at = self.last_sent_at = time.monotonic()
         self.peer: Any = None  # set by the owner to whatever identifies the other end
         self.pending_calls: dict[int, asyncio.Future[Message]] = {}
@@ -73,7 +73,7 @@
     def data_received(self, data: bytes) -> None:
         self.last_received_at = time.monotonic()
         try:
-            messages = self.frames.feed(data)
+            messages = self.frame_decoder.feed(data)
         except FrameError:
             self.frame_errors += 1
             self.abort()
@@ -92,10 +92,10 @@
                 return
 
     def send(self, message: Message) -> None:
-        self.write(pack(message))
+        self.write(encode_frame(message))
 
     def write(self, data: bytes) -> None:
-        """Write a message that `pack` encoded; one encoded message may go to many connections."""
+        """Write a message that `encode_frame` encoded; one encoded message may go to many connections."""
         if not self.is_connected or self.transport is None or self.transport.is_closing():
             return
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
--- a/ivymux/transport/frames.py
+++ b/ivymux/transport/frames.py
@@ -1,4 +1,4 @@
-"""Netstrings of JSON, as bytes and back.  Pure."""
+"""Encodes messages as netstrings of JSON and decodes them from a byte stream.  Pure."""
 
 from __future__ import annotations
 
@@ -6,8 +6,10 @@
 
 import msgspec
 
-MAX_FRAME = 8 << 20  # bytes of one message; a whole configuration fits
-MAX_DIGITS = len(str(MAX_FRAME))
+MAX_FRAME_BYTES = 8 << 20  # of one message; a whole configuration fits
+MAX_LENGTH_DIGITS = len(str(MAX_FRAME_BYTES))
+LENGTH_END = b":"
+FRAME_END = 0x2C  # a comma
 
 Message = dict[str, Any]
 _encode = msgspec.json.Encoder().encode
@@ -15,51 +17,54 @@
 
 
 class FrameError(ValueError):
-    """Bytes that no correct peer would send; the connection they came on is of no further use."""
+    """Bytes that violate the framing; the connection that they arrived on can't be used any further."""
 
 
-def pack(message: Message) -> bytes:
-    """One message as a netstring.  Raises FrameError where it is larger than a peer would take."""
+def encode_frame(message: Message) -> bytes:
+    """Encode one message as a netstring.  Raises FrameError if it is larger than MAX_FRAME_BYTES."""
     body = _encode(message)
-    if len(body) > MAX_FRAME:
-        raise FrameError(f"a message of {len(body)} bytes, over {MAX_FRAME}")
+    if len(body) > MAX_FRAME_BYTES:
+        raise FrameError(f"a message of {len(body)} bytes exceeds the limit of {MAX_FRAME_BYTES}")
     return b"%d:%s," % (len(body), body)
 
 
-class Frames:
-    """Takes bytes as they come, gives whole messages."""
+class FrameDecoder:
+    """Splits a byte stream into messages."""
 
-    def __init__(self, most: int = MAX_FRAME) -> None:
-        self.most = most
-        self.held = bytearray()
+    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        self.max_frame_bytes = max_frame_bytes
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are whole now.  Raises FrameError; nothing may be fed after that."""
-        held = self.held
-        held += data
-        found: list[Message] = []
-        at = 0
+        """Return the messages that are complete with `data`.
+
+        Raises FrameError on malformed input; the decoder must not be fed after that.
+        """
+        buffer = self.buffer
+        buffer += data
+        messages: list[Message] = []
+        start = 0
         while True:
-            colon = held.find(b":", at, at + MAX_DIGITS + 1)
-            if colon < 0:
-                if len(held) - at > MAX_DIGITS:
-                    raise FrameError("no length before a message")
+            length_end = buffer.find(LENGTH_END, start, start + MAX_LENGTH_DIGITS + 1)
+            if length_end < 0:
+                if len(buffer) - start > MAX_LENGTH_DIGITS:
+                    raise FrameError("a message starts without its length")
                 break
-            digits = bytes(held[at:colon])
+            digits = bytes(buffer[start:length_end])
             if not digits.isdigit():
-                raise FrameError("a length that is no number")
+                raise FrameError("the length of a message is not a number")
             size = int(digits)
-            if size > self.most:
-                raise FrameError(f"a message of {size} bytes, over {self.most}")
-            end = colon + 1 + size
-            if len(held) <= end:
+            if size > self.max_frame_bytes:
+                raise FrameError(f"a message of {size} bytes exceeds the limit of {self.max_frame_bytes}")
+            end = length_end + 1 + size
+            if len(buffer) <= end:
                 break
-            if held[end] != 0x2C:
+            if buffer[end] != FRAME_END:
                 raise FrameError("a message does not end where its length says")
             try:
-                found.append(_decode(memoryview(held)[colon + 1 : end].tobytes()))
+                messages.append(_decode(memoryview(buffer)[length_end + 1 : end].tobytes()))
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-                raise FrameError("a message that is no object of JSON") from None
-            at = end + 1
-        del held[:at]
-        return found
+                raise FrameError("a message is not a JSON object") from None
+            start = end + 1
+        del buffer[:start]
+        return messages
--- a/tests/registry/test_applied.py
+++ b/tests/registry/test_applied.py
@@ -9,7 +9,7 @@
 from ivymux.runtime.settings import load
 from ivymux.simulation.local_cluster import Lab
 from ivymux.transport.connection import Connection
-from ivymux.transport.frames import Frames, Message
+from ivymux.transport.frames import FrameDecoder, Message
 
 from ..sockets import run, until
 
@@ -62,7 +62,7 @@
     told: list[Message]
 
     def write(self, data: bytes) -> None:
-        self.told.extend(Frames().feed(data))
+        self.told.extend(FrameDecoder().feed(data))
 
 
 def test_doors_that_come_together_are_told_of_together(tmp_path: Path) -> None:
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -11,7 +11,7 @@
 from ivymux.runtime.settings import load
 from ivymux.simulation.local_cluster import Lab
 from ivymux.transport.connection import Connection
-from ivymux.transport.frames import Frames, Message
+from ivymux.transport.frames import FrameDecoder, Message
 from orchidhill.interface import Outcome
 
 from ..sockets import run, until
@@ -83,7 +83,7 @@
     told: list[Message]
 
     def write(self, data: bytes) -> None:
-        self.told.extend(m for m in Frames().feed(data) if m["k"] == "shun")
+        self.told.extend(m for m in FrameDecoder().feed(data) if m["k"] == "shun")
 
 
 def test_a_registry_tells_all_doors_of_a_backend_that_several_met(tmp_path: Path) -> None:
--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_frames.py
@@ -1,20 +1,20 @@
-"""Netstrings of JSON: cut at each byte, too large, spoilt."""
+"""Netstrings of JSON: input cut at each byte, oversized and malformed frames."""
 
 from __future__ import annotations
 
 import pytest
 
-from ivymux.transport.frames import FrameError, Frames, Message, pack
+from ivymux.transport.frames import FrameDecoder, FrameError, Message, encode_frame
 
 
-def test_messages_come_whole_however_they_are_cut() -> None:
+def test_messages_are_decoded_wherever_the_input_is_cut() -> None:
     sent: list[Message] = [{"k": "ping"}, {"k": "news", "i": [["a,b:c", 1.5, None]]}, {}]
-    data = b"".join([pack(message) for message in sent])
+    data = b"".join([encode_frame(message) for message in sent])
     for cut in range(len(data) + 1):
-        frames = Frames()
-        assert frames.feed(data[:cut]) + frames.feed(data[cut:]) == sent
-    frames = Frames()
-    assert [m for byte in data for m in frames.feed(bytes([byte]))] == sent
+        decoder = FrameDecoder()
+        assert decoder.feed(data[:cut]) + decoder.feed(data[cut:]) == sent
+    decoder = FrameDecoder()
+    assert [m for byte in data for m in decoder.feed(bytes([byte]))] == sent
 
 
 @pytest.mark.parametrize(
@@ -32,13 +32,13 @@
         b"1 :1,",
     ],
 )
-def test_what_no_correct_peer_sends_ends_it(data: bytes) -> None:
+def test_malformed_input_raises_a_frame_error(data: bytes) -> None:
     with pytest.raises(FrameError):
-        Frames().feed(data + b" " * 12)
+        FrameDecoder().feed(data + b" " * 12)
 
 
-def test_a_message_over_the_bound_is_not_sent_and_not_held() -> None:
+def test_an_oversized_message_is_neither_encoded_nor_buffered() -> None:
     with pytest.raises(FrameError):
-        pack({"t": "x" * (9 << 20)})
+        encode_frame({"t": "x" * (9 << 20)})
     with pytest.raises(FrameError):
-        Frames(most=100).feed(b"101:")
+        FrameDecoder(max_frame_bytes=100).feed(b"101:")
