--- a/ivymux/data_plane/answer_policy.py
+++ b/ivymux/data_plane/answer_policy.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Style:
+class AnswerPolicy:
     """How a front door reads answers.
 
     `whole`: a worker's status and headers reach the client, also those of an error; else only its 200s
@@ -63,4 +63,4 @@
     return head or status in (204, 304)
 
 
-PLATFORM = Style(whole=False, most_body=64 * 1024, held=1 << 62)  # by the platform's protocol
+PLATFORM_POLICY = AnswerPolicy(whole=False, most_body=64 * 1024, held=1 << 62)  # by the platform's protocol
--- a/ivymux/data_plane/upstream.py
+++ b/ivymux/data_plane/upstream.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from ivymux.data_plane.answer_policy import PLATFORM, Style, has_no_body
+from ivymux.data_plane.answer_policy import PLATFORM_POLICY, AnswerPolicy, has_no_body
 from ivymux.data_plane.limits import Address
 from orchidhill.interface import Outcome
 
@@ -382,7 +382,7 @@
         conn_idle: float,
         columns: tuple[str, ...],
         most_open: int,
-        style: Style = PLATFORM,
+        style: AnswerPolicy = PLATFORM_POLICY,
     ) -> None:
         self.style = style
         self.foreign = 0  # answers that belonged to an earlier request
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
 
-from ivymux.data_plane.answer_policy import Style
+from ivymux.data_plane.answer_policy import AnswerPolicy
 from ivymux.data_plane.host import Host
 from ivymux.data_plane.limits import Address
 from ivymux.data_plane.refusal_log import Told
@@ -236,10 +236,10 @@
         """A module of its own, with the counts that the tenant has: its quota is not begun anew."""
         terms = self.terms
         classes = ClassTable(tenant.keyed.memory, SCOPES[tenant.keyed.scope])
-        style = Style(True, terms.answer, terms.answers)
+        policy = AnswerPolicy(True, terms.answer, terms.answers)
         upstream = Upstream(
             site.file.limits.connect_timeout, site.file.limits.worker_idle, tuple(tenant.reports),
-            terms.upstream, style,
+            terms.upstream, policy,
         )  # fmt: skip
         told = replace(
             settings(site, ()), me=terms.number, peers=terms.doors, counter_timeout=terms.counter_timeout
--- a/ivymux/proxy/answer_policy.py
+++ b/ivymux/proxy/answer_policy.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ivymux.data_plane.answer_policy import Style
+from ivymux.data_plane.answer_policy import AnswerPolicy
 from orchidhill.interface import Outcome
 
 SEAL = b"server-seal"
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SystemStyle(Style):
+class ProxyAnswerPolicy(AnswerPolicy):
     def outcome(self, status: int, not_started: bool) -> Outcome:
         """Only `Not-Executed` and 421 say that a backend did not run a request."""
         if status == 421 or (not_started and status in (400, 408, 429, 503)):
@@ -38,5 +38,5 @@
         return 429 if beyond else 503
 
 
-def style(most_body: int, held: int) -> SystemStyle:
-    return SystemStyle(True, most_body, held, NOT_RUN, ID, True)
+def proxy_answer_policy(most_body: int, held: int) -> ProxyAnswerPolicy:
+    return ProxyAnswerPolicy(True, most_body, held, NOT_RUN, ID, True)
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -16,7 +16,7 @@
 from ivymux.data_plane.upstream import Upstream
 from ivymux.fault_injection import TRIALS
 from ivymux.idempotency import CONVERSATIONS
-from ivymux.proxy.answer_policy import style
+from ivymux.proxy.answer_policy import proxy_answer_policy
 from ivymux.proxy.core_connection import CoreConnection
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.distributed_counter import HeldCounter
@@ -78,7 +78,7 @@
         self.holders = Holders(self.id, now, settings.initial)
         bounds = Bounds.of(max(64, settings.sockets - 260), settings.memory_mb)
         held = int(settings.memory_mb * HELD_PART * (1 << 20))
-        upstream = Upstream(CONNECT_TIMEOUT, IDLE, (), bounds.upstream, style(64 << 20, held))
+        upstream = Upstream(CONNECT_TIMEOUT, IDLE, (), bounds.upstream, proxy_answer_policy(64 << 20, held))
         made = module_settings()
         terms = Terms(
             settings.retry_ratio, settings.quota_window, settings.quota_excess, settings.quota_slack
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from ivymux.data_plane.answer_policy import Style
+from ivymux.data_plane.answer_policy import AnswerPolicy
 from ivymux.data_plane.host import Host
 from ivymux.data_plane.limits import HELD_PART, Bounds, ConfigError
 from ivymux.data_plane.server import Server
@@ -75,9 +75,9 @@
             pass
         self.table.enter()
         answer = limits.answer_kb * 1024
-        style = Style(True, answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)))
+        policy = AnswerPolicy(True, answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)))
         upstream = Upstream(
-            limits.connect_timeout, limits.worker_idle, tuple(file.reports), bounds.upstream, style
+            limits.connect_timeout, limits.worker_idle, tuple(file.reports), bounds.upstream, policy
         )
         seed = secrets.randbits(64)
         log.info("seed %016x", seed)
--- a/tests/proxy/test_claimed.py
+++ b/tests/proxy/test_claimed.py
@@ -12,7 +12,7 @@
 from ivymux.data_plane.frontend import Answer, Call
 from ivymux.data_plane.host import Host, Open
 from ivymux.data_plane.upstream import Result
-from ivymux.proxy.answer_policy import style
+from ivymux.proxy.answer_policy import proxy_answer_policy
 from ivymux.proxy.module_settings import module_settings
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
@@ -39,7 +39,7 @@
         self.events: list[i.Event] = []
         self.sent: list[Callable[[Result], None]] = []
         module = SimpleNamespace(settings=module_settings(), actions=[], handle=self.handle)
-        upstream = SimpleNamespace(style=style(1 << 20, 1 << 20), start=self.start)
+        upstream = SimpleNamespace(style=proxy_answer_policy(1 << 20, 1 << 20), start=self.start)
         self.host = Host(cast(Any, module), cast(Any, upstream))
         self.claim, self.answers = Asks(), list[int]()
         self.written = True  # whether a backend may have read of an attempt
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -14,7 +14,7 @@
 from ivymux.data_plane.frontend import Answer, BadRequest
 from ivymux.data_plane.host import Host
 from ivymux.data_plane.upstream import Attempt
-from ivymux.proxy.answer_policy import SystemStyle
+from ivymux.proxy.answer_policy import ProxyAnswerPolicy
 from ivymux.proxy.frontend import ProxyFrontend
 from ivymux.proxy.program import Door
 from orchidhill import interface as i
@@ -43,11 +43,11 @@
 
 
 def failure_promised() -> None:
-    swap(SystemStyle, "failed", lambda self, last: 503)
+    swap(ProxyAnswerPolicy, "failed", lambda self, last: 503)
 
 
 def seal_not_looked_at() -> None:
-    swap(SystemStyle, "sound", lambda self, status, headers: True)
+    swap(ProxyAnswerPolicy, "sound", lambda self, status, headers: True)
 
 
 def payloads(change: Callable[[bytes], bytes], extra: float = 0.0) -> None:
