--- a/ivymux/data_plane/client_departures.py
+++ b/ivymux/data_plane/client_departures.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Departures:
+class DepartureCounts:
     """Counts of requests that were left unanswered, and of their attempts at backends."""
 
     requests: int = 0  # whose client left before its answer
--- a/ivymux/data_plane/frontend.py
+++ b/ivymux/data_plane/frontend.py
@@ -10,7 +10,7 @@
 from orchidhill import interface as i
 
 Headers = list[tuple[bytes, bytes]]
-CUT = 0  # the status of an answer that is none: the connection is closed in its place
+CLOSE_CONNECTION = 0  # the status of an answer that is none: the connection is closed in its place
 
 
 class BadRequest(ValueError):
--- a/ivymux/data_plane/host.py
+++ b/ivymux/data_plane/host.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from ivymux.data_plane.client_departures import Departures
+from ivymux.data_plane.client_departures import DepartureCounts
 from ivymux.data_plane.frontend import Answer, Call
 from ivymux.data_plane.limits import Address
-from ivymux.data_plane.refusal_log import Told
+from ivymux.data_plane.refusal_log import RefusalLog
 from ivymux.data_plane.refusals import FAILED
 from ivymux.data_plane.upstream import Attempt, Result, Upstream
 from orchidhill import interface as i
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Open:
+class OpenRequest:
     """A request that still needs an answer, or whose attempts are still out."""
 
     host: Host  # which has it
@@ -56,21 +56,21 @@
 
 
 class Host:
-    def __init__(self, gateway: Gateway, upstream: Upstream, told: Told | None = None) -> None:
+    def __init__(self, gateway: Gateway, upstream: Upstream, told: RefusalLog | None = None) -> None:
         self.gateway, self.upstream, self.style = gateway, upstream, upstream.style
         self.counter: Counter | None = None
         self.unix: Callable[[], float] = time.time  # or the clock of a tally that front doors share
         self.limits = gateway.settings.limits
         self.loop = asyncio.get_running_loop()
-        self.table: dict[int, Open] = {}
+        self.table: dict[int, OpenRequest] = {}
         self.events: deque[i.Event] = deque()
         self.busy = False
         self.now = 0.0
         self.number = 0
         self.unknown: set[str] = set()  # kinds of action that were logged as not supported
         self.waiting = 0  # requests without their answer
-        self.told = told or Told()
-        self.departures = Departures()
+        self.told = told or RefusalLog()
+        self.departures = DepartureCounts()
 
     # --- events in ---------------------------------------------------------------------------------
 
@@ -118,10 +118,10 @@
             self.events.append(i.Left(number))
             self.drop(request)
 
-    def request(self, call: Call, reply: Callable[[Answer], None], over: Callable[[], None]) -> Open:
+    def request(self, call: Call, reply: Callable[[Answer], None], over: Callable[[], None]) -> OpenRequest:
         """Take a request: `reply` gets its answer, `over` hears when none of its attempts is out either."""
         self.number += 1
-        request = Open(self, self.number, call, reply, over)
+        request = OpenRequest(self, self.number, call, reply, over)
         self.table[request.number] = request
         self.waiting += 1
         left = call.end - GUARD_MARGIN - time.monotonic()
@@ -133,7 +133,7 @@
             self.post(call.make(request.number))
         return request
 
-    def held(self, request: Open) -> None:
+    def held(self, request: OpenRequest) -> None:
         """It was held for as long as it was to be; now the module hears of it, if anybody still waits."""
         request.claiming = False
         if request.settled:
@@ -141,7 +141,7 @@
         else:
             self.post(request.call.make(request.number))
 
-    def left(self, request: Open) -> None:
+    def left(self, request: OpenRequest) -> None:
         """The client has gone away: the module hears of it first, then what need not go on is cancelled."""
         if request.settled:
             return
@@ -155,7 +155,7 @@
                 attempt.give_up(Outcome.CANCELLED)
         self.drop(request)
 
-    def overdue(self, request: Open) -> None:
+    def overdue(self, request: OpenRequest) -> None:
         """Guards the rule that no request is lost: its client's time is nearly up, and nobody answered."""
         if request.settled:
             return
@@ -245,7 +245,7 @@
             return
         self.start(request, number, action, left)
 
-    def claimed(self, request: Open, action: i.Send, said: Answer | None) -> None:
+    def claimed(self, request: OpenRequest, action: i.Send, said: Answer | None) -> None:
         """A claim has been heard of: its action goes to a backend, or is answered without."""
         request.claiming = False
         left = request.call.end - ATTEMPT_MARGIN - time.monotonic()
@@ -258,7 +258,7 @@
         self.post(i.Finished(request.number, 0, action.backend, Outcome.MOOT, closed, 0.0, 0, 0, ()))
         self.drop(request)
 
-    def start(self, request: Open, number: int, action: i.Send, left: float) -> None:
+    def start(self, request: OpenRequest, number: int, action: i.Send, left: float) -> None:
         timeout = min(left, action.timeout) if action.timeout > 0 else left
 
         def done(result: Result) -> None:
@@ -270,7 +270,7 @@
         if not attempt.over:
             request.out[number] = attempt
 
-    def finished(self, request: Open, number: int, backend: int, result: Result) -> None:
+    def finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
         request.out.pop(number, None)
         request.last = result
         if request.left_at is not None:
@@ -306,7 +306,7 @@
             self.settle(request, answer)
             self.drop(request)
 
-    def settle(self, request: Open, answer: Answer | None) -> None:
+    def settle(self, request: OpenRequest, answer: Answer | None) -> None:
         request.settled, request.answer = True, answer
         self.waiting -= 1
         if request.guard is not None:
@@ -314,7 +314,7 @@
         if answer is not None:
             request.reply(answer)
 
-    def drop(self, request: Open) -> None:
+    def drop(self, request: OpenRequest) -> None:
         if not request.settled or request.out or request.claiming:
             return
         if self.table.pop(request.number, None) is not None:
@@ -322,7 +322,7 @@
             if (claim := request.call.claim) is not None:
                 claim.end(self.ended_with(request), request.may_have_run)
 
-    def ended_with(self, request: Open) -> Answer | None:
+    def ended_with(self, request: OpenRequest) -> Answer | None:
         """The whole answer of a backend that a request ended with, told to its client or not."""
         answer, last = request.answer, request.last
         if answer is not None:
--- a/ivymux/data_plane/refusal_log.py
+++ b/ivymux/data_plane/refusal_log.py
@@ -10,7 +10,7 @@
 log = logging.getLogger(__name__)
 
 
-class Told:
+class RefusalLog:
     """The refusals of one front door, by all its modules and by its own limits."""
 
     def __init__(self) -> None:
--- a/ivymux/data_plane/refusals.py
+++ b/ivymux/data_plane/refusals.py
@@ -12,11 +12,11 @@
 from orchidhill.interface import Why
 
 SPAN = 60.0  # seconds
-DOOR = "door"  # the front door's own limits on bodies, requests and connections
+GATEWAY = "door"  # the front door's own limits on bodies, requests and connections
 FAILED = "failed"  # answered as failed: an attempt may have run, and none may follow
 TRIAL = "trial"  # by a trial of its caller (ivymux/fault_injection)
 UNSERVED = (Why.BACKENDS.value, Why.ROOM.value, FAILED)
-CAUSES = (*(why.value for why in Why), DOOR, FAILED, TRIAL)
+CAUSES = (*(why.value for why in Why), GATEWAY, FAILED, TRIAL)
 
 
 class Refusals:
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -12,13 +12,13 @@
 
 import httptools
 
-from ivymux.data_plane.frontend import CUT, Answer, BadRequest, Call, Frontend
+from ivymux.data_plane.frontend import CLOSE_CONNECTION, Answer, BadRequest, Call, Frontend
 from ivymux.data_plane.limits import BACKLOG, Address, Bounds
-from ivymux.data_plane.refusal_log import Told
-from ivymux.data_plane.refusals import DOOR
+from ivymux.data_plane.refusal_log import RefusalLog
+from ivymux.data_plane.refusals import GATEWAY
 
 if TYPE_CHECKING:
-    from ivymux.data_plane.host import Host, Open
+    from ivymux.data_plane.host import Host, OpenRequest
 
 MAX_HEAD = 16 * 1024
 MAX_STRAY = 1024  # bytes, such as empty lines, that belong to no request
@@ -44,7 +44,7 @@
     def __init__(self, client: Client, keep_alive: bool) -> None:
         self.client, self.keep_alive = client, keep_alive
         self.answer: Answer | None = None
-        self.request: Open | None = None
+        self.request: OpenRequest | None = None
         self.call: Call | None = None
         self.held = 0
 
@@ -252,7 +252,9 @@
             if self.transport is None or self.transport.is_closing():
                 continue
             ends = self.server.stopping or self.server.leaving
-            close = not exchange.keep_alive or (ends and not self.pending) or answer.status == CUT
+            close = (
+                not exchange.keep_alive or (ends and not self.pending) or answer.status == CLOSE_CONNECTION
+            )
             self.transport.write(self.server.front.encode(answer, close, exchange.call))
             if close:
                 self.end()
@@ -330,12 +332,12 @@
         self.server: asyncio.Server | None = None
         self.waiting: socket.socket | None = None  # listens, and nobody reads there yet
         self.timer = self.loop.call_later(SWEEP, self.sweep)
-        self.told = host.told if host is not None else Told()
+        self.told = host.told if host is not None else RefusalLog()
 
     def refusal(self, error: BadRequest) -> Answer:
         """The answer to what can't be taken; counted where that is for limits of this front door."""
         if error.status == 503:
-            self.told.refused(DOOR)
+            self.told.refused(GATEWAY)
         return self.front.refusal(error)
 
     def open(self) -> None:
--- a/ivymux/data_plane/upstream.py
+++ b/ivymux/data_plane/upstream.py
@@ -53,7 +53,7 @@
         self.payload, self.done, self.head = payload, done, head
         self.name = name  # of the request, as its answer has to name it
         self.began = time.perf_counter()
-        self.link: Link | None = None  # once its first byte may have been written
+        self.link: BackendConnection | None = None  # once its first byte may have been written
         self.timer: asyncio.TimerHandle | None = None
         self.verdict: Outcome | None = None  # why it was given up here
         self.over = False
@@ -87,11 +87,11 @@
             self.link.abort()
 
 
-class Spoilt(Exception):
+class InvalidAnswer(Exception):
     """Stops the parser: what comes is not, or no longer, part of an answer to the attempt."""
 
 
-class Link(asyncio.Protocol):
+class BackendConnection(asyncio.Protocol):
     """One connection to a backend; it carries one attempt at a time."""
 
     def __init__(self, pool: Pool) -> None:
@@ -201,7 +201,7 @@
 
     def on_message_begin(self) -> None:
         if self.result is not None:
-            raise Spoilt("bytes behind the answer")
+            raise InvalidAnswer("bytes behind the answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
@@ -211,7 +211,7 @@
             self.not_started = value == b"1"
         elif name == self.style.echo:
             if self.named and self.named != value:
-                raise Spoilt("an answer that names two requests")  # part of another stands before it
+                raise InvalidAnswer("an answer that names two requests")  # part of another stands before it
             self.named = value
         elif name == b"keep-alive" and self.style.echo:
             found = KEEP.search(value)
@@ -235,21 +235,21 @@
             self.answered(status)
             return
         if self.length > self.style.most_body:
-            raise Spoilt(f"announces {self.length} bytes")
+            raise InvalidAnswer(f"announces {self.length} bytes")
 
     def on_chunk_header(self) -> None:
         if self.bodiless:
-            raise Spoilt("a body behind an answer that has none")
+            raise InvalidAnswer("a body behind an answer that has none")
 
     def on_body(self, body: bytes) -> None:
         if self.bodiless:
-            raise Spoilt("a body behind an answer that has none")
+            raise InvalidAnswer("a body behind an answer that has none")
         self.size += len(body)
         self.pool.owner.held += len(body)
         if self.size > self.style.most_body:
-            raise Spoilt(f"over {self.style.most_body} bytes")
+            raise InvalidAnswer(f"over {self.style.most_body} bytes")
         if self.pool.owner.held > self.style.held:
-            raise Spoilt("too much is held of all answers")
+            raise InvalidAnswer("too much is held of all answers")
         self.body.append(body)
 
     def on_message_complete(self) -> None:
@@ -266,7 +266,7 @@
         if self.named and self.attempt.name and self.named != self.attempt.name:
             # A second answer to an earlier request; the one that is waited for stands behind it.
             if self.bodiless:
-                raise Spoilt("another request's answer")
+                raise InvalidAnswer("another request's answer")
             self.foreign = True
             self.pool.owner.foreign += 1
             self.pool.owner.held -= self.size
@@ -307,8 +307,8 @@
 
     def __init__(self, owner: Upstream, name: int, address: Address, started: float) -> None:
         self.owner, self.name, self.address, self.started = owner, name, address, started
-        self.idle: deque[Link] = deque()  # the newest last; it is used first
-        self.links: set[Link] = set()
+        self.idle: deque[BackendConnection] = deque()  # the newest last; it is used first
+        self.links: set[BackendConnection] = set()
         self.connecting = 0
 
     def start(self, attempt: Attempt) -> None:
@@ -335,7 +335,7 @@
         try:
             async with asyncio.timeout(self.owner.connect_timeout):
                 _, link = await self.owner.loop.create_connection(
-                    lambda: Link(self), self.address.host, self.address.port
+                    lambda: BackendConnection(self), self.address.host, self.address.port
                 )
         except (OSError, TimeoutError):
             self.owner.open -= 1
@@ -352,7 +352,7 @@
         else:
             link.carry(attempt)
 
-    def put(self, link: Link) -> None:
+    def put(self, link: BackendConnection) -> None:
         if self.owner.pools.get(self.name) is not self:
             link.abort()  # the backend has moved or is gone
             return
@@ -360,7 +360,7 @@
         self.idle.append(link)
         self.owner.watch_idle()
 
-    def forget(self, link: Link) -> None:
+    def forget(self, link: BackendConnection) -> None:
         if link in self.links:
             self.links.remove(link)
             self.owner.open -= 1
@@ -493,7 +493,7 @@
         if left:
             self.watch_idle()
 
-    def idle_most(self, link: Link) -> float:
+    def idle_most(self, link: BackendConnection) -> float:
         """Seconds that a connection may stand idle: by what its backend said, where it did."""
         return (
             max(IDLE_PART * link.idle_most, link.idle_most - 2 * SWEEP) if link.idle_most else self.keep_idle
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -13,7 +13,7 @@
 from ivymux.data_plane.answer_policy import AnswerPolicy
 from ivymux.data_plane.host import Host
 from ivymux.data_plane.limits import Address
-from ivymux.data_plane.refusal_log import Told
+from ivymux.data_plane.refusal_log import RefusalLog
 from ivymux.data_plane.upstream import Upstream
 from ivymux.hosting.host_lookups import LookUps
 from ivymux.hosting.tenant_counters import Shared, TenantCounter
@@ -62,7 +62,7 @@
     unix: Callable[[], float] = time.time  # the clock that these have in common
     places: Places = ANYWHERE  # where workers may be
     lookups: LookUps | None = None  # None: the system's, for one tenant alone
-    told: Told | None = None  # refusals of all tenants; None: each tenant's own
+    told: RefusalLog | None = None  # refusals of all tenants; None: each tenant's own
 
 
 @dataclass(slots=True)
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ivymux.data_plane.limits import HELD_PART, Address, Bounds, ConfigError
-from ivymux.data_plane.refusal_log import Told
+from ivymux.data_plane.refusal_log import RefusalLog
 from ivymux.desired.model import DoorStore, Gone, Report, Stored, StoreError
 from ivymux.hosting.host_lookups import LookUps
 from ivymux.hosting.hosted_tenant import Resident, Terms, Unserved
@@ -51,7 +51,7 @@
         bounds = Bounds.of(limits.sockets, limits.memory_mb)
         answer = limits.answer_kb * 1024
         self.lookups = LookUps()
-        told = Told()  # refusals of all tenants
+        told = RefusalLog()  # refusals of all tenants
         self.terms = Terms(
             hosting.file.name, hosting.file.tally.doors, limits.body_kb * 1024, answer,
             max(answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)) // 4),
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -8,7 +8,7 @@
 
 from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
 from ivymux.data_plane.limits import Address, Bounds
-from ivymux.data_plane.refusals import DOOR
+from ivymux.data_plane.refusals import GATEWAY
 from ivymux.data_plane.server import Client, Exchange, Server
 from ivymux.hosting.hosted_tenant import Resident
 from ivymux.service.callers import Caller
@@ -189,7 +189,7 @@
             assert self.stranger is not None
             raise self.stranger
         if wait := server.shares.ask(share, time.monotonic()):
-            server.told.refused(DOOR)
+            server.told.refused(GATEWAY)
             exchange.reply(server.hosted.beyond(wait))
             return
         try:
--- a/ivymux/proxy/failure_reports.py
+++ b/ivymux/proxy/failure_reports.py
@@ -7,7 +7,7 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from ivymux.data_plane.host import Host, Open
+from ivymux.data_plane.host import Host, OpenRequest
 from ivymux.data_plane.upstream import Result
 from ivymux.transport.frames import Message
 from orchidhill.interface import Outcome
@@ -30,7 +30,7 @@
     well = 0
     doubt: Callable[[int], None] = staticmethod(lambda backend: None)
 
-    def finished(self, request: Open, number: int, backend: int, result: Result) -> None:
+    def finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
         if result.outcome is Outcome.OK:
             self.well += 1
         elif doubtful(result.outcome, result.status) and not request.settled:
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from ivymux.data_plane.client_departures import OnDeparture
-from ivymux.data_plane.frontend import CUT, Answer, BadRequest, Call, Headers
+from ivymux.data_plane.frontend import CLOSE_CONNECTION, Answer, BadRequest, Call, Headers
 from ivymux.proxy.name_tables import Tables
 from ivymux.routing_config.route_plan import Plan
 from orchidhill import interface as i
@@ -157,7 +157,7 @@
 
     def encode(self, answer: Answer, close: bool, call: Call | None) -> bytes:
         status = answer.status
-        if status == CUT:
+        if status == CLOSE_CONNECTION:
             return b""
         if call is not None and call.lose and answer.headers is not None:
             answer, status = Answer(502, LOST_TEXT), 502
--- a/ivymux/proxy/trial_client.py
+++ b/ivymux/proxy/trial_client.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ivymux.data_plane.frontend import CUT, Answer
+from ivymux.data_plane.frontend import CLOSE_CONNECTION, Answer
 from ivymux.data_plane.host import Host
 from ivymux.data_plane.refusals import TRIAL
 from ivymux.fault_injection.request_matcher import RENEW, Catch
@@ -90,7 +90,7 @@
             return Caught(lose=True)
         self.host.told.refused(TRIAL)
         if trial.does == CLOSE:
-            return Caught(Answer(CUT))
+            return Caught(Answer(CLOSE_CONNECTION))
         return Caught(Answer(trial.status, TEXT, retry_after=trial.after))
 
     # --- the core --------------------------------------------------------------------------------------
--- a/ivymux/transport/http_calls.py
+++ b/ivymux/transport/http_calls.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
-from ivymux.data_plane.refusal_log import Told
+from ivymux.data_plane.refusal_log import RefusalLog
 
 if TYPE_CHECKING:
     from ivymux.data_plane.host import Host
@@ -140,7 +140,7 @@
 
     def __init__(self, owner: object) -> None:
         self.owner = owner
-        self.told = Told()
+        self.told = RefusalLog()
         self.tasks: set[asyncio.Task[None]] = set()
         self.failed_calls = 0
 
--- a/tests/proxy/test_claimed.py
+++ b/tests/proxy/test_claimed.py
@@ -10,7 +10,7 @@
 
 from ivymux.data_plane.client_departures import OnDeparture
 from ivymux.data_plane.frontend import Answer, Call
-from ivymux.data_plane.host import Host, Open
+from ivymux.data_plane.host import Host, OpenRequest
 from ivymux.data_plane.upstream import Result
 from ivymux.proxy.answer_policy import proxy_answer_policy
 from ivymux.proxy.module_settings import module_settings
@@ -47,7 +47,9 @@
             b"", time.monotonic() + wait, self.made, lambda left: b"", claim=self.claim,
             on_departure=OnDeparture.of(repeatable=False),
         )  # fmt: skip
-        self.request: Open = self.host.request(call, lambda a: self.answers.append(a.status), lambda: None)
+        self.request: OpenRequest = self.host.request(
+            call, lambda a: self.answers.append(a.status), lambda: None
+        )
 
     def made(self, number: int) -> i.Request:
         return i.Request(number, 0, 0, 0, 5.0, 1.0, 1, 0, False, True)
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from ivymux.data_plane.client_departures import BOUND, Departures, OnDeparture
+from ivymux.data_plane.client_departures import BOUND, DepartureCounts, OnDeparture
 from ivymux.data_plane.frontend import Answer
 from ivymux.proxy.metrics import metrics_text
 from ivymux.proxy.status_pages import METRICS, StatusPagesFrontend
 
 
 def test_what_is_left_and_how_its_attempts_end_is_told_once() -> None:
-    departures = Departures()
+    departures = DepartureCounts()
     assert departures.line() == ""
     departures.left(attempts=2, unwritten=1)
     departures.left(attempts=0, unwritten=0)
