--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -23,7 +23,7 @@
 from bench.system import CORES, TENANTS, System, document
 from ivymux.config_store.calls import ClaimAction, EndAction
 from ivymux.config_store.calls import encode as encode_call
-from ivymux.config_store.messages import TicketStored, TicketWrite, encode
+from ivymux.config_store.messages import RecordStored, RecordWrite, encode
 from ivymux.data_plane.frontend import Answer
 from ivymux.idempotency.record_store import DONE, KEY_DIGITS, IdempotencyRecord
 from ivymux.proxy.keyed_actions import kept
@@ -133,8 +133,8 @@
     total = sum(len(encode_frame(m)) for m in (claim, end, told, {"re": 1234, "ok": True}))
     for state, text in (("open", ""), (DONE, answer)):
         copy = replace(ticket, state=state, answer=text, number=7 << 32)
-        total += len(encode_frame(encode(TicketWrite("10.1.0.33/first", 7, copy))))
-        total += len(encode_frame(encode(TicketStored("10.2.0.33/first", 7, 7 << 32))))
+        total += len(encode_frame(encode(RecordWrite("10.1.0.33/first", 7, copy))))
+        total += len(encode_frame(encode(RecordStored("10.2.0.33/first", 7, 7 << 32))))
     return float(total)
 
 
--- a/ivymux/config_store/actions.py
+++ b/ivymux/config_store/actions.py
@@ -8,7 +8,7 @@
 
 from ivymux.config_store import messages
 from ivymux.config_store.messages import ReplicaMessage
-from ivymux.config_store.records import ConfigurationState, EpochRecord, NoteInForce
+from ivymux.config_store.records import ConfigurationState, EpochRecord, ReplicatedSetting
 from ivymux.idempotency.record_store import IdempotencyRecord
 
 EVERYONE = "*"  # the address of all core machines that are known
@@ -54,8 +54,8 @@
 
 
 @dataclass(slots=True)
-class PublishNote:
-    note: NoteInForce
+class PublishSetting:
+    note: ReplicatedSetting
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     text: str
 
 
-Action = Persist | Send | Complete | Publish | PublishNote | LogLine
+Action = Persist | Send | Complete | Publish | PublishSetting | LogLine
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
 UNSTORED: tuple[type[ReplicaMessage], ...] = (
     messages.PromiseRequest,
     messages.Refusal,
-    messages.Working,
+    messages.StillWriting,
     messages.JoinRequest,
     messages.Leaving,
     messages.DepartureGranted,
@@ -89,9 +89,9 @@
     messages.WriteRequest,
     messages.ConfigurationRequest,
     messages.ConfigurationInForce,
-    messages.TicketWrite,
-    messages.NotesRequest,
-    messages.NotesInForce,
+    messages.RecordWrite,
+    messages.SettingsRequest,
+    messages.SettingsInForce,
 )
 
 
--- a/ivymux/config_store/calls.py
+++ b/ivymux/config_store/calls.py
@@ -45,7 +45,7 @@
     answer: str = ""
 
 
-class PutNote(Call, frozen=True, tag="note"):
+class PutSetting(Call, frozen=True, tag="note"):
     """Keep a setting of the system's own; `based_on`: the version that it was made from, if that matters."""
 
     name: str
@@ -54,11 +54,11 @@
     based_on: int | None = None
 
 
-class ReadNote(Call, frozen=True, tag="read"):
+class ReadSetting(Call, frozen=True, tag="read"):
     name: str
 
 
-AnyCall = PutConfiguration | ClaimAction | EndAction | PutNote | ReadNote
+AnyCall = PutConfiguration | ClaimAction | EndAction | PutSetting | ReadSetting
 TAGS = frozenset(("put", "claim", "end", "note", "read"))
 
 
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -20,7 +20,7 @@
     Refusal,
     StateStored,
     StateTransfer,
-    Working,
+    StillWriting,
 )
 from ivymux.config_store.records import (
     ConfigurationState,
@@ -153,7 +153,7 @@
             self.promise(number, candidate)
         self.defer(again, progresses=message.waits_for_disk)
         if again and self.unsynced:
-            self.send(source, Working(self.me, number))
+            self.send(source, StillWriting(self.me, number))
         else:
             self.send(source, Promise(self.me, number, self.record))
 
@@ -193,7 +193,7 @@
         # Two that try at once must not go on meeting: who has the lower name goes first.
         self.give_up((0.03 + 0.15 * self.order()) * min(4, self.failed_attempts))
 
-    def on_working(self, source: str, message: Working) -> None:
+    def on_still_writing(self, source: str, message: StillWriting) -> None:
         self.heard[message.sender] = self.now
         if self.attempt is not None and message.epoch == self.attempt.number:
             self.attempt.working_at = self.now
@@ -284,7 +284,7 @@
         if self.promised < number:
             self.promise(number, message.sender)
         self.defer(again=True, progresses=True)
-        self.send(source, Working(self.me, number))
+        self.send(source, StillWriting(self.me, number))
         if self.state is None or self.state.epoch < number:
             self.state = ConfigurationState(number, message.version, message.text)
             self.history = ChangeHistory.of(message.history)
@@ -331,7 +331,7 @@
             self.promise(record.number, record.primary)
         self.defer(again=True, progresses=True)
         if self.record is not None and self.record.number == record.number:
-            self.send(source, Working(self.me, record.number))
+            self.send(source, StillWriting(self.me, record.number))
         if self.attempt is not None and self.attempt.number < record.number:
             self.attempt = None
         self.learn(record)
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -19,21 +19,21 @@
 
 from msgspec.structs import replace
 
-from ivymux.config_store.actions import Action, Complete, Persist, PublishNote, Reply
-from ivymux.config_store.calls import Call, ClaimAction, EndAction, PutNote, ReadNote
+from ivymux.config_store.actions import Action, Complete, Persist, PublishSetting, Reply
+from ivymux.config_store.calls import Call, ClaimAction, EndAction, PutSetting, ReadSetting
 from ivymux.config_store.messages import (
-    BookComparison,
-    BookDigests,
-    BookRepair,
-    NotesInForce,
-    NotesRequest,
+    RecordDigest,
+    RecordRangeDigests,
+    RecordRepair,
+    RecordsExpired,
+    RecordStored,
+    RecordWrite,
     ReplicaMessage,
+    SettingsInForce,
+    SettingsRequest,
     StateStored,
-    TicketsDropped,
-    TicketStored,
-    TicketWrite,
 )
-from ivymux.config_store.records import ConfigurationState, EpochRecord, NoteInForce, address_of
+from ivymux.config_store.records import ConfigurationState, EpochRecord, ReplicatedSetting, address_of
 from ivymux.config_store.timing import RETRY
 from ivymux.idempotency import CONVERSATIONS
 from ivymux.idempotency.record_store import (
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class UnstoredTicket:
+class UnstoredRecord:
     """A change of the book that is not on both disks yet, with the calls that wait for it."""
 
     ticket: IdempotencyRecord
@@ -102,7 +102,7 @@
     on_backup: bool = False
 
 
-def note_ticket(name: str, version: int, text: str) -> IdempotencyRecord:
+def setting_record(name: str, version: int, text: str) -> IdempotencyRecord:
     """The record in which a note is kept."""
     key = blake2b(f"{NOTE}{name}".encode(), digest_size=KEY_DIGITS // 2).hexdigest()
     return IdempotencyRecord(key, "", NOTE + name, name, str(version), 0.0, DONE, 0, text)
@@ -119,16 +119,16 @@
 
 
 @dataclass(slots=True)
-class TicketReplication:
+class RecordReplication:
     """The book of a replica."""
 
     replica: EpochView
     book: RecordStore = field(default_factory=RecordStore)
-    unstored: dict[int, UnstoredTicket] = field(default_factory=dict)  # by number
+    unstored: dict[int, UnstoredRecord] = field(default_factory=dict)  # by number
     last_number: int = 0  # of the last change made or taken here
     compare_at: float = 0.0
     sweep_at: float = 0.0
-    notes: dict[str, NoteInForce] = field(default_factory=dict)  # in force, by name
+    notes: dict[str, ReplicatedSetting] = field(default_factory=dict)  # in force, by name
     rules: Rules = field(default_factory=Rules)
 
     # --- calls -----------------------------------------------------------------------------------------
@@ -143,17 +143,17 @@
             return self.claim(call, asked)
         if isinstance(asked, EndAction):
             return self.end(call, asked)
-        if isinstance(asked, PutNote):
-            return self.put_note(call, asked)
-        if isinstance(asked, ReadNote):
-            note = self.notes.get(asked.name, NoteInForce(asked.name, -1, ""))
+        if isinstance(asked, PutSetting):
+            return self.put_setting(call, asked)
+        if isinstance(asked, ReadSetting):
+            note = self.notes.get(asked.name, ReplicatedSetting(asked.name, -1, ""))
             return self.reply({"ok": True, "version": note.version, "text": note.text})
         raise IdempotencyRecordError(f"no such call: {type(asked).__name__}")
 
     def reply(self, answer: dict[str, Any], wait: bool = False) -> Reply:
         return Reply(self.replica.actions, answer, wait)
 
-    def wait_for(self, unstored: UnstoredTicket | None, call: int, answer: dict[str, Any]) -> Reply:
+    def wait_for(self, unstored: UnstoredRecord | None, call: int, answer: dict[str, Any]) -> Reply:
         """The answer, once a change on its way is on both disks."""
         if unstored is not None:
             unstored.calls.append(call)
@@ -180,11 +180,11 @@
         self.store(ticket, call)
         return self.reply({"ok": True}, wait=True)
 
-    def put_note(self, call: int, asked: PutNote) -> Reply:
+    def put_setting(self, call: int, asked: PutSetting) -> Reply:
         """A note that was based on another version than the one held is not taken, nor is another text under
         the version held; what is held is told instead.
         """
-        ticket = note_ticket(asked.name, asked.version, asked.text)
+        ticket = setting_record(asked.name, asked.version, asked.text)
         held = self.book.tickets.get(ticket.key)
         held_version = int(held.body) if held is not None else -1
         again = held is not None and held_version == asked.version and held.answer == asked.text
@@ -199,13 +199,13 @@
         self.store(ticket, call)
         return self.reply(answer, wait=True)
 
-    def read_note(self, name: str) -> NoteInForce | bool | None:
+    def read_setting(self, name: str) -> ReplicatedSetting | bool | None:
         """A note as it is in force; None where there is none, False where this machine does not lead."""
         if not self.replica.may_serve(self.replica.now):
             return False
         return self.notes.get(name)
 
-    def unstored_of(self, key: str) -> UnstoredTicket | None:
+    def unstored_of(self, key: str) -> UnstoredRecord | None:
         held = self.book.tickets.get(key)
         return self.unstored.get(held.number) if held is not None else None
 
@@ -218,14 +218,14 @@
         self.last_number = max(self.last_number, replica.leading.number * NUMBERS_IN_EPOCH) + 1
         made = replace(ticket, number=self.last_number)
         self.book.take(made, replica.now)
-        self.unstored[made.number] = UnstoredTicket(made, [call], replica.now, replica.now)
-        self.send_ticket(made)
+        self.unstored[made.number] = UnstoredRecord(made, [call], replica.now, replica.now)
+        self.send_record(made)
         replica.actions.append(Persist(tickets=((made.key, made),)))
-        replica.send(address_of(replica.me), TicketStored(replica.me, replica.leading.number, made.number))
+        replica.send(address_of(replica.me), RecordStored(replica.me, replica.leading.number, made.number))
 
-    def send_ticket(self, ticket: IdempotencyRecord) -> None:
+    def send_record(self, ticket: IdempotencyRecord) -> None:
         epoch, backup = self.pair()
-        self.replica.send(backup, TicketWrite(self.replica.me, epoch, ticket))
+        self.replica.send(backup, RecordWrite(self.replica.me, epoch, ticket))
 
     def pair(self) -> tuple[int, str]:
         """The epoch under which records go to a backup, and that one's address."""
@@ -240,7 +240,7 @@
         alone = [u.written_at for u in self.unstored.values() if u.on_own_disk and not u.on_backup]
         return min(alone, default=math.inf)
 
-    def on_ticket_stored(self, source: str, message: TicketStored) -> None:
+    def on_record_stored(self, source: str, message: RecordStored) -> None:
         replica = self.replica
         replica.heard[message.sender] = replica.now
         leading = replica.leading
@@ -255,7 +255,7 @@
             del self.unstored[message.number]
             replica.actions += [Complete(call) for call in unstored.calls]
             if unstored.ticket.is_note:
-                self.publish_notes()
+                self.publish_settings()
 
     def lead(self) -> None:
         """While this machine leads: what is not stored is sent again, copies are compared, old ones go."""
@@ -265,7 +265,7 @@
         for unstored in self.unstored.values():
             if now - unstored.sent_at > RETRY:
                 unstored.sent_at = now
-                self.send_ticket(unstored.ticket)
+                self.send_record(unstored.ticket)
         if now >= self.sweep_at:
             self.sweep_at = now + SWEEP_INTERVAL
             self.drop_old()
@@ -273,16 +273,16 @@
             self.compare_at = now + COMPARE_INTERVAL
             if self.book.tickets and not self.unstored:
                 epoch, backup = self.pair()
-                self.replica.send(backup, BookComparison(self.replica.me, epoch, self.book.root()))
+                self.replica.send(backup, RecordDigest(self.replica.me, epoch, self.book.root()))
         if len(self.notes) < len(self.book.notes):
-            self.publish_notes()
+            self.publish_settings()
 
     def drop_old(self) -> None:
         old = [key for key in self.book.aged(self.rules, self.replica.now) if key not in self.book.notes]
         if old and not self.unstored:
             self.forget(old)
             epoch, backup = self.pair()
-            self.replica.send(backup, TicketsDropped(self.replica.me, epoch, tuple(old)))
+            self.replica.send(backup, RecordsExpired(self.replica.me, epoch, tuple(old)))
 
     def forget(self, keys: list[str]) -> None:
         for key in keys:
@@ -290,7 +290,7 @@
         if keys:
             self.replica.actions.append(Persist(tickets=tuple((key, None) for key in keys)))
 
-    def on_book_digests(self, source: str, message: BookDigests) -> None:
+    def on_record_range_digests(self, source: str, message: RecordRangeDigests) -> None:
         """The other copy's digests, where it is not this one: it gets what differs."""
         if message.sender != self.repaired_backup(message.epoch):
             return
@@ -315,7 +315,7 @@
     def send_repair(self, ranges: list[tuple[int, tuple[IdempotencyRecord, ...]]], last: bool) -> None:
         epoch, backup = self.pair()
         digest = self.book.root() if last else None
-        repair = BookRepair(self.replica.me, epoch, self.last_number, tuple(ranges), digest)
+        repair = RecordRepair(self.replica.me, epoch, self.last_number, tuple(ranges), digest)
         self.replica.send(backup, repair)
 
     def complete_all(self) -> None:
@@ -340,27 +340,27 @@
             and replica.leading is None
         )
 
-    def on_ticket_write(self, source: str, message: TicketWrite) -> None:
+    def on_record_write(self, source: str, message: RecordWrite) -> None:
         if not self.follows(message.epoch, message.sender):
             return
         ticket = message.ticket
         if self.book.take(ticket, self.replica.now):
             self.replica.actions.append(Persist(tickets=((ticket.key, ticket),)))
         self.last_number = max(self.last_number, ticket.number)
-        self.replica.send(source, TicketStored(self.replica.me, message.epoch, ticket.number))
+        self.replica.send(source, RecordStored(self.replica.me, message.epoch, ticket.number))
 
-    def on_tickets_dropped(self, source: str, message: TicketsDropped) -> None:
+    def on_records_expired(self, source: str, message: RecordsExpired) -> None:
         if self.follows(message.epoch, message.sender):
             self.forget([key for key in message.keys if key in self.book.tickets])
 
-    def on_book_comparison(self, source: str, message: BookComparison) -> None:
+    def on_record_digest(self, source: str, message: RecordDigest) -> None:
         if self.follows(message.epoch, message.sender) and message.digest != self.book.root():
             self.send_digests(source, message.epoch)
 
     def send_digests(self, primary: str, epoch: int) -> None:
-        self.replica.send(primary, BookDigests(self.replica.me, epoch, tuple(self.book.digests)))
+        self.replica.send(primary, RecordRangeDigests(self.replica.me, epoch, tuple(self.book.digests)))
 
-    def on_book_repair(self, source: str, message: BookRepair) -> None:
+    def on_record_repair(self, source: str, message: RecordRepair) -> None:
         # One that left before changes that are here already would undo them.
         if not self.follows(message.epoch, message.sender) or message.last_number < self.last_number:
             return
@@ -380,29 +380,29 @@
         """How far the notes that are in force here have come."""
         return sum(note.version + 1 for note in self.notes.values())
 
-    def publish_notes(self) -> None:
+    def publish_settings(self) -> None:
         """Notes that can be lost no more go to all."""
         stored = [ticket for ticket in self.book.notes.values() if ticket.number not in self.unstored]
-        told = tuple(NoteInForce(ticket.place, int(ticket.body), ticket.answer) for ticket in stored)
+        told = tuple(ReplicatedSetting(ticket.place, int(ticket.body), ticket.answer) for ticket in stored)
         for note in told:
-            self.learn_note(note)
+            self.learn_setting(note)
         if told:
-            self.replica.broadcast(NotesInForce(self.replica.me, told))
+            self.replica.broadcast(SettingsInForce(self.replica.me, told))
 
-    def on_notes_in_force(self, source: str, message: NotesInForce) -> None:
+    def on_settings_in_force(self, source: str, message: SettingsInForce) -> None:
         for note in message.notes:
-            self.learn_note(note)
+            self.learn_setting(note)
 
-    def on_notes_request(self, source: str, message: NotesRequest) -> None:
+    def on_settings_request(self, source: str, message: SettingsRequest) -> None:
         if self.replica.may_serve(self.replica.now):
-            self.publish_notes()
+            self.publish_settings()
 
-    def learn_note(self, note: NoteInForce) -> None:
+    def learn_setting(self, note: ReplicatedSetting) -> None:
         held = self.notes.get(note.name)
         if held is not None and held.version >= note.version:
             return
         self.notes[note.name] = note
-        self.replica.actions.append(PublishNote(note))
+        self.replica.actions.append(PublishSetting(note))
         if note.name == CONVERSATIONS:
             # Only where there are settings: a start is charged.
             from ivymux.idempotency.settings import TermsError, read
--- a/ivymux/config_store/leadership.py
+++ b/ivymux/config_store/leadership.py
@@ -12,7 +12,7 @@
     LeaseGrant,
     LeaseRequest,
     Leaving,
-    NotesRequest,
+    SettingsRequest,
 )
 from ivymux.config_store.records import DurableState, EpochRecord, address_of, is_majority
 from ivymux.config_store.timing import (
@@ -50,7 +50,7 @@
         self.renew_at = 0.0
         self.lead()
         self.publish()
-        self.tickets.publish_notes()
+        self.tickets.publish_settings()
 
     def lead(self) -> None:
         """While an epoch of this machine is in force."""
@@ -149,7 +149,7 @@
         if message.version > self.published:
             self.send(source, ConfigurationRequest(self.me))
         if message.notes_told > self.tickets.notes_told():
-            self.send(source, NotesRequest(self.me))
+            self.send(source, SettingsRequest(self.me))
 
     def asked_for(self, message: LeaseRequest) -> EpochRecord | None:
         """The epoch of a lease request, as far as it is known; without members where a later one is."""
--- a/ivymux/config_store/messages.py
+++ b/ivymux/config_store/messages.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ivymux.config_store.records import EpochRecord, NoteInForce
+from ivymux.config_store.records import EpochRecord, ReplicatedSetting
 from ivymux.idempotency.record_store import IdempotencyRecord
 
 PROTOCOL_VERSION = 2
@@ -62,7 +62,7 @@
     record: EpochRecord
 
 
-class Working(ReplicaMessage, frozen=True, tag="working"):
+class StillWriting(ReplicaMessage, frozen=True, tag="working"):
     """The sender's disk is at what was asked of it."""
 
     epoch: int
@@ -177,40 +177,40 @@
 # --- idempotency records and notes ------------------------------------------------------------------------
 
 
-class TicketWrite(ReplicaMessage, frozen=True, tag="ticket_write"):
+class RecordWrite(ReplicaMessage, frozen=True, tag="ticket_write"):
     epoch: int
     ticket: IdempotencyRecord
 
 
-class TicketStored(ReplicaMessage, frozen=True, tag="ticket_stored"):
+class RecordStored(ReplicaMessage, frozen=True, tag="ticket_stored"):
     """The change of this number is on the sender's disk."""
 
     epoch: int
     number: int
 
 
-class TicketsDropped(ReplicaMessage, frozen=True, tag="tickets_dropped"):
+class RecordsExpired(ReplicaMessage, frozen=True, tag="tickets_dropped"):
     """These keys' time is over."""
 
     epoch: int
     keys: tuple[str, ...]
 
 
-class BookComparison(ReplicaMessage, frozen=True, tag="book_comparison"):
+class RecordDigest(ReplicaMessage, frozen=True, tag="book_comparison"):
     """The digest of the primary's copy."""
 
     epoch: int
     digest: int
 
 
-class BookDigests(ReplicaMessage, frozen=True, tag="book_digests"):
+class RecordRangeDigests(ReplicaMessage, frozen=True, tag="book_digests"):
     """The backup's digests by range, where its copy is not the primary's."""
 
     epoch: int
     digests: tuple[int, ...]
 
 
-class BookRepair(ReplicaMessage, frozen=True, tag="book_repair"):
+class RecordRepair(ReplicaMessage, frozen=True, tag="book_repair"):
     """Ranges as the primary has them; the last of several messages has the digest of all.
 
     `last_number`: of the newest change that is in them.
@@ -222,12 +222,12 @@
     digest: int | None = None
 
 
-class NotesRequest(ReplicaMessage, frozen=True, tag="notes_request"):
+class SettingsRequest(ReplicaMessage, frozen=True, tag="notes_request"):
     """The sender knows older notes than those in force."""
 
 
-class NotesInForce(ReplicaMessage, frozen=True, tag="notes_in_force"):
-    notes: tuple[NoteInForce, ...]
+class SettingsInForce(ReplicaMessage, frozen=True, tag="notes_in_force"):
+    notes: tuple[ReplicatedSetting, ...]
 
 
 AnyMessage = (
@@ -235,7 +235,7 @@
     | PromiseRequest
     | Promise
     | Refusal
-    | Working
+    | StillWriting
     | StateTransfer
     | StateStored
     | AcceptRequest
@@ -252,14 +252,14 @@
     | WriteStored
     | ConfigurationRequest
     | ConfigurationInForce
-    | TicketWrite
-    | TicketStored
-    | TicketsDropped
-    | BookComparison
-    | BookDigests
-    | BookRepair
-    | NotesRequest
-    | NotesInForce
+    | RecordWrite
+    | RecordStored
+    | RecordsExpired
+    | RecordDigest
+    | RecordRangeDigests
+    | RecordRepair
+    | SettingsRequest
+    | SettingsInForce
 )
 
 
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -19,13 +19,13 @@
     LogLine,
     Persist,
     Publish,
-    PublishNote,
+    PublishSetting,
     Send,
     may_overtake,
 )
 from ivymux.config_store.durable_store import FOLDER, DurableStore, DurableStoreError, sync_folder
 from ivymux.config_store.messages import PROTOCOL_VERSION, Greeting, ReplicaMessage
-from ivymux.config_store.records import NoteInForce, address_of
+from ivymux.config_store.records import ReplicatedSetting, address_of
 from ivymux.config_store.replica import Replica
 from ivymux.config_store.timing import LEASE
 from ivymux.data_plane.limits import Address
@@ -165,7 +165,7 @@
     def news(self, published: Publish) -> Message:
         return {"k": "config", "v": published.version, "t": published.text}
 
-    def note(self, note: NoteInForce) -> Message:
+    def note(self, note: ReplicatedSetting) -> Message:
         return {"k": "note", "name": note.name, "v": note.version, "t": note.text}
 
     def tell_registries(self, message: Message) -> None:
@@ -247,7 +247,7 @@
             case Publish():
                 self.published = action
                 self.tell_registries(self.news(action))
-            case PublishNote():
+            case PublishSetting():
                 self.tell_registries(self.note(action.note))
             case LogLine():
                 log.say(f"{action.text}.")
--- a/ivymux/config_store/records.py
+++ b/ivymux/config_store/records.py
@@ -30,7 +30,7 @@
     text: str
 
 
-class NoteInForce(msgspec.Struct, frozen=True, array_like=True):
+class ReplicatedSetting(msgspec.Struct, frozen=True, array_like=True):
     """A setting of the system's own that is in force, as far as a machine knows."""
 
     name: str
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -9,7 +9,7 @@
 
 from ivymux.config_store.actions import EVERYONE, Action, LogLine, Persist, Send
 from ivymux.config_store.history import ChangeHistory
-from ivymux.config_store.idempotency import TicketReplication
+from ivymux.config_store.idempotency import RecordReplication
 from ivymux.config_store.messages import DiskSynced, Refusal, ReplicaMessage
 from ivymux.config_store.records import DurableState, EpochRecord, address_of, is_majority
 from ivymux.config_store.timing import BACKUP_SILENCE, LEASE
@@ -36,7 +36,7 @@
 class ReplicaState:
     """One core machine's part in the epochs; `now` is its steady time in seconds."""
 
-    ticket_replication = TicketReplication
+    record_replication_class = RecordReplication
 
     def __init__(self, durable: DurableState, now: float) -> None:
         self.me = durable.identity
@@ -69,7 +69,7 @@
         book = RecordStore()
         for ticket in durable.tickets.values():
             book.take(ticket, now)
-        self.tickets = self.ticket_replication(self, book)
+        self.tickets = self.record_replication_class(self, book)
 
     # --- what it says and keeps ----------------------------------------------------------------------
 
--- a/ivymux/idempotency/record_store.py
+++ b/ivymux/idempotency/record_store.py
@@ -38,7 +38,7 @@
 
 
 class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One action, by the digest of its tenant and key.  Raises TicketError where it is out of its bounds."""
+    """One action, by the digest of its tenant and key.  Raises IdempotencyRecordError if out of bounds."""
 
     key: str
     tenant: str
@@ -64,7 +64,7 @@
 
     @staticmethod
     def read(wire: Any) -> IdempotencyRecord:
-        """Raises TicketError."""
+        """Raises IdempotencyRecordError."""
         if not isinstance(wire, list) or len(wire) != len(IdempotencyRecord.__struct_fields__):
             raise IdempotencyRecordError("no ticket")
         try:
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ivymux.config_store.calls import Call as StoreCall
-from ivymux.config_store.calls import PutConfiguration, PutNote, encode
+from ivymux.config_store.calls import PutConfiguration, PutSetting, encode
 from ivymux.config_store.history import Identity
 from ivymux.data_plane.frontend import Answer
 from ivymux.data_plane.limits import Address, Bounds
@@ -439,7 +439,7 @@
             text = request.body.decode()
         except TermsError as error:
             return error_answer(400, str(error))
-        told = await self.stored(PutNote(CONVERSATIONS, terms.version, text))
+        told = await self.stored(PutSetting(CONVERSATIONS, terms.version, text))
         if isinstance(told, Answer):
             return told
         if told.get("taken") is False:
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ivymux.config_store.calls import PutNote, ReadNote, encode
+from ivymux.config_store.calls import PutSetting, ReadSetting, encode
 from ivymux.data_plane.frontend import Answer
 from ivymux.fault_injection import TRIALS, trial_set
 from ivymux.fault_injection.guard import Guard, GuardError
@@ -83,7 +83,7 @@
         """The board from who leads; None where nobody who does can be reached."""
         began = time.monotonic()
         try:
-            told = await self.registry.config_store.call(encode(ReadNote(TRIALS)), CALL)
+            told = await self.registry.config_store.call(encode(ReadSetting(TRIALS)), CALL)
         except TransportError:
             return None
         if told.get("ok") is not True:
@@ -97,7 +97,7 @@
 
     async def write(self, board: Board) -> bool:
         """Have a board taken in the place of the one before it; whether it was.  Raises TrialError."""
-        note = PutNote(TRIALS, board.version, board.text(), based_on=board.version - 1)
+        note = PutSetting(TRIALS, board.version, board.text(), based_on=board.version - 1)
         try:
             told = await self.registry.config_store.call(encode(note), CALL)
         except TransportError as error:
--- a/ivymux/simulation/fault_schedules.py
+++ b/ivymux/simulation/fault_schedules.py
@@ -172,7 +172,7 @@
     messages.ConfigurationRequest,
     messages.ConfigurationInForce,
     messages.DiskSynced,
-    messages.Working,
+    messages.StillWriting,
     messages.EpochKnown,
     messages.DepartureGranted,
     messages.Leaving,
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -14,7 +14,7 @@
 from ivymux.config_store import elections, leadership, messages, replica_state
 from ivymux.config_store.actions import Action, Persist, Reply, Send
 from ivymux.config_store.history import ChangeHistory, Identity
-from ivymux.config_store.idempotency import TicketReplication
+from ivymux.config_store.idempotency import RecordReplication
 from ivymux.config_store.messages import PromiseRequest, ReplicaMessage, WriteStored
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord, is_majority
 from ivymux.config_store.replica import Replica
@@ -236,23 +236,23 @@
         super().on_promise_request(source, message)
 
 
-class QuickClaims(TicketReplication):
+class QuickClaims(RecordReplication):
     """Answers a claim once its own disk has it."""
 
-    def on_ticket_stored(self, source: str, message: messages.TicketStored) -> None:
+    def on_record_stored(self, source: str, message: messages.RecordStored) -> None:
         unstored = self.unstored.get(message.number)
         if unstored is not None:
             unstored.on_backup = True
-        super().on_ticket_stored(source, message)
+        super().on_record_stored(source, message)
 
 
 class OnOneDisk(Replica):
     """Its claims are on one disk."""
 
-    ticket_replication = QuickClaims
+    record_replication_class = QuickClaims
 
 
-class ForgetfulBook(TicketReplication):
+class ForgetfulBook(RecordReplication):
     """Says that it has the primary's book when it has only been asked to."""
 
     def send_digests(self, primary: str, epoch: int) -> None:
@@ -262,7 +262,7 @@
 class Unrepaired(Replica):
     """Its copy of the book is never repaired."""
 
-    ticket_replication = ForgetfulBook
+    record_replication_class = ForgetfulBook
 
 
 def by_hearing(self: Catch, version: int, asked: float, age: float) -> None:
--- a/tests/config_store/test_fencing.py
+++ b/tests/config_store/test_fencing.py
@@ -8,20 +8,20 @@
 from ivymux.config_store.messages import (
     Accepted,
     AcceptRequest,
-    BookComparison,
-    BookDigests,
-    BookRepair,
     LeaseGrant,
     LeaseRequest,
     Promise,
     PromiseRequest,
+    RecordDigest,
+    RecordRangeDigests,
+    RecordRepair,
+    RecordsExpired,
+    RecordStored,
+    RecordWrite,
     Refusal,
     ReplicaMessage,
     StateStored,
     StateTransfer,
-    TicketsDropped,
-    TicketStored,
-    TicketWrite,
     WriteRequest,
     WriteStored,
 )
@@ -33,17 +33,17 @@
 OLD = EpochRecord(4, "a/1", "b/1", MEMBERS)
 NEW = EpochRecord(6, "c/1", "b/1", MEMBERS)
 TICKET = IdempotencyRecord("0" * 32, "tenant", "door/1", "place", "body", 2.0, number=4 << 32)
-ACKNOWLEDGED = (Promise, Accepted, LeaseGrant, StateStored, WriteStored, TicketStored, BookDigests)
+ACKNOWLEDGED = (Promise, Accepted, LeaseGrant, StateStored, WriteStored, RecordStored, RecordRangeDigests)
 OF_OLD_PRIMARY: tuple[ReplicaMessage, ...] = (
     PromiseRequest("a/1", 5, OLD),
     AcceptRequest("a/1", EpochRecord(5, "a/1", "b/1", MEMBERS)),
     StateTransfer("a/1", 5, 9, "nine", ((9, "digest"),), 0),
     LeaseRequest("a/1", 4, 1.0, 9, OLD),
     WriteRequest("a/1", 4, 3, 9, "nine"),
-    TicketWrite("a/1", 4, TICKET),
-    TicketsDropped("a/1", 4, (TICKET.key,)),
-    BookComparison("a/1", 4, 1),
-    BookRepair("a/1", 4, 4 << 32, ((0, (TICKET,)),), 1),
+    RecordWrite("a/1", 4, TICKET),
+    RecordsExpired("a/1", 4, (TICKET.key,)),
+    RecordDigest("a/1", 4, 1),
+    RecordRepair("a/1", 4, 4 << 32, ((0, (TICKET,)),), 1),
 )
 
 
--- a/tests/config_store/test_tickets.py
+++ b/tests/config_store/test_tickets.py
@@ -7,16 +7,16 @@
 import pytest
 
 from ivymux.config_store.actions import Reply
-from ivymux.config_store.calls import Call, CallError, ClaimAction, EndAction, PutNote, ReadNote, decode
-from ivymux.config_store.idempotency import TicketReplication
+from ivymux.config_store.calls import Call, CallError, ClaimAction, EndAction, PutSetting, ReadSetting, decode
+from ivymux.config_store.idempotency import RecordReplication
 from ivymux.config_store.messages import (
-    BookComparison,
-    BookDigests,
-    BookRepair,
+    RecordDigest,
+    RecordRangeDigests,
+    RecordRepair,
+    RecordStored,
+    RecordWrite,
     ReplicaMessage,
     StateStored,
-    TicketStored,
-    TicketWrite,
 )
 from ivymux.config_store.replica import Replica
 from ivymux.idempotency.record_store import RecordStore
@@ -91,7 +91,7 @@
     send = cores.send
 
     def noted(source: str, target: str, message: ReplicaMessage) -> None:
-        if isinstance(message, BookRepair):
+        if isinstance(message, RecordRepair):
             parts.extend(message.ranges)
         send(source, target, message)
 
@@ -117,21 +117,21 @@
     assert book(cores, primary).root() == book(cores, backup).root()
     seen = kinds(cores)
     cores.run(6.0)
-    assert BookComparison in seen and BookRepair not in seen
+    assert RecordDigest in seen and RecordRepair not in seen
 
 
 def test_a_system_without_actions_compares_nothing() -> None:
     cores = started(6)
     seen = kinds(cores)
     cores.run(8.0)
-    assert not {BookComparison, BookDigests, BookRepair, TicketWrite} & set(seen)
+    assert not {RecordDigest, RecordRangeDigests, RecordRepair, RecordWrite} & set(seen)
 
 
 def test_notes_reach_all_and_a_machine_that_comes_later() -> None:
     cores = started(7)
     cores.kill("m2")
     cores.run(0.5)
-    note = PutNote("conversations", 4, '{"settings_version":4,"kept_for":"1h"}')
+    note = PutSetting("conversations", 4, '{"settings_version":4,"kept_for":"1h"}')
     assert asked(cores, note) == {"ok": True, "version": 4}
     cores.start("m2")
     cores.run(3.0)
@@ -140,7 +140,7 @@
         assert machine.replica.tickets.notes["conversations"].version == 4
     leader = cores.machines[cores.leaders()[0]].replica
     assert leader is not None and leader.tickets.rules.kept == 3600.0
-    assert asked(cores, PutNote("conversations", 3, "older"))["ok"]
+    assert asked(cores, PutSetting("conversations", 3, "older"))["ok"]
     assert leader.tickets.notes["conversations"].version == 4
 
 
@@ -156,24 +156,24 @@
         cores.ask(cores.leaders()[0], ClaimAction("no key", "tenant", "door/1", "place", "body", 4.0), print)
 
 
-class Quick(TicketReplication):
+class Quick(RecordReplication):
     """Answers a claim once its own disk has it."""
 
-    def on_ticket_stored(self, source: str, message: TicketStored) -> None:
+    def on_record_stored(self, source: str, message: RecordStored) -> None:
         unstored = self.unstored.get(message.number)
         if unstored is not None:
             unstored.on_backup = True
-        super().on_ticket_stored(source, message)
+        super().on_record_stored(source, message)
 
 
-class Unmended(TicketReplication):
+class Unmended(RecordReplication):
     """Says that it has all when it has only been asked to."""
 
     def send_digests(self, primary: str, epoch: int) -> None:
         self.replica.send(primary, StateStored(self.replica.me, epoch))
 
 
-class Generous(TicketReplication):
+class Generous(RecordReplication):
     """Lets anyone end a ticket."""
 
     def end(self, call: int, asked: EndAction) -> Reply:
@@ -183,9 +183,9 @@
 
 
 @pytest.mark.parametrize("broken", [Quick, Unmended, Generous])
-def test_the_checker_finds_seeded_faults(broken: type[TicketReplication]) -> None:
+def test_the_checker_finds_seeded_faults(broken: type[RecordReplication]) -> None:
     class Faulty(Replica):
-        ticket_replication = broken
+        record_replication_class = broken
 
     with pytest.raises(Broken):
         for seed in range(150):
@@ -197,7 +197,7 @@
     cores = started(3)
 
     def put(based_on: int, version: int, text: str) -> Answer:
-        return asked(cores, PutNote("trials", version, text, based_on))
+        return asked(cores, PutSetting("trials", version, text, based_on))
 
     first = {"ok": True, "version": 0}
     assert put(-1, 0, "first") == first
@@ -205,7 +205,7 @@
     assert put(-1, 0, "first") == first  # the same again, as its answer was lost
     assert put(0, 1, "second") == {"ok": True, "version": 1}
     assert put(0, 1, "another") == {"ok": True, "version": 1, "taken": False}
-    read = ReadNote("trials")
+    read = ReadSetting("trials")
     assert asked(cores, read) == {"ok": True, "version": 1, "text": "second"}
     cores.kill(pair(cores)[0])
     assert asked(cores, read) == {"ok": True, "version": 1, "text": "second"}
@@ -214,6 +214,6 @@
 
 def test_other_settings_under_a_version_that_is_held_are_not_taken() -> None:
     cores = started(3)
-    assert asked(cores, PutNote("conversations", 4, "one")) == {"ok": True, "version": 4}
-    assert asked(cores, PutNote("conversations", 4, "other")) == {"ok": True, "version": 4, "taken": False}
-    assert asked(cores, PutNote("conversations", 4, "one")) == {"ok": True, "version": 4}
+    assert asked(cores, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
+    assert asked(cores, PutSetting("conversations", 4, "other")) == {"ok": True, "version": 4, "taken": False}
+    assert asked(cores, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
