--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -37,7 +37,7 @@
 from ivymux.proxy.counter_holders import Holders
 from ivymux.proxy.membership_view import MembershipView
 from ivymux.proxy.name_tables import Tables
-from ivymux.registry.backend_records import Register
+from ivymux.registry.backend_records import BackendRecords
 from ivymux.routing_config.route_plan import MAX_TEXT, Plan, plan_of
 from ivymux.simulation.loss_scenarios import started
 from ivymux.transport.frames import encode_frame
@@ -115,10 +115,10 @@
     return proxy_configuration(size, 100)
 
 
-def registry(size: int) -> Register:
-    made = Register(3.5)
+def registry(size: int) -> BackendRecords:
+    made = BackendRecords(3.5)
     for number in range(size):
-        made.beat(f"i-{number:08x}", beat(number, 1), 0.0)
+        made.heartbeat(f"i-{number:08x}", beat(number, 1), 0.0)
     return made
 
 
@@ -142,11 +142,11 @@
 
     def all_beat() -> None:
         for number, body in enumerate(bodies):
-            made.beat(f"i-{number:08x}", msgspec.json.decode(body), 1.0)
+            made.heartbeat(f"i-{number:08x}", msgspec.json.decode(body), 1.0)
 
     _, beats = timed(all_beat)
-    whole, listed = timed(lambda: encode_frame({"k": "here", "i": made.whole(1.0)}))
-    _, swept = timed(lambda: made.sweep(1.5))
+    whole, listed = timed(lambda: encode_frame({"k": "here", "i": made.encode_all(1.0)}))
+    _, swept = timed(lambda: made.expire(1.5))
     return {
         "processor time of all beats once, without HTTP": (1000 * beats, "ms"),
         "the whole list": (len(whole) / 1e6, "MB"),
@@ -158,7 +158,7 @@
 
 def proxy_backends(size: int) -> Values:
     """The whole list as a proxy takes it in."""
-    lines = registry(size).whole(1.0)
+    lines = registry(size).encode_all(1.0)
 
     def take() -> MembershipView:
         made = MembershipView()
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -19,7 +19,7 @@
 from ivymux.data_plane.server import Server
 from ivymux.fault_injection import TRIALS
 from ivymux.idempotency import CONVERSATIONS
-from ivymux.registry.backend_records import QUIESCING, UP, CallError, Register
+from ivymux.registry.backend_records import QUIESCING, UP, BackendRecords, CallError
 from ivymux.registry.outlier_detection import Grey
 from ivymux.registry.proxy_reachability import ProxyReach
 from ivymux.registry.trial_endpoints import TrialCalls
@@ -97,7 +97,7 @@
         self.settings = settings
         self.run_id = secrets.token_hex(6)  # another run's numbers mean nothing here
         self.steady_unix = time.time() - time.monotonic()
-        self.register = Register(SILENT_BEATS * settings.beat)
+        self.backends = BackendRecords(SILENT_BEATS * settings.beat)
         self.doors: dict[Connection, DoorLine] = {}
         self.reach = ProxyReach()
         # Of its descriptors a part is for doors, the rest for outside calls.
@@ -142,8 +142,8 @@
     async def sweep(self) -> None:
         while not self.ending:
             await asyncio.sleep(SWEEP)
-            before = self.register.number
-            if self.register.sweep(time.monotonic()):
+            before = self.backends.last_change
+            if self.backends.expire(time.monotonic()):
                 self.tell_since(before)
 
     # --- doors -----------------------------------------------------------------------------------------
@@ -227,13 +227,13 @@
             line, str(message["id"]), str(message["ip"]), int(message["port"]), str(message["zone"]),
             now - max(0.0, float(message.get("age", 0.0))),
         )  # fmt: skip
-        news = self.register.since(int(message["n"]), now) if message["run"] == self.run_id else None
+        news = self.backends.changes_since(int(message["n"]), now) if message["run"] == self.run_id else None
         self.doors[line] = door
         self.reach.connected(door.address)
         line.send(
             {
-                "k": "here", "run": self.run_id, "n": self.register.number, "whole": news is None,
-                "i": self.register.whole(now) if news is None else news,
+                "k": "here", "run": self.run_id, "n": self.backends.last_change, "whole": news is None,
+                "i": self.backends.encode_all(now) if news is None else news,
                 "doors": [d.told(now) for d in self.doors.values()],
                 "cores": self.cores, "t": self.steady_unix + now, "v": self.version,
                 "zone": self.settings.zone,
@@ -282,11 +282,11 @@
         """Failures that a door met at a backend.  Raises ValueError for what no door sends."""
         if not 0 < count < MAX_DOUBT:
             raise ValueError("a doubt")
-        record = self.register.records.get(id)
+        record = self.backends.records.get(id)
         if record is None or record.state != UP:
             return
         peers = [
-            r.id for r in self.register.records.values() if r.service == record.service and r.state == UP
+            r.id for r in self.backends.records.values() if r.service == record.service and r.state == UP
         ]
         span = self.grey.hear(door.id, id, count, len(self.doors), peers, time.monotonic())
         if span:
@@ -299,8 +299,8 @@
 
     def tell_since(self, before: int) -> None:
         """Changes of the register after a number go to all doors, encoded once."""
-        lines = self.register.since(before, time.monotonic()) or []
-        data = encode_frame({"k": "news", "f": before, "n": self.register.number, "i": lines})
+        lines = self.backends.changes_since(before, time.monotonic()) or []
+        data = encode_frame({"k": "news", "f": before, "n": self.backends.last_change, "i": lines})
         for door in self.doors.values():
             door.line.write(data)
 
@@ -354,18 +354,20 @@
     async def beat(self, request: HttpRequest) -> Answer:
         if len(request.body) > MAX_BEAT:
             return error_answer(413, f"a call of {len(request.body)} bytes; {MAX_BEAT} at most")
-        before = self.register.number
+        before = self.backends.last_change
         try:
-            changed = self.register.beat(request.name, msgspec.json.decode(request.body), time.monotonic())
+            changed = self.backends.heartbeat(
+                request.name, msgspec.json.decode(request.body), time.monotonic()
+            )
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             return error_answer(400, "the body is no whole JSON")
         except CallError as error:
             return error_answer(400, str(error))
         if changed:
             self.tell_since(before)
-        record = self.register.records[request.name]
+        record = self.backends.records[request.name]
         if changed or record.state == QUIESCING:  # also where an earlier call of the same was cut short
-            reached = await self.all_heard(record.number)
+            reached = await self.all_heard(record.change_number)
         else:
             connected = [door.address for door in self.doors.values()]
             reached = self.reach.suffices(connected, time.monotonic())
@@ -376,10 +378,10 @@
 
     @endpoint("DELETE", "/instances/{}")
     async def leave(self, request: HttpRequest) -> Answer:
-        before = self.register.number
-        if self.register.leave(request.name, time.monotonic()):
+        before = self.backends.last_change
+        if self.backends.deregister(request.name, time.monotonic()):
             self.tell_since(before)
-        if not await self.all_heard(self.register.number):
+        if not await self.all_heard(self.backends.last_change):
             return error_answer(503, NOT_REACHED)
         return Answer(200, b"{}", JSON)
 
--- a/tests/registry/test_calls.py
+++ b/tests/registry/test_calls.py
@@ -35,15 +35,15 @@
             assert b" 200 " not in await reader.read()
             writer.close()
         await until(lambda: not registry.server.clients)
-        assert not registry.register.records and registry.register.number == 0
+        assert not registry.backends.records and registry.backends.last_change == 0
         # One byte of the body short, and the connection stays: nothing is done before the call is whole.
         reader, writer = await asyncio.open_connection(listen.host, listen.port)
         writer.write(CALL[:-1])
         await until(lambda: any(client.headed for client in registry.server.clients))
-        assert not registry.register.records
+        assert not registry.backends.records
         writer.write(CALL[-1:])
         assert b" 200 " in await reader.readline()
-        assert registry.register.records["i-1"].state == UP
+        assert registry.backends.records["i-1"].state == UP
         writer.close()
         await registry.stop()
         await lab.close()
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -101,7 +101,7 @@
         for number in range(4):
             body = {"service_name": "desk", "address": f"10.0.0.{number}:80", "zone_name": "hall",
                     "capacity": 2, "oper_state": "in_service", "call_seq": 1}  # fmt: skip
-            registry.register.beat(f"i-{number}", body, 0.0)
+            registry.backends.heartbeat(f"i-{number}", body, 0.0)
         for line in lines[:2]:
             registry.heard(line, {"k": "doubt", "l": [["i-0", 2], ["none", 1]]})
         assert [line.told for line in lines] == [[{"k": "shun", "id": "i-0", "for": FIRST}]] * 3
