--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -122,17 +122,19 @@
 
 def between() -> float:
     """Bytes from a core machine to who leads, from there to the backup and back, for a claim and its end."""
-    ticket = IdempotencyRecord("a" * KEY_DIGITS, "partner-one", f"{'b' * 16}/12345", "c" * 16, "d" * 16, 3.2)
+    record = IdempotencyRecord("a" * KEY_DIGITS, "partner-one", f"{'b' * 16}/12345", "c" * 16, "d" * 16, 3.2)
     fields = [(b"content-type", b"text/plain"), (b"server-seal", b"e" * 24)]
     answer = kept(Answer(200, ANSWER, headers=fields), 9999)
     passed = {"passed": True, "w": 0.85, "n": 1234}
-    claimed = ClaimAction(ticket.key, ticket.tenant, ticket.claim, ticket.place, ticket.body, ticket.life)
+    claimed = ClaimAction(
+        record.key, record.tenant, record.claim, record.request_digest, record.body_digest, record.lifetime_s
+    )
     claim = {**encode_call(claimed), **passed}
-    end = {**encode_call(EndAction(ticket.key, ticket.claim, DONE, answer)), **passed}
+    end = {**encode_call(EndAction(record.key, record.claim, DONE, answer)), **passed}
     told = {"re": 1234, "ok": True, "verdict": "go", "after": 0.0, "answer": "", "what": ""}
     total = sum(len(encode_frame(m)) for m in (claim, end, told, {"re": 1234, "ok": True}))
     for state, text in (("open", ""), (DONE, answer)):
-        copy = replace(ticket, state=state, answer=text, number=7 << 32)
+        copy = replace(record, state=state, answer=text, change_number=7 << 32)
         total += len(encode_frame(encode(RecordWrite("10.1.0.33/first", 7, copy))))
         total += len(encode_frame(encode(RecordStored("10.2.0.33/first", 7, 7 << 32))))
     return float(total)
--- a/ivymux/config_store/actions.py
+++ b/ivymux/config_store/actions.py
@@ -24,7 +24,7 @@
     record: EpochRecord | None = None
     promised: tuple[int, str] | None = None
     state: ConfigurationState | None = None
-    tickets: tuple[tuple[str, IdempotencyRecord | None], ...] = ()
+    idempotency_records: tuple[tuple[str, IdempotencyRecord | None], ...] = ()
     history: tuple[tuple[int, str], ...] | None = None
     change: tuple[int, str] | None = None
     same_primary: bool = False  # of a record: the one before it has the same primary
--- a/ivymux/config_store/changes.py
+++ b/ivymux/config_store/changes.py
@@ -117,12 +117,12 @@
         for change in self.pending:
             self.write(change)
 
-    def waits_for_backup_since(self) -> float:
+    def waiting_for_backup_since(self) -> float:
         """When the oldest of what is on this machine's disk alone was written; infinite where nothing is."""
         changes = [
             change.written_at for change in self.pending if change.on_own_disk and not change.on_backup
         ]
-        return min([*changes, self.tickets.waits_for_backup_since()])
+        return min([*changes, self.record_replication.waiting_for_backup_since()])
 
     def on_write_stored(self, source: str, message: WriteStored) -> None:
         self.heard[message.sender] = self.now
--- a/ivymux/config_store/durable_store.py
+++ b/ivymux/config_store/durable_store.py
@@ -58,7 +58,7 @@
                 int(promised[0]) if promised else 0,
                 str(promised[1]) if promised else "",
                 None if state is None else msgspec.convert(state, ConfigurationState),
-                {ticket.key: ticket for ticket in self.tickets()},
+                {record.key: record for record in self.idempotency_records()},
                 self.history(state),
             )
         except (lmdb.Error, OSError, ValueError, TypeError) as error:
@@ -91,9 +91,11 @@
             return ((int(state[1]), digest_of(str(state[2]))),)
         return found
 
-    def tickets(self) -> list[IdempotencyRecord]:
+    def idempotency_records(self) -> list[IdempotencyRecord]:
         with self.env.begin() as look:
-            return [IdempotencyRecord.read(msgspec.json.decode(value)) for _, value in _rows(look, TICKET)]
+            return [
+                IdempotencyRecord.from_wire(msgspec.json.decode(value)) for _, value in _rows(look, TICKET)
+            ]
 
     def write(self, steps: list[Persist]) -> None:
         """Write all of it in one commit.  Raises DurableStoreError."""
@@ -120,12 +122,12 @@
         version, digest = step.change
         change.put(_history_key(version), digest.encode())
         _delete(change, [key for key, _ in _rows(change, HISTORY)][:-MAX_CHANGES])
-    for key, ticket in step.tickets:
+    for key, record in step.idempotency_records:
         name = TICKET + key.encode()
-        if ticket is None:
+        if record is None:
             change.delete(name)
         else:
-            change.put(name, _pack(ticket))
+            change.put(name, _pack(record))
 
 
 def _history_key(version: int) -> bytes:
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -272,7 +272,7 @@
             state.version,
             state.text,
             self.history.changes(),
-            self.tickets.book.root(),
+            self.record_replication.store.root_digest(),
         )
         self.send(address_of(attempt.record.backup), transfer)
 
@@ -288,10 +288,14 @@
         if self.state is None or self.state.epoch < number:
             self.state = ConfigurationState(number, message.version, message.text)
             self.history = ChangeHistory.of(message.history)
-            self.tickets.last_number = 0  # numbers of an epoch before mean nothing in this one
+            self.record_replication.last_change_number = (
+                0  # numbers of an epoch before mean nothing in this one
+            )
             self.persist_step(Persist(state=self.state, history=self.history.changes()))
-        if message.book_digest != self.tickets.book.root():
-            self.tickets.send_digests(source, number)  # `StateStored` follows once they are repaired
+        if message.book_digest != self.record_replication.store.root_digest():
+            self.record_replication.send_digests(
+                source, number
+            )  # `StateStored` follows once they are repaired
         else:
             self.send(source, StateStored(self.me, number))
 
@@ -365,5 +369,5 @@
         roles = f"primary {address_of(self.me)}, backup {address_of(record.backup)}"
         self.log(f"epoch {record.number} is in force: {roles}, {len(record.members)} members")
         self.write_all_anew()
-        self.tickets.complete_all()
+        self.record_replication.complete_pending()
         self.takes_lead()
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -1,12 +1,12 @@
-"""Idempotency records (tickets) and notes at one core machine, kept by an epoch's primary and backup.  Pure.
+"""Replication of idempotency records and replicated settings between an epoch's primary and backup.  Pure.
 
-As a configuration's change, a record is on two disks before it is acknowledged, under the same epochs and
-leases.  A new backup does not get the whole book: digests over ranges are compared, and those that differ are
-repaired from the primary's copy before the epoch is in force; while it is, the copies are compared now and
-then.
+Like a change of the configuration, a change of a record is on two disks before it is acknowledged, under the
+same epochs and leases.  A new backup does not receive the whole record store: the copies are compared by
+digests over ranges of keys, and ranges that differ are repaired from the primary's copy before the epoch
+comes into force.  While it is in force, the copies are compared periodically.
 
-Notes are settings of the system's own that are kept here and told to all: a name, a version, a text.  They
-are records that no age ends.
+A replicated setting is a setting of the system's own with a name, a version and a text, which is broadcast
+to all core machines.  It is kept as a record that never expires.
 """
 
 from __future__ import annotations
@@ -38,36 +38,37 @@
 from ivymux.idempotency import CONVERSATIONS
 from ivymux.idempotency.record_store import (
     DONE,
-    GO,
-    IN_HAND,
+    IN_PROGRESS,
     KEY_DIGITS,
-    NOTE,
     OPEN,
+    PROCEED,
+    SETTING_CLAIM_PREFIX,
     IdempotencyRecord,
     IdempotencyRecordError,
+    RecordLimits,
     RecordStore,
-    Rules,
     Verdict,
 )
 
-COMPARE_INTERVAL = 5.0  # seconds between comparisons of the copies
-SWEEP_INTERVAL = 1.0  # seconds between looks for records whose time is over
-MAX_IN_MESSAGE = 400  # records in one message of a repair
-NUMBERS_IN_EPOCH = 1 << 32
-ASK_AGAIN = 0.1  # seconds: when to ask again for what is being written
-MAX_NOTE = 32 << 10  # characters
-MAX_NOTES = 200
+COMPARE_INTERVAL_S = 5.0  # between comparisons of the copies
+SWEEP_INTERVAL_S = 1.0  # between removals of expired records
+MAX_RECORDS_IN_REPAIR = 400  # in one message; a message ends with the range that reaches this
+CHANGE_NUMBERS_PER_EPOCH = 1 << 32
+PENDING_RETRY_AFTER_S = 0.1  # when to repeat a claim whose record is still being written
+MAX_SETTING_CHARS = 32 << 10
+MAX_SETTINGS = 200
+NO_VERSION = -1  # of a setting that is not known
 
 
 class AttemptView(Protocol):
-    """What is seen here of an epoch on its way."""
+    """The part of an election attempt that record replication needs."""
 
     number: int
     record: EpochRecord | None
 
 
-class EpochView(Protocol):
-    """What is seen here of the replica, by whose epoch and lease the records go."""
+class ReplicaView(Protocol):
+    """The part of the replica that record replication needs: its epoch, lease and outgoing messages."""
 
     me: str
     now: float
@@ -91,10 +92,10 @@
 
 
 @dataclass(slots=True)
-class UnstoredRecord:
-    """A change of the book that is not on both disks yet, with the calls that wait for it."""
+class PendingRecord:
+    """A change of a record that is not on both disks yet, with the calls that wait for it."""
 
-    ticket: IdempotencyRecord
+    record: IdempotencyRecord
     calls: list[int]
     sent_at: float
     written_at: float
@@ -103,235 +104,267 @@
 
 
 def setting_record(name: str, version: int, text: str) -> IdempotencyRecord:
-    """The record in which a note is kept."""
-    key = blake2b(f"{NOTE}{name}".encode(), digest_size=KEY_DIGITS // 2).hexdigest()
-    return IdempotencyRecord(key, "", NOTE + name, name, str(version), 0.0, DONE, 0, text)
+    """Return the record that holds a replicated setting.
+
+    `request_digest` holds the name, `body_digest` the version and `answer` the text.
+    """
+    key = blake2b(f"{SETTING_CLAIM_PREFIX}{name}".encode(), digest_size=KEY_DIGITS // 2).hexdigest()
+    return IdempotencyRecord(key, "", SETTING_CLAIM_PREFIX + name, name, str(version), 0.0, DONE, 0, text)
+
+
+def setting_of(record: IdempotencyRecord) -> ReplicatedSetting:
+    """Return the replicated setting that a record holds."""
+    return ReplicatedSetting(record.request_digest, int(record.body_digest), record.answer)
 
 
 def verdict_answer(verdict: Verdict) -> dict[str, Any]:
+    """Return a verdict in the form that a connection carries."""
     return {
         "ok": True,
         "verdict": verdict.kind,
-        "after": verdict.after,
+        "after": verdict.retry_after_s,
         "answer": verdict.answer,
-        "what": verdict.what,
+        "what": verdict.mismatch,
     }
 
 
 @dataclass(slots=True)
 class RecordReplication:
-    """The book of a replica."""
+    """The record store of one replica and its replication."""
 
-    replica: EpochView
-    book: RecordStore = field(default_factory=RecordStore)
-    unstored: dict[int, UnstoredRecord] = field(default_factory=dict)  # by number
-    last_number: int = 0  # of the last change made or taken here
-    compare_at: float = 0.0
-    sweep_at: float = 0.0
-    notes: dict[str, ReplicatedSetting] = field(default_factory=dict)  # in force, by name
-    rules: Rules = field(default_factory=Rules)
+    replica: ReplicaView
+    store: RecordStore = field(default_factory=RecordStore)
+    pending: dict[int, PendingRecord] = field(default_factory=dict)  # by change number
+    last_change_number: int = 0  # of the last change made or applied here
+    next_compare_at: float = 0.0
+    next_sweep_at: float = 0.0
+    settings: dict[str, ReplicatedSetting] = field(default_factory=dict)  # in force, by name
+    limits: RecordLimits = field(default_factory=RecordLimits)
 
     # --- calls -----------------------------------------------------------------------------------------
 
-    def ask(self, call: int, asked: Call) -> Reply | None:
-        """A call of a door or an operator; None where this machine does not lead.  Raises ValueError for what
-        no correct process asks.
+    def handle_call(self, call_id: int, call: Call) -> Reply | None:
+        """Handle a call of a proxy or a registry.
+
+        Returns None where this machine is not a primary that can write.  Raises ValueError for a call that no
+        correct process makes.
         """
         if not self.replica.may_serve(self.replica.now) or not self.replica.is_writable():
             return None
-        if isinstance(asked, ClaimAction):
-            return self.claim(call, asked)
-        if isinstance(asked, EndAction):
-            return self.end(call, asked)
-        if isinstance(asked, PutSetting):
-            return self.put_setting(call, asked)
-        if isinstance(asked, ReadSetting):
-            note = self.notes.get(asked.name, ReplicatedSetting(asked.name, -1, ""))
-            return self.reply({"ok": True, "version": note.version, "text": note.text})
-        raise IdempotencyRecordError(f"no such call: {type(asked).__name__}")
+        if isinstance(call, ClaimAction):
+            return self.claim_action(call_id, call)
+        if isinstance(call, EndAction):
+            return self.end_action(call_id, call)
+        if isinstance(call, PutSetting):
+            return self.put_setting(call_id, call)
+        if isinstance(call, ReadSetting):
+            setting = self.settings.get(call.name, ReplicatedSetting(call.name, NO_VERSION, ""))
+            return self.reply({"ok": True, "version": setting.version, "text": setting.text})
+        raise IdempotencyRecordError(f"no such call: {type(call).__name__}")
 
     def reply(self, answer: dict[str, Any], wait: bool = False) -> Reply:
+        """Return the reply to a call; with `wait`, it is sent once both disks hold the change."""
         return Reply(self.replica.actions, answer, wait)
 
-    def wait_for(self, unstored: UnstoredRecord | None, call: int, answer: dict[str, Any]) -> Reply:
-        """The answer, once a change on its way is on both disks."""
-        if unstored is not None:
-            unstored.calls.append(call)
-        return self.reply(answer, wait=unstored is not None)
-
-    def claim(self, call: int, asked: ClaimAction) -> Reply:
-        ticket = IdempotencyRecord(asked.key, asked.tenant, asked.claim, asked.place, asked.body, asked.life)
-        verdict = self.book.judge(ticket, self.rules, self.replica.now)
-        held = self.book.tickets.get(ticket.key)
-        unstored = self.unstored_of(ticket.key)
-        if verdict.kind != GO:
-            if unstored is not None:  # what is not on both disks yet is not said to be so
-                verdict = Verdict(IN_HAND, ASK_AGAIN)
+    def reply_after(self, pending: PendingRecord | None, call_id: int, answer: dict[str, Any]) -> Reply:
+        """Return the reply to a call, which waits for a pending change if there is one."""
+        if pending is not None:
+            pending.calls.append(call_id)
+        return self.reply(answer, wait=pending is not None)
+
+    def claim_action(self, call_id: int, call: ClaimAction) -> Reply:
+        """Open a record for an action, or answer with why that is not possible."""
+        record = IdempotencyRecord(call.key, call.tenant, call.claim, call.place, call.body, call.life)
+        verdict = self.store.judge_claim(record, self.limits, self.replica.now)
+        held = self.store.records.get(record.key)
+        pending = self.pending_for(record.key)
+        if verdict.kind != PROCEED:
+            if pending is not None:  # a state that is not on both disks yet must not be reported
+                verdict = Verdict(IN_PROGRESS, PENDING_RETRY_AFTER_S)
             return self.reply(verdict_answer(verdict))
-        if held is not None and held.claim == ticket.claim and held.state == OPEN:
-            return self.wait_for(unstored, call, verdict_answer(verdict))
-        self.store(ticket, call)
+        if held is not None and held.claim == record.claim and held.state == OPEN:
+            return self.reply_after(pending, call_id, verdict_answer(verdict))
+        self.replicate(record, call_id)
         return self.reply(verdict_answer(verdict), wait=True)
 
-    def end(self, call: int, asked: EndAction) -> Reply:
-        ticket = self.book.ended(asked.key, asked.claim, asked.state, asked.answer, self.rules)
-        if ticket is None or ticket.is_note:  # ended already, or not this one's to end
-            return self.wait_for(self.unstored_of(asked.key), call, {"ok": True})
-        self.store(ticket, call)
+    def end_action(self, call_id: int, call: EndAction) -> Reply:
+        """End the record of an action with its outcome."""
+        record = self.store.ended_record(call.key, call.claim, call.state, call.answer, self.limits)
+        if record is None or record.is_setting:  # already ended, or held by another claim
+            return self.reply_after(self.pending_for(call.key), call_id, {"ok": True})
+        self.replicate(record, call_id)
         return self.reply({"ok": True}, wait=True)
 
-    def put_setting(self, call: int, asked: PutSetting) -> Reply:
-        """A note that was based on another version than the one held is not taken, nor is another text under
-        the version held; what is held is told instead.
+    def put_setting(self, call_id: int, call: PutSetting) -> Reply:
+        """Store a replicated setting.
+
+        A setting that was based on another version than the one held is not stored, nor is another text
+        under the version held; the answer then carries the version held.  Raises IdempotencyRecordError for
+        a setting that is too long, or one too many.
         """
-        ticket = setting_record(asked.name, asked.version, asked.text)
-        held = self.book.tickets.get(ticket.key)
-        held_version = int(held.body) if held is not None else -1
-        again = held is not None and held_version == asked.version and held.answer == asked.text
-        other_base = asked.based_on is not None and asked.based_on != held_version
-        if not again and (other_base or held_version == asked.version):
+        record = setting_record(call.name, call.version, call.text)
+        held = self.store.records.get(record.key)
+        held_version = int(held.body_digest) if held is not None else NO_VERSION
+        is_repeat = held is not None and held_version == call.version and held.answer == call.text
+        has_other_base = call.based_on is not None and call.based_on != held_version
+        if not is_repeat and (has_other_base or held_version == call.version):
             return self.reply({"ok": True, "taken": False, "version": held_version})
-        answer = {"ok": True, "version": asked.version}
-        if held_version >= asked.version:
-            return self.wait_for(self.unstored_of(ticket.key), call, answer)
-        if len(asked.text) > MAX_NOTE or (held is None and len(self.book.notes) >= MAX_NOTES):
+        answer = {"ok": True, "version": call.version}
+        if held_version >= call.version:
+            return self.reply_after(self.pending_for(record.key), call_id, answer)
+        is_too_many = held is None and len(self.store.settings) >= MAX_SETTINGS
+        if len(call.text) > MAX_SETTING_CHARS or is_too_many:
             raise IdempotencyRecordError("a note that is too large, or too many")
-        self.store(ticket, call)
+        self.replicate(record, call_id)
         return self.reply(answer, wait=True)
 
     def read_setting(self, name: str) -> ReplicatedSetting | bool | None:
-        """A note as it is in force; None where there is none, False where this machine does not lead."""
+        """Return a setting in force, None if there is none, False where this machine is not the primary."""
         if not self.replica.may_serve(self.replica.now):
             return False
-        return self.notes.get(name)
+        return self.settings.get(name)
 
-    def unstored_of(self, key: str) -> UnstoredRecord | None:
-        held = self.book.tickets.get(key)
-        return self.unstored.get(held.number) if held is not None else None
+    def pending_for(self, key: str) -> PendingRecord | None:
+        """Return the pending change of a record, if there is one."""
+        held = self.store.records.get(key)
+        return self.pending.get(held.change_number) if held is not None else None
 
     # --- at the primary ----------------------------------------------------------------------------------
 
-    def store(self, ticket: IdempotencyRecord, call: int) -> None:
-        """Write a change to both disks; its call is answered then."""
+    def replicate(self, record: IdempotencyRecord, call_id: int) -> None:
+        """Write a change to both disks; the call is answered once both have it."""
         replica = self.replica
         assert replica.leading is not None
-        self.last_number = max(self.last_number, replica.leading.number * NUMBERS_IN_EPOCH) + 1
-        made = replace(ticket, number=self.last_number)
-        self.book.take(made, replica.now)
-        self.unstored[made.number] = UnstoredRecord(made, [call], replica.now, replica.now)
-        self.send_record(made)
-        replica.actions.append(Persist(tickets=((made.key, made),)))
-        replica.send(address_of(replica.me), RecordStored(replica.me, replica.leading.number, made.number))
-
-    def send_record(self, ticket: IdempotencyRecord) -> None:
-        epoch, backup = self.pair()
-        self.replica.send(backup, RecordWrite(self.replica.me, epoch, ticket))
-
-    def pair(self) -> tuple[int, str]:
-        """The epoch under which records go to a backup, and that one's address."""
+        first_number = replica.leading.number * CHANGE_NUMBERS_PER_EPOCH
+        self.last_change_number = max(self.last_change_number, first_number) + 1
+        record = replace(record, change_number=self.last_change_number)
+        self.store.apply(record, replica.now)
+        self.pending[record.change_number] = PendingRecord(record, [call_id], replica.now, replica.now)
+        self.send_to_backup(record)
+        replica.actions.append(Persist(idempotency_records=((record.key, record),)))
+        stored = RecordStored(replica.me, replica.leading.number, record.change_number)
+        replica.send(address_of(replica.me), stored)
+
+    def send_to_backup(self, record: IdempotencyRecord) -> None:
+        epoch, backup = self.epoch_and_backup()
+        self.replica.send(backup, RecordWrite(self.replica.me, epoch, record))
+
+    def epoch_and_backup(self) -> tuple[int, str]:
+        """Return the epoch under which records are sent to the backup, and the backup's address."""
         attempt = self.replica.attempt
-        record = attempt.record if attempt is not None and attempt.record is not None else None
-        record = record or self.replica.leading
-        assert record is not None
-        return record.number, address_of(record.backup)
+        epoch = attempt.record if attempt is not None and attempt.record is not None else None
+        epoch = epoch or self.replica.leading
+        assert epoch is not None
+        return epoch.number, address_of(epoch.backup)
 
-    def waits_for_backup_since(self) -> float:
-        """When the oldest of what is on the primary's disk alone was written; infinite where nothing is."""
-        alone = [u.written_at for u in self.unstored.values() if u.on_own_disk and not u.on_backup]
-        return min(alone, default=math.inf)
+    def waiting_for_backup_since(self) -> float:
+        """Return when the oldest change that only the primary's disk holds was written; infinity if none."""
+        written_at = [p.written_at for p in self.pending.values() if p.on_own_disk and not p.on_backup]
+        return min(written_at, default=math.inf)
 
     def on_record_stored(self, source: str, message: RecordStored) -> None:
         replica = self.replica
         replica.heard[message.sender] = replica.now
-        leading = replica.leading
-        if leading is None or message.epoch != leading.number or not replica.is_writable():
+        epoch = replica.leading
+        if epoch is None or message.epoch != epoch.number or not replica.is_writable():
             return
-        unstored = self.unstored.get(message.number)
-        if unstored is None:
+        pending = self.pending.get(message.number)
+        if pending is None:
             return
-        unstored.on_own_disk = unstored.on_own_disk or message.sender == replica.me
-        unstored.on_backup = unstored.on_backup or message.sender == leading.backup
-        if unstored.on_own_disk and unstored.on_backup:
-            del self.unstored[message.number]
-            replica.actions += [Complete(call) for call in unstored.calls]
-            if unstored.ticket.is_note:
+        pending.on_own_disk = pending.on_own_disk or message.sender == replica.me
+        pending.on_backup = pending.on_backup or message.sender == epoch.backup
+        if pending.on_own_disk and pending.on_backup:
+            del self.pending[message.number]
+            replica.actions += [Complete(call_id) for call_id in pending.calls]
+            if pending.record.is_setting:
                 self.publish_settings()
 
-    def lead(self) -> None:
-        """While this machine leads: what is not stored is sent again, copies are compared, old ones go."""
+    def tick_as_primary(self) -> None:
+        """Resend pending changes, remove expired records and compare the copies, each when it is due."""
         now = self.replica.now
         if not self.replica.is_writable():
             return
-        for unstored in self.unstored.values():
-            if now - unstored.sent_at > RETRY:
-                unstored.sent_at = now
-                self.send_record(unstored.ticket)
-        if now >= self.sweep_at:
-            self.sweep_at = now + SWEEP_INTERVAL
-            self.drop_old()
-        if now >= self.compare_at:
-            self.compare_at = now + COMPARE_INTERVAL
-            if self.book.tickets and not self.unstored:
-                epoch, backup = self.pair()
-                self.replica.send(backup, RecordDigest(self.replica.me, epoch, self.book.root()))
-        if len(self.notes) < len(self.book.notes):
+        for pending in self.pending.values():
+            if now - pending.sent_at > RETRY:
+                pending.sent_at = now
+                self.send_to_backup(pending.record)
+        if now >= self.next_sweep_at:
+            self.next_sweep_at = now + SWEEP_INTERVAL_S
+            self.remove_expired()
+        if now >= self.next_compare_at:
+            self.next_compare_at = now + COMPARE_INTERVAL_S
+            if self.store.records and not self.pending:
+                epoch, backup = self.epoch_and_backup()
+                digest = RecordDigest(self.replica.me, epoch, self.store.root_digest())
+                self.replica.send(backup, digest)
+        if len(self.settings) < len(self.store.settings):
             self.publish_settings()
 
-    def drop_old(self) -> None:
-        old = [key for key in self.book.aged(self.rules, self.replica.now) if key not in self.book.notes]
-        if old and not self.unstored:
-            self.forget(old)
-            epoch, backup = self.pair()
-            self.replica.send(backup, RecordsExpired(self.replica.me, epoch, tuple(old)))
-
-    def forget(self, keys: list[str]) -> None:
+    def remove_expired(self) -> None:
+        """Remove records whose retention time is over, here and at the backup."""
+        expired = [
+            key
+            for key in self.store.expired_keys(self.limits, self.replica.now)
+            if key not in self.store.settings
+        ]
+        if expired and not self.pending:
+            self.remove(expired)
+            epoch, backup = self.epoch_and_backup()
+            self.replica.send(backup, RecordsExpired(self.replica.me, epoch, tuple(expired)))
+
+    def remove(self, keys: list[str]) -> None:
+        """Remove records from this copy and its disk."""
         for key in keys:
-            self.book.drop(key)
+            self.store.remove(key)
         if keys:
-            self.replica.actions.append(Persist(tickets=tuple((key, None) for key in keys)))
+            self.replica.actions.append(Persist(idempotency_records=tuple((key, None) for key in keys)))
 
     def on_record_range_digests(self, source: str, message: RecordRangeDigests) -> None:
-        """The other copy's digests, where it is not this one: it gets what differs."""
-        if message.sender != self.repaired_backup(message.epoch):
+        """Send the backup the ranges in which its copy differs from this one."""
+        if message.sender != self.backup_to_repair(message.epoch):
             return
-        if len(message.digests) != len(self.book.digests):
+        if len(message.digests) != len(self.store.digests):
             return
         ranges: list[tuple[int, tuple[IdempotencyRecord, ...]]] = []
-        for place, tickets in self.book.inside(self.book.differing([*message.digests])).items():
-            ranges.append((place, tuple(tickets)))
-            if sum(len(inside) for _, inside in ranges) >= MAX_IN_MESSAGE:
+        differing = self.store.differing_ranges([*message.digests])
+        for number, records in self.store.records_in_ranges(differing).items():
+            ranges.append((number, tuple(records)))
+            if sum(len(in_range) for _, in_range in ranges) >= MAX_RECORDS_IN_REPAIR:
                 self.send_repair(ranges, last=False)
                 ranges = []
         self.send_repair(ranges, last=True)
 
-    def repaired_backup(self, epoch: int) -> str:
-        """Whose copy is repaired in an epoch: that of its backup, before it is in force or while it is."""
+    def backup_to_repair(self, epoch: int) -> str:
+        """Return the backup of an epoch, before the epoch is in force or while it is; empty if neither."""
         attempt, leading = self.replica.attempt, self.replica.leading
         if attempt is not None and attempt.record is not None and attempt.number == epoch:
             return attempt.record.backup
         in_force = leading is not None and leading.number == epoch and self.replica.is_writable()
-        return leading.backup if in_force and leading is not None and not self.unstored else ""
+        return leading.backup if in_force and leading is not None and not self.pending else ""
 
     def send_repair(self, ranges: list[tuple[int, tuple[IdempotencyRecord, ...]]], last: bool) -> None:
-        epoch, backup = self.pair()
-        digest = self.book.root() if last else None
-        repair = RecordRepair(self.replica.me, epoch, self.last_number, tuple(ranges), digest)
+        epoch, backup = self.epoch_and_backup()
+        digest = self.store.root_digest() if last else None
+        repair = RecordRepair(self.replica.me, epoch, self.last_change_number, tuple(ranges), digest)
         self.replica.send(backup, repair)
 
-    def complete_all(self) -> None:
-        """A new epoch is in force: its backup's book is this one, so all that is in it is on both disks."""
-        for unstored in self.unstored.values():
-            self.replica.actions += [Complete(call) for call in unstored.calls]
-        self.unstored.clear()
+    def complete_pending(self) -> None:
+        """Acknowledge all pending changes.
 
-    def stop(self) -> None:
-        """This machine leads no more: what was not on both disks is not acknowledged by it."""
-        self.unstored.clear()
+        Called when a new epoch comes into force: its backup's copy equals this one, so both disks hold them.
+        """
+        for pending in self.pending.values():
+            self.replica.actions += [Complete(call_id) for call_id in pending.calls]
+        self.pending.clear()
+
+    def drop_pending(self) -> None:
+        """Forget pending changes without an acknowledgement, as this machine is no longer the primary."""
+        self.pending.clear()
 
     # --- at the backup -----------------------------------------------------------------------------------
 
-    def follows(self, epoch: int, primary: str) -> bool:
-        """Whether a message is of the primary that this machine follows, for an epoch whose state it has."""
+    def is_backup_of(self, primary: str, epoch: int) -> bool:
+        """Whether this machine follows a primary in an epoch, and holds that epoch's state."""
         replica = self.replica
         return (
             replica.state is not None
@@ -341,71 +374,82 @@
         )
 
     def on_record_write(self, source: str, message: RecordWrite) -> None:
-        if not self.follows(message.epoch, message.sender):
+        if not self.is_backup_of(message.sender, message.epoch):
             return
-        ticket = message.ticket
-        if self.book.take(ticket, self.replica.now):
-            self.replica.actions.append(Persist(tickets=((ticket.key, ticket),)))
-        self.last_number = max(self.last_number, ticket.number)
-        self.replica.send(source, RecordStored(self.replica.me, message.epoch, ticket.number))
+        record = message.ticket
+        if self.store.apply(record, self.replica.now):
+            self.replica.actions.append(Persist(idempotency_records=((record.key, record),)))
+        self.last_change_number = max(self.last_change_number, record.change_number)
+        self.replica.send(source, RecordStored(self.replica.me, message.epoch, record.change_number))
 
     def on_records_expired(self, source: str, message: RecordsExpired) -> None:
-        if self.follows(message.epoch, message.sender):
-            self.forget([key for key in message.keys if key in self.book.tickets])
+        if self.is_backup_of(message.sender, message.epoch):
+            self.remove([key for key in message.keys if key in self.store.records])
 
     def on_record_digest(self, source: str, message: RecordDigest) -> None:
-        if self.follows(message.epoch, message.sender) and message.digest != self.book.root():
+        if self.is_backup_of(message.sender, message.epoch) and message.digest != self.store.root_digest():
             self.send_digests(source, message.epoch)
 
     def send_digests(self, primary: str, epoch: int) -> None:
-        self.replica.send(primary, RecordRangeDigests(self.replica.me, epoch, tuple(self.book.digests)))
+        """Send the primary the digests of this copy, so that it repairs the ranges that differ."""
+        self.replica.send(primary, RecordRangeDigests(self.replica.me, epoch, tuple(self.store.digests)))
 
     def on_record_repair(self, source: str, message: RecordRepair) -> None:
-        # One that left before changes that are here already would undo them.
-        if not self.follows(message.epoch, message.sender) or message.last_number < self.last_number:
+        """Apply ranges of the primary's copy.
+
+        A repair that was sent before changes that this copy already holds is ignored: it would undo them.
+        """
+        if not self.is_backup_of(message.sender, message.epoch):
+            return
+        if message.last_number < self.last_change_number:
             return
         changes: list[tuple[str, IdempotencyRecord | None]] = []
-        for place, tickets in message.ranges:
-            if not 0 <= place < len(self.book.digests):
+        for number, records in message.ranges:
+            if not 0 <= number < len(self.store.digests):
                 raise IdempotencyRecordError("no range of keys")
-            changes += self.book.mend(place, list(tickets), self.replica.now)
+            changes += self.store.repair_range(number, list(records), self.replica.now)
         if changes:
-            self.replica.actions.append(Persist(tickets=tuple(changes)))
-        if message.digest is not None and message.digest == self.book.root():
+            self.replica.actions.append(Persist(idempotency_records=tuple(changes)))
+        if message.digest is not None and message.digest == self.store.root_digest():
             self.replica.send(source, StateStored(self.replica.me, message.epoch))
 
-    # --- notes ---------------------------------------------------------------------------------------------
+    # --- replicated settings ------------------------------------------------------------------------------
 
-    def notes_told(self) -> int:
-        """How far the notes that are in force here have come."""
-        return sum(note.version + 1 for note in self.notes.values())
+    def settings_progress(self) -> int:
+        """Return a number that rises with each setting that comes into force here."""
+        return sum(setting.version + 1 for setting in self.settings.values())
 
     def publish_settings(self) -> None:
-        """Notes that can be lost no more go to all."""
-        stored = [ticket for ticket in self.book.notes.values() if ticket.number not in self.unstored]
-        told = tuple(ReplicatedSetting(ticket.place, int(ticket.body), ticket.answer) for ticket in stored)
-        for note in told:
-            self.learn_setting(note)
-        if told:
-            self.replica.broadcast(SettingsInForce(self.replica.me, told))
+        """Broadcast the settings that are on both disks."""
+        stored = [
+            record for record in self.store.settings.values() if record.change_number not in self.pending
+        ]
+        settings = tuple(setting_of(record) for record in stored)
+        for setting in settings:
+            self.update_setting(setting)
+        if settings:
+            self.replica.broadcast(SettingsInForce(self.replica.me, settings))
 
     def on_settings_in_force(self, source: str, message: SettingsInForce) -> None:
-        for note in message.notes:
-            self.learn_setting(note)
+        for setting in message.notes:
+            self.update_setting(setting)
 
     def on_settings_request(self, source: str, message: SettingsRequest) -> None:
         if self.replica.may_serve(self.replica.now):
             self.publish_settings()
 
-    def learn_setting(self, note: ReplicatedSetting) -> None:
-        held = self.notes.get(note.name)
-        if held is not None and held.version >= note.version:
+    def update_setting(self, setting: ReplicatedSetting) -> None:
+        """Take a setting into force unless the same or a later version is."""
+        held = self.settings.get(setting.name)
+        if held is not None and held.version >= setting.version:
             return
-        self.notes[note.name] = note
-        self.replica.actions.append(PublishSetting(note))
-        if note.name == CONVERSATIONS:
-            # Only where there are settings: a start is charged.
-            from ivymux.idempotency.settings import TermsError, read
-
-            with contextlib.suppress(TermsError):  # it was checked; an older program keeps what it knew
-                self.rules = read(note.text.encode()).rules
+        self.settings[setting.name] = setting
+        self.replica.actions.append(PublishSetting(setting))
+        if setting.name == CONVERSATIONS:
+            # Imported only where such settings exist, as the import slows the start.
+            from ivymux.idempotency.settings import ConversationSettingsError, read
+
+            # The settings were validated when they were stored; an older release that cannot read them keeps
+            # its limits.
+            with contextlib.suppress(ConversationSettingsError):
+                self.limits = read(setting.text.encode()).limits
--- a/ivymux/config_store/leadership.py
+++ b/ivymux/config_store/leadership.py
@@ -50,7 +50,7 @@
         self.renew_at = 0.0
         self.lead()
         self.publish()
-        self.tickets.publish_settings()
+        self.record_replication.publish_settings()
 
     def lead(self) -> None:
         """While an epoch of this machine is in force."""
@@ -64,7 +64,7 @@
             self.step_down("no majority stands by it")
             self.wait_until = self.now + DEFERENCE
             return
-        self.tickets.lead()
+        self.record_replication.tick_as_primary()
         self.send_writes_again()
         if self.attempt is not None:
             self.pursue()
@@ -86,7 +86,7 @@
                 self.now,
                 self.held_version(),
                 record if whole else None,
-                self.tickets.notes_told(),
+                self.record_replication.settings_progress(),
             )
         )
 
@@ -117,7 +117,7 @@
 
         The backup's process may be well: its heartbeats and lease grants rest on no disk.
         """
-        if self.now - self.waits_for_backup_since() <= DISK_PATIENCE:
+        if self.now - self.waiting_for_backup_since() <= DISK_PATIENCE:
             return False
         others = (present & set(record.members)) - {self.me, record.backup}
         return bool(others - self.unfit_backups()) and is_majority(record.members, {self.me} | others)
@@ -148,7 +148,7 @@
             self.send(source, LeaseGrant(self.me, record.number, message.sent_at))
         if message.version > self.published:
             self.send(source, ConfigurationRequest(self.me))
-        if message.notes_told > self.tickets.notes_told():
+        if message.notes_told > self.record_replication.settings_progress():
             self.send(source, SettingsRequest(self.me))
 
     def asked_for(self, message: LeaseRequest) -> EpochRecord | None:
@@ -236,7 +236,7 @@
     def hand_over_when_drained(self, backup_stays: bool) -> None:
         """Let the backup lead at once, when changes on their way have ended or DRAIN is over."""
         assert self.leaving_since is not None
-        drained = not self.pending and not self.tickets.unstored
+        drained = not self.pending and not self.record_replication.pending
         if not backup_stays or not (drained or self.now - self.leaving_since > DRAIN):
             return
         self.step_down("this process ends")
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -155,7 +155,7 @@
         self.registries.add(line)
         if self.published is not None:
             line.send(self.news(self.published))
-        for note in self.replica.tickets.notes.values():
+        for note in self.replica.record_replication.settings.values():
             line.send(self.note(note))
         line.send({"k": "cores", "l": self.cores})
 
@@ -295,7 +295,7 @@
         call: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.calls[number] = call
         try:
-            reply = self.replica.ask(time.monotonic(), number, calls.decode(message))
+            reply = self.replica.handle_call(time.monotonic(), number, calls.decode(message))
             if reply is not None:
                 self.carry(reply.actions)
                 step_downs = self.replica.step_downs
--- a/ivymux/config_store/records.py
+++ b/ivymux/config_store/records.py
@@ -47,7 +47,7 @@
     promised: int
     promised_to: str
     state: ConfigurationState | None
-    tickets: dict[str, IdempotencyRecord] = field(default_factory=dict)
+    idempotency_records: dict[str, IdempotencyRecord] = field(default_factory=dict)
     history: tuple[tuple[int, str], ...] = ()  # versions that were taken, with the digests of their texts
 
 
--- a/ivymux/config_store/replica.py
+++ b/ivymux/config_store/replica.py
@@ -39,7 +39,7 @@
 
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
-        tickets = self.tickets
+        replication = self.record_replication
         self.receivers: dict[type[ReplicaMessage], Callable[[str, Any], None]] = {
             messages.PromiseRequest: self.on_promise_request,
             messages.Promise: self.on_promise,
@@ -61,14 +61,14 @@
             messages.WriteStored: self.on_write_stored,
             messages.ConfigurationRequest: self.on_configuration_request,
             messages.ConfigurationInForce: self.on_configuration_in_force,
-            messages.RecordWrite: tickets.on_record_write,
-            messages.RecordStored: tickets.on_record_stored,
-            messages.RecordsExpired: tickets.on_records_expired,
-            messages.RecordDigest: tickets.on_record_digest,
-            messages.RecordRangeDigests: tickets.on_record_range_digests,
-            messages.RecordRepair: tickets.on_record_repair,
-            messages.SettingsRequest: tickets.on_settings_request,
-            messages.SettingsInForce: tickets.on_settings_in_force,
+            messages.RecordWrite: replication.on_record_write,
+            messages.RecordStored: replication.on_record_stored,
+            messages.RecordsExpired: replication.on_records_expired,
+            messages.RecordDigest: replication.on_record_digest,
+            messages.RecordRangeDigests: replication.on_record_range_digests,
+            messages.RecordRepair: replication.on_record_repair,
+            messages.SettingsRequest: replication.on_settings_request,
+            messages.SettingsInForce: replication.on_settings_in_force,
         }
 
     def enter(self, now: float) -> None:
@@ -117,9 +117,9 @@
             self.lead()
         return self.actions
 
-    def ask(self, now: float, call: int, asked: Call) -> Reply | None:
+    def handle_call(self, now: float, call_id: int, call: Call) -> Reply | None:
         """A call that only who leads can answer; None where this machine does not.  Raises ValueError."""
         self.enter(now)
-        if isinstance(asked, PutConfiguration):
-            return self.put(call, asked.version, asked.text)
-        return self.tickets.ask(call, asked)
+        if isinstance(call, PutConfiguration):
+            return self.put(call_id, call.version, call.text)
+        return self.record_replication.handle_call(call_id, call)
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -66,10 +66,10 @@
         # Votes from before a restart are not known: until they have ended only their holder gets a promise.
         self.held_until = now + LEASE if durable.record is not None else 0.0
         self.wait_until = 0.0  # before this machine begins an attempt
-        book = RecordStore()
-        for ticket in durable.tickets.values():
-            book.take(ticket, now)
-        self.tickets = self.record_replication_class(self, book)
+        store = RecordStore()
+        for record in durable.idempotency_records.values():
+            store.apply(record, now)
+        self.record_replication = self.record_replication_class(self, store)
 
     # --- what it says and keeps ----------------------------------------------------------------------
 
@@ -172,4 +172,4 @@
         self.drop_unacknowledged()
 
     def drop_unacknowledged(self) -> None:
-        self.tickets.stop()
+        self.record_replication.drop_pending()
--- a/ivymux/idempotency/__init__.py
+++ b/ivymux/idempotency/__init__.py
@@ -1,3 +1,3 @@
-"""Toll tickets: what is known of each action that carries a caller's key, and where its conversation goes."""
+"""Idempotency records of actions that carry a caller's key, and conversation affinity."""
 
-CONVERSATIONS = "conversations"  # the note that holds their settings
+CONVERSATIONS = "conversations"  # name of the replicated setting that holds their settings
--- a/ivymux/idempotency/record_store.py
+++ b/ivymux/idempotency/record_store.py
@@ -1,13 +1,14 @@
-"""The book of tickets: one for each action that carries a key, and what may be done about it.  Pure.
+"""The store of idempotency records: one record for each action that carries a key.  Pure.
 
-A ticket is OPEN from before its action goes to a backend, and may have run from then on.  It ends as DONE,
-with the answer; as LOST, where nobody can know any more whether it ran; or as FREE, where it surely has not.
-Only the claim that opened a ticket ends it, and only a FREE one is opened again: so an action runs once at
-the most, whatever is lost.
+A record is OPEN from before its action is sent to a backend; from then on the action may have run.  It ends
+as DONE, with the answer; as LOST, where it can no longer be known whether the action ran; or as FREE, where
+the action has certainly not run.  Only the claim that opened a record can end it, and only a FREE record can
+be opened again.  An action therefore runs at most once, whatever fails.
 
-Two machines hold a book.  Each ticket carries the number of its last change, so that a late copy undoes
-nothing; copies are compared by digests over ranges of keys, and mended from the primary's.  Ages count on
-steady time from when a copy learned of a ticket: never too short, also behind a restart.
+The primary and the backup each keep a copy of the store.  Each record carries the number of its last change,
+so that a delayed message never overwrites a newer state.  Copies are compared by digests over ranges of
+keys, and ranges that differ are repaired from the primary's copy.  Ages are measured on the steady clock
+from when a copy first received a record: a record is never kept for too short a time, even after a restart.
 """
 
 from __future__ import annotations
@@ -20,51 +21,67 @@
 import msgspec
 from msgspec.structs import replace
 
+# States of a record.
 OPEN, DONE, LOST, FREE = "open", "done", "lost", "free"
 STATES = (OPEN, DONE, LOST, FREE)
-RANGES = 256  # of keys, by their first two digits
-MAX_TICKETS = 60_000
-MAX_BYTES = 24 << 20  # of answers, over all tickets
-MAX_ANSWER = 64 << 10  # characters of one answer, as it is kept
-FREE_KEPT = 30.0  # seconds for which a free one is kept, so that late copies of it are known
-KEY_DIGITS = 32
-NOTE = "note "  # before the name of a note, in the place of a claim; no age ends it
 
-GO, IN_HAND, ANSWERED, UNKNOWN, DIFFERS, FULL = "go", "in hand", "answered", "unknown", "differs", "full"
+# Verdicts on a claim.
+PROCEED = "go"  # the action may be sent once both copies hold the record
+IN_PROGRESS = "in hand"  # another claim is running the action
+ANSWERED = "answered"  # the action has run
+OUTCOME_UNKNOWN = "unknown"  # the action may have run; it must not be sent again
+MISMATCH = "differs"  # the key was used before with another request
+LIMIT_REACHED = "full"  # no room for another record of this tenant
+
+KEY_RANGES = 256  # by the first two digits of the key
+KEY_DIGITS = 32
+MAX_RECORDS = 60_000
+MAX_STORED_ANSWER_CHARS = 24 << 20  # over all records
+MAX_ANSWER_CHARS = 64 << 10  # of one record
+FREE_RETENTION_S = 30.0  # a FREE record is kept this long so that delayed copies of it are recognised
+MAX_RETRY_AFTER_S = 1.0
+MAX_EXPIRED_KEYS = 500  # in one sweep
+SETTING_CLAIM_PREFIX = "note "  # followed by the name of a replicated setting, in place of a claim
 
 
 class IdempotencyRecordError(ValueError):
-    """A ticket, or a call about one, that no correct process sends."""
+    """A record, or a call about one, that no correct process sends."""
 
 
 class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One action, by the digest of its tenant and key.  Raises IdempotencyRecordError if out of bounds."""
+    """One action, identified by the digest of its tenant and key.
+
+    Replicated settings are kept as records too; they never expire.  Raises IdempotencyRecordError for values
+    out of bounds.
+    """
 
     key: str
     tenant: str
-    claim: str  # names the try that opened it: its door's life and a number
-    place: str  # digest of its method and target
-    body: str  # digest of its body
-    life: float  # seconds within which its claim ends it
+    claim: str  # of the attempt that opened the record: its proxy's incarnation id and a number
+    request_digest: str  # of the action's method and target
+    body_digest: str
+    lifetime_s: float  # within which the claim must end the record
     state: str = OPEN
-    number: int = 0  # of its last change, rising
-    answer: str = ""  # what a repeat is answered with; empty: it was not kept
+    change_number: int = 0  # of the last change; rises
+    answer: str = ""  # for repeats of the action; empty where it was not kept
 
     def __post_init__(self) -> None:
-        if self.state not in STATES or len(self.key) != KEY_DIGITS or len(self.answer) > MAX_ANSWER:
+        if self.state not in STATES or len(self.key) != KEY_DIGITS or len(self.answer) > MAX_ANSWER_CHARS:
             raise IdempotencyRecordError("a ticket out of its bounds")
         int(self.key, 16)
 
     @property
-    def is_note(self) -> bool:
-        return self.claim.startswith(NOTE)
+    def is_setting(self) -> bool:
+        """Whether this record holds a replicated setting."""
+        return self.claim.startswith(SETTING_CLAIM_PREFIX)
 
-    def wire(self) -> list[Any]:
+    def to_wire(self) -> list[Any]:
+        """Return the fields in their order."""
         return [*msgspec.structs.astuple(self)]
 
     @staticmethod
-    def read(wire: Any) -> IdempotencyRecord:
-        """Raises IdempotencyRecordError."""
+    def from_wire(wire: Any) -> IdempotencyRecord:
+        """Read a record from the form of `to_wire`.  Raises IdempotencyRecordError."""
         if not isinstance(wire, list) or len(wire) != len(IdempotencyRecord.__struct_fields__):
             raise IdempotencyRecordError("no ticket")
         try:
@@ -73,147 +90,166 @@
             raise IdempotencyRecordError(f"no ticket: {error}") from None
 
     def digest(self) -> int:
-        text = "\0".join(map(str, self.wire()))
+        """Return a 64-bit digest over all fields."""
+        text = "\0".join(map(str, self.to_wire()))
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    """What a book goes by; seconds and numbers."""
+class RecordLimits:
+    """How long records are kept, and how many and how large they may be."""
 
-    kept: float = 900.0  # for which a ticket is known
-    most_for_tenant: int = 10_000
-    most_answer: int = 16 << 10  # characters of an answer that is kept
+    retention_s: float = 900.0
+    max_per_tenant: int = 10_000
+    max_answer_chars: int = 16 << 10  # longer answers are not kept
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What is said of a claim; `after`: when to come back, in seconds."""
+    """The decision on a claim."""
 
     kind: str
-    after: float = 0.0
+    retry_after_s: float = 0.0
     answer: str = ""
-    what: str = ""  # of DIFFERS: what is another
+    mismatch: str = ""  # for MISMATCH: the part of the request that differs
 
 
 @dataclass(slots=True)
 class RecordStore:
-    tickets: dict[str, IdempotencyRecord] = field(default_factory=dict)
-    learned: dict[str, float] = field(default_factory=dict)  # steady time, the oldest first; not of notes
-    free: dict[str, float] = field(default_factory=dict)  # the same, of free ones
-    notes: dict[str, IdempotencyRecord] = field(default_factory=dict)
-    digests: list[int] = field(default_factory=lambda: [0] * RANGES)
-    held: dict[str, int] = field(default_factory=dict)  # tickets by tenant
-    bytes: int = 0  # of answers
-
-    def root(self) -> int:
-        """One digest over all."""
+    """One copy of the records, with indices by age and tenant and a digest for each range of keys."""
+
+    records: dict[str, IdempotencyRecord] = field(default_factory=dict)  # by key
+    received_at: dict[str, float] = field(
+        default_factory=dict
+    )  # steady time by key, oldest first; no settings
+    freed_at: dict[str, float] = field(default_factory=dict)  # the same for FREE records
+    settings: dict[str, IdempotencyRecord] = field(default_factory=dict)  # records of replicated settings
+    digests: list[int] = field(default_factory=lambda: [0] * KEY_RANGES)
+    counts_by_tenant: dict[str, int] = field(default_factory=dict)
+    answer_chars: int = 0  # over all records
+
+    def root_digest(self) -> int:
+        """Return one digest over the whole store."""
         return int.from_bytes(blake2b(repr(self.digests).encode(), digest_size=8).digest(), "big")
 
     # --- copies ------------------------------------------------------------------------------------------
 
-    def take(self, ticket: IdempotencyRecord, now: float) -> bool:
-        """Take a copy in, unless a later one is held; whether that changed anything."""
-        held = self.tickets.get(ticket.key)
-        if held is not None and held.number >= ticket.number:
+    def apply(self, record: IdempotencyRecord, now: float) -> bool:
+        """Store a record unless a newer state of it is held; return whether that changed anything."""
+        held = self.records.get(record.key)
+        if held is not None and held.change_number >= record.change_number:
             return False
-        self.drop(ticket.key)
-        self.tickets[ticket.key] = ticket
-        if ticket.is_note:
-            self.notes[ticket.key] = ticket
+        self.remove(record.key)
+        self.records[record.key] = record
+        if record.is_setting:
+            self.settings[record.key] = record
         else:
-            (self.free if ticket.state == FREE else self.learned)[ticket.key] = now
-        self.digests[place(ticket.key)] ^= ticket.digest()
-        self.held[ticket.tenant] = self.held.get(ticket.tenant, 0) + 1
-        self.bytes += len(ticket.answer)
+            (self.freed_at if record.state == FREE else self.received_at)[record.key] = now
+        self.digests[key_range(record.key)] ^= record.digest()
+        self.counts_by_tenant[record.tenant] = self.counts_by_tenant.get(record.tenant, 0) + 1
+        self.answer_chars += len(record.answer)
         return True
 
-    def drop(self, key: str) -> None:
-        held = self.tickets.pop(key, None)
+    def remove(self, key: str) -> None:
+        """Remove a record; a key without one is ignored."""
+        held = self.records.pop(key, None)
         if held is None:
             return
-        for part in (self.learned, self.free, self.notes):
-            part.pop(key, None)
-        self.digests[place(key)] ^= held.digest()
-        self.bytes -= len(held.answer)
-        self.held[held.tenant] -= 1
-        if not self.held[held.tenant]:
-            del self.held[held.tenant]
-
-    def differing(self, digests: list[int]) -> list[int]:
-        """The ranges in which another copy is not this one."""
-        return [n for n, (mine, other) in enumerate(zip(self.digests, digests, strict=True)) if mine != other]
-
-    def inside(self, ranges: Iterable[int]) -> dict[int, list[IdempotencyRecord]]:
+        for index in (self.received_at, self.freed_at, self.settings):
+            index.pop(key, None)
+        self.digests[key_range(key)] ^= held.digest()
+        self.answer_chars -= len(held.answer)
+        self.counts_by_tenant[held.tenant] -= 1
+        if not self.counts_by_tenant[held.tenant]:
+            del self.counts_by_tenant[held.tenant]
+
+    def differing_ranges(self, digests: list[int]) -> list[int]:
+        """Return the ranges whose digests differ from those of another copy."""
+        return [n for n, (own, other) in enumerate(zip(self.digests, digests, strict=True)) if own != other]
+
+    def records_in_ranges(self, ranges: Iterable[int]) -> dict[int, list[IdempotencyRecord]]:
+        """Return the records of each of these ranges."""
         found: dict[int, list[IdempotencyRecord]] = {n: [] for n in ranges}
-        for key, ticket in self.tickets.items():
-            if (at := place(key)) in found:
-                found[at].append(ticket)
+        for key, record in self.records.items():
+            if (number := key_range(key)) in found:
+                found[number].append(record)
         return found
 
-    def mend(
-        self, at: int, tickets: list[IdempotencyRecord], now: float
+    def repair_range(
+        self, number: int, records: list[IdempotencyRecord], now: float
     ) -> list[tuple[str, IdempotencyRecord | None]]:
-        """Make one range what the newer copy has there; the changes, None for what is gone."""
-        there = {t.key: t for t in tickets}
+        """Make one range equal to the primary's copy; return the changes, None for a removed record."""
+        wanted = {record.key: record for record in records}
         changes: list[tuple[str, IdempotencyRecord | None]] = []
-        for key in [k for k in self.tickets if place(k) == at and k not in there]:
-            self.drop(key)
+        for key in [k for k in self.records if key_range(k) == number and k not in wanted]:
+            self.remove(key)
             changes.append((key, None))
-        for key, ticket in there.items():
-            if self.tickets.get(key) != ticket:
-                self.drop(key)
-                self.take(ticket, now)
-                changes.append((key, ticket))
+        for key, record in wanted.items():
+            if self.records.get(key) != record:
+                self.remove(key)
+                self.apply(record, now)
+                changes.append((key, record))
         return changes
 
-    def aged(self, rules: Rules, now: float, most: int = 500) -> list[str]:
-        """Keys whose time is over, the oldest first."""
+    def expired_keys(self, limits: RecordLimits, now: float, limit: int = MAX_EXPIRED_KEYS) -> list[str]:
+        """Return up to `limit` keys whose retention time is over, oldest first within each index."""
         found: list[str] = []
-        for part, kept in ((self.free, FREE_KEPT), (self.learned, rules.kept)):
-            for key, since in part.items():
-                if now - since <= kept or len(found) >= most:
+        for index, retention_s in (
+            (self.freed_at, FREE_RETENTION_S),
+            (self.received_at, limits.retention_s),
+        ):
+            for key, since in index.items():
+                if now - since <= retention_s or len(found) >= limit:
                     break
                 found.append(key)
         return found
 
     # --- claims ------------------------------------------------------------------------------------------
 
-    def judge(self, asked: IdempotencyRecord, rules: Rules, now: float) -> Verdict:
-        """What holds of a claim.  GO: `asked` may be taken in, and holds once both copies have it."""
-        held = self.tickets.get(asked.key)
+    def judge_claim(self, claimed: IdempotencyRecord, limits: RecordLimits, now: float) -> Verdict:
+        """Decide on a claim.
+
+        PROCEED: `claimed` may be stored; the claim is in force once both copies hold it.
+        """
+        held = self.records.get(claimed.key)
         if held is None or held.state == FREE:
-            if held is None and self.full(asked.tenant, rules):
-                return Verdict(FULL, 1.0)
-            return Verdict(GO)
-        if held.claim == asked.claim and held.state == OPEN:
-            return Verdict(GO)  # asked again, as an answer was lost
-        if held.place != asked.place:
-            return Verdict(DIFFERS, what="method or path")
-        if held.body != asked.body:
-            return Verdict(DIFFERS, what="body")
+            if held is None and self.is_full_for(claimed.tenant, limits):
+                return Verdict(LIMIT_REACHED, MAX_RETRY_AFTER_S)
+            return Verdict(PROCEED)
+        if held.claim == claimed.claim and held.state == OPEN:
+            return Verdict(PROCEED)  # the same claim again, as its answer was lost
+        if held.request_digest != claimed.request_digest:
+            return Verdict(MISMATCH, mismatch="method or path")
+        if held.body_digest != claimed.body_digest:
+            return Verdict(MISMATCH, mismatch="body")
         if held.state == DONE:
             return Verdict(ANSWERED, answer=held.answer)
-        left = self.learned[asked.key] + held.life - now
-        if held.state == LOST or left <= 0:
-            return Verdict(UNKNOWN)
-        return Verdict(IN_HAND, after=min(left, 1.0))
-
-    def full(self, tenant: str, rules: Rules) -> bool:
-        """Whether a tenant has its part; where the book is full, more than an even one."""
-        own = self.held.get(tenant, 0)
-        crowded = len(self.tickets) >= MAX_TICKETS and own * len(self.held) >= MAX_TICKETS
-        return own >= rules.most_for_tenant or crowded
-
-    def ended(self, key: str, claim: str, state: str, answer: str, rules: Rules) -> IdempotencyRecord | None:
-        """The ticket as its claim ends it; None where that is not its to end, or has ended."""
-        held = self.tickets.get(key)
+        remaining_s = self.received_at[claimed.key] + held.lifetime_s - now
+        if held.state == LOST or remaining_s <= 0:
+            return Verdict(OUTCOME_UNKNOWN)
+        return Verdict(IN_PROGRESS, retry_after_s=min(remaining_s, MAX_RETRY_AFTER_S))
+
+    def is_full_for(self, tenant: str, limits: RecordLimits) -> bool:
+        """Whether a tenant may have no more records.
+
+        A tenant may have `max_per_tenant`; in a full store, no more than an even share of all records.
+        """
+        count = self.counts_by_tenant.get(tenant, 0)
+        over_share = len(self.records) >= MAX_RECORDS and count * len(self.counts_by_tenant) >= MAX_RECORDS
+        return count >= limits.max_per_tenant or over_share
+
+    def ended_record(
+        self, key: str, claim: str, state: str, answer: str, limits: RecordLimits
+    ) -> IdempotencyRecord | None:
+        """Return the record as its claim ends it; None where the claim does not hold it or has ended it."""
+        held = self.records.get(key)
         if held is None or held.claim != claim or held.state != OPEN or state not in (DONE, LOST, FREE):
             return None
-        small = len(answer) <= min(rules.most_answer, MAX_ANSWER) and self.bytes + len(answer) <= MAX_BYTES
-        return replace(held, state=state, answer=answer if state == DONE and small else "")
+        fits_record = len(answer) <= min(limits.max_answer_chars, MAX_ANSWER_CHARS)
+        keeps_answer = fits_record and self.answer_chars + len(answer) <= MAX_STORED_ANSWER_CHARS
+        return replace(held, state=state, answer=answer if state == DONE and keeps_answer else "")
 
 
-def place(key: str) -> int:
-    """The range of a key."""
+def key_range(key: str) -> int:
+    """Return the number of the range that a key belongs to."""
     return int(key[:2], 16)
--- a/ivymux/idempotency/settings.py
+++ b/ivymux/idempotency/settings.py
@@ -1,8 +1,8 @@
-"""The operators' settings of conversations: read and checked.  Pure.
+"""The operators' settings of conversations: reading and validation.  Pure.
 
-They are kept by the store of configuration beside the users' configuration, whose text stays as it was sent.
-Whoever takes them reads them by pyserde besides (`ivymux.idempotency.validation`); a door reads them by
-msgspec.
+The config store keeps them beside the users' configuration, as the text that the operator sent.  The
+registry validates them with pyserde as well before it accepts them (`ivymux.idempotency.validation`); a
+proxy reads them with msgspec alone.
 """
 
 from __future__ import annotations
@@ -12,22 +12,23 @@
 
 import msgspec
 
-from ivymux.idempotency.record_store import MAX_ANSWER, Rules
+from ivymux.idempotency.record_store import MAX_ANSWER_CHARS, RecordLimits
 
-MAX_TEXT = 16 << 10  # bytes
-TIME = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s|m|h)", re.ASCII)
-UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
-LEAST_KEPT, MAX_KEPT = 60.0, 24 * 3600.0  # seconds
-NAME = re.compile(r"[A-Za-z0-9-]{1,64}", re.ASCII)
+MAX_TEXT_BYTES = 16 << 10
+DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s|m|h)", re.ASCII)
+SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
+MIN_RETENTION_S, MAX_RETENTION_S = 60.0, 24 * 3600.0
+MAX_RECORDS_PER_TENANT = 50_000
+HEADER_NAME = re.compile(r"[A-Za-z0-9-]{1,64}", re.ASCII)
 
 
-class TermsError(ValueError):
-    """Settings that cannot be used; the text is one plain line with the place and the mend."""
+class ConversationSettingsError(ValueError):
+    """Invalid settings; the text is one line that names the field and a valid value."""
 
 
 @dataclass
-class TermsDocument:
-    """As an operator sends them."""
+class ConversationSettingsDocument:
+    """The settings as an operator sends them."""
 
     settings_version: int
     kept_for: str = "15m"
@@ -37,39 +38,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """As they are used; `header`: the lower-case header that names a conversation, empty for none."""
+class ConversationSettings:
+    """The settings as they are used."""
 
     version: int = -1
-    rules: Rules = field(default_factory=Rules)
-    header: bytes = b""
+    limits: RecordLimits = field(default_factory=RecordLimits)
+    header: bytes = b""  # lower-case name of the header that names a conversation; empty for none
 
 
-def compile(document: TermsDocument) -> Terms:
-    """Raises TermsError."""
+def compile(document: ConversationSettingsDocument) -> ConversationSettings:
+    """Validate a document.  Raises ConversationSettingsError."""
     version = document.settings_version
     if isinstance(version, bool) or version < 0:
-        raise TermsError("settings_version: write a whole number of 0 or more")
-    found = TIME.fullmatch(document.kept_for)
-    kept = float(found[1]) * UNITS[found[2]] if found else -1.0
-    if not LEAST_KEPT <= kept <= MAX_KEPT:
-        raise TermsError(f"kept_for: {document.kept_for!r}; write a time from 60s to 24h, as 15m")
-    if not 1 <= document.most_per_tenant <= 50_000:
-        raise TermsError(f"most_per_tenant: {document.most_per_tenant}; write 1 to 50000")
-    if not 0 <= document.most_answer_bytes <= MAX_ANSWER:
-        raise TermsError(f"most_answer_bytes: {document.most_answer_bytes}; write 0 to {MAX_ANSWER}")
-    name = document.conversation_header
-    if name and not NAME.fullmatch(name):
-        raise TermsError(f"conversation_header: {name!r} is no header's name; write letters, digits and -")
-    rules = Rules(kept, document.most_per_tenant, document.most_answer_bytes)
-    return Terms(version, rules, name.lower().encode())
-
-
-def read(text: bytes) -> Terms:
-    """The settings in a text.  Raises TermsError."""
-    if len(text) > MAX_TEXT:
-        raise TermsError(f"the settings have {len(text)} bytes; {MAX_TEXT} at most")
+        raise ConversationSettingsError("settings_version: write a whole number of 0 or more")
+    duration = DURATION.fullmatch(document.kept_for)
+    retention_s = float(duration[1]) * SECONDS_PER_UNIT[duration[2]] if duration else -1.0
+    if not MIN_RETENTION_S <= retention_s <= MAX_RETENTION_S:
+        raise ConversationSettingsError(
+            f"kept_for: {document.kept_for!r}; write a time from 60s to 24h, as 15m"
+        )
+    if not 1 <= document.most_per_tenant <= MAX_RECORDS_PER_TENANT:
+        raise ConversationSettingsError(f"most_per_tenant: {document.most_per_tenant}; write 1 to 50000")
+    if not 0 <= document.most_answer_bytes <= MAX_ANSWER_CHARS:
+        raise ConversationSettingsError(
+            f"most_answer_bytes: {document.most_answer_bytes}; write 0 to {MAX_ANSWER_CHARS}"
+        )
+    header = document.conversation_header
+    if header and not HEADER_NAME.fullmatch(header):
+        raise ConversationSettingsError(
+            f"conversation_header: {header!r} is no header's name; write letters, digits and -"
+        )
+    limits = RecordLimits(retention_s, document.most_per_tenant, document.most_answer_bytes)
+    return ConversationSettings(version, limits, header.lower().encode())
+
+
+def read(text: bytes) -> ConversationSettings:
+    """Read and validate the settings in a JSON text.  Raises ConversationSettingsError."""
+    if len(text) > MAX_TEXT_BYTES:
+        raise ConversationSettingsError(f"the settings have {len(text)} bytes; {MAX_TEXT_BYTES} at most")
     try:
-        return compile(msgspec.json.decode(text, type=TermsDocument))
+        return compile(msgspec.json.decode(text, type=ConversationSettingsDocument))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise TermsError(f"the settings of conversations: {error}") from None
+        raise ConversationSettingsError(f"the settings of conversations: {error}") from None
--- a/ivymux/idempotency/validation.py
+++ b/ivymux/idempotency/validation.py
@@ -1,4 +1,7 @@
-"""Settings of conversations as the core takes them: read by pyserde besides.  Pure.  Costly to import."""
+"""Validation of the settings of conversations with pyserde, as the registry accepts them.  Pure.
+
+Costly to import.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +9,17 @@
 from serde import SerdeError, from_dict, serde
 
 from ivymux.idempotency import settings
-from ivymux.idempotency.settings import Terms, TermsError
+from ivymux.idempotency.settings import ConversationSettings, ConversationSettingsError
 
-serde(settings.TermsDocument)
+serde(settings.ConversationSettingsDocument)
 
 
-def read(text: bytes) -> Terms:
-    """The settings in a text.  Raises TermsError."""
-    made = settings.read(text)
+def read(text: bytes) -> ConversationSettings:
+    """Read and validate the settings in a JSON text.  Raises ConversationSettingsError."""
+    compiled = settings.read(text)
     try:
-        from_dict(settings.TermsDocument, msgspec.json.decode(text))
+        from_dict(settings.ConversationSettingsDocument, msgspec.json.decode(text))
     except SerdeError as error:
-        raise TermsError(f"the settings of conversations: {' '.join(str(error).split())}") from None
-    return made
+        problem = " ".join(str(error).split())
+        raise ConversationSettingsError(f"the settings of conversations: {problem}") from None
+    return compiled
--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -11,8 +11,8 @@
 
 from ivymux.config_store.calls import ClaimAction, EndAction, encode
 from ivymux.data_plane.frontend import Answer
-from ivymux.idempotency.record_store import DONE, FREE, GO, LOST
-from ivymux.idempotency.settings import Terms
+from ivymux.idempotency.record_store import DONE, FREE, LOST, PROCEED
+from ivymux.idempotency.settings import ConversationSettings
 from ivymux.proxy.keyed_actions import Action, answer_of, kept
 from ivymux.transport.connection import Connector, TransportError
 from ivymux.transport.frames import Message
@@ -36,7 +36,7 @@
         self.cores = cores
         self.life = secrets.token_hex(8)  # of this process: what it claimed before is not its own any more
         self.numbers = itertools.count(1)
-        self.terms = Terms()
+        self.terms = ConversationSettings()
         self.tasks: set[asyncio.Task[None]] = set()
         self.asked = self.went = self.unclaimed = 0  # since the start
         self.told = 0  # of `asked`, as last logged
@@ -111,13 +111,13 @@
         told = await self.claims.call(encode(claim), now + min(ASK, PART * left))
         try:
             verdict = str(told["verdict"]) if told is not None else ""
-            if told is not None and verdict != GO:
+            if told is not None and verdict != PROCEED:
                 answer = answer_of(
                     verdict, float(told["after"]), str(told["answer"]), str(told["what"]), self.name
                 )
         except (KeyError, TypeError, ValueError):  # no core machine of this build says that
             verdict = ""
-        if verdict == GO:
+        if verdict == PROCEED:
             self.claims.went += 1
             go(None)
         elif not verdict:
@@ -133,7 +133,7 @@
             return
         self.open = False
         state = DONE if answer is not None else LOST if ran else FREE
-        text = kept(answer, self.claims.terms.rules.most_answer) if answer is not None else ""
+        text = kept(answer, self.claims.terms.limits.max_answer_chars) if answer is not None else ""
         message = encode(EndAction(self.action.key, self.id, state, text))
         if len(self.claims.tasks) < 2 * MOST:
             self.claims.spawn(self.ending(message))
--- a/ivymux/proxy/keyed_actions.py
+++ b/ivymux/proxy/keyed_actions.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ivymux.data_plane.frontend import Answer, BadRequest, Headers
-from ivymux.idempotency.record_store import ANSWERED, DIFFERS, FULL, IN_HAND, KEY_DIGITS
+from ivymux.idempotency.record_store import ANSWERED, IN_PROGRESS, KEY_DIGITS, LIMIT_REACHED, MISMATCH
 
 FIELD = b"idempotency-key"
 KEY = re.compile(rb'"((?:[\x20\x21\x23-\x5b\x5d-\x7e]|\\["\\]){1,255})"|([!#-\[\]-~]{1,255})')
@@ -94,12 +94,12 @@
 
 def answer_of(verdict: str, after: float, text: str, what: str, name: bytes) -> Answer:
     """What a caller is told whose action is not sent."""
-    if verdict == IN_HAND:
+    if verdict == IN_PROGRESS:
         return Answer(409, b"an action with this key is at work\n", retry_after=max(0.05, after))
     if verdict == ANSWERED:
         return again(text, name) if text else Answer(409, b"this action has run; its answer was not kept\n")
-    if verdict == DIFFERS:
+    if verdict == MISMATCH:
         return Answer(422, f"this key was sent with another {what}; give each action its own\n".encode())
-    if verdict == FULL:
+    if verdict == LIMIT_REACHED:
         return Answer(429, b"too many actions are remembered for this caller\n", retry_after=max(0.1, after))
     return Answer(502, UNKNOWN_TEXT)
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -10,7 +10,7 @@
 
 from ivymux.data_plane.frontend import Headers
 from ivymux.idempotency.affinity import BUCKETS, Homes, bucket
-from ivymux.idempotency.settings import TermsError, read
+from ivymux.idempotency.settings import ConversationSettingsError, read
 from ivymux.proxy.action_claims import Claim, Claims
 from ivymux.proxy.keyed_actions import action
 from ivymux.proxy.membership_view import UP, Backend
@@ -66,7 +66,7 @@
         """Settings of conversations, as the core tells them; older ones change nothing."""
         try:
             terms = read(text.encode())
-        except TermsError as error:
+        except ConversationSettingsError as error:
             log.say(f"settings of conversations that cannot be used here: {error}.")
             return
         if terms.version > self.claims.terms.version:
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -433,13 +433,13 @@
 
     @endpoint("PUT", "/conversations")
     async def put_conversations(self, request: HttpRequest) -> Answer:
-        from ivymux.idempotency.settings import TermsError
+        from ivymux.idempotency.settings import ConversationSettingsError
         from ivymux.idempotency.validation import read  # it takes long to import: not at the start
 
         try:
             terms = read(request.body)
             text = request.body.decode()
-        except TermsError as error:
+        except ConversationSettingsError as error:
             return error_answer(400, str(error))
         told = await self.stored(PutSetting(CONVERSATIONS, terms.version, text))
         if isinstance(told, Answer):
--- a/ivymux/simulation/core_cluster.py
+++ b/ivymux/simulation/core_cluster.py
@@ -259,9 +259,11 @@
         for thing in things:
             old = disk.kept
             promised = thing.promised or (old.promised, old.promised_to)
-            tickets = old.tickets
-            if thing.tickets:
-                tickets = {k: t for k, t in {**tickets, **dict(thing.tickets)}.items() if t is not None}
+            records = old.idempotency_records
+            if thing.idempotency_records:
+                records = {
+                    k: t for k, t in {**records, **dict(thing.idempotency_records)}.items() if t is not None
+                }
             history = old.history if thing.history is None else thing.history
             if thing.change is not None:
                 history = (*history, thing.change)
@@ -270,7 +272,7 @@
                 thing.record or old.record,
                 *promised,
                 thing.state or old.state,
-                tickets,
+                records,
                 history,
             )
 
@@ -326,7 +328,7 @@
             return False
         self.sent.setdefault(version, set()).add(text)
         call = next(self.call)
-        told = machine.replica.ask(self.now, call, PutConfiguration(version, text))
+        told = machine.replica.handle_call(self.now, call, PutConfiguration(version, text))
         if told is None:
             return False
         outcome = Identity(told.answer["outcome"])
@@ -365,7 +367,7 @@
         if machine.replica is None or machine.thawed is not None:
             return False
         call = next(self.call)
-        said = machine.replica.ask(self.now, call, asked)
+        said = machine.replica.handle_call(self.now, call, asked)
         if said is None:
             return False
         if said.wait:
--- a/ivymux/simulation/fault_schedules.py
+++ b/ivymux/simulation/fault_schedules.py
@@ -18,7 +18,7 @@
 from ivymux.config_store.messages import ReplicaMessage
 from ivymux.config_store.records import DurableState
 from ivymux.config_store.replica import Replica
-from ivymux.idempotency.record_store import ANSWERED, DONE, FREE, GO, LOST
+from ivymux.idempotency.record_store import ANSWERED, DONE, FREE, LOST, PROCEED
 from ivymux.simulation.core_cluster import GRACE, Answer, Broken, Cores, Disk, Machine
 
 Make = Callable[[DurableState, float], Replica]
@@ -93,7 +93,7 @@
     def told(self, key: str, claim: str, answer: Answer) -> None:
         if answer["verdict"] == ANSWERED and key in self.done and answer["answer"] != self.done[key]:
             raise Broken(f"key {key[-2:]} was answered with {self.done[key]}, then with {answer['answer']}")
-        if answer["verdict"] != GO or claim in self.over or self.live.get(key) == claim:
+        if answer["verdict"] != PROCEED or claim in self.over or self.live.get(key) == claim:
             return
         if key in self.live:
             raise Broken(f"key {key[-2:]} may run for {self.live[key]} and for {claim}")
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -240,9 +240,9 @@
     """Answers a claim once its own disk has it."""
 
     def on_record_stored(self, source: str, message: messages.RecordStored) -> None:
-        unstored = self.unstored.get(message.number)
-        if unstored is not None:
-            unstored.on_backup = True
+        pending = self.pending.get(message.number)
+        if pending is not None:
+            pending.on_backup = True
         super().on_record_stored(source, message)
 
 
--- a/tests/config_store/test_fencing.py
+++ b/tests/config_store/test_fencing.py
@@ -32,7 +32,7 @@
 MEMBERS = ("a/1", "b/1", "c/1")
 OLD = EpochRecord(4, "a/1", "b/1", MEMBERS)
 NEW = EpochRecord(6, "c/1", "b/1", MEMBERS)
-TICKET = IdempotencyRecord("0" * 32, "tenant", "door/1", "place", "body", 2.0, number=4 << 32)
+TICKET = IdempotencyRecord("0" * 32, "tenant", "door/1", "place", "body", 2.0, change_number=4 << 32)
 ACKNOWLEDGED = (Promise, Accepted, LeaseGrant, StateStored, WriteStored, RecordStored, RecordRangeDigests)
 OF_OLD_PRIMARY: tuple[ReplicaMessage, ...] = (
     PromiseRequest("a/1", 5, OLD),
@@ -65,7 +65,10 @@
     assert not any(isinstance(action, Persist) for action in actions)
     assert not any(isinstance(answer, ACKNOWLEDGED) for answer in told(actions, "a"))
     assert (replica.record, replica.promised, replica.promised_to) == (NEW, 6, "c/1")
-    assert replica.state == ConfigurationState(state_epoch, 3, "three") and not replica.tickets.book.tickets
+    assert (
+        replica.state == ConfigurationState(state_epoch, 3, "three")
+        and not replica.record_replication.store.records
+    )
 
 
 @pytest.mark.parametrize("message", OF_OLD_PRIMARY[:4], ids=lambda m: type(m).__name__)
--- a/tests/config_store/test_tickets.py
+++ b/tests/config_store/test_tickets.py
@@ -46,7 +46,7 @@
 def book(cores: Cores, ip: str) -> RecordStore:
     member = cores.machines[ip].replica
     assert member is not None
-    return member.tickets.book
+    return member.record_replication.store
 
 
 def pair(cores: Cores) -> tuple[str, str]:
@@ -75,7 +75,7 @@
     assert cores.ask(primary, claim(1), told.append) and not told
     cores.run(0.2)
     assert [t["verdict"] for t in told] == ["go"]
-    assert all(f"{1:032x}" in cores.machines[ip].disk.kept.tickets for ip in (primary, backup))
+    assert all(f"{1:032x}" in cores.machines[ip].disk.kept.idempotency_records for ip in (primary, backup))
     assert asked(cores, claim(1, 2))["verdict"] == "in hand"
 
 
@@ -102,7 +102,7 @@
         cores.kill(stood_in)
         cores.run(6.0)
     now = pair(cores)
-    assert book(cores, now[0]).root() == book(cores, now[1]).root()
+    assert book(cores, now[0]).root_digest() == book(cores, now[1]).root_digest()
     assert parts and sum(len(tickets) for _, tickets in parts) < 44
 
 
@@ -111,10 +111,10 @@
     for key in range(10):
         asked(cores, claim(key))
     primary, backup = pair(cores)
-    book(cores, backup).drop(f"{3:032x}")
+    book(cores, backup).remove(f"{3:032x}")
     cores.run(6.0)
     assert pair(cores) == (primary, backup)
-    assert book(cores, primary).root() == book(cores, backup).root()
+    assert book(cores, primary).root_digest() == book(cores, backup).root_digest()
     seen = kinds(cores)
     cores.run(6.0)
     assert RecordDigest in seen and RecordRepair not in seen
@@ -137,11 +137,11 @@
     cores.run(3.0)
     for machine in cores.machines.values():
         assert machine.replica is not None
-        assert machine.replica.tickets.notes["conversations"].version == 4
+        assert machine.replica.record_replication.settings["conversations"].version == 4
     leader = cores.machines[cores.leaders()[0]].replica
-    assert leader is not None and leader.tickets.rules.kept == 3600.0
+    assert leader is not None and leader.record_replication.limits.retention_s == 3600.0
     assert asked(cores, PutSetting("conversations", 3, "older"))["ok"]
-    assert leader.tickets.notes["conversations"].version == 4
+    assert leader.record_replication.settings["conversations"].version == 4
 
 
 @pytest.mark.parametrize("wrong", [{"k": "claim", "key": ["x"]}, {"k": "claim"}, {"k": "end", "key": "a"}])
@@ -160,9 +160,9 @@
     """Answers a claim once its own disk has it."""
 
     def on_record_stored(self, source: str, message: RecordStored) -> None:
-        unstored = self.unstored.get(message.number)
-        if unstored is not None:
-            unstored.on_backup = True
+        pending = self.pending.get(message.number)
+        if pending is not None:
+            pending.on_backup = True
         super().on_record_stored(source, message)
 
 
@@ -176,10 +176,10 @@
 class Generous(RecordReplication):
     """Lets anyone end a ticket."""
 
-    def end(self, call: int, asked: EndAction) -> Reply:
-        held = self.book.tickets.get(asked.key)
+    def end_action(self, call_id: int, call: EndAction) -> Reply:
+        held = self.store.records.get(call.key)
         claim = held.claim if held is not None else ""
-        return super().end(call, EndAction(asked.key, claim, asked.state, asked.answer))
+        return super().end_action(call_id, EndAction(call.key, claim, call.state, call.answer))
 
 
 @pytest.mark.parametrize("broken", [Quick, Unmended, Generous])
--- a/tests/idempotency/test_record_store.py
+++ b/tests/idempotency/test_record_store.py
@@ -1,4 +1,4 @@
-"""The book of tickets: a claim goes once, only its own end frees it; copies compared and mended by ranges."""
+"""The record store: one claim per key, which alone ends its record; comparison and repair of copies."""
 
 from __future__ import annotations
 
@@ -9,134 +9,137 @@
 
 from ivymux.idempotency.record_store import (
     ANSWERED,
-    DIFFERS,
     DONE,
     FREE,
-    FREE_KEPT,
-    FULL,
-    GO,
-    IN_HAND,
+    FREE_RETENTION_S,
+    IN_PROGRESS,
+    LIMIT_REACHED,
     LOST,
-    MAX_ANSWER,
-    NOTE,
-    UNKNOWN,
+    MAX_ANSWER_CHARS,
+    MISMATCH,
+    OUTCOME_UNKNOWN,
+    PROCEED,
+    SETTING_CLAIM_PREFIX,
     IdempotencyRecord,
     IdempotencyRecordError,
+    RecordLimits,
     RecordStore,
-    Rules,
-    place,
+    key_range,
 )  # fmt: skip
 
-RULES = Rules(kept=900.0, most_for_tenant=3, most_answer=50)
+LIMITS = RecordLimits(retention_s=900.0, max_per_tenant=3, max_answer_chars=50)
 
 
-def ticket(key: int, claim: str = "d/1", tenant: str = "t", **more: object) -> IdempotencyRecord:
+def record(key: int, claim: str = "d/1", tenant: str = "t", **fields: object) -> IdempotencyRecord:
     made = IdempotencyRecord(f"{key:032x}", tenant, claim, "place", "body", 4.0)
-    return replace(made, **more)
-
-
-def test_a_key_is_claimed_once_and_ended_by_its_own_claim() -> None:
-    book, one, other = RecordStore(), ticket(1), ticket(1, "d/2")
-    assert book.judge(one, RULES, 10.0).kind == GO
-    assert book.take(replace(one, number=1), 10.0)
-    assert book.judge(one, RULES, 10.1).kind == GO  # the same claim, asked again
-    said = book.judge(other, RULES, 11.0)
-    assert said.kind == IN_HAND and said.after > 0
-    assert book.judge(other, RULES, 15.0).kind == UNKNOWN  # its door has not ended it within its time
-    assert book.ended(one.key, "d/2", FREE, "", RULES) is None
-    done = book.ended(one.key, "d/1", DONE, "answer", RULES)
-    assert done is not None and book.take(replace(done, number=2), 15.0)
-    assert book.judge(other, RULES, 16.0).answer == "answer"
-    assert book.ended(one.key, "d/1", FREE, "", RULES) is None  # an end is not taken back
-    assert book.judge(replace(other, body="b2"), RULES, 16.0).what == "body"
-    assert book.judge(replace(other, place="p2"), RULES, 16.0).kind == DIFFERS
-
-
-@pytest.mark.parametrize(("state", "verdict"), [(FREE, GO), (LOST, UNKNOWN), (DONE, ANSWERED)])
-def test_what_an_end_means_for_the_next_claim(state: str, verdict: str) -> None:
-    book = RecordStore()
-    book.take(ticket(1, number=1), 0.0)
-    ended = book.ended(f"{1:032x}", "d/1", state, "a", RULES)
-    assert ended is not None and book.take(replace(ended, number=2), 1.0)
-    assert book.judge(ticket(1, "d/9"), RULES, 2.0).kind == verdict
-
-
-def test_a_late_copy_undoes_nothing() -> None:
-    book = RecordStore()
-    free = ticket(1, state=FREE, number=7)
-    assert book.take(free, 0.0) and not book.take(ticket(1, number=6), 1.0)
-    assert book.tickets[free.key] == free
-
-
-def test_one_tenant_that_fills_its_part_is_told_and_no_other() -> None:
-    book = RecordStore()
+    return replace(made, **fields)
+
+
+def test_a_key_is_claimed_once_and_ended_only_by_its_claim() -> None:
+    store, first, second = RecordStore(), record(1), record(1, "d/2")
+    assert store.judge_claim(first, LIMITS, 10.0).kind == PROCEED
+    assert store.apply(replace(first, change_number=1), 10.0)
+    assert store.judge_claim(first, LIMITS, 10.1).kind == PROCEED  # the same claim again
+    verdict = store.judge_claim(second, LIMITS, 11.0)
+    assert verdict.kind == IN_PROGRESS and verdict.retry_after_s > 0
+    # The first claim has not ended the record within its lifetime.
+    assert store.judge_claim(second, LIMITS, 15.0).kind == OUTCOME_UNKNOWN
+    assert store.ended_record(first.key, "d/2", FREE, "", LIMITS) is None
+    done = store.ended_record(first.key, "d/1", DONE, "answer", LIMITS)
+    assert done is not None and store.apply(replace(done, change_number=2), 15.0)
+    assert store.judge_claim(second, LIMITS, 16.0).answer == "answer"
+    assert store.ended_record(first.key, "d/1", FREE, "", LIMITS) is None  # an ended record stays ended
+    assert store.judge_claim(replace(second, body_digest="b2"), LIMITS, 16.0).mismatch == "body"
+    assert store.judge_claim(replace(second, request_digest="p2"), LIMITS, 16.0).kind == MISMATCH
+
+
+@pytest.mark.parametrize(("state", "verdict"), [(FREE, PROCEED), (LOST, OUTCOME_UNKNOWN), (DONE, ANSWERED)])
+def test_the_end_state_decides_the_verdict_on_the_next_claim(state: str, verdict: str) -> None:
+    store = RecordStore()
+    store.apply(record(1, change_number=1), 0.0)
+    ended = store.ended_record(f"{1:032x}", "d/1", state, "a", LIMITS)
+    assert ended is not None and store.apply(replace(ended, change_number=2), 1.0)
+    assert store.judge_claim(record(1, "d/9"), LIMITS, 2.0).kind == verdict
+
+
+def test_a_delayed_older_state_is_ignored() -> None:
+    store = RecordStore()
+    free = record(1, state=FREE, change_number=7)
+    assert store.apply(free, 0.0) and not store.apply(record(1, change_number=6), 1.0)
+    assert store.records[free.key] == free
+
+
+def test_a_tenant_at_its_limit_is_refused_and_no_other_tenant() -> None:
+    store = RecordStore()
     for key in range(3):
-        book.take(ticket(key, number=key + 1), 0.0)
-    assert book.judge(ticket(9), RULES, 1.0).kind == FULL
-    assert book.judge(ticket(9, tenant="u"), RULES, 1.0).kind == GO
-    assert book.judge(ticket(1, "d/5"), RULES, 1.0).kind == IN_HAND  # what it has is known all the same
+        store.apply(record(key, change_number=key + 1), 0.0)
+    assert store.judge_claim(record(9), LIMITS, 1.0).kind == LIMIT_REACHED
+    assert store.judge_claim(record(9, tenant="u"), LIMITS, 1.0).kind == PROCEED
+    assert store.judge_claim(record(1, "d/5"), LIMITS, 1.0).kind == IN_PROGRESS  # known keys are still judged
 
 
-def test_a_full_book_refuses_who_has_more_than_an_even_part(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ivymux.idempotency.record_store.MAX_TICKETS", 4)
-    book, rules = RecordStore(), Rules(most_for_tenant=100)
+def test_a_full_store_refuses_a_tenant_above_an_even_share(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("ivymux.idempotency.record_store.MAX_RECORDS", 4)
+    store, limits = RecordStore(), RecordLimits(max_per_tenant=100)
     for key in range(3):
-        book.take(ticket(key, number=key + 1), 0.0)
-    book.take(ticket(7, tenant="u", number=9), 0.0)
-    assert book.judge(ticket(9), rules, 1.0).kind == FULL
-    assert book.judge(ticket(9, tenant="u"), rules, 1.0).kind == GO
+        store.apply(record(key, change_number=key + 1), 0.0)
+    store.apply(record(7, tenant="u", change_number=9), 0.0)
+    assert store.judge_claim(record(9), limits, 1.0).kind == LIMIT_REACHED
+    assert store.judge_claim(record(9, tenant="u"), limits, 1.0).kind == PROCEED
 
 
-def test_an_answer_over_the_bound_is_not_kept_and_its_ticket_is() -> None:
-    book = RecordStore()
-    book.take(ticket(1, number=1), 0.0)
-    ended = book.ended(f"{1:032x}", "d/1", DONE, "x" * 51, RULES)
+def test_a_record_is_kept_without_an_answer_that_is_too_long() -> None:
+    store = RecordStore()
+    store.apply(record(1, change_number=1), 0.0)
+    ended = store.ended_record(f"{1:032x}", "d/1", DONE, "x" * 51, LIMITS)
     assert ended is not None and ended.state == DONE and ended.answer == ""
 
 
-def test_tickets_age_and_free_ones_sooner() -> None:
-    book = RecordStore()
-    book.take(ticket(1, state=DONE, number=1), 0.0)
-    book.take(ticket(2, state=FREE, number=2), 1.0)
-    assert book.aged(RULES, FREE_KEPT) == []
-    assert book.aged(RULES, FREE_KEPT + 2) == [f"{2:032x}"]
-    assert set(book.aged(RULES, 901.5)) == {f"{1:032x}", f"{2:032x}"}
-    book.take(ticket(3, NOTE + "n", number=3), 0.0)
-    assert f"{3:032x}" not in book.aged(RULES, 1e9)
+def test_records_expire_and_free_ones_sooner() -> None:
+    store = RecordStore()
+    store.apply(record(1, state=DONE, change_number=1), 0.0)
+    store.apply(record(2, state=FREE, change_number=2), 1.0)
+    assert store.expired_keys(LIMITS, FREE_RETENTION_S) == []
+    assert store.expired_keys(LIMITS, FREE_RETENTION_S + 2) == [f"{2:032x}"]
+    assert set(store.expired_keys(LIMITS, 901.5)) == {f"{1:032x}", f"{2:032x}"}
+    store.apply(record(3, SETTING_CLAIM_PREFIX + "n", change_number=3), 0.0)
+    assert f"{3:032x}" not in store.expired_keys(LIMITS, 1e9)
 
 
-def test_copies_that_differ_anywhere_are_mended_to_the_newer() -> None:
+def test_copies_that_differ_are_repaired_to_the_newer() -> None:
     chance = random.Random(5)
     for _ in range(60):
-        mine, other = RecordStore(), RecordStore()
+        newer, older = RecordStore(), RecordStore()
         for number in range(1, 80):
-            made = ticket(chance.getrandbits(128), number=number, state=chance.choice((DONE, FREE, "open")))
-            for book in (mine, other):
+            key = chance.getrandbits(128)
+            made = record(key, change_number=number, state=chance.choice((DONE, FREE, "open")))
+            for store in (newer, older):
                 if chance.random() < 0.9:
-                    book.take(made, 0.0)
+                    store.apply(made, 0.0)
                 elif chance.random() < 0.3:
-                    book.take(replace(made, number=number + 100, state=LOST), 0.0)
-        differing = mine.differing(other.digests)
-        assert bool(differing) == (mine.root() != other.root())
-        for at, tickets in mine.inside(differing).items():
-            for key, _ in other.mend(at, tickets, 1.0):
-                assert place(key) == at
-        assert other.root() == mine.root() and other.tickets == mine.tickets
-        assert other.held == mine.held and other.bytes == mine.bytes
-
-
-def test_a_ticket_that_no_process_sends_is_refused() -> None:
-    whole = ticket(1, number=3).wire()
-    assert IdempotencyRecord.read(whole).number == 3
-    for at, wrong in (
+                    store.apply(replace(made, change_number=number + 100, state=LOST), 0.0)
+        differing = newer.differing_ranges(older.digests)
+        assert bool(differing) == (newer.root_digest() != older.root_digest())
+        for number, records in newer.records_in_ranges(differing).items():
+            for changed, _ in older.repair_range(number, records, 1.0):
+                assert key_range(changed) == number
+        assert older.root_digest() == newer.root_digest() and older.records == newer.records
+        assert older.counts_by_tenant == newer.counts_by_tenant
+        assert older.answer_chars == newer.answer_chars
+
+
+def test_a_malformed_record_is_rejected() -> None:
+    fields = record(1, change_number=3).to_wire()
+    assert IdempotencyRecord.from_wire(fields).change_number == 3
+    for position, wrong in (
         (0, "short"),
         (0, "z" * 32),
         (6, "gone"),
         (7, None),
-        (8, "x" * (MAX_ANSWER + 1)),
+        (8, "x" * (MAX_ANSWER_CHARS + 1)),
         (5, "s"),
     ):
         with pytest.raises(IdempotencyRecordError):
-            IdempotencyRecord.read([*whole[:at], wrong, *whole[at + 1 :]])
+            IdempotencyRecord.from_wire([*fields[:position], wrong, *fields[position + 1 :]])
     with pytest.raises(IdempotencyRecordError):
-        IdempotencyRecord.read(whole[:-1])
+        IdempotencyRecord.from_wire(fields[:-1])
--- a/tests/idempotency/test_settings.py
+++ b/tests/idempotency/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of conversations: what is taken, and what is said of the rest."""
+"""Settings of conversations: accepted values, and the error for each invalid one."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ivymux.idempotency.settings import TermsError
+from ivymux.idempotency.settings import ConversationSettingsError
 from ivymux.idempotency.validation import read
 
 
@@ -14,13 +14,21 @@
     return json.dumps({"settings_version": 1, **fields}).encode()
 
 
-def test_defaults_and_all_that_can_be_said() -> None:
-    terms = read(text())
-    assert (terms.rules.kept, terms.rules.most_for_tenant, terms.header) == (900.0, 10_000, b"")
-    terms = read(
+def test_defaults_and_every_field() -> None:
+    settings = read(text())
+    assert (settings.limits.retention_s, settings.limits.max_per_tenant, settings.header) == (
+        900.0,
+        10_000,
+        b"",
+    )
+    settings = read(
         text(kept_for="2h", most_per_tenant=50, most_answer_bytes=0, conversation_header="X-Matter", other=1)
     )
-    assert (terms.rules.kept, terms.rules.most_answer, terms.header) == (7200.0, 0, b"x-matter")
+    assert (settings.limits.retention_s, settings.limits.max_answer_chars, settings.header) == (
+        7200.0,
+        0,
+        b"x-matter",
+    )
 
 
 @pytest.mark.parametrize(
@@ -34,6 +42,6 @@
         (text(pad="x" * 20_000), "16384 at most"),
     ],
 )  # fmt: skip
-def test_what_is_invalid_is_told_with_its_place(wrong: bytes, where: str) -> None:
-    with pytest.raises(TermsError, match=where):
+def test_an_invalid_value_is_reported_with_its_field(wrong: bytes, where: str) -> None:
+    with pytest.raises(ConversationSettingsError, match=where):
         read(wrong)
