--- a/ivymux/registry/outlier_detection.py
+++ b/ivymux/registry/outlier_detection.py
@@ -1,62 +1,82 @@
-"""Backends that fail what they are sent while they call in good order, by what several doors met.  Pure.
+"""Ejects backends that fail requests although their heartbeats are in order.  Pure; time is steady.
 
-A door of a large fleet meets one backend every twenty seconds, and has learned nothing when the trouble is
-over; all doors together know within a few requests.  No single door's word counts, as it may be that door's
-own trouble.  Where much of a service would be shut out the rule itself is taken to be wrong: it may be the
-service, or the way to it, and then shutting out makes it worse.  What is shut out comes back soon, and later
-each time that it fails anew.
+In a large fleet one proxy sends a backend a request only every twenty seconds or so, and learns nothing
+before the failure is over; the proxies' reports together show it within a few requests.  Reports of a single
+proxy don't suffice, as the failure may be that proxy's own.  Only a part of a service may be ejected at once:
+if more of it fails, the service as a whole or the network is at fault, and ejection would make that worse.
+An ejected backend returns soon, and each time it fails again the ejection lasts longer.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-SPAN = 2.0  # seconds within which failures count together
-LEAST = 3  # of them
-DOORS = 2  # that met them, where there are as many
-FIRST, MOST = 2.0, 8.0  # seconds for which a backend is left alone
-AGAIN = 4.0  # seconds behind that within which it counts as the same trouble
-PART = 1 / 3  # of a service, the most that is left alone at once
-MAX_KNOWN = 5000  # backends
+WINDOW_S = 2.0  # failures within it count together
+MIN_FAILURES = 3
+MIN_PROXIES = 2  # that reported them, where as many are connected
+FIRST_EJECTION_S, MAX_EJECTION_S = 2.0, 8.0
+REPEAT_WINDOW_S = 4.0  # failures this soon after an ejection double the next one
+MAX_EJECTED_SHARE = 1 / 3  # of a service's backends
+MAX_BACKENDS = 5000  # over it, those without a recent ejection are dropped
+
+
+class FailureReport(NamedTuple):
+    """Failures of one backend that one proxy reported at once."""
+
+    at: float
+    proxy: str
+    failures: int
 
 
 @dataclass(slots=True)
-class Seen:
-    met: deque[tuple[float, str, int]] = field(default_factory=deque)  # when, by which door, how many
-    until: float = 0.0  # left alone until then
-    span: float = 0.0
+class BackendFailures:
+    """What is known of one backend."""
+
+    reports: deque[FailureReport] = field(default_factory=deque)
+    ejected_until: float = 0.0
+    ejection_s: float = 0.0  # length of the last ejection
 
 
 @dataclass(slots=True)
-class Grey:
-    seen: dict[str, Seen] = field(default_factory=dict)
+class OutlierDetector:
+    """Decides on ejections for all backends of a registry."""
+
+    backends: dict[str, BackendFailures] = field(default_factory=dict)
 
-    def hear(self, door: str, backend: str, count: int, doors: int, peers: list[str], now: float) -> float:
-        """A door's failures at a backend; for how many seconds all doors leave it alone, 0 for not.
+    def report(
+        self, proxy: str, backend: str, failures: int, proxies: int, peers: list[str], now: float
+    ) -> float:
+        """Add a proxy's failure report; return the seconds for which the backend is ejected, 0 for none.
 
-        `doors`: how many are connected; `peers`: the backends in service of its service, itself among them.
+        `proxies` is the number of connected proxies; `peers` are the backends in service of the same service,
+        this one included.
         """
-        found = self.seen.get(backend)
+        found = self.backends.get(backend)
         if found is None:
-            if len(self.seen) >= MAX_KNOWN:
-                self.forget(now)
-            found = self.seen[backend] = Seen()
-        found.met.append((now, door, count))
-        while found.met[0][0] < now - SPAN:
-            found.met.popleft()
-        if now < found.until or sum(n for _, _, n in found.met) < LEAST:
+            if len(self.backends) >= MAX_BACKENDS:
+                self.drop_old(now)
+            found = self.backends[backend] = BackendFailures()
+        found.reports.append(FailureReport(now, proxy, failures))
+        while found.reports[0].at < now - WINDOW_S:
+            found.reports.popleft()
+        if now < found.ejected_until or sum(report.failures for report in found.reports) < MIN_FAILURES:
             return 0.0
-        if len({name for _, name, _ in found.met}) < min(DOORS, doors):
+        if len({report.proxy for report in found.reports}) < min(MIN_PROXIES, proxies):
             return 0.0
-        out = sum(peer in self.seen and self.seen[peer].until > now for peer in peers)
-        if out + 1 > max(1.0, PART * len(peers)):
+        ejected = sum(peer in self.backends and self.backends[peer].ejected_until > now for peer in peers)
+        if ejected + 1 > max(1.0, MAX_EJECTED_SHARE * len(peers)):
             return 0.0
-        again = now < found.until + AGAIN
-        found.span = min(MOST, 2 * found.span) if again and found.span else FIRST
-        found.until = now + found.span
-        found.met.clear()
-        return found.span
-
-    def forget(self, now: float) -> None:
-        self.seen = {id: seen for id, seen in self.seen.items() if seen.until + AGAIN > now}
+        is_repeat = now < found.ejected_until + REPEAT_WINDOW_S
+        found.ejection_s = (
+            min(MAX_EJECTION_S, 2 * found.ejection_s) if is_repeat and found.ejection_s else FIRST_EJECTION_S
+        )
+        found.ejected_until = now + found.ejection_s
+        found.reports.clear()
+        return found.ejection_s
+
+    def drop_old(self, now: float) -> None:
+        self.backends = {
+            id: found for id, found in self.backends.items() if found.ejected_until + REPEAT_WINDOW_S > now
+        }
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -20,8 +20,8 @@
 from ivymux.fault_injection import TRIALS
 from ivymux.idempotency import CONVERSATIONS
 from ivymux.registry.backend_records import QUIESCING, UP, BackendRecords, CallError
-from ivymux.registry.outlier_detection import Grey
-from ivymux.registry.proxy_reachability import ProxyReach
+from ivymux.registry.outlier_detection import OutlierDetector
+from ivymux.registry.proxy_reachability import ProxyReachability
 from ivymux.registry.trial_endpoints import TrialCalls
 from ivymux.routing_config.route_plan import MAX_TEXT, PlanError
 from ivymux.runtime.log import Log
@@ -99,7 +99,7 @@
         self.steady_unix = time.time() - time.monotonic()
         self.backends = BackendRecords(SILENT_BEATS * settings.beat)
         self.doors: dict[Connection, DoorLine] = {}
-        self.reach = ProxyReach()
+        self.reachability = ProxyReachability()
         # Of its descriptors a part is for doors, the rest for outside calls.
         most_doors = max(64, int(settings.sockets * DOORS_PART))
         self.listener = Listener(self.heard, on_disconnect=self.lost, max_connections=most_doors)
@@ -113,7 +113,7 @@
         self.packed = b""  # the configuration's news, encoded once
         self.stirred: dict[str, tuple[DoorLine, bool]] = {}  # doors whose coming or going is not told yet
         self.stirred_at = 0.0
-        self.grey = Grey()
+        self.outliers = OutlierDetector()
         self.shunned = 0
         self.stirring: asyncio.TimerHandle | None = None
         self.cores: list[str] = [settings.ip]
@@ -229,7 +229,7 @@
         )  # fmt: skip
         news = self.backends.changes_since(int(message["n"]), now) if message["run"] == self.run_id else None
         self.doors[line] = door
-        self.reach.connected(door.address)
+        self.reachability.on_connect(door.address)
         line.send(
             {
                 "k": "here", "run": self.run_id, "n": self.backends.last_change, "whole": news is None,
@@ -269,7 +269,7 @@
         door = self.doors.pop(line, None)
         if door is None:
             return
-        self.reach.disconnected(door.address, time.monotonic())
+        self.reachability.on_disconnect(door.address, time.monotonic())
         for _, waiting in door.waiters:
             if not waiting.done():
                 waiting.set_result(None)
@@ -288,7 +288,7 @@
         peers = [
             r.id for r in self.backends.records.values() if r.service == record.service and r.state == UP
         ]
-        span = self.grey.hear(door.id, id, count, len(self.doors), peers, time.monotonic())
+        span = self.outliers.report(door.id, id, count, len(self.doors), peers, time.monotonic())
         if span:
             self.shunned += 1
             if self.shunned in (1, 10, 100, 1000):
@@ -317,7 +317,7 @@
         if waits:
             await asyncio.wait(waits, timeout=HEARD_WAIT)
         heard = [door.address for door in self.doors.values() if door.acked >= number]
-        return self.reach.suffices(heard, time.monotonic())
+        return self.reachability.is_sufficient(heard, time.monotonic())
 
     # --- the configuration store -----------------------------------------------------------------------
 
@@ -370,7 +370,7 @@
             reached = await self.all_heard(record.change_number)
         else:
             connected = [door.address for door in self.doors.values()]
-            reached = self.reach.suffices(connected, time.monotonic())
+            reached = self.reachability.is_sufficient(connected, time.monotonic())
         if not reached:
             return error_answer(503, NOT_REACHED)
         own = self.server.listen
--- a/ivymux/registry/proxy_reachability.py
+++ b/ivymux/registry/proxy_reachability.py
@@ -1,8 +1,9 @@
-"""Whether this registry reaches the proxies, as far as it can tell.  Pure.
+"""Whether this registry reaches enough proxies to acknowledge a call.  Pure.
 
-A registry that is cut off still hears backends of its side.  What it acknowledges binds every proxy, so it
-says that it cannot where it reaches less than half of the proxies that it held a connection of of late: the
-backend's call then goes on to another registry.  What it was told is passed on to those that it does reach.
+A registry on one side of a network partition still gets heartbeats from the backends of that side.  An
+acknowledged call must hold at all proxies, so the registry refuses to acknowledge while it reaches less than
+half of the proxies that were connected recently; the backend then repeats its call at another registry.
+The change itself is still passed on to the proxies that are connected.
 """
 
 from __future__ import annotations
@@ -10,29 +11,31 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-REMEMBERED = 20.0  # seconds for which a proxy whose connection ended counts, unless it comes back
+RETENTION_S = 20.0  # a disconnected proxy counts this long unless it comes back
 
 
 @dataclass(slots=True)
-class ProxyReach:
-    """Addresses of proxies; times are steady seconds."""
+class ProxyReachability:
+    """The recently connected proxies by address; times are steady seconds."""
 
-    held: dict[str, int] = field(default_factory=dict)  # connections by address
-    lost: dict[str, float] = field(default_factory=dict)  # when the last connection of an address ended
+    connections: dict[str, int] = field(default_factory=dict)  # open connections by address
+    disconnected_at: dict[str, float] = field(default_factory=dict)  # end of an address's last connection
 
-    def connected(self, address: str) -> None:
-        self.held[address] = self.held.get(address, 0) + 1
-        self.lost.pop(address, None)
+    def on_connect(self, address: str) -> None:
+        self.connections[address] = self.connections.get(address, 0) + 1
+        self.disconnected_at.pop(address, None)
 
-    def disconnected(self, address: str, now: float) -> None:
-        left = self.held.get(address, 0) - 1
-        if left > 0:
-            self.held[address] = left
+    def on_disconnect(self, address: str, now: float) -> None:
+        remaining = self.connections.get(address, 0) - 1
+        if remaining > 0:
+            self.connections[address] = remaining
         else:
-            self.held.pop(address, None)
-            self.lost[address] = now
-
-    def suffices(self, heard: Iterable[str], now: float) -> bool:
-        """Whether the proxies that have heard are at least half of those that there may be."""
-        self.lost = {address: at for address, at in self.lost.items() if now - at < REMEMBERED}
-        return 2 * len(set(heard)) >= len(self.held.keys() | self.lost.keys())
+            self.connections.pop(address, None)
+            self.disconnected_at[address] = now
+
+    def is_sufficient(self, reached: Iterable[str], now: float) -> bool:
+        """Whether the `reached` proxies are at least half of all recently connected ones."""
+        self.disconnected_at = {
+            address: at for address, at in self.disconnected_at.items() if now - at < RETENTION_S
+        }
+        return 2 * len(set(reached)) >= len(self.connections.keys() | self.disconnected_at.keys())
--- a/ivymux/simulation/backend_selection.py
+++ b/ivymux/simulation/backend_selection.py
@@ -15,7 +15,7 @@
 
 from ivymux.proxy.failure_reports import doubtful
 from ivymux.proxy.module_settings import module_settings
-from ivymux.registry.outlier_detection import Grey
+from ivymux.registry.outlier_detection import OutlierDetector
 from ivymux.simulation.event_queue import START, Clocked
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
@@ -73,7 +73,7 @@
         ]
         self.weights = [self.random.gammavariate(4.0, 1.0) for _ in range(doors)]
         self.doors = [self.door(n) for n in range(doors)]
-        self.grey = Grey()
+        self.outliers = OutlierDetector()
         self.idle: dict[tuple[int, int], list[float]] = {}  # connections, by door and server, since when
         self.open: dict[int, Asked] = {}
         self.took: list[tuple[float, float]] = []  # when it began, its time over the mean work
@@ -190,7 +190,7 @@
     def doubt(self, door: int, backend: int) -> None:
         kind = self.machines[backend - 1].kind
         peers = [str(n + 1) for n, machine in enumerate(self.machines) if machine.kind == kind]
-        span = self.grey.hear(str(door), str(backend), 1, len(self.doors), peers, self.now)
+        span = self.outliers.report(str(door), str(backend), 1, len(self.doors), peers, self.now)
         if span:
             for n in range(len(self.doors)):
                 self.at(self.now + TOLD, lambda n=n: self.tell(n, i.Shun(backend, span)))  # type: ignore[misc]
--- a/ivymux/simulation/exploration.py
+++ b/ivymux/simulation/exploration.py
@@ -155,14 +155,14 @@
         return tuple(met)
 
     def play(self, events: Events) -> str:
-        made, peers = outlier_detection.Grey(), [str(n) for n in range(self.backends)]
+        made, peers = outlier_detection.OutlierDetector(), [str(n) for n in range(self.backends)]
         heard: list[tuple[float, str, str]] = []
         alone: dict[str, float] = {}
         for event in events:
             text, door, backend = event.split(":")
             now = float(text)
             heard.append((now, door, backend))
-            span = made.hear(door, backend, 1, self.doors, peers, now)
+            span = made.report(door, backend, 1, self.doors, peers, now)
             if not span:
                 continue
             voices = {d for at, d, b in heard if b == backend and at >= now - 2.0}
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Backends that fail while they call in good order: whose word counts, how much of a service, how long."""
+"""Ejection of backends that fail requests: how many proxies it takes, how much of a service, for how long."""
 
 from __future__ import annotations
 
@@ -6,7 +6,13 @@
 from pathlib import Path
 
 from ivymux.proxy.failure_reports import Doubts, doubtful
-from ivymux.registry.outlier_detection import FIRST, LEAST, MOST, PART, Grey
+from ivymux.registry.outlier_detection import (
+    FIRST_EJECTION_S,
+    MAX_EJECTED_SHARE,
+    MAX_EJECTION_S,
+    MIN_FAILURES,
+    OutlierDetector,
+)
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
 from ivymux.simulation.local_cluster import Lab
@@ -19,47 +25,50 @@
 PEERS = [f"b{n}" for n in range(9)]
 
 
-def heard(grey: Grey, door: str, now: float, backend: str = "b0", count: int = 1) -> float:
-    return grey.hear(door, backend, count, 11, PEERS, now)
+def report(
+    detector: OutlierDetector, proxy: str, now: float, backend: str = "b0", failures: int = 1
+) -> float:
+    return detector.report(proxy, backend, failures, 11, PEERS, now)
 
 
-def test_one_doors_voice_shuts_nobody_out() -> None:
-    grey = Grey()
-    assert not any(heard(grey, "d1", at / 10) for at in range(100))
-    assert heard(grey, "d2", 10.0) == FIRST  # a second one has met it
+def test_reports_of_one_proxy_eject_nothing() -> None:
+    detector = OutlierDetector()
+    assert not any(report(detector, "d1", at / 10) for at in range(100))
+    assert report(detector, "d2", 10.0) == FIRST_EJECTION_S  # a second proxy reports it too
 
 
-def test_failures_far_apart_do_not_add_up() -> None:
-    grey = Grey()
-    assert not any(heard(grey, f"d{n}", 1.5 * n) for n in range(20))
-    assert [heard(grey, f"d{n}", 50 + n / 10) for n in range(LEAST)][-1] == FIRST
+def test_failures_outside_the_window_do_not_add_up() -> None:
+    detector = OutlierDetector()
+    assert not any(report(detector, f"d{n}", 1.5 * n) for n in range(20))
+    ejections = [report(detector, f"d{n}", 50 + n / 10) for n in range(MIN_FAILURES)]
+    assert ejections[-1] == FIRST_EJECTION_S
 
 
-def test_what_fails_again_is_left_alone_longer_and_a_while_later_as_at_first() -> None:
-    grey, now, spans = Grey(), 0.0, []
+def test_repeated_ejections_grow_longer_and_a_later_one_starts_anew() -> None:
+    detector, now, ejections = OutlierDetector(), 0.0, []
     for _ in range(4):
-        spans.append([heard(grey, f"d{n}", now) for n in range(LEAST)][-1])
-        assert not heard(grey, "d9", now + 0.1)  # it is left alone already
-        now += spans[-1] + 0.5
-    assert spans == [FIRST, 2 * FIRST, MOST, MOST]
-    assert [heard(grey, f"d{n}", now + 60) for n in range(LEAST)][-1] == FIRST
+        ejections.append([report(detector, f"d{n}", now) for n in range(MIN_FAILURES)][-1])
+        assert not report(detector, "d9", now + 0.1)  # it is ejected already
+        now += ejections[-1] + 0.5
+    assert ejections == [FIRST_EJECTION_S, 2 * FIRST_EJECTION_S, MAX_EJECTION_S, MAX_EJECTION_S]
+    assert [report(detector, f"d{n}", now + 60) for n in range(MIN_FAILURES)][-1] == FIRST_EJECTION_S
 
 
-def test_no_more_than_a_part_of_a_service_is_shut_out() -> None:
-    grey = Grey()
-    out = [b for b in PEERS if any(heard(grey, f"d{n}", 1.0, b) for n in range(LEAST))]
-    assert len(out) == int(PART * len(PEERS))
-    assert not any(heard(grey, f"d{n}", 1.5, "b8") for n in range(30))
+def test_only_a_part_of_a_service_is_ejected_at_once() -> None:
+    detector = OutlierDetector()
+    ejected = [b for b in PEERS if any(report(detector, f"d{n}", 1.0, b) for n in range(MIN_FAILURES))]
+    assert len(ejected) == int(MAX_EJECTED_SHARE * len(PEERS))
+    assert not any(report(detector, f"d{n}", 1.5, "b8") for n in range(30))
 
 
-def test_what_a_full_backend_says_does_not_tell_against_it() -> None:
+def test_answers_of_an_overloaded_backend_are_no_failures() -> None:
     against = {(o, s) for o in Outcome for s in (0, 200, 404, 500, 502, 503, 504) if doubtful(o, s)}
     assert {(o, s) for o, s in against if o is not Outcome.CANCELLED} == {
         (Outcome.ERROR, 500), (Outcome.ERROR, 502),
     }  # fmt: skip
 
 
-def test_a_door_at_which_most_goes_wrong_keeps_its_doubts() -> None:
+def test_a_proxy_at_which_most_requests_fail_reports_nothing() -> None:
     async def test() -> None:
         well, said = [0], list[Message]()
         doubts = Doubts(lambda: well[0], lambda backend: f"b{backend}", said.append)
@@ -77,36 +86,39 @@
     asyncio.run(test())
 
 
-class Heard(Connection):
-    """A connection that keeps what is written to it."""
+class RecordingConnection(Connection):
+    """A connection that keeps the ejections written to it."""
 
-    told: list[Message]
+    written: list[Message]
 
     def write(self, data: bytes) -> None:
-        self.told.extend(m for m in FrameDecoder().feed(data) if m["k"] == "shun")
+        self.written.extend(m for m in FrameDecoder().feed(data) if m["k"] == "shun")
 
 
-def test_a_registry_tells_all_doors_of_a_backend_that_several_met(tmp_path: Path) -> None:
+def test_a_registry_announces_an_ejection_to_all_proxies(tmp_path: Path) -> None:
     async def test() -> None:
         lab = Lab(tmp_path)
         registry = Registry(load(lab.settings(lab.cores[0], True)))
-        lines = []
+        connections = []
         for number in range(3):
-            line = Heard(registry.heard, on_disconnect=registry.lost)
-            line.is_connected, line.told = True, []
+            connection = RecordingConnection(registry.heard, on_disconnect=registry.lost)
+            connection.is_connected, connection.written = True, []
             registry.welcome(
-                line, {"id": f"d{number}", "ip": "127.0.0.8", "port": 1, "zone": "hall", "run": "", "n": 0}
+                connection,
+                {"id": f"d{number}", "ip": "127.0.0.8", "port": 1, "zone": "hall", "run": "", "n": 0},
             )
-            lines.append(line)
+            connections.append(connection)
         for number in range(4):
             body = {"service_name": "desk", "address": f"10.0.0.{number}:80", "zone_name": "hall",
                     "capacity": 2, "oper_state": "in_service", "call_seq": 1}  # fmt: skip
             registry.backends.heartbeat(f"i-{number}", body, 0.0)
-        for line in lines[:2]:
-            registry.heard(line, {"k": "doubt", "l": [["i-0", 2], ["none", 1]]})
-        assert [line.told for line in lines] == [[{"k": "shun", "id": "i-0", "for": FIRST}]] * 3
-        registry.heard(lines[0], {"k": "doubt", "l": [["i-0", 0]]})
-        assert not lines[0].is_connected and registry.spoilt == 1
+        for connection in connections[:2]:
+            registry.heard(connection, {"k": "doubt", "l": [["i-0", 2], ["none", 1]]})
+        assert [connection.written for connection in connections] == [
+            [{"k": "shun", "id": "i-0", "for": FIRST_EJECTION_S}]
+        ] * 3
+        registry.heard(connections[0], {"k": "doubt", "l": [["i-0", 0]]})
+        assert not connections[0].is_connected and registry.spoilt == 1
         await registry.stop()
         await lab.close()
 
