--- a/ivymux/data_plane/client_departures.py
+++ b/ivymux/data_plane/client_departures.py
@@ -16,11 +16,11 @@
     CANCEL = "cancel"  # all end: what they do is of use to nobody
 
     @classmethod
-    def of(cls, repeatable: bool) -> OnDeparture:
+    def for_request(cls, repeatable: bool) -> OnDeparture:
         """A request that may not be repeated is not cut off: nobody would know whether it had run."""
         return cls.CANCEL if repeatable else cls.CANCEL_UNWRITTEN
 
-    def cancels(self, written: bool) -> bool:
+    def cancels_attempt(self, written: bool) -> bool:
         """Whether an attempt ends with its client, by whether any of it has been written to a backend."""
         return self is OnDeparture.CANCEL or (self is OnDeparture.CANCEL_UNWRITTEN and not written)
 
@@ -33,29 +33,29 @@
     attempts: int = 0  # of them that were out as the client left
     unwritten: int = 0  # of these, with nothing written yet
     cancelled: int = 0  # of these, given up because the client had left
-    overran: int = 0  # of these, that ended later than BOUND behind the leaving
-    longest: float = 0.0  # seconds between a client's leaving and the end of an attempt for it
-    logged: int = 0  # `requests` as of the last line
+    late: int = 0  # of these, that ended later than BOUND behind the leaving
+    longest_s: float = 0.0  # seconds between a client's leaving and the end of an attempt for it
+    logged_requests: int = 0  # `requests` as of the last line
 
-    def left(self, attempts: int, unwritten: int) -> None:
+    def record_departure(self, attempts: int, unwritten: int) -> None:
         """A client has left a request that has `attempts` out, `unwritten` of them not written at all."""
         self.requests += 1
         self.attempts += attempts
         self.unwritten += unwritten
 
-    def ended(self, seconds: float, cancelled: bool) -> None:
+    def record_attempt_end(self, seconds: float, cancelled: bool) -> None:
         """An attempt ended so many seconds after its client had left."""
         self.cancelled += cancelled
-        self.overran += seconds > BOUND
-        self.longest = max(self.longest, seconds)
+        self.late += seconds > BOUND
+        self.longest_s = max(self.longest_s, seconds)
 
-    def line(self) -> str:
+    def log_line(self) -> str:
         """For the log; empty where no client has left since the last line."""
-        if self.requests == self.logged:
+        if self.requests == self.logged_requests:
             return ""
-        self.logged = self.requests
+        self.logged_requests = self.requests
         return (
             f"clients left {self.requests} requests unanswered with {self.attempts} attempts out"
-            f" ({self.unwritten} unwritten); {self.cancelled} cancelled for it, {self.overran} ended over"
-            f" {BOUND} s later, the longest {self.longest:.2f} s"
+            f" ({self.unwritten} unwritten); {self.cancelled} cancelled for it, {self.late} ended over"
+            f" {BOUND} s later, the longest {self.longest_s:.2f} s"
         )
--- a/ivymux/data_plane/frontend.py
+++ b/ivymux/data_plane/frontend.py
@@ -33,16 +33,16 @@
     content_type: bytes = b""
     retry_after: float = 0.0
     headers: Headers | None = None
-    extra: Headers | None = None
+    extra_headers: Headers | None = None
 
 
 class Claim(Protocol):
     """An action that is claimed before it goes to a backend, so that it goes there once."""
 
-    def ask(self, go: Callable[[Answer | None], None]) -> None:
+    def acquire(self, go: Callable[[Answer | None], None]) -> None:
         """`go` hears None where the action may be sent, else its answer."""
 
-    def end(self, answer: Answer | None, ran: bool) -> None:
+    def finish(self, answer: Answer | None, ran: bool) -> None:
         """It is over: with a backend's answer, without one, or (not `ran`) without having run."""
 
 
@@ -50,33 +50,37 @@
 class Call:
     """A request that a front has taken."""
 
-    key: bytes  # no second request with it may be open; empty for none
-    end: float  # monotonic time at which its client gives up
-    make: Callable[[int], i.Request]  # the module's event, given its number
-    payload: Callable[[float], bytes]  # what goes to a backend, given the seconds that are left
-    head: bool = False  # whether answers to it have no body
-    name: bytes = b""  # the request's id, as its answers tell it
-    over: Callable[[], None] | None = None  # hears when it is answered and none of its attempts is out
-    to: Callable[[float, int], bytes] | None = None  # in place of `payload`: what goes to one backend
+    unique_key: bytes  # no second request with it may be open; empty for none
+    deadline: float  # monotonic time at which its client gives up
+    make_event: Callable[[int], i.Request]  # the module's event, given its number
+    make_payload: Callable[[float], bytes]  # what goes to a backend, given the seconds that are left
+    is_head: bool = False  # whether answers to it have no body
+    request_id: bytes = b""  # the request's id, as its answers tell it
+    on_finished: Callable[[], None] | None = None  # hears when it is answered and none of its attempts is out
+    make_payload_for: Callable[[float, int], bytes] | None = (
+        None  # in place of `payload`: what goes to one backend
+    )
     claim: Claim | None = None
-    hold: float = 0.0  # seconds for which it is held before the module hears of it
-    lose: bool = False  # whether a backend's answer to it is not passed on
+    hold_s: float = 0.0  # seconds for which it is held before the module hears of it
+    drops_answer: bool = False  # whether a backend's answer to it is not passed on
     on_departure: OnDeparture = OnDeparture.RUN_ON
 
 
 class Frontend(Protocol):
     """One kind of front door: the platform's, or one of ordinary HTTP."""
 
-    most_body: int  # bytes of a request's body
-    half_close: bool  # whether a client that has ended its sending is still answered
-    close_refused: bool  # whether a refusal's connection is closed: its descriptor may be of use to others
-    head_status: int = 400  # of the answer to a header that is too large
-    most_unread: int  # clients that may leave answers unread; more of them make the first give way
+    max_body_bytes: int  # bytes of a request's body
+    allows_half_close: bool  # whether a client that has ended its sending is still answered
+    closes_after_refusal: (
+        bool  # whether a refusal's connection is closed: its descriptor may be of use to others
+    )
+    header_too_large_status: int = 400  # of the answer to a header that is too large
+    max_unread_clients: int  # clients that may leave answers unread; more of them make the first give way
 
-    def local(self, target: bytes) -> Answer | None:
+    def answer_locally(self, target: bytes) -> Answer | None:
         """The answer to a request that is the front door's own, such as its readiness."""
 
-    def take(
+    def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
         """The request's terms.  Raises BadRequest for what must not reach the module or a backend."""
--- a/ivymux/data_plane/limits.py
+++ b/ivymux/data_plane/limits.py
@@ -23,13 +23,13 @@
 class Bounds:
     """What the process may hold, from the configuration's limits."""
 
-    clients: int  # client connections
-    surplus: int  # and above those, that are still answered, with a refusal
-    upstream: int  # connections to backends
-    held: int  # bytes of requests' bodies
+    max_clients: int  # client connections
+    surplus_clients: int  # and above those, that are still answered, with a refusal
+    max_backend_connections: int  # connections to backends
+    max_held_bytes: int  # bytes of requests' bodies
 
     @classmethod
-    def of(cls, sockets: int, memory_mb: float) -> Bounds:
+    def from_limits(cls, sockets: int, memory_mb: float) -> Bounds:
         surplus = max(8, sockets // 16)
         left = sockets - OTHER_SOCKETS - surplus
         return cls(left // 2, surplus, left - left // 2, int(memory_mb * HELD_PART * (1 << 20)))
--- a/ivymux/data_plane/refusal_log.py
+++ b/ivymux/data_plane/refusal_log.py
@@ -17,14 +17,14 @@
         self.refusals = Refusals()
         self.timer: asyncio.TimerHandle | None = None  # only after a refusal: an idle front door has none
 
-    def refused(self, cause: str) -> None:
+    def record(self, cause: str) -> None:
         if self.refusals.count(cause) and self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(SPAN, self.tell)
+            self.timer = asyncio.get_running_loop().call_later(SPAN, self.write)
 
-    def tell(self) -> None:
+    def write(self) -> None:
         """Also at the end, for what came since the last line."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if line := self.refusals.line():
+        if line := self.refusals.log_line():
             log.info("%s", line)
--- a/ivymux/data_plane/refusals.py
+++ b/ivymux/data_plane/refusals.py
@@ -24,23 +24,27 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.told: Counter[str] = Counter()
-        self.news = False  # whether any came since the last line
+        self.logged_counts: Counter[str] = Counter()
+        self.has_unlogged = False  # whether any came since the last line
 
     def count(self, cause: str) -> bool:
         """Count one; whether it is the first since the last line, so that one is due in `SPAN`."""
-        first, self.news = not self.news, True
+        first, self.has_unlogged = not self.has_unlogged, True
         self.counts[cause] += 1
         return first
 
-    def unserved(self) -> int:
+    def count_unserved(self) -> int:
         """Requests since the start that ended without service for want of workers, not of a quota."""
         return sum(self.counts[cause] for cause in UNSERVED)
 
-    def line(self) -> str:
+    def log_line(self) -> str:
         """`refused: quota=12 (+3) room=1 (+0)`, causes in a fixed order; empty where there is nothing new."""
-        if not self.news:
+        if not self.has_unlogged:
             return ""
-        parts = [f"{c}={self.counts[c]} (+{self.counts[c] - self.told[c]})" for c in CAUSES if self.counts[c]]
-        self.told, self.news = self.counts.copy(), False
+        parts = [
+            f"{c}={self.counts[c]} (+{self.counts[c] - self.logged_counts[c]})"
+            for c in CAUSES
+            if self.counts[c]
+        ]
+        self.logged_counts, self.has_unlogged = self.counts.copy(), False
         return "refused: " + " ".join(parts)
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -75,7 +75,7 @@
 
     @property
     def idle(self) -> bool:
-        return not self.host.table
+        return not self.host.requests
 
     def close(self) -> None:
         self.host.upstream.close()
@@ -217,7 +217,7 @@
             if part is not self.part:
                 return  # another module has its own list
             for members, places in self.roster.change(self.inventory.workers, addresses, time.time()):
-                part.host.members(members, places)
+                part.host.update_members(members, places)
                 await asyncio.sleep(0)
 
     async def begin(
@@ -229,7 +229,7 @@
         """
         for workers in (inventory.workers[:SLICE], inventory.workers):
             for members, places in roster.change(workers, addresses, time.time(), cold=False):
-                part.host.members(members, places)
+                part.host.update_members(members, places)
                 await asyncio.sleep(0)
 
     def make_part(self, site: Site, tenant: Tenant, fixed: object) -> Part:
@@ -247,7 +247,7 @@
         host = Host(Gateway(told, secrets.randbits(64)), upstream, terms.told)
         if terms.counter is not None:
             host.counter = TenantCounter(terms.counter, self.uid, host.post)
-            host.unix = terms.unix
+            host.wall_clock = terms.unix
         else:
             host.counter = LocalCounter(self.tally, host.post)
         return Part(host, classes, fixed)
@@ -286,11 +286,11 @@
     @property
     def waiting(self) -> int:
         parts = [*self.former, *([self.part] if self.part else [])]
-        return sum(part.host.waiting for part in parts)
+        return sum(part.host.unanswered_count for part in parts)
 
     def answer_all(self) -> None:
         for part in [*self.former, *([self.part] if self.part else [])]:
-            part.host.answer_all()
+            part.host.finish_all()
 
     def close(self) -> None:
         if self.renewing is not None:
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -48,14 +48,14 @@
         super().__init__()
         self.hosting, self.store = hosting, store
         limits = hosting.file.limits
-        bounds = Bounds.of(limits.sockets, limits.memory_mb)
+        bounds = Bounds.from_limits(limits.sockets, limits.memory_mb)
         answer = limits.answer_kb * 1024
         self.lookups = LookUps()
         told = RefusalLog()  # refusals of all tenants
         self.terms = Terms(
             hosting.file.name, hosting.file.tally.doors, limits.body_kb * 1024, answer,
             max(answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)) // 4),
-            min(limits.tenant_upstream, bounds.upstream), tuple(hosting.file.trusted_proxies),
+            min(limits.tenant_upstream, bounds.max_backend_connections), tuple(hosting.file.trusted_proxies),
             places=hosting.places, lookups=self.lookups, told=told,
         )  # fmt: skip
         self.tally: TallyServer | None = None  # that runs here
@@ -64,9 +64,9 @@
         self.hosts: dict[str, Resident] = {}
         self.leaving: list[Resident] = []
         unread = max(8, int(limits.memory_mb * HELD_PART * (1 << 20)) // answer)
-        self.front = HostedFrontend(limits.body_kb * 1024, unread, lambda: not self.server.stopping)
+        self.front = HostedFrontend(limits.body_kb * 1024, unread, lambda: not self.server.is_stopping)
         self.server = HostedServer(self.front, hosting.listen, bounds, self.shares, self.hosts)
-        self.server.told = told
+        self.server.refusal_log = told
         self.revision = -1  # up to which the desired state is followed
         self.lineage = ""
         self.problems: dict[str, str] = {}  # by uid
@@ -270,7 +270,7 @@
     def answer_all(self) -> None:
         for resident in self.everyone:
             resident.answer_all()
-        self.server.told.tell()  # what its own limits refused, where no tenant is resident
+        self.server.refusal_log.write()  # what its own limits refused, where no tenant is resident
 
     def close_parts(self) -> None:
         for resident in self.everyone:
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -24,21 +24,21 @@
 class HostedFrontend:
     """What is told alike to the clients of all tenants; each tenant's own front takes its requests."""
 
-    head_status = 400
-    half_close = True
-    close_refused = False
+    header_too_large_status = 400
+    allows_half_close = True
+    closes_after_refusal = False
 
     def __init__(self, most_body: int, most_unread: int, ready: Callable[[], bool]) -> None:
-        self.most_body, self.most_unread, self.ready = most_body, most_unread, ready
+        self.max_body_bytes, self.max_unread_clients, self.ready = most_body, most_unread, ready
         self.refusals: dict[int, Answer] = {}  # by the seconds that they tell
         self.written: dict[tuple[int, bool], bytes] = {}
 
-    def local(self, target: bytes) -> Answer | None:
+    def answer_locally(self, target: bytes) -> Answer | None:
         if target != READY:
             return None
         return Answer(200, b"ready\n", b"text/plain") if self.ready() else Answer(503, retry_after=1.0)
 
-    def take(
+    def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
         raise BadRequest("no tenant has this host name", 421)
@@ -75,19 +75,19 @@
     def release(self) -> None:
         share = self.share
         share.open -= 1
-        if self.held:
-            share.held -= self.held
-            self.client.server.held -= self.held
-            self.held = 0
-        if (call := self.call) is not None and call.over is not None:
-            call.over()  # its id is the worker's matter: none is kept here
+        if self.held_bytes:
+            share.held -= self.held_bytes
+            self.client.server.held_bytes -= self.held_bytes
+            self.held_bytes = 0
+        if (call := self.call) is not None and call.on_finished is not None:
+            call.on_finished()  # its id is the worker's matter: none is kept here
 
 
 class HostedClient(Client):
     """One connection; it counts for the tenant that it asked last."""
 
     server: HostedServer
-    exchange = HostedExchange
+    exchange_type = HostedExchange
 
     def __init__(self, server: HostedServer) -> None:
         super().__init__(server)
@@ -163,18 +163,18 @@
             if share.held > share.most_held:
                 raise BadRequest("too much is held of this tenant", 429)
 
-    def let_go(self) -> None:
-        if self.held:
+    def release_body(self) -> None:
+        if self.held_bytes:
             if self.holder is not None:
-                self.holder.held -= self.held
-            self.server.held -= self.held
-            self.held = 0
+                self.holder.held -= self.held_bytes
+            self.server.held_bytes -= self.held_bytes
+            self.held_bytes = 0
         self.body = []
 
-    def take(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         resident, server, url = self.asked, self.server, self.url
-        if resident is None or url == READY or len(server.clients) > server.most_clients:
-            super().take(exchange)
+        if resident is None or url == READY or len(server.clients) > server.max_clients:
+            super().handle_request(exchange)
             return
         if url[:1] != b"/" and url[:1] != b"*" and server.find(authority(url)) is not resident:
             raise BadRequest("the target and Host name different places", 421)
@@ -189,13 +189,13 @@
             assert self.stranger is not None
             raise self.stranger
         if wait := server.shares.ask(share, time.monotonic()):
-            server.told.refused(GATEWAY)
+            server.refusal_log.record(GATEWAY)
             exchange.reply(server.hosted.beyond(wait))
             return
         try:
             call = front.take_of(
-                caller, self.parser.get_method(), self.url, self.headers, self.body, self.began,
-                self.peer,
+                caller, self.parser.get_method(), self.url, self.headers, self.body, self.request_started_at,
+                self.peer_address,
             )  # fmt: skip
         except BaseException:
             server.shares.over(share)
@@ -207,15 +207,15 @@
         part = resident.part
         assert part is not None and isinstance(exchange, HostedExchange)
         exchange.share, exchange.call = share, call
-        exchange.held, self.held = self.held, 0
+        exchange.held_bytes, self.held_bytes = self.held_bytes, 0
         resident.served += 1
-        exchange.request = part.host.request(call, exchange.reply, exchange.release)
+        exchange.request = part.host.submit(call, exchange.reply, exchange.release)
 
 
 class HostedServer(Server):
     """One listener of all tenants."""
 
-    client = HostedClient
+    client_type = HostedClient
 
     def __init__(
         self, front: HostedFrontend, listen: Address, bounds: Bounds, shares: Shares,
--- a/ivymux/hosting/tenant_counters.py
+++ b/ivymux/hosting/tenant_counters.py
@@ -52,7 +52,7 @@
     def __init__(self, address: Address, timeout: float, clock: SharedClock) -> None:
         super().__init__(address, timeout, nobody, clock)
 
-    def tell(self, count: Count, told: Counted | Late) -> None:
+    def deliver(self, count: Count, told: Counted | Late) -> None:
         route(count, told)
 
 
--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -96,24 +96,24 @@
         self.source = source
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.watching = False
-        self.rest = b""
-        self.lost: asyncio.Future[None] = source.owner.loop.create_future()
+        self.is_watching = False
+        self.buffer = b""
+        self.closed: asyncio.Future[None] = source.owner.loop.create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
-        self.ask("/api/targets")
+        self.send_request("/api/targets")
 
-    def patience(self) -> float:
+    def silence_timeout(self) -> float:
         """Seconds of silence after which it is broken."""
-        return SILENT_AFTER if self.watching else ANSWER_AFTER
+        return SILENT_AFTER if self.is_watching else ANSWER_AFTER
 
-    def ask(self, target: str) -> None:
+    def send_request(self, target: str) -> None:
         assert self.transport is not None
         self.transport.write(f"GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        self.source.heard_at = time.monotonic()
+        self.source.last_received_at = time.monotonic()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:  # framing is lost
@@ -124,27 +124,27 @@
             self.end(f"answered {self.parser.get_status_code()}")
 
     def on_body(self, body: bytes) -> None:
-        if self.watching:
-            *lines, self.rest = (self.rest + body).split(b"\n")
+        if self.is_watching:
+            *lines, self.buffer = (self.buffer + body).split(b"\n")
             for line in lines:
                 if line.strip():
-                    self.source.take(line)
+                    self.source.handle_line(line)
         else:
-            self.rest += body
-        if len(self.rest) > MAX_LINE:
-            self.rest = b""
+            self.buffer += body
+        if len(self.buffer) > MAX_LINE:
+            self.buffer = b""
             self.end("a line without an end")
 
     def on_message_complete(self) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if self.watching:
+        if self.is_watching:
             self.transport.close()
-        elif not self.source.take(self.rest):
+        elif not self.source.handle_line(self.buffer):
             self.end("no whole list")
         else:
-            self.watching, self.rest = True, b""
-            self.ask(f"/api/targets?watch=1&from={self.source.seq}")
+            self.is_watching, self.buffer = True, b""
+            self.send_request(f"/api/targets?watch=1&from={self.source.version}")
 
     def end(self, why: str) -> None:
         log.warning("discovery: watch ended: %s", why)
@@ -152,8 +152,8 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        if not self.lost.done():
-            self.lost.set_result(None)
+        if not self.closed.done():
+            self.closed.set_result(None)
 
 
 class Source:
@@ -161,8 +161,8 @@
 
     def __init__(self, owner: Discovery, address: Address) -> None:
         self.owner, self.address = owner, address
-        self.seq = -1  # of the last list or change; each agent may count on its own
-        self.heard_at = 0.0
+        self.version = -1  # of the last list or change; each agent may count on its own
+        self.last_received_at = 0.0
         self.task = owner.loop.create_task(self.run())
 
     async def run(self) -> None:
@@ -180,33 +180,33 @@
             _, watch = await self.owner.loop.create_connection(
                 lambda: Watch(self), self.address.host, self.address.port
             )
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         try:
             # A vanished peer says nothing, not even that it is gone: silence ends the watch too.  What the
             # agent has counts as told: asked while discovery was down it must be asked anew soon after.
-            while (left := self.heard_at + watch.patience() - time.monotonic()) > 0:
-                await asyncio.wait([watch.lost], timeout=left)
-                if watch.lost.done():
+            while (left := self.last_received_at + watch.silence_timeout() - time.monotonic()) > 0:
+                await asyncio.wait([watch.closed], timeout=left)
+                if watch.closed.done():
                     return
         finally:
             if watch.transport is not None:
                 watch.transport.abort()
 
-    def take(self, line: bytes) -> bool:
+    def handle_line(self, line: bytes) -> bool:
         """Tell of a list or a change; false for what is neither a whole list nor known to follow one."""
         try:
             members, addresses = self.owner.names.members(json.loads(line))
         except (KeyError, TypeError, ValueError) as error:
             log.warning("discovery: line skipped: %s: %s", type(error).__name__, error)
             return False
-        if members.listing is Listing.DELTA and members.version <= self.seq:
+        if members.listing is Listing.DELTA and members.version <= self.version:
             return False  # a change that is known already
         if members.listing is Listing.FULL:
-            self.owner.takes_over(self)
-        elif self.seq < 0 or self is not self.owner.sources[0]:
+            self.owner.promote(self)
+        elif self.version < 0 or self is not self.owner.sources[0]:
             return False  # a change to a list that was never told
-        self.seq = members.version
-        self.owner.heard(members, addresses)
+        self.version = members.version
+        self.owner.on_members(members, addresses)
         return True
 
 
@@ -214,18 +214,18 @@
     """Keeps a watch open and tells of every list and change."""
 
     def __init__(self, address: Address, names: Names, heard: Heard) -> None:
-        self.names, self.heard = names, heard
+        self.names, self.on_members = names, heard
         self.loop = asyncio.get_running_loop()
         self.sources = [Source(self, address)]  # the one in use, then one that is to take over
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watch another address.  The list stays, and the old watch is heard, until a whole list comes."""
         if address != self.sources[-1].address:
             for source in self.sources[1:]:
                 source.task.cancel()
             self.sources[1:] = [Source(self, address)]
 
-    def takes_over(self, source: Source) -> None:
+    def promote(self, source: Source) -> None:
         while self.sources[0] is not source:
             self.sources.pop(0).task.cancel()
 
--- a/ivymux/platform/frontend.py
+++ b/ivymux/platform/frontend.py
@@ -23,19 +23,19 @@
 class PlatformFrontend:
     """Requests and answers as the platform's protocol page has them."""
 
-    most_body = MAX_BODY
-    head_status = 400
-    half_close = False
-    close_refused = True
-    most_unread = 1 << 30  # answers are small by the protocol
+    max_body_bytes = MAX_BODY
+    header_too_large_status = 400
+    allows_half_close = False
+    closes_after_refusal = True
+    max_unread_clients = 1 << 30  # answers are small by the protocol
 
     def __init__(self, terms: Reader, ready: Callable[[], bool]) -> None:
         self.terms, self.ready = terms, ready
 
-    def local(self, target: bytes) -> Answer | None:
+    def answer_locally(self, target: bytes) -> Answer | None:
         return Answer(200 if self.ready() else 503) if target == b"/-/ready" else None
 
-    def take(
+    def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
         terms = self.terms.read(method, target, headers)
--- a/ivymux/platform/program.py
+++ b/ivymux/platform/program.py
@@ -34,7 +34,7 @@
 class Steady(logging.Filter):
     """Bounds what is logged in a second: an error that comes with every request must not fill the log."""
 
-    MOST = 50
+    MAX_PER_SECOND = 50
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
         if second != self.second:
             self.second, self.seen = second, 0
         self.seen += 1
-        return self.seen <= self.MOST
+        return self.seen <= self.MAX_PER_SECOND
 
 
 class PlatformGateway:
@@ -55,7 +55,10 @@
         self.config = config
         settings = config.settings
         upstream = Upstream(
-            settings.limits.connect_timeout, config.conn_idle, settings.report_columns, config.bounds.upstream
+            settings.limits.connect_timeout,
+            config.conn_idle,
+            settings.report_columns,
+            config.bounds.max_backend_connections,
         )
         host = self.host = Host(Gateway(settings, config.seed), upstream)
         self.counter: Counter | None = None
@@ -67,15 +70,15 @@
                 members, addresses = names.members(config.known, cached=True)
             except (KeyError, TypeError, ValueError) as error:
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
-            host.members(members, addresses)
-        self.discovery = Discovery(config.discovery, names, host.members)
+            host.update_members(members, addresses)
+        self.discovery = Discovery(config.discovery, names, host.update_members)
         front = PlatformFrontend(Reader(settings, config.most_units), self.ready)
         self.server = Server(front, config.listen, config.bounds, host)
         # SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
         self.drain_time = min(3.0, max((c.deadline for c in settings.classes), default=3.0)) + 0.4
 
     def ready(self) -> bool:
-        return not self.server.stopping and bool(self.host.upstream.pools)
+        return not self.server.is_stopping and bool(self.host.upstream.pools)
 
     async def start(self) -> None:
         if self.counter is not None:
@@ -93,18 +96,18 @@
             return
         if (config.settings, config.listen) != (self.config.settings, self.config.listen):
             log.warning("other settings or another address to listen on need a restart")
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         if self.counter is not None and config.counter is not None:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
 
     async def drain(self) -> None:
         """Serve on while clients still come, then finish what is held, in time for all of it."""
         began = time.monotonic()
         await asyncio.sleep(LINGER)
         self.server.stop_listening()
-        while self.host.waiting and time.monotonic() - began < self.drain_time:
+        while self.host.unanswered_count and time.monotonic() - began < self.drain_time:
             await asyncio.sleep(0.01)
-        self.host.answer_all()
+        self.host.finish_all()
         await self.close()
 
     async def close(self) -> None:
--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -93,7 +93,7 @@
         self.claims, self.action, self.id, self.until, self.name = claims, action, id, end, name
         self.open = False  # whether the core may hold this claim
 
-    def ask(self, go: Go) -> None:
+    def acquire(self, go: Go) -> None:
         """`go` hears None where the action may be sent, else its answer."""
         if len(self.claims.tasks) >= MOST:
             self.claims.unclaimed += 1
@@ -127,7 +127,7 @@
             self.open = False
             go(answer)
 
-    def end(self, answer: Answer | None, ran: bool) -> None:
+    def finish(self, answer: Answer | None, ran: bool) -> None:
         """How it ended: with a backend's answer, without one, or without having been sent."""
         if not self.open:
             return
--- a/ivymux/proxy/answer_policy.py
+++ b/ivymux/proxy/answer_policy.py
@@ -21,20 +21,20 @@
             return Outcome.FULL
         return Outcome.ERROR if status >= 500 or status in PROMISES else Outcome.OK
 
-    def sound(self, status: int, headers: list[tuple[bytes, bytes]]) -> bool:
+    def is_valid(self, status: int, headers: list[tuple[bytes, bytes]]) -> bool:
         """A success carries its backend's seal and the backend's own bytes, and names its request."""
         if not 200 <= status < 300:
             return True
         names = {name for name, _ in headers}
         return SEAL in names and ID in names and b"content-encoding" not in names
 
-    def told(self, status: int) -> int:
+    def client_status(self, status: int) -> int:
         """A backend's status that promises more than the backend knows reaches no client."""
         return 502 if status in PROMISES else status
 
-    def refused(self, beyond: bool, last: Outcome | None) -> int:
+    def refusal_status(self, beyond: bool, last: Outcome | None) -> int:
         if last is not None and not last.never_ran:
-            return self.failed(last)
+            return self.failure_status(last)
         return 429 if beyond else 503
 
 
--- a/ivymux/proxy/failure_reports.py
+++ b/ivymux/proxy/failure_reports.py
@@ -30,12 +30,12 @@
     well = 0
     doubt: Callable[[int], None] = staticmethod(lambda backend: None)
 
-    def finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
+    def on_attempt_finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
         if result.outcome is Outcome.OK:
             self.well += 1
-        elif doubtful(result.outcome, result.status) and not request.settled:
+        elif doubtful(result.outcome, result.status) and not request.is_settled:
             self.doubt(backend)
-        super().finished(request, number, backend, result)
+        super().on_attempt_finished(request, number, backend, result)
 
 
 class Doubts:
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -40,10 +40,10 @@
 
 
 class ProxyFrontend:
-    half_close = False
-    close_refused = False
-    head_status = 431
-    most_unread = 200
+    allows_half_close = False
+    closes_after_refusal = False
+    header_too_large_status = 431
+    max_unread_clients = 200
 
     def __init__(
         self, tables: Tables, instance: Callable[[int], bytes], doors: Callable[[], int],
@@ -56,16 +56,16 @@
         self.keys, self.number = keys, number
         self.plan: Plan | None = None
         self.catcher: Catcher | None = None  # only while a trial may be in force
-        self.most_body = 64 << 20
+        self.max_body_bytes = 64 << 20
 
-    def local(self, target: bytes) -> Answer | None:
+    def answer_locally(self, target: bytes) -> Answer | None:
         return None
 
     def use(self, plan: Plan) -> None:
         self.plan = plan
-        self.most_body = plan.bounds.body_bytes
+        self.max_body_bytes = plan.bounds.body_bytes
 
-    def take(
+    def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
         plan = self.plan
@@ -147,8 +147,9 @@
             )  # fmt: skip
 
         return Call(
-            b"", end, make, _no_payload, method == b"HEAD", name, to=to, claim=claim, hold=hold, lose=lose,
-            on_departure=OnDeparture.of(route.repeatable),
+            b"", end, make, _no_payload, method == b"HEAD", name,
+            make_payload_for=to, claim=claim, hold_s=hold, drops_answer=lose,
+            on_departure=OnDeparture.for_request(route.repeatable),
         )  # fmt: skip
 
     def refusal(self, error: BadRequest) -> Answer:
@@ -159,13 +160,13 @@
         status = answer.status
         if status == CLOSE_CONNECTION:
             return b""
-        if call is not None and call.lose and answer.headers is not None:
+        if call is not None and call.drops_answer and answer.headers is not None:
             answer, status = Answer(502, LOST_TEXT), 502
         parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, "Answer").encode())]
         if answer.headers is not None:
             parts += [b"%s: %s\r\n" % pair for pair in answer.headers if pair[0] not in ONE_CONNECTION]
-        elif call is not None and call.name:
-            parts.append(b"try-id: %s\r\n" % call.name)
+        elif call is not None and call.request_id:
+            parts.append(b"try-id: %s\r\n" % call.request_id)
         bodiless = status in (204, 304)
         if not bodiless:
             parts.append(b"content-length: %d\r\n" % len(answer.body))
@@ -174,7 +175,7 @@
         if close:
             parts.append(b"connection: close\r\n")
         parts.append(b"\r\n")
-        if not (bodiless or (call is not None and call.head)):
+        if not (bodiless or (call is not None and call.is_head)):
             parts.append(answer.body)
         return b"".join(parts)
 
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -76,9 +76,11 @@
         self.clock = SystemClock(time.time(), now)
         self.membership, self.tables = MembershipView(), Tables()
         self.holders = CounterHolders(self.id, now, settings.initial)
-        bounds = Bounds.of(max(64, settings.sockets - 260), settings.memory_mb)
+        bounds = Bounds.from_limits(max(64, settings.sockets - 260), settings.memory_mb)
         held = int(settings.memory_mb * HELD_PART * (1 << 20))
-        upstream = Upstream(CONNECT_TIMEOUT, IDLE, (), bounds.upstream, proxy_answer_policy(64 << 20, held))
+        upstream = Upstream(
+            CONNECT_TIMEOUT, IDLE, (), bounds.max_backend_connections, proxy_answer_policy(64 << 20, held)
+        )
         made = module_settings()
         terms = Terms(
             settings.retry_ratio, settings.quota_window, settings.quota_excess, settings.quota_slack
@@ -88,7 +90,7 @@
         self.host = WatchedHost(cast("Gateway", self.switch), upstream)
         self.doubts = Doubts(lambda: self.host.well, self.id_of, self.tell_core)
         self.host.doubt = self.doubts.doubt
-        self.host.unix = lambda: self.clock.read(time.monotonic())
+        self.host.wall_clock = lambda: self.clock.read(time.monotonic())
         counts = Counts(self.holders, secrets.randbits(48) | 1)
         self.counter = HeldCounter(self.id, self.holders, counts, COUNTER_TIMEOUT, self.host.post)
         self.host.counter = self.counter
@@ -102,7 +104,7 @@
         )
         self.server = Server(self.front, settings.listen["front_addr"], bounds, self.host)
         front = settings.listen["front_addr"]
-        self.server.waiting = fitting(waiting, front.host, front.port)
+        self.server.listening_socket = fitting(waiting, front.host, front.port)
         own_bounds = Bounds(64, 8, 0, 1 << 16)
         self.ready_server = Server(
             StatusPagesFrontend({READINESS: self.readiness}), settings.listen["ready_addr"], own_bounds, None
@@ -209,7 +211,7 @@
         await self.serve_metrics()
         # Who comes before the configuration waits for it in the system's queue: after a loss of all processes
         # it is there in a moment, and a refusal would send whole crowds round the doors again.
-        self.server.open()
+        self.server.listen_without_accepting()
         self.loop.call_later(UNREAD, self.take_clients)
         self.sweep()
         log.say(f"serves on {self.server.listen.host}:{self.server.listen.port}.")
@@ -225,7 +227,7 @@
 
     def take_clients(self) -> None:
         """Read what clients send, also those who came before."""
-        if self.server.waiting is not None and not self.ending:
+        if self.server.listening_socket is not None and not self.ending:
             self.taking = self.loop.create_task(self.server.start())
 
     def meet(self, cores: list[str]) -> None:
@@ -269,7 +271,7 @@
         if self.keyed is not None:
             self.keyed.stale = True
         entries, addresses = [], {}
-        clock, now = self.host.clock(), time.monotonic()
+        clock, now = self.host.current_time(), time.monotonic()
         for backend in backends:
             try:
                 address = parse_address(backend.address)
@@ -293,7 +295,7 @@
             )  # fmt: skip
             addresses[backend.number] = address
         self.listing += 1
-        self.host.members(i.Members(i.Listing.DELTA, self.listing, tuple(entries)), addresses)
+        self.host.update_members(i.Members(i.Listing.DELTA, self.listing, tuple(entries)), addresses)
 
     def apply(self, version: int, text: str) -> None:
         """A configuration that is in force; an older one than this door has changes nothing."""
@@ -310,9 +312,9 @@
         self.front.use(plan)
         if self.catcher is not None:
             self.catcher.configured(plan.keys)
-        self.server.most_head = plan.bounds.header_bytes
-        self.server.read_time = plan.bounds.header_time
-        self.server.idle_time = plan.bounds.idle_time
+        self.server.max_head_bytes = plan.bounds.header_bytes
+        self.server.read_timeout = plan.bounds.header_time
+        self.server.idle_timeout = plan.bounds.idle_time
         if self.version < 0:
             self.applied_at = time.monotonic()
             self.take_clients()
@@ -326,14 +328,16 @@
         except MembershipError:
             pass
         self.doubts.sample()
-        self.counted.append((time.monotonic(), self.host.number, self.host.told.refusals.unserved()))
+        self.counted.append(
+            (time.monotonic(), self.host.request_count, self.host.refusal_log.refusals.count_unserved())
+        )
         if self.catcher is not None and not self.catcher.busy():
             self.front.catcher = None
-        if time.monotonic() - self.told_at > TELL and (line := self.host.told.refusals.line()):
+        if time.monotonic() - self.told_at > TELL and (line := self.host.refusal_log.refusals.log_line()):
             self.told_at = time.monotonic()
             log.say(f"{line}; further tries spared {self.switch.spared}.")
         departed_due = time.monotonic() - self.departed_told_at > TELL
-        if departed_due and (line := self.host.departures.line()):
+        if departed_due and (line := self.host.departures.log_line()):
             self.departed_told_at = time.monotonic()
             log.say(f"{line}.")
         claims = self.keyed.claims if self.keyed is not None else None
@@ -352,15 +356,15 @@
     async def stop(self) -> None:
         """Not ready first; serve on while connections come; finish what is held within the grace."""
         began = time.monotonic()
-        self.ending = self.server.leaving = True
+        self.ending = self.server.closes_after_answer = True
         log.say("ends: it takes what still comes, then finishes.")
         await asyncio.sleep(min(LAME, self.settings.grace / 2))
         self.server.stop_listening()
         until = began + self.settings.grace - 0.5
-        while self.host.waiting and time.monotonic() < until:
+        while self.host.unanswered_count and time.monotonic() < until:
             await asyncio.sleep(0.02)
-        self.host.answer_all()
-        if line := self.host.departures.line():
+        self.host.finish_all()
+        if line := self.host.departures.log_line():
             log.say(f"{line}.")
         self.server.close()
         if self.catcher is not None:
--- a/ivymux/proxy/status_pages.py
+++ b/ivymux/proxy/status_pages.py
@@ -16,20 +16,20 @@
 class StatusPagesFrontend:
     """A front whose requests are all answered by the door itself, by their path."""
 
-    half_close = False
-    close_refused = False
-    head_status = 431
-    most_unread = 10
-    most_body = 1024
+    allows_half_close = False
+    closes_after_refusal = False
+    header_too_large_status = 431
+    max_unread_clients = 10
+    max_body_bytes = 1024
 
     def __init__(self, pages: Mapping[bytes, Page]) -> None:
         self.pages = pages
 
-    def local(self, target: bytes) -> Answer | None:
+    def answer_locally(self, target: bytes) -> Answer | None:
         page = self.pages.get(target.partition(b"?")[0])
         return page() if page is not None else Answer(404)
 
-    def take(
+    def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
         raise BadRequest("nothing else here", 404)
--- a/ivymux/proxy/trial_client.py
+++ b/ivymux/proxy/trial_client.py
@@ -88,7 +88,7 @@
         if trial.does == LOSE:
             self.catch.under += 1
             return Caught(lose=True)
-        self.host.told.refused(TRIAL)
+        self.host.refusal_log.record(TRIAL)
         if trial.does == CLOSE:
             return Caught(Answer(CLOSE_CONNECTION))
         return Caught(Answer(trial.status, TEXT, retry_after=trial.after))
@@ -97,7 +97,7 @@
 
     def others(self) -> tuple[int, int]:
         """Requests under no trial, and those of them that ended without service for want of servers."""
-        return self.host.number - self.catch.under, self.host.told.refusals.unserved()
+        return self.host.request_count - self.catch.under, self.host.refusal_log.refusals.count_unserved()
 
     async def renew(self) -> None:
         """While a trial runs: ask, tell, and take what is answered."""
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -119,7 +119,7 @@
         self.cores: list[str] = [settings.ip]
         self.http_calls = HttpCallDispatcher(self)
         calls = min(settings.sockets - 200 - most_doors, 2000)
-        bounds = Bounds.of(max(64, calls), settings.memory_mb)
+        bounds = Bounds.from_limits(max(64, calls), settings.memory_mb)
         self.server = Server(
             HttpCallFrontend(self, MAX_TEXT),
             settings.listen["control_addr"],
--- a/ivymux/service/frontend.py
+++ b/ivymux/service/frontend.py
@@ -50,9 +50,9 @@
 class HttpFrontend:
     """One standalone front door's requests and answers."""
 
-    head_status = 400
-    half_close = True
-    close_refused = False
+    header_too_large_status = 400
+    allows_half_close = True
+    closes_after_refusal = False
 
     def __init__(
         self, table: Table, callers: Finds, key_header: str, plans: tuple[i.Plan, ...], peers: int,
@@ -63,7 +63,7 @@
         self.key_header = key_header.lower().encode()
         self.own = REQUEST_OWN | FORWARDED | {self.key_header}
         self.plans, self.peers = plans, peers
-        self.most_body, self.most_unread = most_body, most_unread
+        self.max_body_bytes, self.max_unread_clients = most_body, most_unread
         networks = [ip_network(text) for text in trusted]
 
         @lru_cache(maxsize=4096)
@@ -77,14 +77,14 @@
         self.trusts = trusts
         self.counts: dict[int, int] = {}  # refusals at the door, by status
 
-    def local(self, target: bytes) -> Answer | None:
+    def answer_locally(self, target: bytes) -> Answer | None:
         if target != READY:
             return None
         return Answer(200, b"ready\n", b"text/plain") if self.ready() else Answer(503, retry_after=1.0)
 
     # --- requests ------------------------------------------------------------------------------------
 
-    def take(
+    def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
         return self.take_of(None, method, target, headers, body, began, peer)
@@ -142,7 +142,7 @@
         classes.hold(number)
         return Call(
             b"", end, make, payload, method == b"HEAD", request_id, partial(classes.release, number),
-            on_departure=OnDeparture.of(decision.effect is Effect.SAFE),
+            on_departure=OnDeparture.for_request(decision.effect is Effect.SAFE),
         )  # fmt: skip
 
     def host(self, headers: Headers) -> bytes:
@@ -190,7 +190,7 @@
             raise BadRequest(str(error), error.status)
         allow = [(b"Allow", ", ".join(error.allow).encode())]
         if method == b"OPTIONS":
-            return Answer(204, extra=allow)
+            return Answer(204, extra_headers=allow)
         raise BadRequest(f"{error}; it has {', '.join(error.allow)}", 405, allow)
 
     # --- answers -------------------------------------------------------------------------------------
@@ -206,12 +206,14 @@
 def refusal(error: BadRequest) -> Answer:
     """What a client is told of what could not be taken."""
     wait = 1.0 if error.status in (429, 503) else 0.0
-    return Answer(error.status, problem(error.status, str(error), ""), TYPE, wait, extra=error.headers)
+    return Answer(
+        error.status, problem(error.status, str(error), ""), TYPE, wait, extra_headers=error.headers
+    )
 
 
 def encode(answer: Answer, close: bool, call: Call | None) -> bytes:
     """An answer as ordinary clients know them."""
-    head = call is not None and call.head
+    head = call is not None and call.is_head
     status, body = answer.status, answer.body
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Unknown"))]
     if answer.headers is not None:
@@ -226,15 +228,15 @@
         if not body and status >= 400:
             content_type = TYPE
             told = NOT_RUN if status in (429, 503) else MAY_HAVE_RUN if call is not None else ""
-            body = problem(status, told, call.name.decode() if call is not None else "")
+            body = problem(status, told, call.request_id.decode() if call is not None else "")
         if body:
             lines.append(b"content-type: %s\r\n" % content_type)
         if status != 204:
             lines.append(b"content-length: %d\r\n" % len(body))
         if call is not None:
-            lines.append(b"request-id: %s\r\n" % call.name)
+            lines.append(b"request-id: %s\r\n" % call.request_id)
         if status in (429, 503):
             lines.append(b"retry-after: %d\r\n" % max(1, math.ceil(answer.retry_after)))
-        lines += [b"%s: %s\r\n" % pair for pair in answer.extra or ()]
+        lines += [b"%s: %s\r\n" % pair for pair in answer.extra_headers or ()]
     lines.append(b"connection: close\r\n\r\n" if close else b"\r\n")
     return b"".join(lines) if head else b"".join(lines) + body
--- a/ivymux/service/lifecycle.py
+++ b/ivymux/service/lifecycle.py
@@ -40,8 +40,8 @@
 
     @property
     def port(self) -> int:
-        assert self.server.server is not None
-        return int(self.server.server.sockets[0].getsockname()[1])
+        assert self.server.asyncio_server is not None
+        return int(self.server.asyncio_server.sockets[0].getsockname()[1])
 
     def task(self, work: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(work)
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -68,7 +68,7 @@
         super().__init__()
         self.path, self.site, self.options = path, site, site.options
         limits, file = site.file.limits, site.file
-        bounds = Bounds.of(limits.sockets, limits.memory_mb)
+        bounds = Bounds.from_limits(limits.sockets, limits.memory_mb)
         self.classes = ClassTable(file.keyed.memory, SCOPES[file.keyed.scope])
         self.table = Table(compiled, self.classes)
         for _ in self.table.build():
@@ -77,7 +77,11 @@
         answer = limits.answer_kb * 1024
         policy = AnswerPolicy(True, answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)))
         upstream = Upstream(
-            limits.connect_timeout, limits.worker_idle, tuple(file.reports), bounds.upstream, policy
+            limits.connect_timeout,
+            limits.worker_idle,
+            tuple(file.reports),
+            bounds.max_backend_connections,
+            policy,
         )
         seed = secrets.randbits(64)
         log.info("seed %016x", seed)
@@ -97,7 +101,7 @@
             self.counter = RedisCounter(part, file.tally.timeout, self.host.post, self.clock)
         if self.counter is not None:
             self.host.counter = self.counter
-            self.host.unix = lambda: self.clock.read(time.monotonic())
+            self.host.wall_clock = lambda: self.clock.read(time.monotonic())
         else:
             self.host.counter = LocalCounter(self.store, self.host.post)
         unread = max(8, int(limits.memory_mb * HELD_PART * (1 << 20)) // answer)
@@ -117,7 +121,7 @@
     # --- parts ---------------------------------------------------------------------------------------
 
     def ready(self) -> bool:
-        return not self.server.stopping and bool(self.host.upstream.pools)
+        return not self.server.is_stopping and bool(self.host.upstream.pools)
 
     def make_id(self) -> str:
         return f"{self.random.getrandbits(64):016x}"
@@ -127,7 +131,7 @@
         async with self.placing:
             addresses = await self.resolver.resolve(workers)
             for members, places in self.roster.change(workers, addresses, time.time(), cold):
-                self.host.members(members, places)
+                self.host.update_members(members, places)
                 await asyncio.sleep(0)  # requests go between
             self.workers = workers
 
@@ -272,10 +276,10 @@
 
     @property
     def waiting(self) -> int:
-        return self.host.waiting
+        return self.host.unanswered_count
 
     def answer_all(self) -> None:
-        self.host.answer_all()
+        self.host.finish_all()
 
     def close_parts(self) -> None:
         if self.counter is not None:
--- a/ivymux/transport/http_calls.py
+++ b/ivymux/transport/http_calls.py
@@ -76,19 +76,19 @@
 class HttpCallFrontend:
     """The data plane's frontend for HTTP calls from backends and operators to a core machine."""
 
-    head_status = 431
-    half_close = True
-    close_refused = False
-    most_unread = 1000
+    header_too_large_status = 431
+    allows_half_close = True
+    closes_after_refusal = False
+    max_unread_clients = 1000
 
     def __init__(self, owner: object, most_body: int) -> None:
-        self.owner, self.most_body = owner, most_body
+        self.owner, self.max_body_bytes = owner, most_body
         self.endpoints = endpoints_of(owner)
 
-    def local(self, target: bytes) -> Answer | None:
+    def answer_locally(self, target: bytes) -> Answer | None:
         return None
 
-    def take(
+    def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
         path = target.partition(b"?")[0]
@@ -140,14 +140,14 @@
 
     def __init__(self, owner: object) -> None:
         self.owner = owner
-        self.told = RefusalLog()
+        self.refusal_log = RefusalLog()
         self.tasks: set[asyncio.Task[None]] = set()
         self.failed_calls = 0
 
     def as_host(self) -> Host:
         return cast("Host", self)
 
-    def request(self, call: Call, reply: Callable[[Answer], None], over: Callable[[], None]) -> Any:
+    def submit(self, call: Call, reply: Callable[[Answer], None], over: Callable[[], None]) -> Any:
         """Start the call's handler in a task; `reply` takes its answer, `over` is called after that."""
         assert isinstance(call, HttpCall)
         task = asyncio.get_running_loop().create_task(self.handle(call, reply, over))
@@ -167,7 +167,7 @@
         reply(answer)
         over()
 
-    def left(self, request: object) -> None:
+    def on_client_left(self, request: object) -> None:
         """Ignore that the client disconnected: a handler that has started runs to its end."""
 
 
--- a/tests/hosting/test_hosting_gateway.py
+++ b/tests/hosting/test_hosting_gateway.py
@@ -76,7 +76,7 @@
             assert a.worker.fleet.runs.total() < used + 12  # not a second burst on top of seconds gone by
             assert (await place.ask(a, key=shown)).status in (200, 429)
             resident.sweep()
-            assert not resident.former and first is not None and first.host.upstream.closed
+            assert not resident.former and first is not None and first.host.upstream.is_closed
             # Routes alone leave the module as it is.
             part = resident.part
             routes = msgspec.json.encode(described({"/other": {"get": operation()}}))
@@ -293,7 +293,7 @@
     async def test() -> None:
         async with hosting(tmp_path, "a", "b", extra="limits = { sockets = 64 }\n") as place:
             a, b = place.tenants["a"], place.tenants["b"]
-            room = place.door.server.most_clients
+            room = place.door.server.max_clients
             assert room < 20
             text = request("GET /read/7", b"", a.key, Host=a.host)
             dripped = 0
@@ -324,7 +324,7 @@
             assert a.worker.fleet.seen.total() == 0
             shares = [r.share for r in place.door.residents.values()]
             await until(lambda: not any(s.connections for s in shares))
-            assert all((s.open, s.held) == (0, 0) for s in shares) and place.door.server.held == 0
+            assert all((s.open, s.held) == (0, 0) for s in shares) and place.door.server.held_bytes == 0
 
     run(test())
 
--- a/tests/hosting/test_redis_counters.py
+++ b/tests/hosting/test_redis_counters.py
@@ -31,7 +31,7 @@
             answers = [await ask(place, "GET /read/7") for _ in range(10)]
             refused = [a for a in answers if a.status != 200]
             assert all(a.status in (429, 503) and a.header("retry-after") for a in refused)
-            await until(lambda: not place.door.host.table)
+            await until(lambda: not place.door.host.requests)
 
     run(test())
 
--- a/tests/hosting/test_tenant_counters.py
+++ b/tests/hosting/test_tenant_counters.py
@@ -71,7 +71,7 @@
             assert (await place.ask(a)).status == 200 and place.door.tally is not None
             assert isinstance(shared, SharedCounter)
             place.door.tally.close()
-            await until(lambda: all(line.transport is None for line in shared.lines))
+            await until(lambda: all(line.transport is None for line in shared.connections))
             got = Counter([(await place.ask(a)).status for _ in range(30)])
             assert set(got) == {200, 503} and 1 <= got[200] <= 14
 
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -563,14 +563,14 @@
     async def test() -> None:
         async with scene(tmp_path, 2, 2, extra=limits) as s:
             host, meant = s.door.host, Counter[tuple[str, int]]()
-            start = host.upstream.start
+            start = host.upstream.start_attempt
 
             def watched(backend: int, payload: bytes, *rest: Any) -> Any:
                 name = payload.partition(b"\r\nrequest-id: ")[2].partition(b"\r\n")[0].decode()
                 meant[name, s.door.roster.known[backend].address.port] += 1
                 return start(backend, payload, *rest)
 
-            monkeypatch.setattr(host.upstream, "start", watched)
+            monkeypatch.setattr(host.upstream, "start_attempt", watched)
             for worker in s.workers:  # some are out while their address becomes the other's
                 worker.plan = lambda seen: stand.Reply(delay=0.002)
             for turn in range(6):  # two workers swap their addresses again and again
--- a/tests/proxy/test_keyed_actions.py
+++ b/tests/proxy/test_keyed_actions.py
@@ -89,13 +89,13 @@
         loop = asyncio.get_running_loop()
         claim = claims.make(made(), loop.time() + 0.4, b"try")
         heard: asyncio.Future[Answer | None] = loop.create_future()
-        claim.ask(heard.set_result)
+        claim.acquire(heard.set_result)
         answer = await asyncio.wait_for(heard, 5.0)  # else nobody is ever told
         assert (answer.status if answer is not None else None) == status
         before = len(core.heard)
         core.says = [{"ok": True}]
-        claim.end(None, ran=False)
-        claim.end(None, ran=True)  # a second end is none
+        claim.finish(None, ran=False)
+        claim.finish(None, ran=True)  # a second end is none
         await claims.finish(1.0)
         told = core.heard[before:]
         assert [m["state"] for m in told] == (["free"] if ends else [])
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -28,9 +28,9 @@
 def test_who_comes_before_a_door_reads_is_answered_once_it_does() -> None:
     async def test() -> None:
         server = Server(READY, Address("127.0.0.1", 0), Bounds(64, 8, 0, 1 << 16), None)
-        server.open()
-        assert server.waiting is not None
-        port = server.waiting.getsockname()[1]
+        server.listen_without_accepting()
+        assert server.listening_socket is not None
+        port = server.listening_socket.getsockname()[1]
         early = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5)]
         for _, writer in early:
             writer.write(b"GET /readiness HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -49,9 +49,9 @@
 def test_a_door_that_ends_before_it_reads_leaves_nobody_waiting() -> None:
     async def test() -> None:
         server = Server(READY, Address("127.0.0.1", 0), Bounds(64, 8, 0, 1 << 16), None)
-        server.open()
-        assert server.waiting is not None
-        reader, writer = await asyncio.open_connection("127.0.0.1", server.waiting.getsockname()[1])
+        server.listen_without_accepting()
+        assert server.listening_socket is not None
+        reader, writer = await asyncio.open_connection("127.0.0.1", server.listening_socket.getsockname()[1])
         server.stop_listening()
         server.close()
         with contextlib.suppress(ConnectionResetError):  # either tells that nothing was read
--- a/tests/registry/test_calls.py
+++ b/tests/registry/test_calls.py
@@ -39,7 +39,7 @@
         # One byte of the body short, and the connection stays: nothing is done before the call is whole.
         reader, writer = await asyncio.open_connection(listen.host, listen.port)
         writer.write(CALL[:-1])
-        await until(lambda: any(client.headed for client in registry.server.clients))
+        await until(lambda: any(client.has_headers for client in registry.server.clients))
         assert not registry.backends.records
         writer.write(CALL[-1:])
         assert b" 200 " in await reader.readline()
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -297,7 +297,7 @@
                 assert [(await read_answer(caller.reader)).status for _ in range(2)] == [200, 200]
                 assert await caller.reader.read() == b""
             await until(lambda: not place.door.server.clients)
-            assert not place.door.host.table
+            assert not place.door.host.requests
 
     run(test())
 
@@ -310,7 +310,7 @@
                 caller.writer.write_eof()
                 await caller.reader.read()
             await until(lambda: not place.door.server.clients)
-            assert not place.fleet.seen and place.door.server.held == 0
+            assert not place.fleet.seen and place.door.server.held_bytes == 0
 
     run(test())
 
@@ -330,8 +330,8 @@
             caller.writer.write(request("POST /write", b"x" * 1000))
             await until(lambda: place.fleet.seen)
             reset(caller)
-            await until(lambda: not place.door.host.table)
-            assert place.door.server.held == 0 and not any(place.door.classes.held)
+            await until(lambda: not place.door.host.requests)
+            assert place.door.server.held_bytes == 0 and not any(place.door.classes.held)
             assert max(place.fleet.runs.values()) == 1
 
     run(test())
@@ -350,8 +350,8 @@
             host = place.door.host
             await until(lambda: host.departures.requests)
             if ends:
-                await until(lambda: not host.table)
-            assert (host.departures.cancelled, len(host.table)) == ((1, 0) if ends else (0, 1))
+                await until(lambda: not host.requests)
+            assert (host.departures.cancelled, len(host.requests)) == ((1, 0) if ends else (0, 1))
 
     run(test())
 
@@ -362,7 +362,7 @@
     async def test() -> None:
         limits = "answer_kb = 2048\nmemory_mb = 128"
         async with standing(tmp_path, [lambda seen: Reply(data=big)], limits=limits) as place:
-            most = place.door.front.most_unread
+            most = place.door.front.max_unread_clients
             callers = [Caller(place.door) for _ in range(most + 4)]
             for caller in callers:
                 await caller.__aenter__()
@@ -370,7 +370,7 @@
                 caller.writer.write(request("GET /read/1") * 4)
             await until(lambda: place.fleet.seen.total() >= most)
             await until(lambda: len(place.door.server.clients) <= most)
-            assert len(place.door.server.unread) <= most
+            assert len(place.door.server.slow_readers) <= most
             assert (await ask(place, "GET /read/1")).status == 200
             for caller in callers:
                 caller.writer.transport.abort()
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -312,7 +312,7 @@
 
                 assert (await read_answer(caller.reader)).status == 200
                 await draining
-            assert not place.door.host.table
+            assert not place.door.host.requests
 
     run(test())
 
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -64,16 +64,16 @@
 
     def watch(self, place: Place) -> None:
         """Note under which effect each request was taken."""
-        front, take = place.door.front, place.door.front.take
+        front, take = place.door.front, place.door.front.accept
 
         def noting(*args: Any) -> Any:
             call = take(*args)
             if isinstance(call, Call):
-                number = call.make(0).cls
-                self.effects[call.name.decode()] = place.door.classes.listed[number].effect
+                number = call.make_event(0).cls
+                self.effects[call.request_id.decode()] = place.door.classes.listed[number].effect
             return call
 
-        front.take = noting  # type: ignore[method-assign, assignment]
+        front.accept = noting  # type: ignore[method-assign, assignment]
 
     async def swap(self, place: Place) -> None:
         """Another description every 100 ms."""
@@ -145,7 +145,7 @@
                 task.cancel()
             await asyncio.gather(*changing, return_exceptions=True)
             assert storm.swaps > (time.monotonic() - began) * 10 / 2 and storm.spoilt
-            while place.door.host.table:  # attempts whose clients were answered run out
+            while place.door.host.requests:  # attempts whose clients were answered run out
                 await asyncio.sleep(0.01)
             check(storm, place, pauses)
 
@@ -176,6 +176,6 @@
     assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # the storm had all of it
     assert not fleet.together  # never two attempts out at once
     assert not any(name.startswith("half-") for name in fleet.seen)
-    assert not any(door.classes.held) and door.server.held == 0 and door.host.waiting == 0
+    assert not any(door.classes.held) and door.server.held_bytes == 0 and door.host.unanswered_count == 0
     assert len(door.classes.listed) < 60  # numbers are used again
     assert not any(worker.malformed for worker in place.workers)
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -27,7 +27,7 @@
 
 
 def leave_not_passed_on() -> None:
-    swap(OnDeparture, "of", lambda repeatable: OnDeparture.RUN_ON)
+    swap(OnDeparture, "for_request", lambda repeatable: OnDeparture.RUN_ON)
 
 
 def action_sent_again() -> None:
@@ -43,24 +43,24 @@
 
 
 def failure_promised() -> None:
-    swap(ProxyAnswerPolicy, "failed", lambda self, last: 503)
+    swap(ProxyAnswerPolicy, "failure_status", lambda self, last: 503)
 
 
 def seal_not_looked_at() -> None:
-    swap(ProxyAnswerPolicy, "sound", lambda self, status, headers: True)
+    swap(ProxyAnswerPolicy, "is_valid", lambda self, status, headers: True)
 
 
 def payloads(change: Callable[[bytes], bytes], extra: float = 0.0) -> None:
     """What goes to backends is changed."""
-    true = ProxyFrontend.take
+    true = ProxyFrontend.accept
 
-    def take(self: ProxyFrontend, *args: Any) -> Any:
+    def accept(self: ProxyFrontend, *args: Any) -> Any:
         call = true(self, *args)
-        if not isinstance(call, Answer) and (to := call.to) is not None:
-            call.to = lambda left, backend: change(to(left + extra, backend))
+        if not isinstance(call, Answer) and (to := call.make_payload_for) is not None:
+            call.make_payload_for = lambda left, backend: change(to(left + extra, backend))
         return call
 
-    swap(ProxyFrontend, "take", take)
+    swap(ProxyFrontend, "accept", accept)
 
 
 def key_passed_on() -> None:
@@ -78,26 +78,26 @@
 
 
 def proper_requests_denied() -> None:
-    true, count = ProxyFrontend.take, [0]
+    true, count = ProxyFrontend.accept, [0]
 
-    def take(self: ProxyFrontend, *args: Any) -> Any:
+    def accept(self: ProxyFrontend, *args: Any) -> Any:
         count[0] += 1
         if count[0] % 5 == 0:
             raise BadRequest("no route", 404)
         return true(self, *args)
 
-    swap(ProxyFrontend, "take", take)
+    swap(ProxyFrontend, "accept", accept)
 
 
 def kind_not_served() -> None:
-    true = ProxyFrontend.take
+    true = ProxyFrontend.accept
 
-    def take(self: ProxyFrontend, method: bytes, target: bytes, *args: Any) -> Any:
+    def accept(self: ProxyFrontend, method: bytes, target: bytes, *args: Any) -> Any:
         if target.startswith(b"/sign/"):
             raise BadRequest("not now", 503)
         return true(self, method, target, *args)
 
-    swap(ProxyFrontend, "take", take)
+    swap(ProxyFrontend, "accept", accept)
 
 
 def configuration_not_applied() -> None:
@@ -150,7 +150,7 @@
 
 
 def deadline_not_kept() -> None:
-    swap(Host, "overdue", lambda self, request: None)
+    swap(Host, "on_deadline", lambda self, request: None)
     true = Attempt.give_up
 
     def give_up(self: Attempt, why: Outcome) -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -222,8 +222,8 @@
 
     def __init__(self, server: Server, customer: int = 5) -> None:
         self.customer = customer
-        assert server.server is not None
-        self.port = server.server.sockets[0].getsockname()[1]
+        assert server.asyncio_server is not None
+        self.port = server.asyncio_server.sockets[0].getsockname()[1]
         self.count = 0
 
     async def __aenter__(self) -> Client:
--- a/tests/tally/test_four_doors.py
+++ b/tests/tally/test_four_doors.py
@@ -199,7 +199,7 @@
             for number, wrong in ((0, -0.2), (1, 0.2), (2, 5.0)):
                 await four.doors[number].close()
                 four.doors[number] = await opened(four, number, wrong)
-            told = [door.host.clock() for door in four.doors]
+            told = [door.host.current_time() for door in four.doors]
             assert max(told) - min(told) < 0.01
             four.span = 5.0, 45.0
             loads = [four.load(name, rate, shares, 45.0) for name, (rate, shares) in LOADS.items()]
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -35,7 +35,7 @@
         ):
             assert (await client.ask(X_Call_Terms=terms)).status == 400
             assert await client.reader.read() == b""  # and a close: its descriptor is of use to others
-            assert not script.events and not door.server.ids
+            assert not script.events and not door.server.open_keys
 
     run(test())
 
@@ -102,7 +102,7 @@
             assert len(held) == 1
             three.writer.write(three.request(Request_Id="other"))
             assert (await read_message(one.reader)).status == 503
-            assert door.server.ids == {b"other"}
+            assert door.server.open_keys == {b"other"}
 
     run(test())
 
@@ -140,7 +140,7 @@
                 await client.writer.drain()
             assert (await read_message(client.reader)).status == 413
             assert await client.reader.read() == b""
-            assert not script.events and door.server.held == 0
+            assert not script.events and door.server.held_bytes == 0
 
     run(test())
 
@@ -168,7 +168,7 @@
             front_door(dial, react=send_on) as (door, _),
             Client(door.server) as usual,
         ):
-            door.server.most_clients = 5
+            door.server.max_clients = 5
             assert (await usual.ask()).status == 200
             silent = [await asyncio.open_connection("127.0.0.1", usual.port) for _ in range(30)]
             await until(lambda: len(door.server.clients) == 5)
@@ -185,14 +185,14 @@
 def test_half_bodies_are_bounded_together() -> None:
     async def test() -> None:
         async with front_door("127.0.0.1:1", react=lambda event: []) as (door, script):
-            door.server.most_held = 1500
+            door.server.max_held_bytes = 1500
             async with Client(door.server) as one, Client(door.server) as two:
                 half = one.request(2, Content_Length="2000") + b"x" * 1000
                 one.writer.write(half)
-                await until(lambda: door.server.held == 1000)
+                await until(lambda: door.server.held_bytes == 1000)
                 answer = await two.send(half)
                 assert (answer.status, "retry-after" in answer.headers) == (503, True)
-            await until(lambda: door.server.held == 0)
+            await until(lambda: door.server.held_bytes == 0)
             assert not script.events
 
     run(test())
@@ -202,7 +202,7 @@
 def test_what_stands_behind_a_last_answer_is_not_taken(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            door.server.most_clients = 0
+            door.server.max_clients = 0
             client.writer.write(client.request() + client.request())
             assert (await read_message(client.reader)).status == 503
             assert await client.reader.read() == b""
@@ -227,7 +227,7 @@
         ):
             for client in (one, two):
                 assert (await client.ask()).status == 200
-            door.server.most_clients = 4
+            door.server.max_clients = 4
             await until(lambda: not door.server.clients)
 
     run(test())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -76,7 +76,10 @@
 # requests, each of which may need a connection to a backend.
 @pytest.mark.parametrize(("sockets", "memory_mb"), [(256, 32), (1024, 192)])
 def test_bounds_follow_the_limits(sockets: int, memory_mb: int) -> None:
-    bounds = Bounds.of(sockets, memory_mb)
-    assert min(bounds.clients, bounds.upstream) > sockets / 3
-    assert bounds.clients + bounds.surplus + bounds.upstream + OTHER_SOCKETS <= sockets
-    assert bounds.held <= memory_mb * (1 << 20) / 8
+    bounds = Bounds.from_limits(sockets, memory_mb)
+    assert min(bounds.max_clients, bounds.max_backend_connections) > sockets / 3
+    assert (
+        bounds.max_clients + bounds.surplus_clients + bounds.max_backend_connections + OTHER_SOCKETS
+        <= sockets
+    )
+    assert bounds.max_held_bytes <= memory_mb * (1 << 20) / 8
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -99,9 +99,11 @@
             counter, heard = start(dial, timeout=5.0)
             await counter.ready
             counter.add(Count(8, 5.0, 4.0))
-            counter.move(parse_address(elsewhere))
+            counter.change_address(parse_address(elsewhere))
             counter.add(Count(8, 6.0, 4.0))  # the old line still serves until the new one is up
-            await until(lambda: all(line.transport for line in counter.lines) and not counter.coming)
+            await until(
+                lambda: all(line.transport for line in counter.connections) and not counter.next_connections
+            )
             counter.add(Count(8, 7.0, 4.0))
             await asyncio.sleep(0)
             assert not heard and not new.calls
@@ -109,7 +111,7 @@
             await until(lambda: len(heard) == 3)
             assert [(c.outcome, c.total) for c in heard][-1] == (Outcome.OK, 7.0)
             assert [float(call[2]) for call in new.calls] == [7.0]
-            assert [line.address for line in counter.lines] == [parse_address(elsewhere)] * LINES
+            assert [line.address for line in counter.connections] == [parse_address(elsewhere)] * LINES
             counter.close()
 
     run(test())
@@ -121,9 +123,9 @@
         tally = Tally()
         async with listening(tally.handle) as dial:
             counter, heard = start(dial)
-            await until(lambda: all(line.transport for line in counter.lines))
-            counter.move(parse_address("127.0.0.1:1"))
-            counter.move(parse_address("127.0.0.1:2"))
+            await until(lambda: all(line.transport for line in counter.connections))
+            counter.change_address(parse_address("127.0.0.1:1"))
+            counter.change_address(parse_address("127.0.0.1:2"))
             counter.add(Count(9, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.OK
@@ -177,7 +179,7 @@
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.TIMEOUT
-            await until(lambda: counter.lines[0].transport is not None)
+            await until(lambda: counter.connections[0].transport is not None)
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: len(heard) == 2)
             assert heard[1].outcome is Outcome.OK and len(tally.calls) == 1
@@ -209,7 +211,7 @@
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: heard)
             assert heard[0].outcome is Outcome.TIMEOUT
-            await until(lambda: counter.lines[0].transport is not None)
+            await until(lambda: counter.connections[0].transport is not None)
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: len(heard) == 2)
             assert heard[1].outcome is Outcome.OK
@@ -231,10 +233,10 @@
             await until(lambda: len(opened) == LINES)
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: heard)
-            line = counter.lines[0]
-            line.look(time.monotonic() + DEAD_AFTER / 2)
+            line = counter.connections[0]
+            line.check_liveness(time.monotonic() + DEAD_AFTER / 2)
             assert line.transport is not None and not line.transport.is_closing()
-            line.look(time.monotonic() + DEAD_AFTER + 0.1)
+            line.check_liveness(time.monotonic() + DEAD_AFTER + 0.1)
             await until(lambda: len(opened) == LINES + 1)
             counter.close()
 
@@ -266,7 +268,7 @@
                 lambda: (
                     not stalls[0]
                     and not counter.tasks
-                    and all(line.transport is not None for line in counter.lines)
+                    and all(line.transport is not None for line in counter.connections)
                 )
             )
             for name in range(LINES):
@@ -283,13 +285,13 @@
         tally = Tally()
         async with listening(tally.handle) as dial:
             counter, _ = start(dial)
-            line = counter.lines[0]
+            line = counter.connections[0]
             await until(lambda: line.transport is not None)
-            before = line.heard
-            line.look(time.monotonic() + 3.0)
-            assert len(line.calls) == 1
-            await until(lambda: not line.calls)
-            assert line.heard > before and not tally.calls
+            before = line.last_received_at
+            line.check_liveness(time.monotonic() + 3.0)
+            assert len(line.written_calls) == 1
+            await until(lambda: not line.written_calls)
+            assert line.last_received_at > before and not tally.calls
             counter.close()
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -107,7 +107,7 @@
         async with listening(old.handle) as dial, listening(late) as other:
             watch, heard = start(dial)
             await until(lambda: len(old.targets) == 2)
-            watch.move(parse_address(other))
+            watch.change_address(parse_address(other))
             old.lines.append(change(91))
             await until(lambda: heard[-1][0].version == 91)
             gate.set()
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -180,7 +180,7 @@
                 asked += 1
                 seen = len(backend.seen)
                 client.writer.write(client.request())
-                await until(lambda seen=seen: len(backend.seen) > seen and not served.pending)  # type: ignore[misc]
+                await until(lambda seen=seen: len(backend.seen) > seen and not served.exchanges)  # type: ignore[misc]
             client.writer.write(client.request())
             for _ in range(asked + 1):  # once it reads, all of it comes
                 answer = await read_message(client.reader)
@@ -203,8 +203,8 @@
             while transport.is_reading():
                 seen = len(backend.seen)
                 client.writer.write(client.request())
-                await until(lambda seen=seen: len(backend.seen) > seen and not served.pending)  # type: ignore[misc]
-            served.since -= IDLE_TIMEOUT
+                await until(lambda seen=seen: len(backend.seen) > seen and not served.exchanges)  # type: ignore[misc]
+            served.queued_at -= IDLE_TIMEOUT
             await until(lambda: not door.server.clients)
 
     run(test())
@@ -237,7 +237,7 @@
                 client.writer.write(client.request())
                 await until(lambda: backend.seen)
             await until(lambda: script.of(i.Left))
-            assert backend.open == 1 and not script.outcomes() and door.host.table
+            assert backend.open == 1 and not script.outcomes() and door.host.requests
 
     run(test())
 
@@ -283,7 +283,7 @@
         ):
             waiting = asyncio.create_task(client.ask(2))
             await until(lambda: backend.seen)
-            (link,) = door.host.upstream.pools[FIRST].links
+            (link,) = door.host.upstream.pools[FIRST].connections
             if unsent:
                 link.pause_writing()
             link.abort()
@@ -370,12 +370,12 @@
             assert backend.open == 1
             pool = door.host.upstream.pools[FIRST]
             pool.idle[0].idle_since -= 16.0  # the backends' idle time is 30 s
-            timer = door.host.upstream.timer
+            timer = door.host.upstream.sweep_timer
             assert timer is not None
             timer.cancel()
-            door.host.upstream.sweep()
+            door.host.upstream.close_expired()
             await until(lambda: backend.open == 0)
-            assert not pool.links and door.host.upstream.open == 0
+            assert not pool.connections and door.host.upstream.connection_count == 0
 
     run(test())
 
@@ -391,7 +391,7 @@
             assert (await client.ask()).status == 200
             (address,) = [pool.address for pool in door.host.upstream.pools.values()]
             entry = i.Entry(FIRST, 0, time.time(), i.State.READY, 0, 0, 1.0)
-            door.host.members(i.Members(i.Listing.DELTA, 42, (entry,)), {FIRST: address})
+            door.host.update_members(i.Members(i.Listing.DELTA, 42, (entry,)), {FIRST: address})
             await until(lambda: backend.open == 0)
             assert (await client.ask()).status == 200
             assert backend.opened == 2
@@ -623,7 +623,7 @@
             assert took < 0.35  # its deadline, and the 50 ms that the rule allows beyond
             # The attempt was given up before the deadline, and nothing is left behind.
             assert script.outcomes() == [Outcome.TIMEOUT] and len(script.of(i.Left)) == 1
-            assert not door.host.table and door.host.waiting == 0
+            assert not door.host.requests and door.host.unanswered_count == 0
 
     with Pauses() as pauses:
         run(test(pauses))
@@ -647,7 +647,7 @@
             assert (await client.ask(0)).status == 503  # it never ran, so this is true
             assert (await client.ask(2)).status == 502  # it may have run
             assert (await client.ask(2)).status == 200
-            assert not door.host.table
+            assert not door.host.requests
 
     run(test())
     assert "the module failed on Request" in caplog.text and "the module failed on Finished" in caplog.text
@@ -662,10 +662,10 @@
 
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
-                due.update({n: door.host.now + n * 0.0017 for n in range(40)})
+                due.update({n: door.host.last_time + n * 0.0017 for n in range(40)})
                 return [i.SetTimer(at, n) for n, at in due.items()]
             if isinstance(event, i.Fired):
-                fired.append((event.token, door.host.now))
+                fired.append((event.token, door.host.last_time))
             return []
 
         async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
@@ -679,7 +679,7 @@
 def test_descriptors_are_bounded_and_surplus_clients_are_refused() -> None:
     async def test() -> None:
         async with front_door("127.0.0.1:1", react=lambda event: []) as (door, script):
-            door.server.most_clients = 2
+            door.server.max_clients = 2
             async with Client(door.server) as one, Client(door.server) as two:
                 for busy in (one, two):
                     busy.writer.write(busy.request())
@@ -708,7 +708,7 @@
             Client(door.server) as client,
             Client(door.server) as other,
         ):
-            door.host.upstream.most_open = 1
+            door.host.upstream.max_connections = 1
             assert (await client.ask(0)).status == 200
             client.writer.write(client.request(1))  # the idle connection to the first makes room
             await until(lambda: two.seen)
@@ -791,7 +791,7 @@
             (lease,) = door.host.gateway.leases.values()
             kept, before = lease.credits, sum(tally.totals.values())
             assert kept >= 1
-            door.host.answer_all()  # as at the end of a drain; credit that stands idle goes back anyway
+            door.host.finish_all()  # as at the end of a drain; credit that stands idle goes back anyway
             await until(lambda: sum(tally.totals.values()) < before)
             assert sum(tally.totals.values()) == pytest.approx(before - kept, abs=0.1)
 
@@ -834,7 +834,7 @@
         ):
             assert (await client.ask()).status == 200
             assert (await second.ask()).status == 200
-            assert abs(door.host.now - time.time()) < 5
+            assert abs(door.host.last_time - time.time()) < 5
             names = [name for _, name, *_ in tally.calls]
             assert len(names) >= 4 and len(set(names)) == 1  # each looks first, then leases
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -90,13 +90,13 @@
             assert (await client.ask(Request_Id="one")).body == b"one"
             (pool,) = door.host.upstream.pools.values()
             (link,) = pool.idle
-            assert link.usable()
+            assert link.is_usable()
             # No step of the loop lies between these: the bytes are in the socket, not yet read.
             writers[0].write(http_answer(body=b"a late second copy"))
-            assert not link.usable()
+            assert not link.is_usable()
             results: list[Any] = []
             payload = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-            door.host.upstream.start(FIRST, payload, 1.0, results.append)
+            door.host.upstream.start_attempt(FIRST, payload, 1.0, results.append)
             await until(lambda: results)
             assert results[0].body == b"two"
 
@@ -176,7 +176,7 @@
         ):
             assert (await client.ask()).status == 200
             upstream = door.host.upstream
-            upstream.place(9, upstream.pools[FIRST].address, 0.0)
+            upstream.update_backend(9, upstream.pools[FIRST].address, 0.0)
             await until(lambda: not backend.open)
             assert (await client.ask()).status == 502  # still meant for the old one
             assert script.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
@@ -192,8 +192,10 @@
             upstream = door.host.upstream
             await until(lambda: FIRST in upstream.pools)
             ended: list[Outcome] = []
-            attempt = upstream.start(FIRST, b"GET / HTTP/1.1\r\n\r\n", 5.0, lambda r: ended.append(r.outcome))
-            assert not attempt.written
+            attempt = upstream.start_attempt(
+                FIRST, b"GET / HTTP/1.1\r\n\r\n", 5.0, lambda r: ended.append(r.outcome)
+            )
+            assert not attempt.is_written
             attempt.give_up(Outcome.CANCELLED)
             assert ended == [Outcome.MOOT]  # which proves that it never ran
             await until(lambda: upstream.pools[FIRST].idle)  # the connection is there for another
