--- a/ivymux/__main__.py
+++ b/ivymux/__main__.py
@@ -13,9 +13,9 @@
         # The default would end the process.  Until the loop hears it nothing has been read that could be old.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     if len(sys.argv) > 1 and sys.argv[1] in ROLES:
-        from ivymux.runtime.early_listener import listening
+        from ivymux.runtime.early_listener import open_listener
 
-        early = listening(sys.argv[1], sys.argv[2:])  # before the rest is loaded
+        early = open_listener(sys.argv[1], sys.argv[2:])  # before the rest is loaded
         from ivymux.runtime.program import main as program
 
         sys.exit(program(sys.argv[1], sys.argv[2:], early))
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -49,15 +49,15 @@
     def __init__(self, settings: Settings) -> None:
         """Raises DurableStoreError."""
         self.settings = settings
-        if settings.data is None:
+        if settings.data_path is None:
             raise DurableStoreError(
                 "self_entity.data_path: a configuration store needs a disk; name its folder"
             )
-        self.store = DurableStore(settings.data)
-        seeds = tuple(dict.fromkeys(a.host for a in settings.seeds))
-        durable = self.store.load(settings.ip, settings.initial, seeds)
-        sync_folder(settings.data)
-        sync_folder(settings.data / FOLDER)
+        self.store = DurableStore(settings.data_path)
+        seeds = tuple(dict.fromkeys(a.host for a in settings.seed_addresses))
+        durable = self.store.load(settings.ip, settings.is_initial_start, seeds)
+        sync_folder(settings.data_path)
+        sync_folder(settings.data_path / FOLDER)
         self.replica = Replica(durable, time.monotonic())
         self.disk = ThreadPoolExecutor(1)
         self.waiting: deque[Action] = deque()  # what rests on a write that is not done
@@ -79,7 +79,7 @@
             self.meet(address)
         where = f"epoch {durable.record.number}" if durable.record else "no epoch"
         version = durable.state.version if durable.state else "none"
-        log.say(f"starts as {durable.identity} with {where}, version {version}.")
+        log.info(f"starts as {durable.identity} with {where}, version {version}.")
 
     async def start(self) -> None:
         await self.listener.start(Address(self.settings.ip, self.settings.config_store_port))
@@ -135,7 +135,7 @@
         except ValueError as error:
             self.spoilt += 1
             if self.spoilt in (1, 10, 100, 1000):
-                log.say(
+                log.info(
                     f"a message that no configuration store sends was left: {error} ({self.spoilt} so far)."
                 )
 
@@ -143,7 +143,7 @@
         if greeting.version != PROTOCOL_VERSION:
             if greeting.address not in self.other_versions:
                 self.other_versions.add(greeting.address)
-                log.say(
+                log.info(
                     f"{greeting.address} speaks version {greeting.version} of the protocol, this machine"
                     f" {PROTOCOL_VERSION}: it is not heard; start the same release on both."
                 )
@@ -187,7 +187,7 @@
             gone = (
                 peer.failed_attempts > 40
                 and address not in cores
-                and all(address != s.host for s in self.settings.seeds)
+                and all(address != s.host for s in self.settings.seed_addresses)
             )
             if gone:
                 peer.close()
@@ -203,7 +203,7 @@
             else:
                 self.act(action)
         if len(self.waiting) > MAX_QUEUE:
-            log.say("the disk does not answer; this process ends.")
+            log.info("the disk does not answer; this process ends.")
             raise SystemExit(3)
         if self.waiting and not self.writing:
             self.write()
@@ -225,7 +225,7 @@
         error = done.exception() if not done.cancelled() else None
         if error is not None:
             # What this machine has said so far holds; it may say nothing new that rests on this disk.
-            log.say(f"the disk failed: {error}; this process ends.")
+            log.info(f"the disk failed: {error}; this process ends.")
             asyncio.get_running_loop().call_soon(self.fail)
             return
         resting, self.resting = self.resting, []
@@ -250,7 +250,7 @@
             case PublishSetting():
                 self.tell_registries(self.note(action.note))
             case LogLine():
-                log.say(f"{action.text}.")
+                log.info(f"{action.text}.")
 
     def send(self, action: Send) -> None:
         if action.to == self.settings.ip:
@@ -346,12 +346,12 @@
 
     async def stop(self) -> None:
         """What this machine holds goes over to others before it ends, for as long as `grace` allows."""
-        until = time.monotonic() + max(0.0, self.settings.grace - ENDS_BEFORE)
+        until = time.monotonic() + max(0.0, self.settings.shutdown_grace_s - ENDS_BEFORE)
         self.carry(self.replica.leave(time.monotonic()))
         while not self.replica.may_end() and time.monotonic() < until:
             await asyncio.sleep(LOOK_TO_END)
         if not self.replica.may_end():
-            log.say("ends with a copy that no other machine could take over within `grace`.")
+            log.info("ends with a copy that no other machine could take over within `grace`.")
         self.ending = True
         for peer in self.peers.values():
             peer.close()
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -34,7 +34,7 @@
         source = self.door.membership.registry(self.ip)
         settings = self.door.settings
         line.send(
-            {"k": "door", "id": self.door.id, "ip": settings.ip, "port": settings.door_port,
+            {"k": "door", "id": self.door.id, "ip": settings.ip, "port": settings.proxy_port,
              "zone": settings.zone, "run": source.incarnation_id, "n": source.last_sequence,
              "age": self.door.age()}
         )  # fmt: skip
@@ -42,7 +42,7 @@
     def down(self, line: Connection) -> None:
         if self.door.membership.registry(self.ip).connected:
             self.door.membership.on_disconnected(self.ip, time.monotonic())
-            self.door.clock.forget(self.ip)
+            self.door.clock.remove_source(self.ip)
             self.door.changed()
 
     def heard(self, line: Connection, message: Message) -> None:
@@ -51,7 +51,7 @@
         except (KeyError, TypeError, ValueError) as error:
             self.door.spoilt += 1
             if self.door.spoilt in (1, 10, 100, 1000):
-                log.say(f"a message that no registry sends ended its connection: {error}.")
+                log.info(f"a message that no registry sends ended its connection: {error}.")
             line.abort()
 
     def hear(self, line: Connection, message: Message) -> None:
@@ -66,7 +66,7 @@
             line.send({"k": "ack", "n": message["n"]})
         elif kind == "here":
             self.zone, self.version = str(message["zone"]), int(message["v"])
-            door.clock.hear(self.ip, float(message["t"]), now)
+            door.clock.update(self.ip, float(message["t"]), now)
             door.membership.apply_snapshot(
                 self.ip, str(message["run"]), int(message["n"]), message["whole"] is True, message["i"],
                 message["doors"], now,
--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -199,7 +199,9 @@
         except (KeyError, IndexError, TypeError, ValueError, OverflowError) as error:
             self.spoilt += 1
             if self.spoilt in (1, 10, 100, 1000):
-                log.say(f"a message that no door sends ended its connection: {error} ({self.spoilt} so far).")
+                log.info(
+                    f"a message that no door sends ended its connection: {error} ({self.spoilt} so far)."
+                )
             line.abort()
 
     def answered(self, line: Connection, message: Message) -> None:
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -67,8 +67,8 @@
         try:
             terms = read(text.encode())
         except ConversationSettingsError as error:
-            log.say(f"settings of conversations that cannot be used here: {error}.")
+            log.info(f"settings of conversations that cannot be used here: {error}.")
             return
         if terms.version > self.claims.terms.version:
             self.claims.terms = terms
-            log.say(f"settings {terms.version} of conversations are in force.")
+            log.info(f"settings {terms.version} of conversations are in force.")
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -38,7 +38,7 @@
 from ivymux.proxy.status_pages import METRICS, READINESS, StatusPagesFrontend
 from ivymux.routing_config.route_plan import PlanError, plan_of
 from ivymux.runtime.clock import SystemClock
-from ivymux.runtime.early_listener import fitting
+from ivymux.runtime.early_listener import keep_matching
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
 from ivymux.transport.connection import Connector, Listener
@@ -71,26 +71,26 @@
         """`waiting`: where clients wait already."""
         self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.id = f"{settings.ip}:{settings.door_port}"
+        self.id = f"{settings.ip}:{settings.proxy_port}"
         now = time.monotonic()
         self.clock = SystemClock(time.time(), now)
         self.membership, self.tables = MembershipView(), Tables()
-        self.holders = CounterHolders(self.id, now, settings.initial)
-        bounds = Bounds.from_limits(max(64, settings.sockets - 260), settings.memory_mb)
+        self.holders = CounterHolders(self.id, now, settings.is_initial_start)
+        bounds = Bounds.from_limits(max(64, settings.fd_limit - 260), settings.memory_mb)
         held = int(settings.memory_mb * HELD_PART * (1 << 20))
         upstream = Upstream(
             CONNECT_TIMEOUT, IDLE, (), bounds.max_backend_connections, proxy_answer_policy(64 << 20, held)
         )
         made = module_settings()
         terms = Terms(
-            settings.retry_ratio, settings.quota_window, settings.quota_excess, settings.quota_slack
+            settings.retry_ratio, settings.quota_window_s, settings.quota_excess, settings.quota_slack
         )
         self.switch = Switch(made, secrets.randbits(64), terms)
         # The host needs of a module what both kinds have.
         self.host = WatchedHost(cast("Gateway", self.switch), upstream)
         self.doubts = Doubts(lambda: self.host.well, self.id_of, self.tell_core)
         self.host.doubt = self.doubts.doubt
-        self.host.wall_clock = lambda: self.clock.read(time.monotonic())
+        self.host.wall_clock = lambda: self.clock.system_time(time.monotonic())
         counts = Counts(self.holders, secrets.randbits(48) | 1)
         self.counter = HeldCounter(self.id, self.holders, counts, COUNTER_TIMEOUT, self.host.post)
         self.host.counter = self.counter
@@ -102,12 +102,15 @@
         self.front = ProxyFrontend(
             self.tables, self.instance, lambda: max(1, len(self.holders.joined_at)), self.keys, self.number
         )
-        self.server = Server(self.front, settings.listen["front_addr"], bounds, self.host)
-        front = settings.listen["front_addr"]
-        self.server.listening_socket = fitting(waiting, front.host, front.port)
+        self.server = Server(self.front, settings.listen_addresses["front_addr"], bounds, self.host)
+        front = settings.listen_addresses["front_addr"]
+        self.server.listening_socket = keep_matching(waiting, front.host, front.port)
         own_bounds = Bounds(64, 8, 0, 1 << 16)
         self.ready_server = Server(
-            StatusPagesFrontend({READINESS: self.readiness}), settings.listen["ready_addr"], own_bounds, None
+            StatusPagesFrontend({READINESS: self.readiness}),
+            settings.listen_addresses["ready_addr"],
+            own_bounds,
+            None,
         )
         self.metrics_server: Server | None = None
         if settings.metrics_port is not None:
@@ -195,7 +198,7 @@
             from ivymux.proxy.trial_client import Catcher
 
             self.catcher = Catcher(
-                self.settings.zone, self.id, self.host, self.lines, self.clock.read, self.counted
+                self.settings.zone, self.id, self.host, self.lines, self.clock.system_time, self.counted
             )
             if self.front.plan is not None:
                 self.catcher.configured(self.front.plan.keys)
@@ -205,8 +208,8 @@
 
     async def start(self) -> None:
         """Raises OSError."""
-        await self.listener.start(Address(self.settings.ip, self.settings.door_port))
-        self.meet([a.host for a in self.settings.seeds])
+        await self.listener.start(Address(self.settings.ip, self.settings.proxy_port))
+        self.meet([a.host for a in self.settings.seed_addresses])
         await self.ready_server.start()
         await self.serve_metrics()
         # Who comes before the configuration waits for it in the system's queue: after a loss of all processes
@@ -214,7 +217,7 @@
         self.server.listen_without_accepting()
         self.loop.call_later(UNREAD, self.take_clients)
         self.sweep()
-        log.say(f"serves on {self.server.listen.host}:{self.server.listen.port}.")
+        log.info(f"serves on {self.server.listen.host}:{self.server.listen.port}.")
 
     async def serve_metrics(self) -> None:
         """Clients are served also where the port of the metrics is taken."""
@@ -223,7 +226,7 @@
         try:
             await self.metrics_server.start()
         except OSError as error:
-            log.say(f"tells no metrics: {error.strerror}.")
+            log.info(f"tells no metrics: {error.strerror}.")
 
     def take_clients(self) -> None:
         """Read what clients send, also those who came before."""
@@ -260,7 +263,7 @@
         if self.membership.is_connected() != self.touch:
             self.touch = not self.touch
             self.touched_at = now if self.touch else math.inf
-            log.say(
+            log.info(
                 "hears the core." if self.touch else "hears no core machine; serves on with what it knows."
             )
         backends = self.membership.drain_changes()
@@ -304,7 +307,7 @@
         try:
             plan = plan_of(text.encode())
         except PlanError as error:
-            log.say(f"version {version} was taken by the core and cannot be used here: {error}.")
+            log.info(f"version {version} was taken by the core and cannot be used here: {error}.")
             return
         self.tables.enter(plan)
         self.host.post(i.Classes(tuple(self.tables.classes)))
@@ -319,7 +322,7 @@
             self.applied_at = time.monotonic()
             self.take_clients()
         self.version = version
-        log.say(f"version {version} is in force: {len(self.tables.classes)} routes so far.")
+        log.info(f"version {version} is in force: {len(self.tables.classes)} routes so far.")
 
     def sweep(self) -> None:
         try:
@@ -335,21 +338,21 @@
             self.front.catcher = None
         if time.monotonic() - self.told_at > TELL and (line := self.host.refusal_log.refusals.log_line()):
             self.told_at = time.monotonic()
-            log.say(f"{line}; further tries spared {self.switch.spared}.")
+            log.info(f"{line}; further tries spared {self.switch.spared}.")
         departed_due = time.monotonic() - self.departed_told_at > TELL
         if departed_due and (line := self.host.departures.log_line()):
             self.departed_told_at = time.monotonic()
-            log.say(f"{line}.")
+            log.info(f"{line}.")
         claims = self.keyed.claims if self.keyed is not None else None
         if claims is not None and time.monotonic() - self.claims_told_at > TELL and (line := claims.line()):
             self.claims_told_at = time.monotonic()
-            log.say(f"{line}.")
+            log.info(f"{line}.")
         self.sweeper = self.loop.call_later(SWEEP, self.sweep)
 
     def reload(self, settings: Settings) -> None:
         """The settings file has changed: seeds are added to what is known."""
         self.settings = settings
-        self.meet([a.host for a in settings.seeds])
+        self.meet([a.host for a in settings.seed_addresses])
 
     # --- the end -------------------------------------------------------------------------------------------
 
@@ -357,15 +360,15 @@
         """Not ready first; serve on while connections come; finish what is held within the grace."""
         began = time.monotonic()
         self.ending = self.server.closes_after_answer = True
-        log.say("ends: it takes what still comes, then finishes.")
-        await asyncio.sleep(min(LAME, self.settings.grace / 2))
+        log.info("ends: it takes what still comes, then finishes.")
+        await asyncio.sleep(min(LAME, self.settings.shutdown_grace_s / 2))
         self.server.stop_listening()
-        until = began + self.settings.grace - 0.5
+        until = began + self.settings.shutdown_grace_s - 0.5
         while self.host.unanswered_count and time.monotonic() < until:
             await asyncio.sleep(0.02)
         self.host.finish_all()
         if line := self.host.departures.log_line():
-            log.say(f"{line}.")
+            log.info(f"{line}.")
         self.server.close()
         if self.catcher is not None:
             self.catcher.close()
--- a/ivymux/proxy/trial_client.py
+++ b/ivymux/proxy/trial_client.py
@@ -62,11 +62,11 @@
         try:
             news = self.catch.use(read(text), now, self.system(now))
         except TrialError as error:
-            log.say(f"{error}; no trial of it is in force here.")
+            log.info(f"{error}; no trial of it is in force here.")
             return self.busy()
         if news:
             names = ", ".join(t.name for t in self.catch.board.running) or "none"
-            log.say(f"board {self.catch.board.version} of trials: {names}.")
+            log.info(f"board {self.catch.board.version} of trials: {names}.")
         if self.catch.due(now) and not self.busy():
             self.task = asyncio.get_running_loop().create_task(self.renew())
         return self.busy()
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -93,15 +93,15 @@
 
 class Registry(TrialCalls):
     def __init__(self, settings: Settings) -> None:
-        self.longest_trial = settings.longest_trial
+        self.longest_trial = settings.max_trial_s
         self.settings = settings
         self.run_id = secrets.token_hex(6)  # another run's numbers mean nothing here
         self.steady_unix = time.time() - time.monotonic()
-        self.backends = BackendRecords(SILENT_BEATS * settings.beat)
+        self.backends = BackendRecords(SILENT_BEATS * settings.heartbeat_period_s)
         self.doors: dict[Connection, DoorLine] = {}
         self.reachability = ProxyReachability()
         # Of its descriptors a part is for doors, the rest for outside calls.
-        most_doors = max(64, int(settings.sockets * DOORS_PART))
+        most_doors = max(64, int(settings.fd_limit * DOORS_PART))
         self.listener = Listener(self.heard, on_disconnect=self.lost, max_connections=most_doors)
         own = Address(settings.ip, settings.config_store_port)
         self.config_store = Connector(
@@ -118,11 +118,11 @@
         self.stirring: asyncio.TimerHandle | None = None
         self.cores: list[str] = [settings.ip]
         self.http_calls = HttpCallDispatcher(self)
-        calls = min(settings.sockets - 200 - most_doors, 2000)
+        calls = min(settings.fd_limit - 200 - most_doors, 2000)
         bounds = Bounds.from_limits(max(64, calls), settings.memory_mb)
         self.server = Server(
             HttpCallFrontend(self, MAX_TEXT),
-            settings.listen["control_addr"],
+            settings.listen_addresses["control_addr"],
             bounds,
             self.http_calls.as_host(),
         )
@@ -137,7 +137,7 @@
         await self.listener.start(Address(self.settings.ip, self.settings.registry_port))
         await self.server.start()
         self.sweeper = asyncio.get_running_loop().create_task(self.sweep())
-        log.say(f"takes calls on {self.server.listen.host}:{self.server.listen.port}.")
+        log.info(f"takes calls on {self.server.listen.host}:{self.server.listen.port}.")
 
     async def sweep(self) -> None:
         while not self.ending:
@@ -154,7 +154,7 @@
         except (KeyError, TypeError, ValueError) as error:
             self.spoilt += 1
             if self.spoilt in (1, 10, 100, 1000):
-                log.say(f"a message that no door sends ended its connection: {error} ({self.spoilt} so far).")
+                log.info(f"invalid message from a proxy, connection closed: {error} ({self.spoilt} so far).")
             line.abort()
 
     def hear(self, line: Connection, message: Message) -> None:
@@ -292,7 +292,7 @@
         if span:
             self.shunned += 1
             if self.shunned in (1, 10, 100, 1000):
-                log.say(f"doors leave backend {id} alone for {span:g} s: it fails ({self.shunned} so far).")
+                log.info(f"doors leave backend {id} alone for {span:g} s: it fails ({self.shunned} so far).")
             told = encode_frame({"k": "shun", "id": id, "for": span})
             for other in self.doors.values():
                 other.line.write(told)
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -70,7 +70,7 @@
         try:
             board = trial_set.read(text)
         except TrialError as error:
-            log.say(f"{error}; it is left.")
+            log.info(f"{error}; it is left.")
             return
         if board.version > self.board.version:
             self.board = board
@@ -121,7 +121,7 @@
                     await self.close(name, "ivymux", f"guard: {reason}" if reason else trial_set.DONE)
                 except TrialError:
                     continue  # ended by another, or nobody leads: the next look goes on
-                log.say(f"trial {name} is ended: {reason or trial_set.DONE}.")
+                log.info(f"trial {name} is ended: {reason or trial_set.DONE}.")
 
     async def close(self, name: str, by: str, why: str) -> Trial:
         """End one trial.  Raises TrialError."""
@@ -218,7 +218,7 @@
                 if sent.dry_run:
                     return told({"dry_run": True, **trial_set.shown(trial)})
                 if await self.write(made):
-                    log.say(f"trial {trial.name} is started: {trial.does}, share {trial.share:g}.")
+                    log.info(f"trial {trial.name} is started: {trial.does}, share {trial.share:g}.")
                     return told(self.status(trial))
         except TrialError as error:
             return error_answer(error.status, str(error))
@@ -232,7 +232,7 @@
             ended = await self.close(request.name, sent.by, sent.why)
         except TrialError as error:
             return error_answer(error.status, str(error))
-        log.say(f"trial {request.name} is ended by an operator.")
+        log.info(f"trial {request.name} is ended by an operator.")
         return told(trial_set.shown(ended))
 
     async def list(self) -> Answer:
--- a/ivymux/runtime/__init__.py
+++ b/ivymux/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What each process of the system is told and how it speaks: settings file, log, steady system time."""
+"""What each process of the system starts from: settings file, log, system time, signals."""
--- a/ivymux/runtime/clock.py
+++ b/ivymux/runtime/clock.py
@@ -1,32 +1,35 @@
-"""System time: steady, and nearly the same on all doors whatever happens to the time of day.  Pure.
+"""System time: steady, and nearly the same at all proxies even if a machine's wall clock jumps.  Pure.
 
-Each core machine's registry takes the time of day once, when it starts, and counts on by its steady clock.
-A door takes the middle of what its registries say and holds on to it: it moves only where that middle is
-off by more than `APART`, as windows of quotas must not jump with every word.
+The registry of each core machine reads its wall clock once, when it starts, and advances it by its steady
+clock.  A proxy takes the median of its registries' times, and moves its own time only if the median is off by
+more than MAX_DRIFT_S: quota windows depend on system time and must not jump with every message.
 """
 
 from __future__ import annotations
 
-APART = 0.25  # seconds
+MAX_DRIFT_S = 0.25
 
 
 class SystemClock:
     def __init__(self, unix: float, steady: float) -> None:
+        """Start from the local wall clock, until a registry reports its time."""
         self.offset = unix - steady
-        self.heard: dict[str, float] = {}  # offsets by registry
-        self.settled = False
+        self.offsets: dict[str, float] = {}  # system time minus local steady time, by registry
+        self.is_synchronized = False
 
-    def read(self, steady: float) -> float:
+    def system_time(self, steady: float) -> float:
         """System time in seconds since the Unix epoch."""
         return steady + self.offset
 
-    def hear(self, source: str, told: float, steady: float) -> None:
-        self.heard[source] = told - steady
-        offsets = sorted(self.heard.values())
-        middle = offsets[(len(offsets) - 1) // 2]
-        if not self.settled or abs(middle - self.offset) > APART:
-            self.offset, self.settled = middle, True
-
-    def forget(self, source: str) -> None:
-        if len(self.heard) > 1:
-            self.heard.pop(source, None)
+    def update(self, source: str, system_time: float, steady: float) -> None:
+        """Take the system time that a registry reports at the local steady time `steady`."""
+        self.offsets[source] = system_time - steady
+        offsets = sorted(self.offsets.values())
+        median = offsets[(len(offsets) - 1) // 2]
+        if not self.is_synchronized or abs(median - self.offset) > MAX_DRIFT_S:
+            self.offset, self.is_synchronized = median, True
+
+    def remove_source(self, source: str) -> None:
+        """Drop a disconnected registry's time, unless it is the only one."""
+        if len(self.offsets) > 1:
+            self.offsets.pop(source, None)
--- a/ivymux/runtime/early_listener.py
+++ b/ivymux/runtime/early_listener.py
@@ -1,8 +1,9 @@
-"""A door's first step: clients wait in the system's queue while the door is loaded.
+"""Opens a proxy's listening socket first, so that clients queue in the kernel while the proxy starts.
 
-After a loss of all doors each client that finds none listening loses one of its few tries.  Reading YAML,
-and all that checks it, is a third of a start: here one line of the file is known by its look.  The whole is
-read and checked in a moment, and a socket that does not fit it is given up (`fitting`).
+When all proxies are down, a client that is refused by each of them uses up its few attempts.  Importing the
+YAML reader and the settings checks takes a third of a start, so this module recognises one line of the
+settings file without parsing it.  The whole file is read and checked later; a socket that doesn't match the
+checked settings is closed (`keep_matching`).
 """
 
 from __future__ import annotations
@@ -11,37 +12,40 @@
 import socket
 from collections.abc import Sequence
 
-VARIABLE = "IVYMUX_NODE_FILE"
-LINE = "front_addr:"
-MOST = 1 << 20  # bytes of a settings file that are looked at
-BACKLOG = 1024  # connections that wait
+SETTINGS_FILE_VARIABLE = "IVYMUX_NODE_FILE"
+ADDRESS_KEY = "front_addr:"
+MAX_SCANNED_CHARS = 1 << 20  # of a settings file
+BACKLOG = 1024  # connections that the kernel queues
 
 
-def front(text: str) -> tuple[str, int] | None:
-    """The address at which clients arrive, by the first line that names it; None where none does plainly."""
+def find_client_address(text: str) -> tuple[str, int] | None:
+    """Return the address on the first line for ADDRESS_KEY; None if it isn't a plain IP address and port."""
     for line in text.splitlines():
-        name, _, value = line.strip().partition(" ")
-        if name == LINE:
+        key, _, value = line.strip().partition(" ")
+        if key == ADDRESS_KEY:
             host, _, port = value.strip().strip("\"'").rpartition(":")
-            plain = port.isascii() and port.isdigit() and host.replace(".", "").isdigit()
-            return (host, int(port)) if plain else None
+            is_plain = port.isascii() and port.isdigit() and host.replace(".", "").isdigit()
+            return (host, int(port)) if is_plain else None
     return None
 
 
-def listening(role: str, arguments: Sequence[str]) -> socket.socket | None:
-    """A socket that listens for clients; None where none can be had, which is told when the door starts."""
+def open_listener(role: str, arguments: Sequence[str]) -> socket.socket | None:
+    """Listen for clients if this process is a proxy.
+
+    Returns None if that isn't possible; the proxy reports the cause when it opens its listener itself.
+    """
     if role != "proxy" or arguments:
         return None
     try:
-        with open(os.environ[VARIABLE], encoding="utf-8") as file:
-            address = front(file.read(MOST))
+        with open(os.environ[SETTINGS_FILE_VARIABLE], encoding="utf-8") as file:
+            address = find_client_address(file.read(MAX_SCANNED_CHARS))
         return socket.create_server(address, backlog=BACKLOG) if address is not None else None
     except (KeyError, ValueError, OverflowError, OSError):
         return None
 
 
-def fitting(early: socket.socket | None, host: str, port: int) -> socket.socket | None:
-    """The socket, where the settings as they were checked name its address; else it is closed."""
+def keep_matching(early: socket.socket | None, host: str, port: int) -> socket.socket | None:
+    """Return the socket if it listens at the address in the checked settings; close it otherwise."""
     if early is not None and early.getsockname() != (host, port):
         early.close()
         return None
--- a/ivymux/runtime/log.py
+++ b/ivymux/runtime/log.py
@@ -1,4 +1,4 @@
-"""The log: short sentences with the part's prefix, by eliot, to standard output."""
+"""The log: one sentence per line with the component's prefix, through eliot, to standard output."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 from eliot import add_destinations, log_message
 
-MAX_A_SECOND = 20
+MAX_LINES_PER_S = 20
 
 
-class Said:
-    """Writes messages of the log as lines; what comes too often is counted, not written."""
+class LineWriter:
+    """An eliot destination that prints messages as lines; lines over the rate limit are only counted."""
 
     def __init__(self) -> None:
-        self.second, self.seen, self.left_out = 0, 0, 0
+        self.second, self.lines, self.dropped = 0, 0, 0
 
     def __call__(self, message: dict[str, object]) -> None:
         second = int(time.monotonic())
         if second != self.second:
-            if self.left_out:
-                print(f"log: {self.left_out} lines were left out", flush=True)
-            self.second, self.seen, self.left_out = second, 0, 0
-        self.seen += 1
-        if self.seen > MAX_A_SECOND:
-            self.left_out += 1
+            if self.dropped:
+                print(f"log: {self.dropped} lines were dropped by the rate limit", flush=True)
+            self.second, self.lines, self.dropped = second, 0, 0
+        self.lines += 1
+        if self.lines > MAX_LINES_PER_S:
+            self.dropped += 1
             return
         text = message.get("says")
         if text is None and "exception" in message:
@@ -33,20 +33,20 @@
 
 
 def start() -> None:
-    add_destinations(Said())
+    add_destinations(LineWriter())
 
 
 class Log:
-    """The log of one part of the system."""
+    """The log of one component."""
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
 
-    def say(self, sentence: str) -> None:
+    def info(self, sentence: str) -> None:
         log_message(message_type=self.prefix, says=sentence)
 
 
 def fail(error: object) -> int:
-    """One plain line, and the exit code for what cannot be served."""
+    """Print an error as one line on standard error; return the exit code for an unusable configuration."""
     print(f"ivymux: {' '.join(str(error).split())}", file=sys.stderr, flush=True)
     return 2
--- a/ivymux/runtime/program.py
+++ b/ivymux/runtime/program.py
@@ -1,4 +1,4 @@
-"""Starts one of the system's programs: command line (absl), settings, log, signals."""
+"""Runs one of the system's programs: command line (absl), settings, log, signals."""
 
 from __future__ import annotations
 
@@ -17,52 +17,58 @@
 
 from ivymux.data_plane.limits import ConfigError
 from ivymux.runtime import log as logs
-from ivymux.runtime.settings import Settings, load, path_of
+from ivymux.runtime.settings import Settings, load, settings_path
 
-LOOK = 2.0  # seconds between looks at the settings file
+SETTINGS_POLL_INTERVAL_S = 2.0
 
 
 class Program(Protocol):
+    """What a role's program offers.  If it also has `reload(settings)`, it gets changed settings."""
+
     async def start(self) -> None: ...
 
     async def stop(self) -> None: ...
 
 
-def define(flag_values: flags.FlagValues) -> None:
+def define_flags(flag_values: flags.FlagValues) -> None:
     flags.DEFINE_string(
         "settings", None, "The settings file; by default IVYMUX_NODE_FILE names it.", flag_values=flag_values
     )
-    flags.DEFINE_bool("check", False, "Check the settings file and end.", flag_values=flag_values)
+    flags.DEFINE_bool("check", False, "Check the settings file and exit.", flag_values=flag_values)
+
 
+async def serve(create: Callable[[Settings], Program], settings: Settings, path: Path) -> None:
+    """Run a program until SIGTERM or SIGINT.  Raises ConfigError if it can't listen.
 
-async def serve(make: Callable[[Settings], Program], settings: Settings, path: Path) -> None:
+    Settings are reloaded on SIGHUP, and when the file at `path` changes.
+    """
     loop = asyncio.get_running_loop()
-    ended = asyncio.Event()
+    stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    program = make(settings)
-    said = logs.Log("station")
+        loop.add_signal_handler(number, stopping.set)
+    program = create(settings)
+    log = logs.Log("station")
 
     def reload() -> None:
-        take = getattr(program, "reload", None)
+        apply = getattr(program, "reload", None)
         try:
-            found = load(path)
+            changed = load(path)
         except ConfigError as error:
-            said.say(f"the settings stay as they were: {error}.")
+            log.info(f"the settings are not reloaded, the previous ones remain in force: {error}.")
             return
-        if take is not None:
-            take(found)
+        if apply is not None:
+            apply(changed)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
 
-    async def watch() -> None:
-        seen = stamp(path)
-        while not ended.is_set():
+    async def watch_settings() -> None:
+        previous = file_fingerprint(path)
+        while not stopping.is_set():
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(ended.wait(), LOOK)
-            now = stamp(path)
-            if now != seen:
-                seen = now
+                await asyncio.wait_for(stopping.wait(), SETTINGS_POLL_INTERVAL_S)
+            current = file_fingerprint(path)
+            if current != previous:
+                previous = current
                 reload()
 
     try:
@@ -71,13 +77,14 @@
         raise ConfigError(f"cannot listen: {error}") from None
     gc.collect()
     gc.freeze()
-    watching = loop.create_task(watch())
-    await ended.wait()
-    watching.cancel()
+    watcher = loop.create_task(watch_settings())
+    await stopping.wait()
+    watcher.cancel()
     await program.stop()
 
 
-def stamp(path: Path) -> object:
+def file_fingerprint(path: Path) -> object:
+    """A value that changes when the file does; None if the file can't be read."""
     try:
         found = path.stat()
     except OSError:
@@ -86,30 +93,33 @@
 
 
 def main(role: str, arguments: Sequence[str], early: socket.socket | None = None) -> int:
-    """Run one program until it is told to end; its exit code.  `early`: where clients wait already."""
+    """Run the program of a role until it is stopped; return its exit code.
+
+    `early` is a listening socket on which clients may wait already.
+    """
     values = flags.FlagValues()  # type: ignore[no-untyped-call]
-    define(values)
+    define_flags(values)
     try:
         rest = values([f"ivymux {role}", *arguments])
         if len(rest) > 1:
-            raise flags.Error(f"unknown: {rest[1]}")
+            raise flags.Error(f"unknown argument: {rest[1]}")
     except flags.Error as error:
         return logs.fail(f"{error}; --settings FILE, --check")
     try:
-        path = path_of(values.settings)
+        path = settings_path(values.settings)
         settings = load(path)
         if values.check:
-            print(f"{path}: well")
+            print(f"{path}: valid")
             return 0
         logs.start()
-        uvloop.run(serve(maker(role, early), settings, path))
+        uvloop.run(serve(program_factory(role, early), settings, path))
     except ConfigError as error:
         return logs.fail(error)
     return 0
 
 
-def maker(role: str, early: socket.socket | None = None) -> Callable[[Settings], Program]:
-    """The program of a role; a door imports only what a door needs."""
+def program_factory(role: str, early: socket.socket | None = None) -> Callable[[Settings], Program]:
+    """Return what creates the program of a role.  Each role imports only what it needs, to start fast."""
     if role == "proxy":
         from ivymux.proxy.program import Door
 
--- a/tests/proxy/test_membership_view.py
+++ b/tests/proxy/test_membership_view.py
@@ -125,10 +125,10 @@
 
 def test_system_time_follows_the_majority_when_one_machine_jumps() -> None:
     clock = SystemClock(5000.0, 10.0)
-    clock.hear("a", 1000.0, 10.0)
-    assert clock.read(10.0) == 1000.0
-    clock.hear("b", 1000.02, 10.0)
-    clock.hear("c", 1002.4, 10.0)  # its wall clock had jumped at its start
-    assert clock.read(10.0) == 1000.0
-    clock.hear("a", 1002.4, 10.0)
-    assert clock.read(11.0) == 1003.4  # the majority now agrees on it
+    clock.update("a", 1000.0, 10.0)
+    assert clock.system_time(10.0) == 1000.0
+    clock.update("b", 1000.02, 10.0)
+    clock.update("c", 1002.4, 10.0)  # its wall clock had jumped at its start
+    assert clock.system_time(10.0) == 1000.0
+    clock.update("a", 1002.4, 10.0)
+    assert clock.system_time(11.0) == 1003.4  # the majority now agrees on it
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -12,7 +12,7 @@
 from ivymux.data_plane.limits import Address, Bounds
 from ivymux.data_plane.server import Server
 from ivymux.proxy.status_pages import READINESS, StatusPagesFrontend
-from ivymux.runtime.early_listener import fitting, front
+from ivymux.runtime.early_listener import find_client_address, keep_matching
 from ivymux.transport.connection import (
     FAST_RETRIES,
     MAX_FAST_RETRY_DELAY_S,
@@ -73,15 +73,15 @@
     ],
 )
 def test_the_first_step_takes_only_what_is_plain(text: str, found: tuple[str, int] | None) -> None:
-    assert front(text) == found
+    assert find_client_address(text) == found
 
 
 def test_a_socket_that_the_checked_settings_do_not_name_is_given_up() -> None:
     made = socket.create_server(("127.0.0.1", 0))
     port = made.getsockname()[1]
-    assert fitting(made, "127.0.0.1", port) is made
-    assert fitting(made, "127.0.0.1", port + 1) is None and made.fileno() == -1
-    assert fitting(None, "127.0.0.1", port) is None
+    assert keep_matching(made, "127.0.0.1", port) is made
+    assert keep_matching(made, "127.0.0.1", port + 1) is None and made.fileno() == -1
+    assert keep_matching(None, "127.0.0.1", port) is None
 
 
 def test_a_process_that_was_killed_is_tried_often_and_one_that_is_gone_seldom() -> None:
