--- a/ivymux/cli/serve.py
+++ b/ivymux/cli/serve.py
@@ -39,11 +39,11 @@
 
 def log_to_standard_error() -> None:
     """At a bounded pace."""
-    from ivymux.platform.program import Steady
+    from ivymux.platform.program import LogRateLimit
 
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Steady())
+        handler.addFilter(LogRateLimit())
 
 
 async def serve(path: Path) -> None:
--- a/ivymux/data_plane/client_departures.py
+++ b/ivymux/data_plane/client_departures.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-BOUND = 0.5  # seconds behind its client's leaving by which work for a request should have ended
+LATE_AFTER_S = 0.5  # seconds behind its client's leaving by which work for a request should have ended
 
 
 class OnDeparture(Enum):
@@ -33,7 +33,7 @@
     attempts: int = 0  # of them that were out as the client left
     unwritten: int = 0  # of these, with nothing written yet
     cancelled: int = 0  # of these, given up because the client had left
-    late: int = 0  # of these, that ended later than BOUND behind the leaving
+    late: int = 0  # of these, that ended later than LATE_AFTER_S behind the leaving
     longest_s: float = 0.0  # seconds between a client's leaving and the end of an attempt for it
     logged_requests: int = 0  # `requests` as of the last line
 
@@ -46,7 +46,7 @@
     def record_attempt_end(self, seconds: float, cancelled: bool) -> None:
         """An attempt ended so many seconds after its client had left."""
         self.cancelled += cancelled
-        self.late += seconds > BOUND
+        self.late += seconds > LATE_AFTER_S
         self.longest_s = max(self.longest_s, seconds)
 
     def log_line(self) -> str:
@@ -57,5 +57,5 @@
         return (
             f"clients left {self.requests} requests unanswered with {self.attempts} attempts out"
             f" ({self.unwritten} unwritten); {self.cancelled} cancelled for it, {self.late} ended over"
-            f" {BOUND} s later, the longest {self.longest_s:.2f} s"
+            f" {LATE_AFTER_S} s later, the longest {self.longest_s:.2f} s"
         )
--- a/ivymux/data_plane/host.py
+++ b/ivymux/data_plane/host.py
@@ -23,8 +23,8 @@
 if TYPE_CHECKING:  # a core machine has no module, and starts faster without
     from orchidhill.gateway import Gateway
 
-ATTEMPT_MARGIN = 0.030  # seconds before the client's deadline at which an attempt is given up
-GUARD_MARGIN = 0.015  # and at which the request is answered whatever the module does
+ATTEMPT_MARGIN_S = 0.030  # seconds before the client's deadline at which an attempt is given up
+ANSWER_MARGIN_S = 0.015  # and at which the request is answered whatever the module does
 
 log = logging.getLogger(__name__)
 
@@ -124,7 +124,7 @@
         request = OpenRequest(self, self.request_count, call, reply, over)
         self.requests[request.number] = request
         self.unanswered_count += 1
-        left = call.deadline - GUARD_MARGIN - time.monotonic()
+        left = call.deadline - ANSWER_MARGIN_S - time.monotonic()
         request.deadline_timer = self.loop.call_later(max(0.0, left), self.on_deadline, request)
         if call.hold_s > 0:
             request.is_on_hold = True
@@ -225,7 +225,7 @@
         number = request.attempt_count if request is not None else 0
         if request is not None:
             request.attempt_count += 1
-        left = request.call.deadline - ATTEMPT_MARGIN - time.monotonic() if request is not None else 0.0
+        left = request.call.deadline - ATTEMPT_MARGIN_S - time.monotonic() if request is not None else 0.0
         if (
             request is None
             or request.is_settled
@@ -248,7 +248,7 @@
     def on_claim_result(self, request: OpenRequest, action: i.Send, said: Answer | None) -> None:
         """A claim has been heard of: its action goes to a backend, or is answered without."""
         request.is_on_hold = False
-        left = request.call.deadline - ATTEMPT_MARGIN - time.monotonic()
+        left = request.call.deadline - ATTEMPT_MARGIN_S - time.monotonic()
         if said is None and not request.is_settled and left > 0:
             self.start_attempt(request, 0, action, left)
             return
--- a/ivymux/data_plane/limits.py
+++ b/ivymux/data_plane/limits.py
@@ -4,9 +4,11 @@
 
 from dataclasses import dataclass
 
-BACKLOG = 1024  # connections that wait to be taken
-OTHER_SOCKETS = 28  # descriptors kept for discovery, the counter (both may be moving), the loop and the log
-HELD_PART = 1 / 8  # of the memory, for the bodies of requests
+LISTEN_BACKLOG = 1024  # connections that wait to be taken
+RESERVED_DESCRIPTORS = (
+    28  # descriptors kept for discovery, the counter (both may be moving), the loop and the log
+)
+BODY_MEMORY_SHARE = 1 / 8  # of the memory, for the bodies of requests
 
 
 class ConfigError(ValueError):
@@ -31,8 +33,8 @@
     @classmethod
     def from_limits(cls, sockets: int, memory_mb: float) -> Bounds:
         surplus = max(8, sockets // 16)
-        left = sockets - OTHER_SOCKETS - surplus
-        return cls(left // 2, surplus, left - left // 2, int(memory_mb * HELD_PART * (1 << 20)))
+        left = sockets - RESERVED_DESCRIPTORS - surplus
+        return cls(left // 2, surplus, left - left // 2, int(memory_mb * BODY_MEMORY_SHARE * (1 << 20)))
 
 
 def parse_address(text: object) -> Address:
--- a/ivymux/data_plane/passwords.py
+++ b/ivymux/data_plane/passwords.py
@@ -7,7 +7,7 @@
 from ivymux.data_plane.limits import ConfigError
 
 
-def password(folder: Path, name: str, place: str) -> str:
+def read_password(folder: Path, name: str, place: str) -> str:
     """The first line of a file; empty where none is named.  Raises ConfigError, whose text never says what is
     in the file.
     """
--- a/ivymux/data_plane/refusal_log.py
+++ b/ivymux/data_plane/refusal_log.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from ivymux.data_plane.refusals import SPAN, Refusals
+from ivymux.data_plane.refusals import LOG_INTERVAL_S, RefusalCounts
 
 log = logging.getLogger(__name__)
 
@@ -14,12 +14,12 @@
     """The refusals of one front door, by all its modules and by its own limits."""
 
     def __init__(self) -> None:
-        self.refusals = Refusals()
+        self.refusals = RefusalCounts()
         self.timer: asyncio.TimerHandle | None = None  # only after a refusal: an idle front door has none
 
     def record(self, cause: str) -> None:
         if self.refusals.count(cause) and self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(SPAN, self.write)
+            self.timer = asyncio.get_running_loop().call_later(LOG_INTERVAL_S, self.write)
 
     def write(self) -> None:
         """Also at the end, for what came since the last line."""
--- a/ivymux/data_plane/refusals.py
+++ b/ivymux/data_plane/refusals.py
@@ -11,7 +11,7 @@
 
 from orchidhill.interface import Why
 
-SPAN = 60.0  # seconds
+LOG_INTERVAL_S = 60.0  # seconds
 GATEWAY = "door"  # the front door's own limits on bodies, requests and connections
 FAILED = "failed"  # answered as failed: an attempt may have run, and none may follow
 TRIAL = "trial"  # by a trial of its caller (ivymux/fault_injection)
@@ -19,7 +19,7 @@
 CAUSES = (*(why.value for why in Why), GATEWAY, FAILED, TRIAL)
 
 
-class Refusals:
+class RefusalCounts:
     """Counts by cause, since the start."""
 
     def __init__(self) -> None:
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -13,25 +13,25 @@
 import httptools
 
 from ivymux.data_plane.frontend import CLOSE_CONNECTION, Answer, BadRequest, Call, Frontend
-from ivymux.data_plane.limits import BACKLOG, Address, Bounds
+from ivymux.data_plane.limits import LISTEN_BACKLOG, Address, Bounds
 from ivymux.data_plane.refusal_log import RefusalLog
 from ivymux.data_plane.refusals import GATEWAY
 
 if TYPE_CHECKING:
     from ivymux.data_plane.host import Host, OpenRequest
 
-MAX_HEAD = 16 * 1024
-MAX_STRAY = 1024  # bytes, such as empty lines, that belong to no request
+MAX_HEAD_BYTES = 16 * 1024
+MAX_STRAY_BYTES = 1024  # bytes, such as empty lines, that belong to no request
 MAX_PIPELINED = 4  # requests on one connection that wait for their answers
-READ_TIMEOUT = 2.3  # seconds for a request to come whole, the first one counted from connecting
-IDLE_TIMEOUT = 15.0  # seconds that a connection may stand idle, while there is room for it
-LINGER = 3.0  # seconds that a client has to read the last answer on its connection
-UNREAD_TIMEOUT = 30.0  # seconds that a client may take to read what waits for it
-SWEEP = 0.25  # seconds between looks at these times
-SETTLED_AFTER = 2.0  # seconds without a request after which a connection may be closed for room
-SILENT_AFTER = 0.1  # and after which one that has asked nothing, or has its last answer, may be
-FLOOD = 1 << 20  # bytes read of a client that is being turned away, after which it has to pause
-FLOOD_PAUSE = 0.01
+READ_TIMEOUT_S = 2.3  # seconds for a request to come whole, the first one counted from connecting
+IDLE_TIMEOUT_S = 15.0  # seconds that a connection may stand idle, while there is room for it
+LINGER_S = 3.0  # seconds that a client has to read the last answer on its connection
+UNREAD_TIMEOUT_S = 30.0  # seconds that a client may take to read what waits for it
+SWEEP_INTERVAL_S = 0.25  # seconds between looks at these times
+EVICTABLE_IDLE_S = 2.0  # seconds without a request after which a connection may be closed for room
+EVICTABLE_SILENT_S = 0.1  # and after which one that has asked nothing, or has its last answer, may be
+MAX_DISCARD_BYTES = 1 << 20  # bytes read of a client that is being turned away, after which it has to pause
+DISCARD_PAUSE_S = 0.01
 
 log = logging.getLogger(__name__)
 
@@ -41,7 +41,7 @@
 
     __slots__ = ("answer", "call", "client", "held_bytes", "keep_alive", "request")
 
-    def __init__(self, client: Client, keep_alive: bool) -> None:
+    def __init__(self, client: ClientConnection, keep_alive: bool) -> None:
         self.client, self.keep_alive = client, keep_alive
         self.answer: Answer | None = None
         self.request: OpenRequest | None = None
@@ -63,7 +63,7 @@
                 call.on_finished()
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client connection."""
 
     exchange_type: type[Exchange] = Exchange
@@ -73,7 +73,9 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.exchanges: deque[Exchange] = deque()
-        self.queue: OrderedDict[Client, None] | None = None  # the waiting line of `Server` that it is in
+        self.queue: OrderedDict[ClientConnection, None] | None = (
+            None  # the waiting line of `Server` that it is in
+        )
         self.queued_at = 0.0  # and since when
         self.request_started_at = 0.0  # when the request that is coming in began
         self.is_receiving = False
@@ -91,7 +93,7 @@
         self.head_bytes = 0
         self.body: list[bytes] = []
 
-    def move_to_queue(self, line: OrderedDict[Client, None] | None) -> None:
+    def move_to_queue(self, line: OrderedDict[ClientConnection, None] | None) -> None:
         """Wait in a line, last, or in none."""
         if self.queue is not None:
             self.queue.pop(self, None)
@@ -147,15 +149,15 @@
         except httptools.HttpParserError as error:
             cause = error.__context__
             self.reject(cause if isinstance(cause, BadRequest) else BadRequest("malformed request"))
-        if self.stray_bytes > MAX_STRAY and not self.is_receiving:
+        if self.stray_bytes > MAX_STRAY_BYTES and not self.is_receiving:
             self.reject(BadRequest("no request"))
 
     def limit_discarding(self) -> None:
         """Read on behind an error, as a reset on unread bytes could overtake it, but at a bounded pace."""
-        if self.stray_bytes > FLOOD and self.transport is not None:
+        if self.stray_bytes > MAX_DISCARD_BYTES and self.transport is not None:
             self.stray_bytes = 0
             self.transport.pause_reading()
-            self.server.loop.call_later(FLOOD_PAUSE, self.resume_reading)
+            self.server.loop.call_later(DISCARD_PAUSE_S, self.resume_reading)
 
     def on_message_begin(self) -> None:
         if self.is_discarding:
@@ -320,7 +322,7 @@
 
 
 class Server:
-    client_type: type[Client] = Client
+    client_type: type[ClientConnection] = ClientConnection
 
     def __init__(self, front: Frontend, listen: Address, bounds: Bounds, host: Host | None) -> None:
         """Without a host its clients name one for each request."""
@@ -328,22 +330,26 @@
         self.max_clients, self.surplus_clients = bounds.max_clients, bounds.surplus_clients
         self.max_held_bytes = bounds.max_held_bytes  # bytes of bodies; beyond it requests are refused
         self.loop = asyncio.get_running_loop()
-        self.clients: set[Client] = set()
+        self.clients: set[ClientConnection] = set()
         # Waiting lines, the longest wait first: before a first request is whole, between requests, while
         # one comes in, and after the last answer.  Who waits for an answer is in none.
-        self.new_clients: OrderedDict[Client, None] = OrderedDict()
-        self.idle_clients: OrderedDict[Client, None] = OrderedDict()
-        self.receiving_clients: OrderedDict[Client, None] = OrderedDict()
-        self.closing_clients: OrderedDict[Client, None] = OrderedDict()
-        self.slow_readers: dict[Client, float] = {}  # who does not read its answers, and since when
+        self.new_clients: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.idle_clients: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.receiving_clients: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.closing_clients: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.slow_readers: dict[ClientConnection, float] = {}  # who does not read its answers, and since when
         self.open_keys: set[bytes] = set()  # of requests that are open
         self.held_bytes = 0
         self.is_stopping = False
         self.closes_after_answer = False  # no connection is kept behind its answer, though new ones are taken
-        self.max_head_bytes, self.read_timeout, self.idle_timeout = MAX_HEAD, READ_TIMEOUT, IDLE_TIMEOUT
+        self.max_head_bytes, self.read_timeout, self.idle_timeout = (
+            MAX_HEAD_BYTES,
+            READ_TIMEOUT_S,
+            IDLE_TIMEOUT_S,
+        )
         self.asyncio_server: asyncio.Server | None = None
         self.listening_socket: socket.socket | None = None  # listens, and nobody reads there yet
-        self.sweep_timer = self.loop.call_later(SWEEP, self.close_overdue)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_overdue)
         self.refusal_log = host.refusal_log if host is not None else RefusalLog()
 
     def refusal(self, error: BadRequest) -> Answer:
@@ -356,21 +362,23 @@
         """Listen without reading: connections wait, whole, in the system's queue.  Raises OSError."""
         if self.listening_socket is None:
             self.listening_socket = socket.create_server(
-                (self.listen.host, self.listen.port), backlog=BACKLOG
+                (self.listen.host, self.listen.port), backlog=LISTEN_BACKLOG
             )
 
     async def start(self) -> None:
         """Take connections, those first that have waited since `open`.  Raises OSError."""
         waiting, self.listening_socket = self.listening_socket, None
         if waiting is not None:
-            made = self.loop.create_server(lambda: self.client_type(self), sock=waiting, backlog=BACKLOG)
+            made = self.loop.create_server(
+                lambda: self.client_type(self), sock=waiting, backlog=LISTEN_BACKLOG
+            )
         else:
             made = self.loop.create_server(
-                lambda: self.client_type(self), self.listen.host, self.listen.port, backlog=BACKLOG
+                lambda: self.client_type(self), self.listen.host, self.listen.port, backlog=LISTEN_BACKLOG
             )
         self.asyncio_server = await made
 
-    def add_client(self, client: Client) -> None:
+    def add_client(self, client: ClientConnection) -> None:
         self.clients.add(client)
         if len(self.clients) <= self.max_clients:
             return
@@ -383,12 +391,12 @@
             self.clients.discard(victim)
             victim.abort()
 
-    def client_to_evict(self, newest: Client) -> Client | None:
+    def client_to_evict(self, newest: ClientConnection) -> ClientConnection | None:
         """Whose connection is missed least; one that has just been opened may be about to ask."""
         now = time.monotonic()
         choices = (
-            (self.closing_clients, SILENT_AFTER), (self.new_clients, SILENT_AFTER),
-            (self.idle_clients, SETTLED_AFTER),
+            (self.closing_clients, EVICTABLE_SILENT_S), (self.new_clients, EVICTABLE_SILENT_S),
+            (self.idle_clients, EVICTABLE_IDLE_S),
             (self.closing_clients, 0.0), (self.idle_clients, 0.0), (self.new_clients, 0.0),
         )  # fmt: skip
         for line, least in choices:
@@ -408,17 +416,19 @@
                 # Bytes that came without a request, such as empty lines, are owed an answer too.
                 client.reject(late) if client.is_receiving or client.stray_bytes else client.abort()
         # Room is made before it is needed: a burst of new ones must not end those that are about to ask.
-        idle_most = self.idle_timeout if len(self.clients) < self.max_clients / 2 else SETTLED_AFTER
-        for line, most in ((self.idle_clients, idle_most), (self.closing_clients, LINGER)):
+        idle_most = self.idle_timeout if len(self.clients) < self.max_clients / 2 else EVICTABLE_IDLE_S
+        for line, most in ((self.idle_clients, idle_most), (self.closing_clients, LINGER_S)):
             for client in self.pop_overdue(line, most):
                 client.abort()  # a close would wait for a client that never reads its last answer
         if self.frontend.allows_half_close:  # on the platform others' time limits do for it
-            slow = time.monotonic() - UNREAD_TIMEOUT
+            slow = time.monotonic() - UNREAD_TIMEOUT_S
             for client in [c for c, since in self.slow_readers.items() if since < slow]:
                 client.abort()
-        self.sweep_timer = self.loop.call_later(SWEEP, self.close_overdue)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_overdue)
 
-    def pop_overdue(self, line: OrderedDict[Client, None], most: float) -> Iterator[Client]:
+    def pop_overdue(
+        self, line: OrderedDict[ClientConnection, None], most: float
+    ) -> Iterator[ClientConnection]:
         before = time.monotonic() - most
         while line and (client := next(iter(line))).queued_at < before:
             client.move_to_queue(None)
--- a/ivymux/data_plane/upstream.py
+++ b/ivymux/data_plane/upstream.py
@@ -18,13 +18,15 @@
 from ivymux.data_plane.limits import Address
 from orchidhill.interface import Outcome
 
-MAX_HEAD = 16 * 1024  # with those of interim answers
-CHUNKED = 8  # times its body that an answer may have on the wire, as chunks of one byte may be sent
-BACKEND_PART = 0.5  # of all connections, that one backend may have
-IDLE_PART = 0.5  # of the backend's idle time, after which an idle connection is retired here
-SWEEP = 1.0  # seconds between looks for such connections
-KEEP = re.compile(rb"timeout\s*=\s*(\d{1,6})", re.ASCII | re.IGNORECASE)
-NUMBER = re.compile(r"\d{1,15}(\.\d{1,15})?", re.ASCII)
+MAX_HEAD_BYTES = 16 * 1024  # with those of interim answers
+MAX_CHUNKED_OVERHEAD = (
+    8  # times its body that an answer may have on the wire, as chunks of one byte may be sent
+)
+MAX_SHARE_PER_BACKEND = 0.5  # of all connections, that one backend may have
+IDLE_TIME_SHARE = 0.5  # of the backend's idle time, after which an idle connection is retired here
+SWEEP_INTERVAL_S = 1.0  # seconds between looks for such connections
+KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d{1,6})", re.ASCII | re.IGNORECASE)
+REPORT_VALUE = re.compile(r"\d{1,15}(\.\d{1,15})?", re.ASCII)
 
 log = logging.getLogger(__name__)
 
@@ -104,7 +106,7 @@
 class BackendConnection(asyncio.Protocol):
     """One connection to a backend; it carries one attempt at a time."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None
@@ -180,7 +182,9 @@
             if error is not None:
                 log.warning("backend %s: spoilt answer: %s", self.pool.name, error.__context__ or error)
             elif self.read_bytes > (
-                CHUNKED * self.policy.max_body_bytes if self.has_final_headers else MAX_HEAD
+                MAX_CHUNKED_OVERHEAD * self.policy.max_body_bytes
+                if self.has_final_headers
+                else MAX_HEAD_BYTES
             ):
                 log.warning("backend %s: an answer without end", self.pool.name)
             else:
@@ -230,7 +234,7 @@
                 raise InvalidAnswer("an answer that names two requests")  # part of another stands before it
             self.answered_request_id = value
         elif name == b"keep-alive" and self.policy.request_id_header:
-            found = KEEP.search(value)
+            found = KEEP_ALIVE_TIMEOUT.search(value)
             self.keep_alive_s = float(found[1]) if found is not None else 0.0
         elif name == b"content-type":
             self.content_type = value
@@ -324,7 +328,7 @@
             self.pool.upstream.loop.call_soon(attempt.fail, outcome)
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one backend."""
 
     def __init__(self, owner: Upstream, name: int, address: Address, started: float) -> None:
@@ -341,7 +345,8 @@
                 return
             link.abort()
         if (
-            self.connecting_count + len(self.connections) >= self.upstream.max_connections * BACKEND_PART
+            self.connecting_count + len(self.connections)
+            >= self.upstream.max_connections * MAX_SHARE_PER_BACKEND
             or not self.upstream.make_room()
         ):
             # Nothing was sent.  Not a failed connection: the backend is not to blame.
@@ -410,9 +415,9 @@
         self.mismatched_answers = 0  # answers that belonged to an earlier request
         self.held_bytes = 0  # bytes of answers that are coming in
         self.connect_timeout, self.report_columns, self.max_connections = connect_timeout, columns, most_open
-        self.default_max_idle_s = IDLE_PART * conn_idle
+        self.default_max_idle_s = IDLE_TIME_SHARE * conn_idle
         self.loop = asyncio.get_running_loop()
-        self.pools: dict[int, Pool] = {}
+        self.pools: dict[int, ConnectionPool] = {}
         self.backend_by_address: dict[Address, int] = {}  # who listens there
         self.tasks: set[asyncio.Task[None]] = set()
         self.connection_count = 0  # connections and attempts to connect
@@ -421,7 +426,7 @@
 
     def schedule_sweep(self) -> None:
         if self.sweep_timer is None and not self.is_closed:
-            self.sweep_timer = self.loop.call_later(SWEEP, self.close_expired)
+            self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_expired)
 
     def update_backend(self, backend: int, address: Address, started: float) -> None:
         """Where a backend listens.  Once it has moved or started again its idle connections are stale: a
@@ -432,7 +437,7 @@
             self.remove_backend(backend)
             # A new one where another listened: that one is gone, and what is meant for it must not go here.
             self.remove_backend(self.backend_by_address.get(address, backend))
-            self.pools[backend] = Pool(self, backend, address, started)
+            self.pools[backend] = ConnectionPool(self, backend, address, started)
             self.backend_by_address[address] = backend
 
     def remove_backend(self, backend: int) -> None:
@@ -483,7 +488,7 @@
         for part in text.decode("latin-1").removeprefix("TEXT").split(","):
             key, sep, value = part.partition("=")
             if sep:
-                if not NUMBER.fullmatch(value.strip()):
+                if not REPORT_VALUE.fullmatch(value.strip()):
                     return ()
                 values[key.strip()] = float(value)
         if any(c not in values for c in self.report_columns):
@@ -518,7 +523,7 @@
     def max_idle_s(self, link: BackendConnection) -> float:
         """Seconds that a connection may stand idle: by what its backend said, where it did."""
         return (
-            max(IDLE_PART * link.keep_alive_s, link.keep_alive_s - 2 * SWEEP)
+            max(IDLE_TIME_SHARE * link.keep_alive_s, link.keep_alive_s - 2 * SWEEP_INTERVAL_S)
             if link.keep_alive_s
             else self.default_max_idle_s
         )
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ivymux.data_plane.limits import HELD_PART, Address, Bounds, ConfigError
+from ivymux.data_plane.limits import BODY_MEMORY_SHARE, Address, Bounds, ConfigError
 from ivymux.data_plane.refusal_log import RefusalLog
 from ivymux.desired.model import DoorStore, Gone, Report, Stored, StoreError
 from ivymux.hosting.host_lookups import LookUps
@@ -63,7 +63,7 @@
         self.residents: dict[str, Resident] = {}  # by uid
         self.hosts: dict[str, Resident] = {}
         self.leaving: list[Resident] = []
-        unread = max(8, int(limits.memory_mb * HELD_PART * (1 << 20)) // answer)
+        unread = max(8, int(limits.memory_mb * BODY_MEMORY_SHARE * (1 << 20)) // answer)
         self.front = HostedFrontend(limits.body_kb * 1024, unread, lambda: not self.server.is_stopping)
         self.server = HostedServer(self.front, hosting.listen, bounds, self.shares, self.hosts)
         self.server.refusal_log = told
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -9,7 +9,7 @@
 from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
 from ivymux.data_plane.limits import Address, Bounds
 from ivymux.data_plane.refusals import GATEWAY
-from ivymux.data_plane.server import Client, Exchange, Server
+from ivymux.data_plane.server import ClientConnection, Exchange, Server
 from ivymux.hosting.hosted_tenant import Resident
 from ivymux.service.callers import Caller
 from ivymux.service.frontend import READY, HttpFrontend, encode, refusal
@@ -83,7 +83,7 @@
             call.on_finished()  # its id is the worker's matter: none is kept here
 
 
-class HostedClient(Client):
+class HostedClient(ClientConnection):
     """One connection; it counts for the tenant that it asked last."""
 
     server: HostedServer
@@ -120,7 +120,7 @@
                 self.move(asked)
         elif self.stranger is not None and self.has_body():
             raise self.stranger
-        Client.on_headers_complete(self)
+        ClientConnection.on_headers_complete(self)
 
     def recognize(self) -> None:
         """Whose key a request has, as the tenant's front of now says."""
--- a/ivymux/hosting/state_stores.py
+++ b/ivymux/hosting/state_stores.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ivymux.data_plane.limits import ConfigError
-from ivymux.data_plane.passwords import password
+from ivymux.data_plane.passwords import read_password
 from ivymux.desired.model import DoorStore, Store, StoreError
 from ivymux.desired.sqlite import SqliteStore
 from ivymux.hosting.site import EtcdPart, HostingFile
@@ -21,7 +21,7 @@
     from ivymux.desired.etcd.client import Access
 
     try:
-        word = password(folder, etcd.password_file, "etcd.password_file")
+        word = read_password(folder, etcd.password_file, "etcd.password_file")
     except ConfigError as error:
         raise StoreError(str(error)) from None
     ca, cert, key = (str(folder / name) if name else "" for name in (etcd.ca, etcd.cert, etcd.key))
--- a/ivymux/platform/counter.py
+++ b/ivymux/platform/counter.py
@@ -18,22 +18,24 @@
 from ivymux.tally.clock import SharedClock
 from orchidhill.interface import Count, Counted, Late, Outcome
 
-LINES = 4  # connections; the counter holds 32 of a front door
+CONNECTION_COUNT = 4  # connections; the counter holds 32 of a front door
 MAX_PENDING = 1000  # calls on one connection that wait for their answers
-PING_AFTER = 2.0  # seconds without a call after which a PING keeps the connection from standing idle
-DEAD_AFTER = 2.0  # seconds with calls out and no byte back: the machine behind it has vanished
-RETRY_FIRST, RETRY_MAX = 0.05, 1.0  # seconds between attempts to connect
-CONNECT_TIMEOUT = 1.0
-MAX_ANSWER = 64 * 1024  # bytes; a total is far shorter
+PING_AFTER_S = 2.0  # seconds without a call after which a PING keeps the connection from standing idle
+DEAD_AFTER_S = 2.0  # seconds with calls out and no byte back: the machine behind it has vanished
+RETRY_MIN_S, RETRY_MAX_S = 0.05, 1.0  # seconds between attempts to connect
+CONNECT_TIMEOUT_S = 1.0
+MAX_ANSWER_BYTES = 64 * 1024  # bytes; a total is far shorter
 TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")  # neither nan nor inf
 
 log = logging.getLogger(__name__)
 
 
-class Call:
+class CounterCall:
     __slots__ = ("command", "connection", "count", "is_settled", "started_at")
 
-    def __init__(self, count: Count | None, began: float, line: Line, asks: bytes = b"PING") -> None:
+    def __init__(
+        self, count: Count | None, began: float, line: CounterConnection, asks: bytes = b"PING"
+    ) -> None:
         self.count = count  # None for one of the line's own, which is `asks`
         self.started_at = began
         self.connection = line
@@ -41,20 +43,22 @@
         self.is_settled = count is None  # the module has had its answer
 
 
-class Line(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection, with the calls written to it in the order in which their answers come."""
 
     def __init__(self, owner: Counter, address: Address) -> None:
         self.owner, self.address = owner, address
-        self.predecessor: Line | None = None  # whose place this one took and whose calls come first
-        self.successor: Line | None = None  # that took this one's place
+        self.predecessor: CounterConnection | None = (
+            None  # whose place this one took and whose calls come first
+        )
+        self.successor: CounterConnection | None = None  # that took this one's place
         self.transport: asyncio.Transport | None = None
-        self.written_calls: deque[Call] = deque()  # written
-        self.queued_calls: deque[Call] = deque()  # to be written once the connection is up
+        self.written_calls: deque[CounterCall] = deque()  # written
+        self.queued_calls: deque[CounterCall] = deque()  # to be written once the connection is up
         self.is_connecting = False
         self.has_unsent_bytes = False  # whether written bytes still wait in this process
         self.last_received_at = 0.0
-        self.retry_delay = RETRY_FIRST
+        self.retry_delay = RETRY_MIN_S
         self.reader: Any = None
         self.unread_bytes = 0  # bytes read since the last answer
         self.incarnation = 0  # of which counts its answers are, where the counter tells
@@ -62,7 +66,7 @@
     # --- calls -------------------------------------------------------------------------------------
 
     def call(self, count: Count, now: float) -> None:
-        call = Call(count, now, self)
+        call = CounterCall(count, now, self)
         if len(self.written_calls) + len(self.queued_calls) >= MAX_PENDING:
             self.owner.settle(call, Outcome.FULL)
             return
@@ -85,7 +89,7 @@
         while self.queued_calls and self.can_write():
             self.write(self.queued_calls.popleft())
 
-    def write(self, call: Call) -> None:
+    def write(self, call: CounterCall) -> None:
         assert self.transport is not None
         if not self.written_calls:
             self.last_received_at = time.monotonic()
@@ -100,7 +104,7 @@
             command = (*command, f"{self.owner.caller_id}:{count.call}")
         self.transport.write(hiredis.pack_command(command))  # type: ignore[arg-type]  # any length is taken
 
-    def expire(self, call: Call) -> None:
+    def expire(self, call: CounterCall) -> None:
         if call in self.queued_calls:
             self.queued_calls.remove(call)  # never written, so it can never be added
             self.owner.settle(call, Outcome.CONNECT_FAILED)
@@ -109,7 +113,7 @@
             self.owner.settle(call, Outcome.TIMEOUT)
         self.close_if_drained()
 
-    def hand_over_to(self, heir: Line) -> None:
+    def hand_over_to(self, heir: CounterConnection) -> None:
         """Another line takes this one's place: what is out here ends here, what was not written moves."""
         self.successor, heir.predecessor = heir, self
         heir.queued_calls, self.queued_calls = self.queued_calls, deque()
@@ -146,7 +150,7 @@
     async def try_connect(self) -> None:
         address = self.address
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self.owner.loop.create_connection(lambda: self, address.host, address.port)
         except (OSError, TimeoutError):
             self.is_connecting = False
@@ -158,7 +162,7 @@
                 return
             self.fail_queued()
             self.owner.loop.call_later(self.retry_delay, self.connect)
-            self.retry_delay = min(RETRY_MAX, 2 * self.retry_delay)
+            self.retry_delay = min(RETRY_MAX_S, 2 * self.retry_delay)
             self.owner.set_ready()
         else:
             if (
@@ -183,8 +187,8 @@
         self.owner.on_connected(self)
         if self.owner.shared_clock is not None:
             # Before any call: each answer is then known to belong to these counts.
-            self.write(Call(None, self.last_received_at, self, b"INCARNATION"))
-            self.write(Call(None, self.last_received_at, self, b"TIME"))
+            self.write(CounterCall(None, self.last_received_at, self, b"INCARNATION"))
+            self.write(CounterCall(None, self.last_received_at, self, b"TIME"))
         self.flush()
 
     def pause_writing(self) -> None:
@@ -204,7 +208,7 @@
         self.connect()
 
     def data_received(self, data: bytes) -> None:
-        self.last_received_at, self.retry_delay = time.monotonic(), RETRY_FIRST
+        self.last_received_at, self.retry_delay = time.monotonic(), RETRY_MIN_S
         self.unread_bytes += len(data)
         try:
             self.reader.feed(data)
@@ -213,7 +217,7 @@
                 if not self.written_calls:
                     raise hiredis.ProtocolError("an answer that no call waits for")
                 self.on_answer(self.written_calls.popleft(), reply)
-            if self.unread_bytes > MAX_ANSWER:
+            if self.unread_bytes > MAX_ANSWER_BYTES:
                 raise hiredis.ProtocolError("an answer without end")
         except hiredis.ProtocolError as error:  # framing is lost: nothing behind it can be matched
             log.warning("counter: %s", error)
@@ -221,13 +225,13 @@
                 self.transport.abort()
         self.close_if_drained()
 
-    def on_answer(self, call: Call, reply: Any) -> None:
+    def on_answer(self, call: CounterCall, reply: Any) -> None:
         """Settle one call.  An answer that is none raises: it is not known what the next ones belong to."""
         if call.is_settled and call.count is not None:
             self.owner.on_late_answer(call)
         if call.command == b"INCARNATION":
             # A tally that does not know the call tells nothing of its counts.
-            self.incarnation = incarnation(reply) if isinstance(reply, bytes) else 0
+            self.incarnation = incarnation_number(reply) if isinstance(reply, bytes) else 0
         elif call.command == b"TIME":
             self.owner.on_time(call.started_at, reply)
         elif isinstance(reply, hiredis.ReplyError):
@@ -246,15 +250,15 @@
     def check_liveness(self, now: float) -> None:
         if self.transport is None:
             return
-        if self.written_calls and now - self.last_received_at > DEAD_AFTER:
+        if self.written_calls and now - self.last_received_at > DEAD_AFTER_S:
             self.transport.abort()
-        elif not self.written_calls and now - self.last_received_at > PING_AFTER:
-            self.write(Call(None, now, self))
+        elif not self.written_calls and now - self.last_received_at > PING_AFTER_S:
+            self.write(CounterCall(None, now, self))
         elif self.owner.shared_clock is not None and self is self.owner.connections[0]:
-            self.write(Call(None, now, self, b"TIME"))
+            self.write(CounterCall(None, now, self, b"TIME"))
 
 
-def incarnation(told: bytes) -> int:
+def incarnation_number(told: bytes) -> int:
     """A number for the counts that a tally says its totals continue; never 0."""
     return int.from_bytes(blake2b(told, digest_size=7).digest(), "big") + 1
 
@@ -273,15 +277,17 @@
         self.caller_id = secrets.token_hex(6)  # whose calls these are, where they may come again
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.expiring: deque[Call] = deque()  # all wait equally long: oldest first
+        self.expiring: deque[CounterCall] = deque()  # all wait equally long: oldest first
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.is_closed = False
         self.ready = self.loop.create_future()  # done once a first connection is up, with its time, or failed
-        self.connections = [Line(self, address) for _ in range(LINES)]
-        self.next_connections: list[Line] = []  # to another address: each takes over once it is up
+        self.connections = [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)]
+        self.next_connections: list[
+            CounterConnection
+        ] = []  # to another address: each takes over once it is up
         for line in self.connections:
             line.connect()
-        self.check_timer = self.loop.call_later(PING_AFTER / 2, self.check_connections)
+        self.check_timer = self.loop.call_later(PING_AFTER_S / 2, self.check_connections)
 
     def set_ready(self) -> None:
         if not self.ready.done():
@@ -291,14 +297,17 @@
         """Call at another address.  The old lines go on until the new ones are up, one by one."""
         if address == (self.next_connections or self.connections)[-1].address:
             return
-        dropped, self.next_connections = self.next_connections, [Line(self, address) for _ in range(LINES)]
+        dropped, self.next_connections = (
+            self.next_connections,
+            [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)],
+        )
         for line in dropped:
             if line.transport is not None and line not in self.connections:
                 line.transport.abort()
         for line in self.next_connections:
             line.connect()
 
-    def on_connected(self, line: Line) -> None:
+    def on_connected(self, line: CounterConnection) -> None:
         if line in self.next_connections:
             place = self.next_connections.index(line)
             old, self.connections[place] = self.connections[place], line
@@ -307,7 +316,7 @@
                 self.next_connections = []
 
     def add(self, count: Count) -> None:
-        self.connections[count.name % LINES].call(count, time.monotonic())
+        self.connections[count.name % CONNECTION_COUNT].call(count, time.monotonic())
         if self.expiry_timer is None and self.expiring:
             self.expiry_timer = self.loop.call_later(self.timeout, self.expire)
 
@@ -323,7 +332,7 @@
             self.expiring.popleft()
         self.expiry_timer = None
 
-    def settle(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
+    def settle(self, call: CounterCall, outcome: Outcome, total: float = 0.0) -> None:
         if not call.is_settled and call.count is not None:
             call.is_settled = True
             told = Counted(call.count.name, outcome, total, self.elapsed(call), call.connection.incarnation)
@@ -339,7 +348,7 @@
                 raise hiredis.ProtocolError(f"not a time: {reply!r:.40}") from None
             self.shared_clock.heard(sent, time.monotonic(), told)
 
-    def on_late_answer(self, call: Call) -> None:
+    def on_late_answer(self, call: CounterCall) -> None:
         """Hear that a call was answered after it was told as timed out."""
         assert call.count is not None
         self.deliver(call.count, Late(call.count.name))
@@ -348,11 +357,11 @@
         """Hand an answer to whom it is for."""
         self.on_result(told)
 
-    def elapsed(self, call: Call) -> float:
+    def elapsed(self, call: CounterCall) -> float:
         return time.monotonic() - call.started_at
 
     def check_connections(self) -> None:
-        self.check_timer = self.loop.call_later(PING_AFTER / 2, self.check_connections)
+        self.check_timer = self.loop.call_later(PING_AFTER_S / 2, self.check_connections)
         now = time.monotonic()
         for line in self.connections:
             line.check_liveness(now)
--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -17,15 +17,15 @@
 from ivymux.platform.config import plain
 from orchidhill.interface import Entry, Listing, Members, State
 
-MAX_LINE = 4 << 20  # bytes of one line; a longer one ends the watch
-SILENT_AFTER = 7.0  # seconds: an empty line comes every 2 s while the agent is well
-ANSWER_AFTER = 1.0  # seconds: the whole list comes at once, or, asked for while discovery is down, never
-RETRY_FIRST, RETRY_MAX = 0.1, 0.5  # seconds between attempts to watch
-CONNECT_TIMEOUT = 1.0
+MAX_LINE_BYTES = 4 << 20  # bytes of one line; a longer one ends the watch
+WATCH_SILENCE_S = 7.0  # seconds: an empty line comes every 2 s while the agent is well
+LIST_TIMEOUT_S = 1.0  # seconds: the whole list comes at once, or, asked for while discovery is down, never
+RETRY_MIN_S, RETRY_MAX_S = 0.1, 0.5  # seconds between attempts to watch
+CONNECT_TIMEOUT_S = 1.0
 STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 
 log = logging.getLogger(__name__)
-Heard = Callable[[Members, dict[int, Address]], None]
+OnMembers = Callable[[Members, dict[int, Address]], None]
 
 
 def backend_id(name: str) -> int:
@@ -36,7 +36,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
-class Names:
+class BackendNames:
     """Turns discovery's lines into the module's lists."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
@@ -86,13 +86,13 @@
         return Members(listing, version, tuple(entries)), addresses
 
 
-class Watch(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """One connection: the whole list first, then a watch, a chunked answer with one JSON object a line.
 
     The whole list comes first each time, as the version to go on from may mean nothing to this agent.
     """
 
-    def __init__(self, source: Source) -> None:
+    def __init__(self, source: DiscoverySource) -> None:
         self.source = source
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
@@ -106,7 +106,7 @@
 
     def silence_timeout(self) -> float:
         """Seconds of silence after which it is broken."""
-        return SILENT_AFTER if self.is_watching else ANSWER_AFTER
+        return WATCH_SILENCE_S if self.is_watching else LIST_TIMEOUT_S
 
     def send_request(self, target: str) -> None:
         assert self.transport is not None
@@ -131,7 +131,7 @@
                     self.source.handle_line(line)
         else:
             self.buffer += body
-        if len(self.buffer) > MAX_LINE:
+        if len(self.buffer) > MAX_LINE_BYTES:
             self.buffer = b""
             self.end("a line without an end")
 
@@ -156,7 +156,7 @@
             self.closed.set_result(None)
 
 
-class Source:
+class DiscoverySource:
     """One agent's address, watched until it is closed."""
 
     def __init__(self, owner: Discovery, address: Address) -> None:
@@ -166,19 +166,19 @@
         self.task = owner.loop.create_task(self.run())
 
     async def run(self) -> None:
-        wait = RETRY_FIRST
+        wait = RETRY_MIN_S
         while True:
             began = time.monotonic()
             with contextlib.suppress(OSError, TimeoutError):
                 await self.watch()
             # One that lasted was well: come back at once; one that did not must not be hammered.
-            wait = RETRY_FIRST if time.monotonic() - began > 2 * RETRY_MAX else min(RETRY_MAX, 2 * wait)
+            wait = RETRY_MIN_S if time.monotonic() - began > 2 * RETRY_MAX_S else min(RETRY_MAX_S, 2 * wait)
             await asyncio.sleep(wait)
 
     async def watch(self) -> None:
-        async with asyncio.timeout(CONNECT_TIMEOUT):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, watch = await self.owner.loop.create_connection(
-                lambda: Watch(self), self.address.host, self.address.port
+                lambda: WatchConnection(self), self.address.host, self.address.port
             )
         self.last_received_at = time.monotonic()
         try:
@@ -213,19 +213,19 @@
 class Discovery:
     """Keeps a watch open and tells of every list and change."""
 
-    def __init__(self, address: Address, names: Names, heard: Heard) -> None:
+    def __init__(self, address: Address, names: BackendNames, heard: OnMembers) -> None:
         self.names, self.on_members = names, heard
         self.loop = asyncio.get_running_loop()
-        self.sources = [Source(self, address)]  # the one in use, then one that is to take over
+        self.sources = [DiscoverySource(self, address)]  # the one in use, then one that is to take over
 
     def change_address(self, address: Address) -> None:
         """Watch another address.  The list stays, and the old watch is heard, until a whole list comes."""
         if address != self.sources[-1].address:
             for source in self.sources[1:]:
                 source.task.cancel()
-            self.sources[1:] = [Source(self, address)]
+            self.sources[1:] = [DiscoverySource(self, address)]
 
-    def promote(self, source: Source) -> None:
+    def promote(self, source: DiscoverySource) -> None:
         while self.sources[0] is not source:
             self.sources.pop(0).task.cancel()
 
--- a/ivymux/platform/frontend.py
+++ b/ivymux/platform/frontend.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 
 from ivymux.data_plane.frontend import Answer, BadRequest, Call, Headers
-from ivymux.platform.protocol_settings import Reader
+from ivymux.platform.protocol_settings import TermsReader
 from orchidhill import interface as i
 
-MAX_BODY = 64 * 1024  # bytes of a request's body, by the protocol
+MAX_BODY_BYTES = 64 * 1024  # bytes of a request's body, by the protocol
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
     413: "Content Too Large", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
@@ -23,13 +23,13 @@
 class PlatformFrontend:
     """Requests and answers as the platform's protocol page has them."""
 
-    max_body_bytes = MAX_BODY
+    max_body_bytes = MAX_BODY_BYTES
     header_too_large_status = 400
     allows_half_close = False
     closes_after_refusal = True
     max_unread_clients = 1 << 30  # answers are small by the protocol
 
-    def __init__(self, terms: Reader, ready: Callable[[], bool]) -> None:
+    def __init__(self, terms: TermsReader, ready: Callable[[], bool]) -> None:
         self.terms, self.ready = terms, ready
 
     def answer_locally(self, target: bytes) -> Answer | None:
--- a/ivymux/platform/program.py
+++ b/ivymux/platform/program.py
@@ -19,19 +19,19 @@
 from ivymux.data_plane.upstream import Upstream
 from ivymux.platform.config import Config, load
 from ivymux.platform.counter import Counter
-from ivymux.platform.discovery import Discovery, Names
+from ivymux.platform.discovery import BackendNames, Discovery
 from ivymux.platform.frontend import PlatformFrontend
-from ivymux.platform.protocol_settings import Reader
+from ivymux.platform.protocol_settings import TermsReader
 from orchidhill.gateway import Gateway
 
-COUNTER_WAIT = 0.3  # seconds that the start waits for the counter's connections
-LINGER = 0.6  # seconds after SIGTERM in which new connections go on coming
+COUNTER_WAIT_S = 0.3  # seconds that the start waits for the counter's connections
+LINGER_S = 0.6  # seconds after SIGTERM in which new connections go on coming
 
 
 log = logging.getLogger("ivymux")
 
 
-class Steady(logging.Filter):
+class LogRateLimit(logging.Filter):
     """Bounds what is logged in a second: an error that comes with every request must not fill the log."""
 
     MAX_PER_SECOND = 50
@@ -64,7 +64,7 @@
         self.counter: Counter | None = None
         if settings.has_counter and config.counter is not None:
             self.counter = host.counter = Counter(config.counter, settings.counter_timeout, host.post)
-        names = Names(settings.zones, config.kinds)
+        names = BackendNames(settings.zones, config.kinds)
         if config.known:
             try:
                 members, addresses = names.members(config.known, cached=True)
@@ -72,7 +72,7 @@
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
             host.update_members(members, addresses)
         self.discovery = Discovery(config.discovery, names, host.update_members)
-        front = PlatformFrontend(Reader(settings, config.most_units), self.ready)
+        front = PlatformFrontend(TermsReader(settings, config.most_units), self.ready)
         self.server = Server(front, config.listen, config.bounds, host)
         # SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
         self.drain_time = min(3.0, max((c.deadline for c in settings.classes), default=3.0)) + 0.4
@@ -82,7 +82,7 @@
 
     async def start(self) -> None:
         if self.counter is not None:
-            await asyncio.wait([self.counter.ready], timeout=COUNTER_WAIT)
+            await asyncio.wait([self.counter.ready], timeout=COUNTER_WAIT_S)
         await self.server.start()
 
     def reload(self, env: Mapping[str, str]) -> None:
@@ -103,7 +103,7 @@
     async def drain(self) -> None:
         """Serve on while clients still come, then finish what is held, in time for all of it."""
         began = time.monotonic()
-        await asyncio.sleep(LINGER)
+        await asyncio.sleep(LINGER_S)
         self.server.stop_listening()
         while self.host.unanswered_count and time.monotonic() - began < self.drain_time:
             await asyncio.sleep(0.01)
@@ -147,7 +147,7 @@
 def main() -> int:
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Steady())
+        handler.addFilter(LogRateLimit())
     try:
         uvloop.run(serve(os.environ))
     except ConfigError as error:
--- a/ivymux/platform/protocol_settings.py
+++ b/ivymux/platform/protocol_settings.py
@@ -12,8 +12,8 @@
 from orchidhill.interface import Effect
 
 CUSTOMERS = 1 << 33
-MAX_TERMS = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
-SINGLE = frozenset(
+MAX_TERMS_BYTES = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
+SINGLE_HEADERS = frozenset(
     b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
     b" client-retry".split()
 )
@@ -21,13 +21,13 @@
 TIMEOUT = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")
 CUSTOMER = re.compile(r"[0-9a-fA-F]{16}")
 REQUEST_ID = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
-KEY = re.compile(rb"[!-~]{1,128}")
+IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,128}")
 UNITS = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
-PLACE = re.compile(r"\d{1,9}", re.ASCII)
+NODE_NUMBER = re.compile(r"\d{1,9}", re.ASCII)
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class RequestTerms:
     request_id: bytes
     cls: int
     plan: int
@@ -49,7 +49,7 @@
     except (KeyError, ValueError):
         raise BadRequest("malformed X-Call-Terms") from None
     if len(values) != len(pairs) or not (
-        UNITS.fullmatch(units) and PLACE.fullmatch(spread) and PLACE.fullmatch(first)
+        UNITS.fullmatch(units) and NODE_NUMBER.fullmatch(spread) and NODE_NUMBER.fullmatch(first)
     ):
         raise BadRequest("malformed X-Call-Terms")
     return float(units), int(spread), int(first)
@@ -75,7 +75,7 @@
     return int(found[0], 16)
 
 
-class Reader:
+class TermsReader:
     """Reads terms by one site's settings."""
 
     def __init__(self, settings: i.Settings, most_units: float) -> None:
@@ -83,7 +83,7 @@
         self.classes = {c.name.encode(): (n, c) for n, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): n for n, p in enumerate(settings.plans)}
 
-    def read(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> Terms:
+    def read(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> RequestTerms:
         headers = dict(fields)
         if len(headers) != len(fields):
             self.no_repeats(fields)
@@ -101,7 +101,11 @@
             raise BadRequest("no such X-Tier")
         key = headers.get(b"idempotency-key", b"")
         effect = Effect.SAFE if method == b"GET" else Effect.KEYED if key else Effect.UNSAFE
-        if method not in (b"GET", b"POST") or effect is not cls.effect or (key and not KEY.fullmatch(key)):
+        if (
+            method not in (b"GET", b"POST")
+            or effect is not cls.effect
+            or (key and not IDEMPOTENCY_KEY.fullmatch(key))
+        ):
             raise BadRequest("the method or Idempotency-Key is not that of the class")
         request_id = headers.get(b"request-id", b"")
         if not REQUEST_ID.fullmatch(request_id):
@@ -109,19 +113,19 @@
         # A client waits for all its tries no longer than its class's deadline, so none is held longer.
         timeout = min(cls.deadline, parse_timeout(headers.get(b"request-timeout", b"")))
         terms = headers.get(b"x-call-terms", b"")
-        if len(terms) > MAX_TERMS:
+        if len(terms) > MAX_TERMS_BYTES:
             raise BadRequest("malformed X-Call-Terms")
         units, spread, first = parse_call_terms(terms)
         if not (0 < units <= self.most_units and 0 < spread <= self.peers and first < self.peers):
             raise BadRequest("X-Call-Terms out of range")
         customer = parse_customer(found[2] or b"")
         is_retry = headers.get(b"client-retry") == b"1"
-        return Terms(request_id, number, plan, customer, timeout, units, spread, first, is_retry)
+        return RequestTerms(request_id, number, plan, customer, timeout, units, spread, first, is_retry)
 
     def no_repeats(self, fields: list[tuple[bytes, bytes]]) -> None:
         """A header that counts and stands twice could be read differently here and at a backend."""
         seen = set()
         for name, _ in fields:
-            if name in seen and name in SINGLE:
+            if name in seen and name in SINGLE_HEADERS:
                 raise BadRequest("a header stands twice")
             seen.add(name)
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -13,7 +13,7 @@
 
 from ivymux.data_plane.answer_policy import AnswerPolicy
 from ivymux.data_plane.host import Host
-from ivymux.data_plane.limits import HELD_PART, Bounds, ConfigError
+from ivymux.data_plane.limits import BODY_MEMORY_SHARE, Bounds, ConfigError
 from ivymux.data_plane.server import Server
 from ivymux.data_plane.upstream import Upstream
 from ivymux.inventory.file_stability import Settle
@@ -104,7 +104,7 @@
             self.host.wall_clock = lambda: self.clock.read(time.monotonic())
         else:
             self.host.counter = LocalCounter(self.store, self.host.post)
-        unread = max(8, int(limits.memory_mb * HELD_PART * (1 << 20)) // answer)
+        unread = max(8, int(limits.memory_mb * BODY_MEMORY_SHARE * (1 << 20)) // answer)
         self.front = HttpFrontend(
             self.table, site.callers, file.callers.header, site.plans, file.tally.doors,
             limits.body_kb * 1024, unread, tuple(file.trusted_proxies), self.ready, self.make_id,
--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -26,7 +26,7 @@
 from redis.maint_notifications import MaintNotificationsConfig
 
 from ivymux.data_plane.limits import parse_address
-from ivymux.data_plane.passwords import password
+from ivymux.data_plane.passwords import read_password
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.engine import LANES, RETRY_FIRST, SCRIPT, SHA, RedisPart, arguments, lane, pause
 from orchidhill.interface import Count, Counted, Late, Outcome
@@ -74,8 +74,10 @@
     """The same with what stands in its files.  Raises ConfigError."""
     return msgspec.structs.replace(
         part,
-        password=password(folder, part.password_file, "tally.redis.password_file"),
-        sentinel_password=password(folder, part.sentinel_password_file, "tally.redis.sentinel_password_file"),
+        password=read_password(folder, part.password_file, "tally.redis.password_file"),
+        sentinel_password=read_password(
+            folder, part.sentinel_password_file, "tally.redis.sentinel_password_file"
+        ),
         ca=str(folder / part.ca) if part.ca else "",
     )
 
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ivymux.data_plane.client_departures import BOUND, DepartureCounts, OnDeparture
+from ivymux.data_plane.client_departures import LATE_AFTER_S, DepartureCounts, OnDeparture
 from ivymux.data_plane.frontend import Answer
 from ivymux.proxy.metrics import metrics_text
 from ivymux.proxy.status_pages import METRICS, StatusPagesFrontend
@@ -16,7 +16,7 @@
     departures.record_departure(attempts=2, unwritten=1)
     departures.record_departure(attempts=0, unwritten=0)
     departures.record_attempt_end(0.01, cancelled=True)
-    departures.record_attempt_end(BOUND + 0.75, cancelled=False)
+    departures.record_attempt_end(LATE_AFTER_S + 0.75, cancelled=False)
     line = departures.log_line()
     assert "left 2 requests unanswered with 2 attempts out (1 unwritten)" in line
     assert "1 cancelled for it, 1 ended over 0.5 s later, the longest 1.25 s" in line
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ivymux.data_plane import server
-from ivymux.data_plane.server import FLOOD
+from ivymux.data_plane.server import MAX_DISCARD_BYTES
 from orchidhill import interface as i
 
 from .sockets import Backend, Client, front_door, http_answer, listening, read_message, run, send_on, until
@@ -112,8 +112,8 @@
 def test_who_does_not_ask_in_time_gets_an_error_or_a_close(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "READ_TIMEOUT", 0.1)
-    monkeypatch.setattr(server, "SWEEP", 0.02)
+    monkeypatch.setattr(server, "READ_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
@@ -134,9 +134,9 @@
 def test_a_flood_behind_an_error_does_not_swallow_it() -> None:
     async def test() -> None:
         async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            client.writer.write(client.request(2, Content_Length=str(20 * FLOOD)))
+            client.writer.write(client.request(2, Content_Length=str(20 * MAX_DISCARD_BYTES)))
             for _ in range(20):
-                client.writer.write(b"x" * FLOOD)
+                client.writer.write(b"x" * MAX_DISCARD_BYTES)
                 await client.writer.drain()
             assert (await read_message(client.reader)).status == 413
             assert await client.reader.read() == b""
@@ -146,8 +146,8 @@
 
 
 def test_who_does_not_close_behind_an_error_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "LINGER", 0.1)
-    monkeypatch.setattr(server, "SWEEP", 0.02)
+    monkeypatch.setattr(server, "LINGER_S", 0.1)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with front_door("127.0.0.1:1", react=send_on) as (door, _), Client(door.server) as client:
@@ -159,7 +159,7 @@
 
 # Guards usual clients against hundreds of connections that say nothing.
 def test_silent_connections_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "SILENT_AFTER", 0.0)
+    monkeypatch.setattr(server, "EVICTABLE_SILENT_S", 0.0)
 
     async def test() -> None:
         backend = Backend(lambda message: http_answer())
@@ -214,8 +214,8 @@
 
 # Guards new usual clients against a table full of connections that asked once and stay: the incident r76ab84.
 def test_idle_connections_end_early_once_the_table_is_half_full(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "SETTLED_AFTER", 0.1)
-    monkeypatch.setattr(server, "SWEEP", 0.02)
+    monkeypatch.setattr(server, "EVICTABLE_IDLE_S", 0.1)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         backend = Backend(lambda message: http_answer())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ivymux.data_plane.limits import OTHER_SOCKETS, Address, Bounds, ConfigError
+from ivymux.data_plane.limits import RESERVED_DESCRIPTORS, Address, Bounds, ConfigError
 from ivymux.platform.config import parse
 from orchidhill.wire import parse_settings
 
@@ -79,7 +79,7 @@
     bounds = Bounds.from_limits(sockets, memory_mb)
     assert min(bounds.max_clients, bounds.max_backend_connections) > sockets / 3
     assert (
-        bounds.max_clients + bounds.surplus_clients + bounds.max_backend_connections + OTHER_SOCKETS
+        bounds.max_clients + bounds.surplus_clients + bounds.max_backend_connections + RESERVED_DESCRIPTORS
         <= sockets
     )
     assert bounds.max_held_bytes <= memory_mb * (1 << 20) / 8
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -9,7 +9,7 @@
 
 from ivymux.data_plane.limits import parse_address
 from ivymux.platform import counter as counter_module
-from ivymux.platform.counter import DEAD_AFTER, LINES, MAX_PENDING, Counter, Line
+from ivymux.platform.counter import CONNECTION_COUNT, DEAD_AFTER_S, MAX_PENDING, Counter, CounterConnection
 from orchidhill.interface import Count, Counted, Late, Outcome
 
 from .sockets import Tally, listening, run, until
@@ -111,7 +111,9 @@
             await until(lambda: len(heard) == 3)
             assert [(c.outcome, c.total) for c in heard][-1] == (Outcome.OK, 7.0)
             assert [float(call[2]) for call in new.calls] == [7.0]
-            assert [line.address for line in counter.connections] == [parse_address(elsewhere)] * LINES
+            assert [line.address for line in counter.connections] == [
+                parse_address(elsewhere)
+            ] * CONNECTION_COUNT
             counter.close()
 
     run(test())
@@ -230,14 +232,14 @@
 
         async with listening(silent) as dial:
             counter, heard = start(dial, timeout=0.02)
-            await until(lambda: len(opened) == LINES)
+            await until(lambda: len(opened) == CONNECTION_COUNT)
             counter.add(Count(8, 1.0, 4.0))
             await until(lambda: heard)
             line = counter.connections[0]
-            line.check_liveness(time.monotonic() + DEAD_AFTER / 2)
+            line.check_liveness(time.monotonic() + DEAD_AFTER_S / 2)
             assert line.transport is not None and not line.transport.is_closing()
-            line.check_liveness(time.monotonic() + DEAD_AFTER + 0.1)
-            await until(lambda: len(opened) == LINES + 1)
+            line.check_liveness(time.monotonic() + DEAD_AFTER_S + 0.1)
+            await until(lambda: len(opened) == CONNECTION_COUNT + 1)
             counter.close()
 
     run(test())
@@ -247,16 +249,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """uvloop closes it and tells nobody: the line kept it, and failed each call for the rest of its days."""
-    monkeypatch.setattr(counter_module, "CONNECT_TIMEOUT", 0.2)
-    made, stalls = Line.connection_made, [LINES]
+    monkeypatch.setattr(counter_module, "CONNECT_TIMEOUT_S", 0.2)
+    made, stalls = CounterConnection.connection_made, [CONNECTION_COUNT]
 
-    def stalled(line: Line, transport: asyncio.BaseTransport) -> None:
+    def stalled(line: CounterConnection, transport: asyncio.BaseTransport) -> None:
         made(line, transport)
         if stalls[0]:
             stalls[0] -= 1
             time.sleep(0.25)  # the loop has no turn until the wait is over
 
-    monkeypatch.setattr(Line, "connection_made", stalled)
+    monkeypatch.setattr(CounterConnection, "connection_made", stalled)
 
     async def test() -> None:
         tally = Tally()
@@ -271,10 +273,10 @@
                     and all(line.transport is not None for line in counter.connections)
                 )
             )
-            for name in range(LINES):
+            for name in range(CONNECTION_COUNT):
                 counter.add(Count(name, 1.0, 4.0))
-            await until(lambda: len(heard) == LINES)
-            assert [told.outcome for told in heard] == [Outcome.OK] * LINES
+            await until(lambda: len(heard) == CONNECTION_COUNT)
+            assert [told.outcome for told in heard] == [Outcome.OK] * CONNECTION_COUNT
             counter.close()
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 
 from ivymux.data_plane.limits import Address, parse_address
 from ivymux.platform import discovery
-from ivymux.platform.discovery import Discovery, Names, backend_id
+from ivymux.platform.discovery import BackendNames, Discovery, backend_id
 from orchidhill.interface import Listing, Members, State
 
 from .sockets import Agent, host_line, listening, run, until
@@ -24,7 +24,7 @@
 
 def start(dial: str) -> tuple[Discovery, Heard]:
     heard: Heard = []
-    names = Names(("a", "b"), ("m1", "m2"))
+    names = BackendNames(("a", "b"), ("m1", "m2"))
     return Discovery(parse_address(dial), names, lambda *told: heard.append(told)), heard
 
 
@@ -121,7 +121,7 @@
 
 
 def test_a_whole_list_that_cannot_be_read_does_not_empty_the_fleet() -> None:
-    names = Names(("a",), ("m2",))
+    names = BackendNames(("a",), ("m2",))
     names.members({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
     with pytest.raises(ValueError, match="no entry"):
         names.members({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
@@ -130,7 +130,7 @@
 
 # Guards against growth: backends are replaced all day by ones of ever new names.
 def test_names_of_backends_that_are_gone_are_let_go() -> None:
-    names = Names(("a",), ("m2",))
+    names = BackendNames(("a",), ("m2",))
     for number in range(50):
         line = host_line(f"s-{number:08x}", "127.0.0.1:81")
         names.members({"seq": 2 * number, "whole": False, "hosts": [line]})
@@ -140,7 +140,7 @@
 
 def test_a_silent_watch_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     """A machine that vanished leaves its connections open; the watch must not hang on one for ever."""
-    monkeypatch.setattr(discovery, "SILENT_AFTER", 0.1)
+    monkeypatch.setattr(discovery, "WATCH_SILENCE_S", 0.1)
 
     async def test() -> None:
         agent = Agent()
@@ -174,7 +174,7 @@
 
 
 def test_a_line_without_end_ends_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "MAX_LINE", 1000)
+    monkeypatch.setattr(discovery, "MAX_LINE_BYTES", 1000)
 
     async def test() -> None:
         async def endless(reader: Any, writer: Any) -> None:
@@ -198,5 +198,5 @@
 def test_two_names_with_one_id_are_not_taken_for_one_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "backend_id", lambda name: 7)
     hosts = [host_line("one", "127.0.0.1:81"), host_line("two", "127.0.0.1:82")]
-    members, addresses = Names(("a",), ("m2",)).members({"seq": 1, "whole": True, "hosts": hosts})
+    members, addresses = BackendNames(("a",), ("m2",)).members({"seq": 1, "whole": True, "hosts": hosts})
     assert len(members.entries) == 1 and addresses == {7: Address("127.0.0.1", 81)}
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from ivymux.data_plane.server import IDLE_TIMEOUT, MAX_HEAD, MAX_PIPELINED
-from ivymux.platform.frontend import MAX_BODY
+from ivymux.data_plane.server import IDLE_TIMEOUT_S, MAX_HEAD_BYTES, MAX_PIPELINED
+from ivymux.platform.frontend import MAX_BODY_BYTES
 from orchidhill import interface as i
 from orchidhill.admission import WINDOW, mix
 from orchidhill.interface import Outcome
@@ -93,8 +93,8 @@
         (0, "X-Call-Terms", "units=nan,spread=1,first=0", 400),
         (1, "Idempotency-Key", "", 400),  # keyed, but with no key to drop a repeat by
         (2, "Idempotency-Key", "5c0f", 400),
-        (0, "X-Pad", "x" * MAX_HEAD, 400),
-        (2, "Content-Length", str(MAX_BODY + 1), 413),
+        (0, "X-Pad", "x" * MAX_HEAD_BYTES, 400),
+        (2, "Content-Length", str(MAX_BODY_BYTES + 1), 413),
         (2, "Content-Length", "x", 400),
     ],
 )
@@ -148,7 +148,7 @@
 
 def test_pipelined_requests_are_bounded() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
         async with (
             listening(backend.handle) as dial,
             front_door(dial, react=send_on) as (door, script),
@@ -166,7 +166,7 @@
 
 def test_a_client_that_does_not_read_its_answers_is_not_read_either() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
         async with (
             listening(backend.handle) as dial,
             front_door(dial, react=send_on) as (door, _),
@@ -184,14 +184,14 @@
             client.writer.write(client.request())
             for _ in range(asked + 1):  # once it reads, all of it comes
                 answer = await read_message(client.reader)
-                assert (answer.status, len(answer.body)) == (200, MAX_BODY)
+                assert (answer.status, len(answer.body)) == (200, MAX_BODY_BYTES)
 
     run(test())
 
 
 def test_a_client_that_never_reads_does_not_keep_its_connection() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY))
+        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
         async with (
             listening(backend.handle) as dial,
             front_door(dial, react=send_on) as (door, _),
@@ -204,7 +204,7 @@
                 seen = len(backend.seen)
                 client.writer.write(client.request())
                 await until(lambda seen=seen: len(backend.seen) > seen and not served.exchanges)  # type: ignore[misc]
-            served.queued_at -= IDLE_TIMEOUT
+            served.queued_at -= IDLE_TIMEOUT_S
             await until(lambda: not door.server.clients)
 
     run(test())
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from ivymux.data_plane.refusals import CAUSES, Refusals
+from ivymux.data_plane.refusals import CAUSES, RefusalCounts
 from orchidhill import interface as i
 
 from .sockets import Client, front_door, run
 
 
 def test_a_line_tells_the_causes_in_order_and_what_is_new() -> None:
-    made = Refusals()
+    made = RefusalCounts()
     assert made.log_line() == ""
     assert [made.count("room"), made.count("quota"), made.count("quota")] == [True, False, False]
     assert made.log_line() == "refused: quota=2 (+2) room=1 (+1)"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,7 +12,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from ivymux.platform.counter import LINES
+from ivymux.platform.counter import CONNECTION_COUNT
 
 from .sockets import (
     Agent,
@@ -98,7 +98,7 @@
             path = tmp_path / "config.json"
             path.write_text(config_text([host], counter[0], discovery[0]))
             process, port = await stack.enter_async_context(running(path))
-            await until(lambda: agents[0].open and tallies[0].opened == LINES)
+            await until(lambda: agents[0].open and tallies[0].opened == CONNECTION_COUNT)
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
@@ -107,7 +107,7 @@
             path.write_text(config_text([host], counter[1], discovery[1]))
             process.send_signal(signal.SIGHUP)
             await until(lambda: len(agents[1].targets) == 2 and not agents[0].open)
-            await until(lambda: tallies[1].opened == LINES and not tallies[0].open)
+            await until(lambda: tallies[1].opened == CONNECTION_COUNT and not tallies[0].open)
             assert await ready(port) == 200 and process.returncode is None
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
