--- a/ivymux/data_plane/host.py
+++ b/ivymux/data_plane/host.py
@@ -1,4 +1,4 @@
-"""Drives the one Gateway: events in, its actions carried out in order, the table of open requests."""
+"""Runs the decision module: passes it events, executes its actions in order and tracks open requests."""
 
 from __future__ import annotations
 
@@ -20,67 +20,78 @@
 from orchidhill import interface as i
 from orchidhill.interface import Outcome, State
 
-if TYPE_CHECKING:  # a core machine has no module, and starts faster without
+if TYPE_CHECKING:  # a core machine runs no decision module and starts faster without the import
     from orchidhill.gateway import Gateway
 
-ATTEMPT_MARGIN_S = 0.030  # seconds before the client's deadline at which an attempt is given up
-ANSWER_MARGIN_S = 0.015  # and at which the request is answered whatever the module does
+ATTEMPT_MARGIN_S = 0.030  # before the client's deadline, when an attempt is given up
+ANSWER_MARGIN_S = 0.015  # before the client's deadline, when the request is answered in any case
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that still needs an answer, or whose attempts are still out."""
+    """A request that is not yet answered, or that still has attempts in flight."""
 
-    host: Host  # which has it
+    host: Host
     number: int
     call: Call
     reply: Callable[[Answer], None]
-    on_finished: Callable[[], None]  # hears when it is answered and none of its attempts is out
+    on_finished: Callable[[], None]  # called once it is answered and has no attempts in flight
     deadline_timer: asyncio.TimerHandle | None = None
-    attempts: dict[int, Attempt] = field(default_factory=dict)
+    attempts: dict[int, Attempt] = field(default_factory=dict)  # in flight, by attempt number
     attempt_count: int = 0
-    may_have_run: bool = False
+    may_have_run: bool = False  # whether a backend may have executed it
     last_result: Result | None = None  # of the attempt that ended last
-    is_settled: bool = False  # answered, or nobody waits any more
-    is_on_hold: bool = False  # nothing is sent before its claim is heard of, or while it is held
+    is_settled: bool = False  # answered, or its client has disconnected
+    is_on_hold: bool = False  # delayed, or waiting for the result of its claim; nothing is sent meanwhile
     answer: Answer | None = None
-    client_left_at: float | None = None  # monotonic time at which its client left it unanswered
+    client_left_at: float | None = None  # monotonic time of the disconnect, if it was unanswered then
 
 
 class Counter(Protocol):
-    """What the host needs of a counter: each call is answered once, by a `Counted` posted to the host."""
+    """The counter that a host uses: it answers each call once, by posting a `Counted` to the host."""
 
     def add(self, count: i.Count) -> None: ...
 
 
 class Host:
-    def __init__(self, gateway: Gateway, upstream: Upstream, told: RefusalLog | None = None) -> None:
+    """Connects one decision module with its clients, its backends, its timers and the counter."""
+
+    def __init__(self, gateway: Gateway, upstream: Upstream, refusal_log: RefusalLog | None = None) -> None:
+        """`refusal_log`: shared with other hosts; None: the host gets its own."""
         self.gateway, self.upstream, self.answer_policy = gateway, upstream, upstream.answer_policy
         self.counter: Counter | None = None
-        self.wall_clock: Callable[[], float] = time.time  # or the clock of a tally that front doors share
+        self.wall_clock: Callable[[], float] = (
+            time.time
+        )  # or the time of a counter service that gateways share
         self.limits = gateway.settings.limits
         self.loop = asyncio.get_running_loop()
         self.requests: dict[int, OpenRequest] = {}
         self.events: deque[i.Event] = deque()
-        self.is_handling = False
-        self.last_time = 0.0
+        self.is_handling = False  # whether an event is being handled now
+        self.last_time = 0.0  # as last returned by `current_time`
         self.request_count = 0
-        self.unsupported_actions: set[str] = set()  # kinds of action that were logged as not supported
-        self.unanswered_count = 0  # requests without their answer
-        self.refusal_log = told or RefusalLog()
+        self.unsupported_actions: set[str] = set()  # action types already logged as unsupported
+        self.unanswered_count = 0
+        self.refusal_log = refusal_log or RefusalLog()
         self.departures = DepartureCounts()
 
     # --- events in ---------------------------------------------------------------------------------
 
     def current_time(self) -> float:
-        """Unix time, as lease windows must agree between front doors; it never goes back."""
+        """Return Unix time, which never decreases.
+
+        It is not a process-local clock because lease windows must be the same at all gateways.
+        """
         self.last_time = max(self.last_time, self.wall_clock())
         return self.last_time
 
     def post(self, event: i.Event) -> None:
-        """Hand an event to the module.  Those that its actions bring about wait for their turn."""
+        """Pass an event to the decision module.
+
+        Events that its actions cause are queued and handled after it, not within it.
+        """
         self.events.append(event)
         if self.is_handling:
             return
@@ -92,40 +103,49 @@
             self.is_handling = False
 
     def handle_event(self, event: i.Event) -> None:
+        """Let the decision module handle an event, then execute its actions."""
         gateway = self.gateway
         failed = False
         try:
             actions = gateway.handle(self.current_time(), event)
         except Exception:
-            # One bad event must not lose the others: what was decided before the error still holds.
-            log.exception("the module failed on %s", type(event).__name__)
+            # The actions decided before the error are still executed, so that other requests go on.
+            log.exception("the decision module failed on %s", type(event).__name__)
             actions, failed = gateway.actions, True
         for action in actions:
             try:
                 self.execute(action)
             except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
+                log.exception("could not execute %s", type(action).__name__)
                 if isinstance(action, i.Send | i.Refuse | i.Fail):
                     self.fail_request(action.request)
         if failed and isinstance(event, i.Request | i.Finished):
             self.fail_request(event.request)
 
     def fail_request(self, number: int) -> None:
-        """A truthful final answer for a request that an error has left without one."""
+        """Answer a request that an internal error has left without attempts and without an answer.
+
+        The status is 502 if a backend may have executed it, else 503.
+        """
         request = self.requests.get(number)
         if request is not None and not request.is_settled and not request.attempts:
             self.settle(request, Answer(502 if request.may_have_run else 503))
             self.events.append(i.Left(number))
             self.forget_if_finished(request)
 
-    def submit(self, call: Call, reply: Callable[[Answer], None], over: Callable[[], None]) -> OpenRequest:
-        """Take a request: `reply` gets its answer, `over` hears when none of its attempts is out either."""
+    def submit(
+        self, call: Call, reply: Callable[[Answer], None], on_finished: Callable[[], None]
+    ) -> OpenRequest:
+        """Accept a request.
+
+        `reply` is called with its answer; `on_finished` once it is answered and has no attempts in flight.
+        """
         self.request_count += 1
-        request = OpenRequest(self, self.request_count, call, reply, over)
+        request = OpenRequest(self, self.request_count, call, reply, on_finished)
         self.requests[request.number] = request
         self.unanswered_count += 1
-        left = call.deadline - ANSWER_MARGIN_S - time.monotonic()
-        request.deadline_timer = self.loop.call_later(max(0.0, left), self.on_deadline, request)
+        time_left = call.deadline - ANSWER_MARGIN_S - time.monotonic()
+        request.deadline_timer = self.loop.call_later(max(0.0, time_left), self.on_deadline, request)
         if call.hold_s > 0:
             request.is_on_hold = True
             self.loop.call_later(call.hold_s, self.on_hold_ended, request)
@@ -134,7 +154,7 @@
         return request
 
     def on_hold_ended(self, request: OpenRequest) -> None:
-        """It was held for as long as it was to be; now the module hears of it, if anybody still waits."""
+        """Pass a delayed request to the decision module, unless it has been settled meanwhile."""
         request.is_on_hold = False
         if request.is_settled:
             self.forget_if_finished(request)
@@ -142,39 +162,43 @@
             self.post(request.call.make_event(request.number))
 
     def on_client_left(self, request: OpenRequest) -> None:
-        """The client has gone away: the module hears of it first, then what need not go on is cancelled."""
+        """Handle the disconnect of a request's client.
+
+        The decision module is informed first; then the attempts that `on_departure` names are cancelled.
+        """
         if request.is_settled:
             return
         request.client_left_at = time.monotonic()
-        out = list(request.attempts.values())
-        self.departures.record_departure(len(out), sum(not attempt.is_written for attempt in out))
+        attempts = list(request.attempts.values())
+        self.departures.record_departure(len(attempts), sum(not attempt.is_written for attempt in attempts))
         self.settle(request, None)
         self.post(i.Left(request.number))
-        for attempt in out:
+        for attempt in attempts:
             if request.call.on_departure.cancels_attempt(attempt.is_written):
                 attempt.give_up(Outcome.CANCELLED)
         self.forget_if_finished(request)
 
     def on_deadline(self, request: OpenRequest) -> None:
-        """Guards the rule that no request is lost: its client's time is nearly up, and nobody answered."""
+        """Answer a request just before its client's deadline, so that every request gets an answer."""
         if request.is_settled:
             return
         for attempt in list(request.attempts.values()):
             attempt.give_up(Outcome.TIMEOUT)
-        if not request.is_settled:  # what never ran may have been answered just now
+        if not request.is_settled:  # giving up an unwritten attempt may have led to an answer at once
             self.refusal_log.record(FAILED)
             self.settle(request, Answer(503 if request.is_on_hold else 504))
             self.post(i.Left(request.number))
             self.forget_if_finished(request)
 
     def finish_all(self) -> None:
-        """The process is about to end: what is still held gets its final answer."""
+        """Answer all open requests before the process ends."""
         for request in list(self.requests.values()):
             self.on_deadline(request)
         self.post(i.Leaving())
         self.refusal_log.write()
 
     def update_members(self, members: i.Members, addresses: dict[int, Address]) -> None:
+        """Apply a list of backends, or a change of it, to the connections; then post it."""
         if members.listing is not i.Listing.DELTA:
             for backend in [b for b in self.upstream.pools if b not in addresses]:
                 self.upstream.remove_backend(backend)
@@ -188,6 +212,7 @@
     # --- actions out -------------------------------------------------------------------------------
 
     def execute(self, action: i.Action) -> None:
+        """Execute one action of the decision module."""
         match action:
             case i.Send():
                 self.send(action)
@@ -209,27 +234,31 @@
             case i.Probe():
                 backend = action.backend
                 self.upstream.probe(
-                    backend, lambda r: self.post(i.Probed(backend, r.outcome, r.spent, r.report))
+                    backend,
+                    lambda result: self.post(i.Probed(backend, result.outcome, result.spent, result.report)),
                 )
             case i.CloseIdle():
                 self.upstream.close_idle(action.backend)
             case i.Log():
                 log.info("module: %s", action.text)
-            case _:  # discovery is always watched, and front doors cannot talk to each other
+            case _:  # `Watch`, as discovery is always watched, and `Tell`, as gateways have no connections
                 if type(action).__name__ not in self.unsupported_actions:
                     self.unsupported_actions.add(type(action).__name__)
-                    log.warning("not supported here: %s", type(action).__name__)
+                    log.warning("unsupported action: %s", type(action).__name__)
 
     def send(self, action: i.Send) -> None:
+        """Start an attempt, after claiming its action if need be; report it MOOT if it can't be started."""
         request = self.requests.get(action.request)
         number = request.attempt_count if request is not None else 0
         if request is not None:
             request.attempt_count += 1
-        left = request.call.deadline - ATTEMPT_MARGIN_S - time.monotonic() if request is not None else 0.0
+        time_left = (
+            request.call.deadline - ATTEMPT_MARGIN_S - time.monotonic() if request is not None else 0.0
+        )
         if (
             request is None
             or request.is_settled
-            or left <= 0
+            or time_left <= 0
             or number >= self.limits.max_attempts
             or (request.attempts and not self.limits.second_copies)
         ):
@@ -241,27 +270,28 @@
         claim = request.call.claim
         if claim is not None and number == 0:
             request.is_on_hold = True
-            claim.acquire(lambda said: self.on_claim_result(request, action, said))
+            claim.acquire(lambda answer: self.on_claim_result(request, action, answer))
             return
-        self.start_attempt(request, number, action, left)
+        self.start_attempt(request, number, action, time_left)
 
-    def on_claim_result(self, request: OpenRequest, action: i.Send, said: Answer | None) -> None:
-        """A claim has been heard of: its action goes to a backend, or is answered without."""
+    def on_claim_result(self, request: OpenRequest, action: i.Send, answer: Answer | None) -> None:
+        """Start the attempt if the claim was granted (`answer` is None); else settle the request with it."""
         request.is_on_hold = False
-        left = request.call.deadline - ATTEMPT_MARGIN_S - time.monotonic()
-        if said is None and not request.is_settled and left > 0:
-            self.start_attempt(request, 0, action, left)
+        time_left = request.call.deadline - ATTEMPT_MARGIN_S - time.monotonic()
+        if answer is None and not request.is_settled and time_left > 0:
+            self.start_attempt(request, 0, action, time_left)
             return
-        if said is not None and not request.is_settled:
-            self.settle(request, said)
+        if answer is not None and not request.is_settled:
+            self.settle(request, answer)
         closed = request.is_settled
         self.post(i.Finished(request.number, 0, action.backend, Outcome.MOOT, closed, 0.0, 0, 0, ()))
         self.forget_if_finished(request)
 
-    def start_attempt(self, request: OpenRequest, number: int, action: i.Send, left: float) -> None:
-        timeout = min(left, action.timeout) if action.timeout > 0 else left
+    def start_attempt(self, request: OpenRequest, number: int, action: i.Send, time_left: float) -> None:
+        """Send a request to a backend; `time_left` in seconds limits the attempt's timeout."""
+        timeout = min(time_left, action.timeout) if action.timeout > 0 else time_left
 
-        def done(result: Result) -> None:
+        def on_done(result: Result) -> None:
             self.on_attempt_finished(request, number, action.backend, result)
 
         call = request.call
@@ -271,12 +301,13 @@
             else call.make_payload(timeout)
         )
         attempt = self.upstream.start_attempt(
-            action.backend, payload, timeout, done, call.is_head, call.request_id
+            action.backend, payload, timeout, on_done, call.is_head, call.request_id
         )
         if not attempt.is_finished:
             request.attempts[number] = attempt
 
     def on_attempt_finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
+        """Settle the request with a successful result; report every result to the decision module."""
         request.attempts.pop(number, None)
         request.last_result = result
         if request.client_left_at is not None:
@@ -295,24 +326,28 @@
         )
         self.forget_if_finished(request)
 
-    def refuse_or_fail(self, number: int, how: i.Refuse | i.Fail) -> None:
-        """Refuse or fail a request; what its worker said last goes before a wording of our own."""
+    def refuse_or_fail(self, number: int, action: i.Refuse | i.Fail) -> None:
+        """Refuse or fail a request.
+
+        If the last attempt ended with an error answer of its backend, the client gets that answer.
+        """
         request = self.requests.get(number)
         if request is not None and not request.is_settled:
-            self.refusal_log.record(how.why.value if isinstance(how, i.Refuse) else FAILED)
+            self.refusal_log.record(action.why.value if isinstance(action, i.Refuse) else FAILED)
             last = request.last_result
             if last is not None and last.outcome is Outcome.ERROR and last.status:
                 answer = Answer(last.status, last.body, last.content_type, headers=last.headers)
-            elif isinstance(how, i.Refuse):
+            elif isinstance(action, i.Refuse):
                 outcome = last.outcome if last is not None and request.may_have_run else None
-                status = self.answer_policy.refusal_status(how.why is i.Why.QUOTA, outcome)
-                answer = Answer(status, retry_after=how.retry_after)
+                status = self.answer_policy.refusal_status(action.why is i.Why.QUOTA, outcome)
+                answer = Answer(status, retry_after=action.retry_after)
             else:
                 answer = Answer(self.answer_policy.failure_status(last.outcome if last is not None else None))
             self.settle(request, answer)
             self.forget_if_finished(request)
 
     def settle(self, request: OpenRequest, answer: Answer | None) -> None:
+        """Deliver a request's only answer; None if its client has disconnected."""
         request.is_settled, request.answer = True, answer
         self.unanswered_count -= 1
         if request.deadline_timer is not None:
@@ -321,6 +356,7 @@
             request.reply(answer)
 
     def forget_if_finished(self, request: OpenRequest) -> None:
+        """Remove a request that is settled and has nothing in flight, and end its claim."""
         if not request.is_settled or request.attempts or request.is_on_hold:
             return
         if self.requests.pop(request.number, None) is not None:
@@ -329,7 +365,7 @@
                 claim.finish(self.backend_answer(request), request.may_have_run)
 
     def backend_answer(self, request: OpenRequest) -> Answer | None:
-        """The whole answer of a backend that a request ended with, told to its client or not."""
+        """Return the complete backend answer that ended a request, whether or not its client received it."""
         answer, last = request.answer, request.last_result
         if answer is not None:
             return answer if answer.headers is not None and request.may_have_run else None
@@ -338,7 +374,7 @@
         return Answer(last.status, last.body, last.content_type, headers=last.headers)
 
     def set_timer(self, at: float, token: int) -> None:
-        # The loop counts whole milliseconds from a cached clock and may fire early by some: look again.
+        # The event loop counts whole milliseconds from a cached clock, so a timer may fire early.
         delay = math.ceil((at - self.current_time()) * 1000) / 1000
         self.loop.call_later(max(0.001, delay), self.on_timer, at, token)
 
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -650,7 +650,10 @@
             assert not door.host.requests
 
     run(test())
-    assert "the module failed on Request" in caplog.text and "the module failed on Finished" in caplog.text
+    assert (
+        "the decision module failed on Request" in caplog.text
+        and "the decision module failed on Finished" in caplog.text
+    )
 
 
 def test_timers_never_fire_early() -> None:
