--- a/bench/servers.py
+++ b/bench/servers.py
@@ -24,11 +24,14 @@
 
 
 def play(doors: int, seed: int, form: str) -> Floor:
-    turns, proxy_gateway.TURNS = proxy_gateway.TURNS, proxy_gateway.TURNS if form != FORMS[1] else 0.0
+    turns, proxy_gateway.ROTATION_S = (
+        proxy_gateway.ROTATION_S,
+        proxy_gateway.ROTATION_S if form != FORMS[1] else 0.0,
+    )
     try:
         floor = Floor(doors, KINDS, seed, shared=form != FORMS[2])
     finally:
-        proxy_gateway.TURNS = turns
+        proxy_gateway.ROTATION_S = turns
 
     def fail() -> None:
         for machine in floor.machines[::16]:
--- a/ivymux/proxy/metrics.py
+++ b/ivymux/proxy/metrics.py
@@ -23,7 +23,7 @@
         "requests_kept": len(host.requests),
         "clients": len(door.server.clients),
         "backend_connections": host.upstream.connection_count,
-        "further_tries_spared_total": door.switch.spared,
+        "further_tries_spared_total": door.switch.denied_retries,
         "departed_requests_total": departures.requests,
         "departed_attempts_total": departures.attempts,
         "departed_unwritten_total": departures.unwritten,
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -45,7 +45,7 @@
 from ivymux.transport.frames import Message
 from orchidhill import interface as i
 from orchidhill.interface import State
-from orchidhill.proxy_gateway import SILENT, Switch, Terms
+from orchidhill.proxy_gateway import SILENT, ProxyGateway, ProxyRules
 
 if TYPE_CHECKING:
     from ivymux.proxy.keyed_requests import Keyed
@@ -82,10 +82,10 @@
             CONNECT_TIMEOUT, IDLE, (), bounds.max_backend_connections, proxy_answer_policy(64 << 20, held)
         )
         made = module_settings()
-        terms = Terms(
+        terms = ProxyRules(
             settings.retry_ratio, settings.quota_window_s, settings.quota_excess, settings.quota_slack
         )
-        self.switch = Switch(made, secrets.randbits(64), terms)
+        self.switch = ProxyGateway(made, secrets.randbits(64), terms)
         # The host needs of a module what both kinds have.
         self.host = WatchedHost(cast("Gateway", self.switch), upstream)
         self.doubts = Doubts(lambda: self.host.well, self.id_of, self.tell_core)
@@ -338,7 +338,7 @@
             self.front.catcher = None
         if time.monotonic() - self.told_at > TELL and (line := self.host.refusal_log.refusals.log_line()):
             self.told_at = time.monotonic()
-            log.info(f"{line}; further tries spared {self.switch.spared}.")
+            log.info(f"{line}; further tries spared {self.switch.denied_retries}.")
         departed_due = time.monotonic() - self.departed_told_at > TELL
         if departed_due and (line := self.host.departures.log_line()):
             self.departed_told_at = time.monotonic()
--- a/ivymux/simulation/backend_selection.py
+++ b/ivymux/simulation/backend_selection.py
@@ -19,9 +19,9 @@
 from ivymux.simulation.event_queue import START, Clocked
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
-from orchidhill.proxy_gateway import Switch, Terms
+from orchidhill.proxy_gateway import ProxyGateway, ProxyRules
 
-TERMS = Terms(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
+TERMS = ProxyRules(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
 HOP = 0.001  # one way between a door and a server
 TOLD = 0.035  # from a failure at a door to all doors' knowing, where several met it
 SLOTS, QUEUE = 2, 6
@@ -82,8 +82,8 @@
         for n in range(len(kinds)):
             self.next(n)
 
-    def door(self, n: int) -> Switch:
-        made = Switch(module_settings(), self.random.getrandbits(64), TERMS)
+    def door(self, n: int) -> ProxyGateway:
+        made = ProxyGateway(module_settings(), self.random.getrandbits(64), TERMS)
         classes = tuple(
             i.RequestClass(
                 f"k{k}", AIM * kind.work, 20 * kind.work,
--- a/ivymux/simulation/quota_sharing.py
+++ b/ivymux/simulation/quota_sharing.py
@@ -18,9 +18,9 @@
 from ivymux.proxy.module_settings import module_settings
 from ivymux.simulation.event_queue import START, Clocked
 from orchidhill import interface as i
-from orchidhill.proxy_gateway import Switch, Terms
+from orchidhill.proxy_gateway import ProxyGateway, ProxyRules
 
-TERMS = Terms(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
+TERMS = ProxyRules(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
 ROUND_TRIP = 0.004  # of a call to the counter
 NOTICED = 1.0  # seconds after which it is noticed that a door is cut off
 TOLD = 0.3  # seconds within which doors hear what the core tells
@@ -69,7 +69,7 @@
         )
         return given_up / max(1, asked)
 
-    def allowed(self, terms: Terms = TERMS) -> float:
+    def allowed(self, terms: ProxyRules = TERMS) -> float:
         whole = self.plan.rate * terms.quota_window + self.plan.burst
         return whole * (1 + terms.quota_excess) + terms.quota_slack
 
@@ -93,12 +93,12 @@
         self.weights = [self.random.gammavariate(4.0, 1.0) for _ in range(count)]
         # A door's calls and their answers keep their order.
         self.way = [ROUND_TRIP / 2 * (0.5 + self.random.random()) for _ in range(count)]
-        self.doors: list[Switch] = [self.door(count) for _ in range(count)]
+        self.doors: list[ProxyGateway] = [self.door(count) for _ in range(count)]
         for tenant in tenants:
             self.next(tenant)
 
-    def door(self, count: int) -> Switch:
-        made = Switch(module_settings(), self.random.getrandbits(64), TERMS)
+    def door(self, count: int) -> ProxyGateway:
+        made = ProxyGateway(module_settings(), self.random.getrandbits(64), TERMS)
         servers = tuple(i.Entry(n, 0, 0.0, i.State.READY, 0, 0, 1e6, 0) for n in (1, 2))
         plans = (FREE, *(t.plan for t in self.tenants))
         for event in (
@@ -162,12 +162,12 @@
         for action in self.doors[n].handle(self.now, event):
             self.act(n, self.doors[n], action)
 
-    def tell_same(self, n: int, door: Switch, event: i.Event) -> None:
+    def tell_same(self, n: int, door: ProxyGateway, event: i.Event) -> None:
         """What a door asked for, unless it has been killed since."""
         if self.doors[n] is door and self.now >= self.dark_until:
             self.tell(n, event)
 
-    def act(self, n: int, door: Switch, action: i.Action) -> None:
+    def act(self, n: int, door: ProxyGateway, action: i.Action) -> None:
         if isinstance(action, i.Count):
             self.at(self.now + self.way[n], lambda: self.add(n, door, action))
         elif isinstance(action, i.SetTimer):
@@ -186,14 +186,14 @@
             else:
                 self.at(self.now + action.retry_after + 0.002, lambda: self.ask(tenant, tried + 1))
 
-    def add(self, n: int, door: Switch, count: i.Count) -> None:
+    def add(self, n: int, door: ProxyGateway, count: i.Count) -> None:
         """One order for all calls of a name, as their holder has it."""
         if self.now < self.dark_until:
             return
         self.calls[n] += 1
         self.counted(n, door, count, self.counts)
 
-    def counted(self, n: int, door: Switch, count: i.Count, counts: Counts) -> None:
+    def counted(self, n: int, door: ProxyGateway, count: i.Count, counts: Counts) -> None:
         total = counts.add(count, f"door {n}", self.now)
         told = i.Counted(count.name, i.Outcome.OK, total, ROUND_TRIP, counts.incarnation)
         self.at(self.now + self.way[n], lambda: self.tell_same(n, door, told))
@@ -246,7 +246,7 @@
         if n not in self.cut_off:
             self.lists[n].update_proxies(self.came, self.now)
 
-    def add(self, n: int, door: Switch, count: i.Count) -> None:
+    def add(self, n: int, door: ProxyGateway, count: i.Count) -> None:
         began = self.now - self.way[n]
         name = self.lists[n].find_holder(count.name, count.customer, began - count.since)
         at = self.ids.index(name) if name is not None else n
--- a/orchidhill/call_rate.py
+++ b/orchidhill/call_rate.py
@@ -1,70 +1,67 @@
-"""How many calls a gateway makes to the counter: a pace that follows from their answers.  Pure.
+"""Adaptive limit on a gateway's calls to the counter, driven by their outcomes (AIMD-like).  Pure.
 
-Up slowly, down when a call is turned away or slow, as a crowded counter's are; after a silence doubling
-back to half.  A gateway of many has a few calls a second: by a step for each answer it would take a minute to
-find what the counter bears.  It goes up by time, the faster the longer ago its last cut is, as all of them
-together must not rush in behind each cut.
+The rate rises slowly and is cut when a call is rejected or slow, as by an overloaded counter.  After an
+outage it doubles until it is back at half of the old rate.  A gateway of a large fleet has few calls per
+second: rising with each answer would take it a minute to find the counter's capacity.  So there the rate
+rises with time, faster the longer ago its last cut is, lest all gateways rush in behind each cut.
 
-A connection that breaks fails its calls at once and says nothing of how many the counter bears until most
-fail: then it is away.  Slowing down for each would leave all to the local shares, where one call in twelve
-fails by chance.  It would do harm with a counter that resets connections to say that it is full.
+A broken connection fails its calls at once and says nothing about the counter's capacity until most calls
+fail: then the counter is away.  Slowing down for each would leave everything to the local shares in a network
+where one call in twelve fails at random.  The rule does harm if a counter signals overload by resets.
 """
 
 from __future__ import annotations
 
 from orchidhill.interface import Outcome
 
-LEAST, PART = (
-    60.0,
-    0.01,
-)  # calls a second of all gateways while it answers nothing: enough to see it come back
-UP = 1.01  # factor on the pace for each quick answer while it binds
-STEPS = 12.0  # of many gateways: so many such factors in a second, for each second since the last cut
-CUT = 0.88  # and for each call that fails or takes half its time-out
-FAST = 48.0  # and this at the most, or six for each eight gateways if that is less
-BURST = 4.0  # calls at once, besides what the pace gives in AT_ONCE: few requests come unevenly
-AT_ONCE = 0.1  # seconds
+MIN_TOTAL_RATE = 60.0  # calls per second of all gateways during an outage: enough to notice its end
+MIN_RATE_SHARE = 0.01  # the same as a part of the initial total rate, if that is more
+RISE = 1.01  # factor on the rate for each quick answer while the rate is the limit
+RISES_PER_S = 12.0  # in a large fleet: so many such factors per second, for each second since the last cut
+MAX_RISES_PER_S = 48.0  # the maximum of that, or 6 for every 8 gateways if that is less
+CUT = 0.88  # factor for each call that fails or takes half of its time-out
+BURST = 4.0  # calls at once, beside BURST_S at the current rate: a small fleet's requests come unevenly
+BURST_S = 0.1
 
 
-class Pace:
-    """One gateway's part of the `total` calls a second that the counter bears to begin with."""
+class CallRate:
+    """Token bucket for one gateway's part of `total` calls per second, the counter's assumed capacity."""
 
-    def __init__(self, total: float, peers: int, timeout: float, left: float) -> None:
-        """`timeout`: seconds for a call; `left`: calls that may be made at the start."""
-        self.rate, self.least = total / peers, max(LEAST, PART * total) / peers
-        self.timeout, self.of_many = timeout, peers > 8
-        self.fast = min(FAST, 6 * peers / 8)
-        self.steady, self.cut_at = self.rate, 0.0  # before the counter's trouble; the last cut
-        self.left, self.at = left, 0.0
-        self.heard = 0.0  # the last answer
+    def __init__(self, total: float, peers: int, timeout: float, tokens: float) -> None:
+        """`timeout`: seconds allowed for a call; `tokens`: calls that may be made at the start."""
+        self.rate, self.min_rate = total / peers, max(MIN_TOTAL_RATE, MIN_RATE_SHARE * total) / peers
+        self.timeout, self.is_large_fleet = timeout, peers > 8
+        self.max_rises = min(MAX_RISES_PER_S, 6 * peers / 8)
+        self.steady_rate, self.cut_at = self.rate, 0.0  # the rate before an outage; the last cut
+        self.tokens, self.tokens_at, self.answered_at = tokens, 0.0, 0.0
 
     @property
-    def many(self) -> bool:
-        """Whether what the pace gives at once is more than the burst: else requests wait for their turn."""
-        return self.rate * AT_ONCE > BURST
+    def is_plentiful(self) -> bool:
+        """Whether BURST_S at the current rate exceeds BURST; else requests wait for their turn."""
+        return self.rate * BURST_S > BURST
 
     def budget(self, now: float) -> float:
-        """Calls that may be made now."""
-        return min(BURST + self.rate * AT_ONCE, self.left + (now - self.at) * self.rate)
+        """Return the number of calls that may be made now."""
+        return min(BURST + self.rate * BURST_S, self.tokens + (now - self.tokens_at) * self.rate)
 
-    def spare(self, now: float) -> bool:
-        """Whether there are calls enough for those that only refine a decision."""
-        return self.budget(now) > 1 + self.rate * AT_ONCE / 2
+    def has_spare(self, now: float) -> bool:
+        """Whether the budget also covers calls that only refine a decision."""
+        return self.budget(now) > 1 + self.rate * BURST_S / 2
 
-    def called(self, now: float) -> None:
-        self.left, self.at = self.budget(now) - 1, now
+    def record_call(self, now: float) -> None:
+        self.tokens, self.tokens_at = self.budget(now) - 1, now
 
-    def answered(self, now: float, outcome: Outcome, spent: float, away: bool) -> None:
-        """Take in how a call ended after `spent` seconds; `away`: most calls fail."""
+    def record_answer(self, now: float, outcome: Outcome, spent: float, away: bool) -> None:
+        """Adapt the rate to a call that ended after `spent` seconds; `away`: most calls fail."""
         good, slow = outcome is Outcome.OK, spent >= self.timeout / 2
-        since, self.heard = min(1.0, now - self.heard), now
+        elapsed, self.answered_at = min(1.0, now - self.answered_at), now
         if good and not slow:
-            if self.rate < self.steady / 2:
+            if self.rate < self.steady_rate / 2:
                 self.rate *= 2
             elif self.budget(now) < 1.0:
-                steps = since * min(self.fast, STEPS * (now - self.cut_at)) if self.of_many else 1.0
-                self.rate *= UP**steps
-                self.steady = max(self.steady, self.rate)
+                rises_per_s = min(self.max_rises, RISES_PER_S * (now - self.cut_at))
+                self.rate *= RISE ** (elapsed * rises_per_s if self.is_large_fleet else 1.0)
+                self.steady_rate = max(self.steady_rate, self.rate)
         elif (away or slow or outcome is Outcome.FULL) and now - self.cut_at > 2 * self.timeout:
-            self.rate = max(self.least, self.rate * CUT ** (1 + away))
-            self.steady, self.cut_at = self.steady if away else self.rate, now
+            self.rate = max(self.min_rate, self.rate * CUT ** (1 + away))
+            self.steady_rate, self.cut_at = self.steady_rate if away else self.rate, now
--- a/orchidhill/degraded_mode.py
+++ b/orchidhill/degraded_mode.py
@@ -1,4 +1,4 @@
-"""How to live without the tally: what it is taken for, and what a gateway may let in by itself.  Pure.
+"""Degraded mode: whether the counter answers, and what a gateway may admit by itself meanwhile.  Pure.
 
 The bounds that follow from here are proven in docs/design/tally.md.
 """
@@ -10,112 +10,112 @@
 
 from orchidhill.interface import Outcome, Plan
 
-EVEN = 0.5  # part of a quota that is split evenly; the rest goes by what each had of the last window
-HOLD = 60.0  # seconds apart in which a share stays whole
-FADED = 0.5  # of a share that stays however long that lasts: who keeps to half of a quota is served
-LEAST_OVER = 0.5  # of a quota that may be let in beside a tally that gives the other side all of it
-DEAR = 2.0  # an `over_cost` from which on the shares add up for a plan without a ceiling too
-SETTLE = 2.0  # seconds after a replacement in which the others bring back what they had added
-SMOOTH = 0.1  # weight of the newest call
-BACK = 0.3  # and of one that is answered while the tally is not taken for well: few calls have to tell
-LATE = 2.0  # seconds for which a late answer tells that the tally is slow, not away
+EVEN_SHARE = 0.5  # part of a quota that is split evenly; the rest follows the use in the last window
+HOLD_S = 60.0  # seconds in degraded mode during which a local share stays whole
+MIN_FADE = 0.5  # of a share that is never faded away: customers that use half of their quota stay served
+MIN_EXCESS = 0.5  # of a quota that may be admitted beside a counter that grants the other side all of it
+HIGH_OVER_COST = 2.0  # `over_cost` from which the local shares add up to 1 for a plan without a ceiling too
+SETTLE_S = 2.0  # seconds after a replacement in which the other gateways restore what they had added
+FAILURE_WEIGHT = 0.1  # weight of the newest call
+RECOVERY_WEIGHT = 0.3  # of a good answer from an unhealthy counter: a few calls have to suffice
+LATE_ANSWER_S = 2.0  # seconds for which a late answer shows that the counter is slow, not unreachable
 
 
-def share(width: int, part: float) -> float:
-    """This gateway's part of a quota while the tally cannot be asked.
+def quota_share(width: int, usage_share: float) -> float:
+    """Return this gateway's part of a quota while the counter cannot be asked.
 
-    Half is split evenly over the customer's `width` gateways, half by `part`: what the tally confirmed of
-    this gateway's adds to the customer's names, over the most that their totals may be.  All adds are parts
-    of the totals, so over the gateways of a customer the shares come to 1 at the most.
+    Half is split evenly over the customer's `width` gateways, half by `usage_share`: its additions that the
+    counter confirmed, over the maximum of the totals.  So a customer's shares add up to at most 1.
     """
-    return 1.0 if width <= 1 else EVEN / width + (1 - EVEN) * min(1.0, part)
+    return 1.0 if width <= 1 else EVEN_SHARE / width + (1 - EVEN_SHARE) * min(1.0, usage_share)
 
 
-def fade(age: float) -> float:
-    """The part of a share that is left after so many seconds apart.
+def fade_factor(age: float) -> float:
+    """Return the part of a local share that is left after `age` seconds in degraded mode.
 
-    The others may be together with a tally that grants the whole quota: what is let in here comes on top
-    of that, so it may not go on in full for ever.
+    A counter may grant others the whole quota, so what is admitted here on top must not go on in full.
     """
-    return 1.0 if age <= HOLD else max(FADED, HOLD / age)
+    return 1.0 if age <= HOLD_S else max(MIN_FADE, HOLD_S / age)
 
 
-def beside(plan: Plan) -> float:
-    """The part of a quota's rate that its ceiling leaves beside a tally that grants the whole rate.
+def rate_factor(plan: Plan) -> float:
+    """Return the part of a quota's rate that its ceiling leaves beside a counter that grants the whole rate.
 
-    Under a ceiling of less than 1.5 times the quota it is LEAST_OVER all the same, or those who keep to half
-    of theirs would be refused: what that may pass the ceiling by is stated in the design note.
+    It is at least MIN_EXCESS, or customers that use half of their quota would be refused under a ceiling of
+    less than 1.5 times the quota; the design note states by how much that may pass the ceiling.
     """
-    return min(1.0, max(LEAST_OVER, plan.ceiling_rate / plan.rate - 1)) if plan.ceiling_rate else 1.0
+    return min(1.0, max(MIN_EXCESS, plan.ceiling_rate / plan.rate - 1)) if plan.ceiling_rate else 1.0
 
 
-def store(plan: Plan) -> float:
-    """Units that all gateways together may let in at once; under a ceiling what it leaves beside a full store
-    that a tally grants.
-    """
+def shared_burst(plan: Plan) -> float:
+    """Return the burst of all gateways in degraded mode, under a ceiling beside a full bucket granted."""
     if not plan.ceiling_rate:
         return plan.burst
-    return min(plan.burst, max(LEAST_OVER * plan.burst, plan.ceiling_burst - plan.burst))
+    return min(plan.burst, max(MIN_EXCESS * plan.burst, plan.ceiling_burst - plan.burst))
 
 
-def least(plan: Plan, width: int, rank: int) -> float:
-    """The least that a gateway's share of the store holds: a whole unit, as a part of one serves nobody.
+def min_local_capacity(plan: Plan, width: int, rank: int) -> float:
+    """Return the minimum of a local bucket's capacity: one unit, as a fraction of one admits nothing.
 
-    Where the gateways are more than half of a ceiling's burst has units, only the first ones have one.
+    If the gateways outnumber half of the units of a ceiling's burst, only the first ones get a unit.
     `rank`: this gateway's place among the customer's, from 0.
     """
-    most = plan.ceiling_burst / 2
-    return 1.0 if not plan.ceiling_rate or width <= most or rank < int(most) else 0.0
+    limit = plan.ceiling_burst / 2
+    return 1.0 if not plan.ceiling_rate or width <= limit or rank < int(limit) else 0.0
 
 
-class Seen(Enum):
-    """What the tally is taken for.  Whether a silent one is cut off or has vanished can't be told from here:
-    when it answers again, its incarnation and its totals tell.
-    """
+class CounterStatus(Enum):
+    """State of the counter as inferred from its calls."""
 
-    WELL = "well"
-    SLOW = "slow"  # its answers come, after their time
-    FULL = "full"  # turns calls away
-    SILENT = "silent"  # cut off, the other side of a split, or a machine that vanished
-    REFUSED = "refused"  # nobody listens there
+    HEALTHY = "well"
+    SLOW = "slow"  # answers arrive after the time-out
+    FULL = "full"  # rejects calls
+    SILENT = "silent"  # partitioned or gone: its incarnation and totals tell, once it answers again
+    REFUSED = "refused"  # connections are refused
 
 
 @dataclass(slots=True)
-class Watch:
-    """What the calls tell of the tally; one of them changes nothing."""
-
-    failing: float = 0.0  # share of the calls that fail, smoothed
-    kinds: dict[Seen, float] = field(default_factory=dict)  # and by how
-    late_at: float = -LATE  # when an answer last came after its time
-    replaced_at: float = -SETTLE  # when other counts answered for a customer than before
-    seen: Seen = Seen.WELL
-    split_at: float = -HOLD  # when it was last told that others reached the tally while this gateway did not
-
-    def called(self, now: float, outcome: Outcome) -> Seen | None:
-        """Take in how a call ended: what the tally is taken for from now on, if that changes."""
+class CounterHealth:
+    """Infers the counter's status from call outcomes; a single call never changes it."""
+
+    failing: float = 0.0  # smoothed share of calls that fail
+    failures: dict[CounterStatus, float] = field(default_factory=dict)  # the same by kind of failure
+    late_answer_at: float = -LATE_ANSWER_S  # when an answer last arrived after its time-out
+    replaced_at: float = -SETTLE_S  # when a total last came from another incarnation than before
+    status: CounterStatus = CounterStatus.HEALTHY
+    split_at: float = -HOLD_S  # when totals last moved while this gateway could not reach the counter
+
+    @property
+    def is_healthy(self) -> bool:
+        return self.status is CounterStatus.HEALTHY
+
+    def record_outcome(self, now: float, outcome: Outcome) -> CounterStatus | None:
+        """Record how a call ended; return the new status if it changed."""
         good = outcome is Outcome.OK
-        weight = BACK if good and self.seen is not Seen.WELL else SMOOTH
+        weight = RECOVERY_WEIGHT if good and not self.is_healthy else FAILURE_WEIGHT
         self.failing += weight * ((not good) - self.failing)
-        for kind in self.kinds:
-            self.kinds[kind] *= 1 - SMOOTH
+        for kind in self.failures:
+            self.failures[kind] *= 1 - FAILURE_WEIGHT
         if not good:
-            how = {Outcome.CONNECT_FAILED: Seen.REFUSED, Outcome.FULL: Seen.FULL}.get(outcome, Seen.SILENT)
-            self.kinds[how] = self.kinds.get(how, 0.0) + SMOOTH
-        was, self.seen = self.seen, self.judge(now)
-        return self.seen if self.seen is not was else None
-
-    def judge(self, now: float) -> Seen:
-        # Between the two bounds it stays what it was: else each call would change it.
-        if self.failing < 0.25 or (self.failing <= 0.5 and self.seen is Seen.WELL):
-            return Seen.WELL
-        how = max(self.kinds, key=lambda kind: self.kinds[kind])
-        return Seen.SLOW if how is Seen.SILENT and now - self.late_at < LATE else how
-
-    def split(self, now: float) -> bool:
-        """Totals moved while no answer came here.  Whether to tell that: once in a while."""
+            kinds = {Outcome.CONNECT_FAILED: CounterStatus.REFUSED, Outcome.FULL: CounterStatus.FULL}
+            kind = kinds.get(outcome, CounterStatus.SILENT)
+            self.failures[kind] = self.failures.get(kind, 0.0) + FAILURE_WEIGHT
+        before, self.status = self.status, self.infer_status(now)
+        return self.status if self.status is not before else None
+
+    def infer_status(self, now: float) -> CounterStatus:
+        # Hysteresis between the two bounds: else single calls would flip the status.
+        if self.failing < 0.25 or (self.failing <= 0.5 and self.is_healthy):
+            return CounterStatus.HEALTHY
+        kind = max(self.failures, key=lambda kind: self.failures[kind])
+        is_slow = kind is CounterStatus.SILENT and now - self.late_answer_at < LATE_ANSWER_S
+        return CounterStatus.SLOW if is_slow else kind
+
+    def record_split(self, now: float) -> bool:
+        """Record that totals moved while no answer came here; return whether to log it (once per HOLD_S)."""
         before, self.split_at = self.split_at, now
-        return now - before >= HOLD
+        return now - before >= HOLD_S
 
-    def unsettled(self, now: float) -> bool:
-        """Whether the others may still have to bring back what they had added to a tally now replaced."""
-        return now - self.replaced_at < SETTLE
+    def is_settling(self, now: float) -> bool:
+        """Whether other gateways may still have to restore their additions to a replaced counter."""
+        return now - self.replaced_at < SETTLE_S
--- a/orchidhill/proxy_gateway.py
+++ b/orchidhill/proxy_gateway.py
@@ -1,9 +1,8 @@
-"""Every decision of a door of the system: who is let in (admission.py), which server, what next.  Pure.
+"""The decisions of one of the system's proxies: admission (admission.py), backend choice, retries.  Pure.
 
-A door has requests for several services.  What is let in goes to a server at once: a server keeps a short
-queue of its own, and a request that is held here helps nobody.  Further tries draw on a budget that holds
-for all doors together, whatever their number: each door has a part of its own first tries, and little
-besides.
+A proxy serves requests of several services.  Admitted requests go to a backend at once, which keeps a short
+queue of its own: holding them at the proxy would help none.  Retries draw on a budget for all proxies
+together, whatever their number: each proxy earns retries in proportion to its first attempts.
 """
 
 from __future__ import annotations
@@ -12,75 +11,76 @@
 from dataclasses import dataclass, field, replace
 
 from orchidhill import interface as i
-from orchidhill.admission import EPS, MARGIN, TICK, WATCH_TICKS, Admission, mix
+from orchidhill.admission import EPSILON, MARGIN_S, SCAN_TICKS, TICK_S, Admission, stable_hash
 from orchidhill.interface import Effect, Outcome, State, Why
 from orchidhill.state import Backend, Call, Job, Lease
 
-# Tuned values: seconds, requests or plain ratios.
-FIRST_PART = 0.3  # of a class's aim, the guess of its latency before its first answer
-MAX_FIRST = 1.0  # seconds, the most of that guess
-FIRST_SEEN = 4  # answers that the guess weighs
-SMOOTH = 0.1  # weight of the newest latency
-DEPTH = 4.0  # times its slots that a door lets one server hold of its own requests
-BUDGET = 0.6  # part of the operators' ratio of further tries that is used
-FIRST_TRIES = 1.0  # further tries that a service has at the start
-MAX_TRIES = 2.0  # and that it may save up: all doors together stay under the operators' slack
-SILENT = 1  # kind of an entry whose server is not leaving, but silent
-DOWN = 0.6  # for which a server that could not be reached is left alone, doubled with each time
-MAX_DOWN = 5.0
-SILENCE = 5.0  # times its class's latency without a word for which a server counts as silent
-LOST = 8.0  # and after which a repeatable attempt is given to another
-LEAST_SILENCE = 0.4  # seconds
-BACK = 0.25  # retry-after of a refusal for want of servers, as a part of the aim
-AFTER_LOSS = 0.7  # of what a quota's rule leaves beyond it, what is granted anew after a loss of counts
-UNASKED = 0.45  # and what all doors together let in without having asked, where none answers
-TURN_PART = 0.5  # of a tenant's rate, what those that were refused are given turns by
-FLOOD = 4.0  # seconds of turns from which on a tenant is taken to ask for far more than its quota
-TURN_LEFT = 0.3  # of its time, what a refused request is told to wait at most; clients heed up to a third
-HELD = 0.4  # of what a quota's rule leaves beyond it, what all doors together may hold unspent
-HOME = 3.0  # times the usual pace, and the best server's queue, to which an action stays with its home
-FAR = 1.2  # times its score that a server of another zone has: bytes between zones cost
-TURNS = 40.0  # seconds from which on it counts no more how long ago a server was asked
-TURN = 3e-4  # by how much each of them makes it better
-COLD = 2.0  # times its work that a server takes that has just started
+INITIAL_LATENCY_SHARE = 0.3  # of a class's target latency, the estimate before its first answer
+MAX_INITIAL_LATENCY_S = 1.0  # upper bound of that estimate
+INITIAL_ANSWER_COUNT = 4  # answers that the estimate weighs as much as
+LATENCY_WEIGHT = 0.1  # weight of the newest latency
+QUEUE_DEPTH = 4.0  # times a backend's slots, the maximum of this proxy's attempts in flight there
+RETRY_BUDGET_SHARE = 0.6  # part of the operators' retry ratio that is used
+INITIAL_RETRY_TOKENS = 1.0  # by service
+MAX_RETRY_TOKENS = 2.0  # by service; keeps all proxies together within the operators' slack
+SILENT = 1  # kind of an entry whose backend is not leaving, but silent
+EJECT_S = 0.6  # for which an unreachable backend is ejected, doubled with each failure in a row
+MAX_EJECT_S = 5.0
+SILENT_FACTOR = 5.0  # times its class's latency without an answer after which a backend counts as silent
+LOST_FACTOR = 8.0  # times its class's latency after which a safe attempt goes to another backend
+MIN_SILENCE_S = 0.4  # lower bound of the silence that counts
+RETRY_AFTER_SHARE = 0.25  # of the target latency, the retry-after of a refusal for want of backends
+# Parts of what the quota rule allows beyond quotas (`excess_allowance`):
+LOSS_ALLOWANCE = 0.7  # granted anew after a loss of counts
+LOCAL_ALLOWANCE = 0.45  # admitted by all proxies together in degraded mode
+UNSPENT_ALLOWANCE = 0.4  # held unspent by all proxies together
+RETRY_RATE_SHARE = 0.5  # of a tenant's rate, over which the retries of refused requests are spread
+FLOOD_S = 4.0  # of scheduled retries, from which a tenant is taken to ask for far more than its quota
+MAX_RETRY_DELAY_SHARE = 0.3  # of a request's remaining time; clients heed a retry-after of up to a third
+HOME_FACTOR = 3.0  # of the usual latency and of the best backend's queue, up to which a home backend is used
+OTHER_ZONE_FACTOR = 1.2  # on the score of a backend in another zone: traffic between zones costs
+ROTATION_S = 40.0  # since a backend's last attempt, beyond which its idle time no longer improves its score
+ROTATION_BONUS_PER_S = 3e-4  # part of the score, for each second of that
+WARM_UP_S = 3.0
+WARM_UP_FACTOR = 2.0  # on the latency of a backend that has just started
 
 
 @dataclass(slots=True)
-class Server(Backend):
-    """One backend, as this door sees it."""
+class ProxyBackend(Backend):
+    """A backend as this proxy sees it."""
 
-    pace: float = 1.0  # its latency over that of its service
-    asked: float = 0.0  # when it was last sent anything
-    fails: int = 0  # in a row
-    down_until: float = 0.0
-    shunned: bool = False  # until then by the word of several doors
+    relative_latency: float = 1.0  # over its class's usual latency
+    asked_at: float = 0.0  # when the last attempt was sent
+    failures: int = 0  # in a row
+    ejected_until: float = 0.0
+    is_reported: bool = False  # whether it is ejected because several proxies met failures
 
 
 @dataclass(slots=True)
 class Service:
-    """What is known of a service's servers together."""
+    """The backends of one service and its retry budget."""
 
-    servers: list[Server] = field(default_factory=list)
-    silent: list[Server] = field(default_factory=list)  # that the registry has not heard lately
-    tries: float = FIRST_TRIES  # further tries that may be made
+    backends: list[ProxyBackend] = field(default_factory=list)  # ready
+    silent: list[ProxyBackend] = field(default_factory=list)  # without recent heartbeats at the registry
+    retry_tokens: float = INITIAL_RETRY_TOKENS
 
 
 @dataclass(slots=True)
-class Line:
-    """A customer's refused requests, as they were told to come back."""
+class RetrySchedule:
+    """When a customer's refused requests were told to retry."""
 
-    until: float = 0.0  # when the next of them may
-    flooded: bool = False
+    next_at: float = 0.0  # earliest time for the next of them
+    is_flooded: bool = False
 
 
-def first_usual(cls: i.RequestClass) -> float:
-    """A class's latency as it is taken to be before its first answer, in seconds."""
-    return min(MAX_FIRST, FIRST_PART * cls.aim)
+def initial_latency(cls: i.RequestClass) -> float:
+    """Return the estimate of a class's latency before its first answer, in seconds."""
+    return min(MAX_INITIAL_LATENCY_S, INITIAL_LATENCY_SHARE * cls.aim)
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What the operators' rules say of further tries and quotas; seconds, requests and plain ratios."""
+class ProxyRules:
+    """The operators' rules on retries and quotas: ratios, seconds and requests."""
 
     retry_ratio: float
     quota_window: float
@@ -88,27 +88,29 @@
     quota_slack: float
 
 
-class Switch(Admission):
-    caps = True
+class ProxyGateway(Admission):
+    """Decides for one proxy; `handle` is its only entry point."""
 
-    def __init__(self, settings: i.Settings, seed: int, terms: Terms) -> None:
+    counter_caps = True
+
+    def __init__(self, settings: i.Settings, seed: int, rules: ProxyRules) -> None:
         super().__init__(settings, seed)
-        self.terms = terms
-        self.own = mix(seed)  # tells this door from others
-        self.servers: dict[int, Server] = {}
+        self.rules = rules
+        self.instance_hash = stable_hash(seed)  # differs between proxies
+        self.backends: dict[int, ProxyBackend] = {}
         self.services: dict[int, Service] = {}
-        self.usual = [first_usual(cls) for cls in settings.classes]
-        self.seen = [FIRST_SEEN] * len(self.usual)  # answers that `usual` rests on, by class
-        self.tick_at = -math.inf
+        self.class_latency = [initial_latency(cls) for cls in settings.classes]
+        self.answer_counts = [INITIAL_ANSWER_COUNT] * len(self.class_latency)  # by class
+        self.timer_due = -math.inf
         self.scan_at = 0.0
-        self.out = 0  # attempts that are out
-        self.alone_since: dict[int, float] = {}  # when what a customer's lease owes began to be let in
-        self.unreached: dict[int, int] = {}  # attempts of a request that reached nobody
-        self.spared = 0  # further tries that the budget did not allow
-        self.lines: dict[int, Line] = {}  # of customers' refused requests
+        self.attempts_in_flight = 0
+        self.owed_since: dict[int, float] = {}  # by customer: since when its `owed` was admitted locally
+        self.unreached: dict[int, int] = {}  # by request: attempts that reached no backend
+        self.denied_retries = 0  # by the retry budget
+        self.retry_schedules: dict[int, RetrySchedule] = {}  # by customer
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
-        """The actions that answer one event, in order."""
+        """Return the actions that answer one event, in order."""
         self.now, self.actions = now, []
         match event:
             case i.Request():
@@ -118,7 +120,7 @@
             case i.Counted():
                 self.on_counted(event)
             case i.Fired():
-                self.tick()
+                self.on_tick()
             case i.Members():
                 self.on_members(event)
             case i.Left():
@@ -128,33 +130,34 @@
             case i.Plans():
                 self.on_plans(event.plans)
             case i.Doors():
-                self.on_doors(event.count)
+                self.on_proxy_count(event.count)
             case i.Shun():
-                self.on_shun(event)
+                self.on_eject(event)
             case i.Late():
-                self.tally.late_at = now
+                self.counter_health.late_answer_at = now
             case i.Leaving():
-                self.leave()
+                self.on_leaving()
         self.set_timer()
         return self.actions
 
-    # --- what the configuration and the registry say ----------------------------------------------
+    # --- configuration and registry ---------------------------------------------------------------
 
     def on_classes(self, classes: tuple[i.RequestClass, ...]) -> None:
-        new = classes[len(self.usual) :]
-        self.usual += [first_usual(cls) for cls in new]
-        self.seen += [FIRST_SEEN] * len(new)
-        for number, (was, cls) in enumerate(zip(self.settings.classes, classes, strict=False)):
-            if cls.name != was.name:
-                self.usual[number], self.seen[number] = first_usual(cls), FIRST_SEEN
+        new = classes[len(self.class_latency) :]
+        self.class_latency += [initial_latency(cls) for cls in new]
+        self.answer_counts += [INITIAL_ANSWER_COUNT] * len(new)
+        for number, (before, cls) in enumerate(zip(self.settings.classes, classes, strict=False)):
+            if cls.name != before.name:
+                self.class_latency[number] = initial_latency(cls)
+                self.answer_counts[number] = INITIAL_ANSWER_COUNT
         self.settings = replace(self.settings, classes=classes)
 
     def on_plans(self, plans: tuple[i.Plan, ...]) -> None:
-        """Tenants' quotas.  What a tenant's store lacks stays lacking; a lower rate holds at once."""
+        """Apply tenants' quotas.  Bucket deficits persist; a lower rate takes effect at once."""
         changed = [
             plan
-            for was, plan in zip(self.settings.plans, plans, strict=False)
-            if was != plan and was.name == plan.name
+            for before, plan in zip(self.settings.plans, plans, strict=False)
+            if before != plan and before.name == plan.name
         ]
         self.settings = replace(self.settings, plans=plans)
         for plan in changed:
@@ -163,46 +166,48 @@
                 if plan.rate <= 0:
                     continue
                 lease.plan = plan
-                lease.base = max(1.0, math.floor(plan.burst))
-                lease.span = lease.base / plan.rate
-                lease.credits = min(lease.credits, lease.base)
-                lease.wide = lease.width > lease.base
+                lease.capacity = max(1.0, math.floor(plan.burst))
+                lease.refill_time = lease.capacity / plan.rate
+                lease.credits = min(lease.credits, lease.capacity)
+                lease.is_wide = lease.width > lease.capacity
 
-    def on_doors(self, count: int) -> None:
+    def on_proxy_count(self, count: int) -> None:
         self.peers = max(1, count)
         self.settings = replace(self.settings, peers=self.peers)
         for lease in self.leases.values():
             lease.width = self.peers
-            lease.wide = not lease.slots and lease.width > lease.base
+            lease.is_wide = not lease.for_slots and lease.width > lease.capacity
 
     def on_members(self, event: i.Members) -> None:
-        whole = event.listing in (i.Listing.CACHED, i.Listing.FULL)
-        if whole:
-            for known in self.servers.values():
+        is_complete = event.listing in (i.Listing.CACHED, i.Listing.FULL)
+        if is_complete:
+            for known in self.backends.values():
                 known.state = State.GONE
         for entry in event.entries:
-            found = self.servers.get(entry.backend)
+            found = self.backends.get(entry.backend)
             if found is None:
-                found = self.servers[entry.backend] = Server(entry, answered=self.now)
-                # Taken to have been asked some time ago, in an order of this door's own: doors that know
-                # nothing yet would else all go to the same server, then all to the next.
-                found.asked = self.now - TURNS * mix(entry.backend, self.own) / 2**64
+                found = self.backends[entry.backend] = ProxyBackend(entry, answered_at=self.now)
+                # A random last attempt for each proxy and backend: else proxies without any history would
+                # all choose the same backend first, then all the next one.
+                found.asked_at = (
+                    self.now - ROTATION_S * stable_hash(entry.backend, self.instance_hash) / 2**64
+                )
             found.entry, found.state = entry, entry.state
-        for gone in [b for b, s in self.servers.items() if s.state is State.GONE and not s.out]:
-            del self.servers[gone]
+        for gone in [id for id, b in self.backends.items() if b.state is State.GONE and not b.in_flight]:
+            del self.backends[gone]
         for service in self.services.values():
-            service.servers, service.silent = [], []
-        for server in self.servers.values():
-            if server.state is State.READY:
-                self.service(server.entry.service).servers.append(server)
-            elif server.entry.kind == SILENT and server.state is State.DRAINING:
-                self.service(server.entry.service).silent.append(server)
-
-    def on_shun(self, event: i.Shun) -> None:
-        """What other doors have met at a server; this one, which sees little, heeds it before it meets it."""
-        if (server := self.servers.get(event.backend)) is not None:
-            server.down_until = max(server.down_until, self.now + event.seconds)
-            server.shunned = True
+            service.backends, service.silent = [], []
+        for backend in self.backends.values():
+            if backend.state is State.READY:
+                self.service(backend.entry.service).backends.append(backend)
+            elif backend.entry.kind == SILENT and backend.state is State.DRAINING:
+                self.service(backend.entry.service).silent.append(backend)
+
+    def on_eject(self, event: i.Shun) -> None:
+        """Eject a backend on other proxies' reports: this proxy has too few requests to notice soon."""
+        if (backend := self.backends.get(event.backend)) is not None:
+            backend.ejected_until = max(backend.ejected_until, self.now + event.seconds)
+            backend.is_reported = True
 
     def service(self, number: int) -> Service:
         found = self.services.get(number)
@@ -210,308 +215,325 @@
             found = self.services[number] = Service()
         return found
 
-    # --- requests ----------------------------------------------------------------------------------
+    # --- admission and quotas ---------------------------------------------------------------------
 
     def on_request(self, req: i.Request) -> None:
-        job = self.take(req)
-        self.admit(job) if req.left >= MARGIN + TICK else self.refuse(job, 0.0, Why.DEADLINE)
+        job = self.create_job(req)
+        self.admit(job) if req.left >= MARGIN_S + TICK_S else self.refuse(job, 0.0, Why.DEADLINE)
 
     def dispatch(self, job: Job) -> None:
         if job.closed:
             return
-        server = self.choose(job)
-        if server is None:
-            self.end(job)
+        backend = self.choose_backend(job)
+        if backend is None:
+            self.end_job(job)
         else:
-            self.send(job, server)
+            self.send(job, backend)
 
-    def strain(self) -> float:
+    def load_ratio(self) -> float:
         return 0.0
 
-    def most(self, lease: Lease, share: float) -> float:
-        """What the local share holds at most: over all doors what the rule on quotas leaves for a loss.
+    def local_capacity(self, lease: Lease, share: float) -> float:
+        """Return the capacity of the local share: for all proxies together, LOCAL_ALLOWANCE at most.
 
-        Where that is under a whole unit for each door, only so many doors have one, others for each tenant.
+        Where that is less than a unit for each proxy, a part of the proxies have one, others for each tenant.
         """
-        if lease.slots:
-            return super().most(lease, share)
-        part = UNASKED * self.beyond(lease.plan) / lease.width
-        if part >= 1:
-            return min(super().most(lease, share), part)
-        return 1.0 if mix(lease.customer, self.own) / 2**64 < part else 0.0
-
-    def fits(self, lease: Lease, units: float) -> bool:
-        """Within the local share; no request goes into debt there, as all doors would let one in."""
-        return self.refill(lease) + EPS >= units
-
-    def level(self, lease: Lease) -> float:
-        """What the store holds; what it lacked at the window's edge is on no name before it was offered."""
-        return super().level(lease) - lease.seed
-
-    def put_right(self, lease: Lease, call: Call) -> None:
-        """The counter does."""
-
-    def count(self, lease: Lease, amount: float, gives: bool, fix: float = 0.0) -> None:
-        """With what a counter goes by that keeps the store itself."""
-        super().count(lease, amount, gives, fix)
-        made, plan = self.actions[-1], lease.plan
-        assert isinstance(made, i.Count)
-        made.since = self.now + lease.phase - lease.window * lease.length
-        made.customer, made.seed = lease.customer, lease.seed
-        made.rate, made.burst, made.span = plan.rate, plan.burst, self.terms.quota_window
-        spare = AFTER_LOSS * self.beyond(plan)
-        made.drained = plan.burst + made.since * plan.rate - min(plan.burst, spare)
-        made.known, made.knew = lease.told, lease.born if lease.met else 0
-        owed = (amount if gives else lease.owed) if amount > 0 else 0.0
-        if owed > 0 and (began := self.alone_since.get(lease.customer)) is not None:
-            # The latest of it may have come all at once, as much as the local share holds.
-            made.late = max(0.0, owed - self.most(lease, self.share(lease)))
-            made.spread = min(self.now - began, made.since)
-
-    def admit_alone(self, lease: Lease, job: Job, units: float) -> None:
-        """As in Admission; since when is kept: what was let in then is told late."""
+        if lease.for_slots:
+            return super().local_capacity(lease, share)
+        allowance = LOCAL_ALLOWANCE * self.excess_allowance(lease.plan) / lease.width
+        if allowance >= 1:
+            return min(super().local_capacity(lease, share), allowance)
+        return 1.0 if stable_hash(lease.customer, self.instance_hash) / 2**64 < allowance else 0.0
+
+    def fits_local_share(self, lease: Lease, units: float) -> bool:
+        """Whether the local share admits `units`.  None may leave a debt, as all proxies would allow one."""
+        return self.refill_local_level(lease) + EPSILON >= units
+
+    def bucket_level(self, lease: Lease) -> float:
+        """Return the bucket's level, less the deficit at the edge that is in no total yet."""
+        return super().bucket_level(lease) - lease.edge_deficit
+
+    def repair_total(self, lease: Lease, call: Call) -> None:
+        """Do nothing: the counter caps buckets itself."""
+
+    def call_counter(self, lease: Lease, amount: float, is_adjustment: bool, correction: float = 0.0) -> None:
+        """Call the counter with the fields that it needs to keep the bucket itself."""
+        super().call_counter(lease, amount, is_adjustment, correction)
+        count, plan = self.actions[-1], lease.plan
+        assert isinstance(count, i.Count)
+        count.since = self.now + lease.phase - lease.window * lease.window_length
+        count.customer, count.seed = lease.customer, lease.edge_deficit
+        count.rate, count.burst, count.span = plan.rate, plan.burst, self.rules.quota_window
+        allowance = LOSS_ALLOWANCE * self.excess_allowance(plan)
+        count.drained = plan.burst + count.since * plan.rate - min(plan.burst, allowance)
+        count.known, count.knew = lease.last_total, lease.incarnation if lease.is_synced else 0
+        owed = (amount if is_adjustment else lease.owed) if amount > 0 else 0.0
+        if owed > 0 and (since := self.owed_since.get(lease.customer)) is not None:
+            # The last of it, as much as the local share holds, may have been admitted all at once.
+            count.late = max(0.0, owed - self.local_capacity(lease, self.local_share(lease)))
+            count.spread = min(self.now - since, count.since)
+
+    def admit_locally(self, lease: Lease, job: Job, units: float) -> None:
+        """As in Admission; also record since when, as the counter is told late of what was admitted."""
         before = lease.owed
-        super().admit_alone(lease, job, units)
-        if before < EPS < lease.owed and not lease.slots:
-            if len(self.alone_since) > 2 * len(self.leases) + 64:
-                self.alone_since = {c: at for c, at in self.alone_since.items() if (c, False) in self.leases}
-            self.alone_since[lease.customer] = self.now
-
-    def largest(self, lease: Lease) -> float:
-        """What doors hold unspent was taken from a store that has filled up since: in a flood it comes on top
-        of the burst, from all of them at once.
+        super().admit_locally(lease, job, units)
+        if before < EPSILON < lease.owed and not lease.for_slots:
+            if len(self.owed_since) > 2 * len(self.leases) + 64:
+                self.owed_since = {c: at for c, at in self.owed_since.items() if (c, False) in self.leases}
+            self.owed_since[lease.customer] = self.now
+
+    def max_lease_size(self, lease: Lease) -> float:
+        """Return the maximum of credits to lease in advance.
+
+        Credits that proxies hold unspent come from a bucket that has refilled since: in a flood all proxies
+        would spend them at once, on top of the burst.
         """
-        return math.floor(1 + HELD * self.beyond(lease.plan) / lease.width)
+        return math.floor(1 + UNSPENT_ALLOWANCE * self.excess_allowance(lease.plan) / lease.width)
+
+    def excess_allowance(self, plan: i.Plan) -> float:
+        """Return the units in one of its windows that the quota rule allows beyond a quota."""
+        rules = self.rules
+        return rules.quota_excess * (rules.quota_window * plan.rate + plan.burst) + rules.quota_slack
 
-    def beyond(self, plan: i.Plan) -> float:
-        """Units of one of its windows that the rule on quotas leaves beyond them."""
-        terms = self.terms
-        return terms.quota_excess * (terms.quota_window * plan.rate + plan.burst) + terms.quota_slack
+    # --- backends ---------------------------------------------------------------------------------
 
-    def choose(self, job: Job) -> Server | None:
-        """The server that will most likely be done first, of those that may be asked."""
-        best, best_score, spare, spare_score = None, math.inf, None, math.inf
-        usual = self.usual[job.req.cls]
+    def choose_backend(self, job: Job) -> ProxyBackend | None:
+        """Return the untried backend expected to answer first; an ejected one only if no other is left."""
+        best, best_score, ejected, ejected_score = None, math.inf, None, math.inf
+        usual = self.class_latency[job.req.cls]
         service = self.service(job.req.service)
-        # Where all have fallen silent it is most likely the registry that does not hear.
-        for server in service.servers or service.silent:
-            if server.entry.backend in job.tried:
+        # If all backends are silent, the registry most likely misses their heartbeats.
+        for backend in service.backends or service.silent:
+            if backend.entry.backend in job.tried:
                 continue
-            held = len(server.out)
-            slots = max(1.0, server.entry.weight)
-            if held >= DEPTH * slots:
+            in_flight = len(backend.in_flight)
+            slots = max(1.0, backend.entry.weight)
+            if in_flight >= QUEUE_DEPTH * slots:
                 continue
-            score = self.expected(server, usual) * (1 + held / slots)
-            if server.entry.zone:
-                score *= FAR
-            if self.now < server.down_until:
-                if score < spare_score:
-                    spare, spare_score = server, score
+            score = self.expected_latency(backend, usual) * (1 + in_flight / slots)
+            if backend.entry.zone:
+                score *= OTHER_ZONE_FACTOR
+            if self.now < backend.ejected_until:
+                if score < ejected_score:
+                    ejected, ejected_score = backend, score
                 continue
-            score *= 1 + TURN * max(-TURNS, server.asked - self.now)  # who was asked longest ago first
+            # Prefers the backend that has been idle longest.
+            score *= 1 + ROTATION_BONUS_PER_S * max(-ROTATION_S, backend.asked_at - self.now)
             if score < best_score:
-                best, best_score = server, score
-        if job.req.home and (home := self.at_home(job, usual, best)) is not None:
+                best, best_score = backend, score
+        if job.req.home and (home := self.home_backend(job, usual, best)) is not None:
             return home
-        return best if best is not None else spare
+        return best if best is not None else ejected
 
-    def at_home(self, job: Job, usual: float, best: Server | None) -> Server | None:
-        """The server of its conversation, while that is in service and not much worse than others.
+    def home_backend(self, job: Job, usual: float, best: ProxyBackend | None) -> ProxyBackend | None:
+        """Return the home backend of the job's conversation if it is ready and not much worse than others.
 
-        Paces are compared with the service's usual one, not with the best server's: one that was asked less
-        is known less.
+        Its latency is compared with the class's usual one, not with the best backend's, which may be known
+        less well.
         """
-        server = self.servers.get(job.req.home)
-        if server is None or server.state is not State.READY or server.entry.service != job.req.service:
+        home = self.backends.get(job.req.home)
+        if home is None or home.state is not State.READY or home.entry.service != job.req.service:
             return None
-        if server.entry.backend in job.tried or self.now < server.down_until:
+        if home.entry.backend in job.tried or self.now < home.ejected_until:
             return None
-        held = len(server.out) / max(1.0, server.entry.weight)
-        others = len(best.out) / max(1.0, best.entry.weight) if best is not None else held
-        near = self.expected(server, usual) <= HOME and 1 + held <= HOME * (1 + others)
-        return server if near and held < DEPTH else None
-
-    def expected(self, server: Server, usual: float) -> float:
-        """Its pace, and longer the longer it has been silent with something out."""
-        pace = server.pace
-        if self.now < server.entry.started + 3.0:
-            pace *= COLD
-        if server.out:
-            quiet = self.now - max(next(iter(server.out.values())), server.answered)
-            if quiet > max(LEAST_SILENCE, SILENCE * usual):
-                pace = max(pace, quiet / usual)
-        return pace
-
-    def send(self, job: Job, server: Server) -> None:
-        server.out[job.req.request, job.attempts] = self.now
-        server.asked = self.now
-        self.out += 1
-        job.out[job.attempts] = server, self.now
+        queue = len(home.in_flight) / max(1.0, home.entry.weight)
+        best_queue = len(best.in_flight) / max(1.0, best.entry.weight) if best is not None else queue
+        is_fast = self.expected_latency(home, usual) <= HOME_FACTOR
+        return (
+            home if is_fast and 1 + queue <= HOME_FACTOR * (1 + best_queue) and queue < QUEUE_DEPTH else None
+        )
+
+    def expected_latency(self, backend: ProxyBackend, usual: float) -> float:
+        """Return a backend's relative latency, which grows while it is silent with attempts in flight."""
+        latency = backend.relative_latency
+        if self.now < backend.entry.started + WARM_UP_S:
+            latency *= WARM_UP_FACTOR
+        if backend.in_flight:
+            silence = self.now - max(next(iter(backend.in_flight.values())), backend.answered_at)
+            if silence > max(MIN_SILENCE_S, SILENT_FACTOR * usual):
+                latency = max(latency, silence / usual)
+        return latency
+
+    # --- attempts and final answers ---------------------------------------------------------------
+
+    def send(self, job: Job, backend: ProxyBackend) -> None:
+        backend.in_flight[job.req.request, job.attempts] = self.now
+        backend.asked_at = self.now
+        self.attempts_in_flight += 1
+        job.in_flight[job.attempts] = backend, self.now
         job.attempts += 1
-        job.tried.append(server.entry.backend)
+        job.tried.append(backend.entry.backend)
         if len(job.tried) == 1:
             service = self.service(job.req.service)
-            service.tries = min(MAX_TRIES, service.tries + BUDGET * self.terms.retry_ratio)
-        self.actions.append(i.Send(job.req.request, server.entry.backend, 0.0))
+            earned = RETRY_BUDGET_SHARE * self.rules.retry_ratio
+            service.retry_tokens = min(MAX_RETRY_TOKENS, service.retry_tokens + earned)
+        self.actions.append(i.Send(job.req.request, backend.entry.backend, 0.0))
 
     def on_finished(self, event: i.Finished) -> None:
         job = self.jobs.get(event.request)
-        server = self.servers.get(event.backend)
-        sent = server.out.pop((event.request, event.attempt), None) if server is not None else None
-        if server is not None and sent is not None:
-            self.out -= 1
-            self.observe(server, event, self.now - sent, job)
-            if server.state is State.GONE and not server.out:
-                del self.servers[event.backend]
+        backend = self.backends.get(event.backend)
+        attempt = event.request, event.attempt
+        sent_at = backend.in_flight.pop(attempt, None) if backend is not None else None
+        if backend is not None and sent_at is not None:
+            self.attempts_in_flight -= 1
+            self.observe(backend, event, self.now - sent_at, job)
+            if backend.state is State.GONE and not backend.in_flight:
+                del self.backends[event.backend]
         if job is None:
             return
-        gone = job.out.pop(event.attempt, None)
-        if gone is not None and not event.outcome.never_ran:
-            job.ran = gone
+        ended = job.in_flight.pop(event.attempt, None)
+        if ended is not None and not event.outcome.never_ran:
+            job.possible_run = ended
         if event.closed or event.outcome is Outcome.OK:
             self.close(job)
-        if not job.out:
+        if not job.in_flight:
             if job.closed:
                 self.close(job)
             else:
-                self.further(job, event.outcome)
+                self.retry_or_end(job, event.outcome)
 
-    def observe(self, server: Server, event: i.Finished, took: float, job: Job | None) -> None:
-        """Learn from how an attempt ended."""
+    def observe(self, backend: ProxyBackend, event: i.Finished, took: float, job: Job | None) -> None:
+        """Update latencies and ejections by an attempt that ended after `took` seconds."""
         outcome = event.outcome
         if outcome is Outcome.MOOT:
             return
         if outcome is Outcome.CANCELLED:
             if job is not None and job.closed:
-                self.observe_departure(server, took / self.usual[job.req.cls])
+                self.observe_departure(backend, took / self.class_latency[job.req.cls])
             return
         if outcome is Outcome.OK and job is not None:
-            server.answered, server.fails = self.now, 0
-            if (
-                not server.shunned or self.now >= server.down_until
-            ):  # one good answer is no word against several
-                server.down_until, server.shunned = 0.0, False
+            backend.answered_at, backend.failures = self.now, 0
+            # One good answer does not outweigh several proxies' reports.
+            if not backend.is_reported or self.now >= backend.ejected_until:
+                backend.ejected_until, backend.is_reported = 0.0, False
             cls = job.req.cls
-            usual = self.usual[cls]
-            self.seen[cls] += 1
-            self.usual[cls] += max(SMOOTH / 4, 1 / self.seen[cls]) * (min(took, 4 * usual) - usual)
-            server.pace += SMOOTH * (min(4.0, took / usual) - server.pace)
+            usual = self.class_latency[cls]
+            self.answer_counts[cls] += 1
+            weight = max(LATENCY_WEIGHT / 4, 1 / self.answer_counts[cls])
+            self.class_latency[cls] += weight * (min(took, 4 * usual) - usual)
+            backend.relative_latency += LATENCY_WEIGHT * (min(4.0, took / usual) - backend.relative_latency)
         elif outcome in (Outcome.ERROR, Outcome.FULL):
-            server.answered = self.now
+            backend.answered_at = self.now
             if outcome is Outcome.FULL:
-                server.down_until = max(server.down_until, self.now + TICK * 2)
+                backend.ejected_until = max(backend.ejected_until, self.now + TICK_S * 2)
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-            server.fails += 1
-            if outcome is Outcome.CONNECT_FAILED or server.fails > 2:
-                down = min(MAX_DOWN, DOWN * 2 ** min(4, server.fails - 1))
-                server.down_until = max(server.down_until, self.now + down)
-
-    def observe_departure(self, server: Server, pace: float) -> None:
-        """Its client did not wait for the answer.  The server's pace is this at least; without it one that
-        answers nobody would look idle as soon as its clients had left.
-        """
-        if pace > server.pace:
-            server.pace += SMOOTH * (min(4.0, pace) - server.pace)
+            backend.failures += 1
+            if outcome is Outcome.CONNECT_FAILED or backend.failures > 2:
+                seconds = min(MAX_EJECT_S, EJECT_S * 2 ** min(4, backend.failures - 1))
+                backend.ejected_until = max(backend.ejected_until, self.now + seconds)
+
+    def observe_departure(self, backend: ProxyBackend, relative_latency: float) -> None:
+        """Observe a client that left before the answer: the backend's latency is at least `relative_latency`.
 
-    def further(self, job: Job, outcome: Outcome) -> None:
-        """No attempt is out and none served: another server where that is allowed, else the end."""
-        may = job.ran is None or job.cls.effect is Effect.SAFE
-        most = job.req.most or self.settings.limits.max_attempts
+        Otherwise a backend that answers nothing would look idle as soon as its clients had left.
+        """
+        if relative_latency > backend.relative_latency:
+            change = min(4.0, relative_latency) - backend.relative_latency
+            backend.relative_latency += LATENCY_WEIGHT * change
+
+    def retry_or_end(self, job: Job, outcome: Outcome) -> None:
+        """Retry a job whose attempts have all failed at another backend if that is allowed, else end it."""
+        is_repeatable = job.possible_run is None or job.cls.effect is Effect.SAFE
+        max_attempts = job.req.most or self.settings.limits.max_attempts
         if outcome is Outcome.CONNECT_FAILED:
             self.unreached[job.req.request] = self.unreached.get(job.req.request, 0) + 1
-        arrived = job.attempts - self.unreached.get(job.req.request, 0)
-        left = job.end - self.now > MARGIN + TICK
-        if not may or not left or job.attempts >= self.settings.limits.max_attempts:
-            return self.end(job)
-        if arrived:
+        reached = job.attempts - self.unreached.get(job.req.request, 0)
+        has_time = job.deadline - self.now > MARGIN_S + TICK_S
+        if not is_repeatable or not has_time or job.attempts >= self.settings.limits.max_attempts:
+            return self.end_job(job)
+        if reached:
             service = self.service(job.req.service)
-            if arrived >= most or service.tries < 1:
-                self.spared += 1
-                return self.end(job)
-            if (server := self.choose(job)) is None:
-                return self.end(job)
-            service.tries -= 1
-            return self.send(job, server)
+            if reached >= max_attempts or service.retry_tokens < 1:
+                self.denied_retries += 1
+                return self.end_job(job)
+            if (backend := self.choose_backend(job)) is None:
+                return self.end_job(job)
+            service.retry_tokens -= 1
+            return self.send(job, backend)
         self.dispatch(job)
 
-    def end(self, job: Job) -> None:
-        """The final answer: a refusal where nothing has run, for that is a promise; else a failure."""
-        if not job.out and (job.ran is None or job.cls.effect is Effect.SAFE):
+    def end_job(self, job: Job) -> None:
+        """Answer finally: a refusal promises that nothing took effect, a failure leaves it open."""
+        if not job.in_flight and (job.possible_run is None or job.cls.effect is Effect.SAFE):
             why = Why.BACKENDS if job.attempts else Why.ROOM
-            self.refuse(job, BACK * job.cls.aim, why)
+            self.refuse(job, RETRY_AFTER_SHARE * job.cls.aim, why)
         else:
             self.close(job)
             self.actions.append(i.Fail(job.req.request))
 
-    def turn(self, job: Job, after: float) -> float:
-        """Seconds after which a request that its quota does not hold now may come back: each its own time.
+    def schedule_retry(self, job: Job, after: float) -> float:
+        """Return the seconds after which a request refused for its quota may retry, spread over time.
 
-        Told the same time, those that were refused together come back together, and most are refused again
-        until they give up.  Half of the tenant's rate is dealt out in turns, this door's part of it.  Where
-        far more comes than its quota holds, and goes on coming, turns would only make requests late that
-        others are served in place of: there `after` is told.
+        With the same delay, requests refused together would retry together, and most would be refused again
+        until they give up.  So retries are spread over this proxy's part of half of the tenant's rate.  While
+        far more than the quota keeps arriving, that would only delay requests in whose place others are
+        served: then new requests get `after`.
         """
         lease = job.leases[0]
-        line = self.lines.setdefault(lease.customer, Line())
-        if line.until <= self.now:
-            line.until, line.flooded = self.now, False
-        at = max(self.now + after, line.until)
-        line.until = min(at + lease.width / (TURN_PART * lease.plan.rate), self.now + FLOOD)
-        line.flooded = line.flooded or line.until >= self.now + FLOOD
-        most = TURN_LEFT * (job.end - self.now)
-        if line.flooded:  # who has just come may still be served in time; the others once it is over
-            return after if job.cls.deadline - (job.end - self.now) < job.cls.aim / 4 else most
-        return min(at - self.now, most)
+        schedule = self.retry_schedules.setdefault(lease.customer, RetrySchedule())
+        if schedule.next_at <= self.now:
+            schedule.next_at, schedule.is_flooded = self.now, False
+        retry_at = max(self.now + after, schedule.next_at)
+        interval = lease.width / (RETRY_RATE_SHARE * lease.plan.rate)
+        schedule.next_at = min(retry_at + interval, self.now + FLOOD_S)
+        schedule.is_flooded = schedule.is_flooded or schedule.next_at >= self.now + FLOOD_S
+        max_delay = MAX_RETRY_DELAY_SHARE * (job.deadline - self.now)
+        if schedule.is_flooded:  # new requests may still be served in time, older ones once it is over
+            age = job.cls.deadline - (job.deadline - self.now)
+            return after if age < job.cls.aim / 4 else max_delay
+        return min(retry_at - self.now, max_delay)
 
     def refuse(self, job: Job, retry_after: float, why: Why) -> None:
         self.close(job)
-        most = self.settings.limits.max_retry_after
+        limit = self.settings.limits.max_retry_after
         if why is Why.QUOTA and job.leases and job.plan.rate > 0:
-            most, retry_after = math.inf, self.turn(job, retry_after)
-        self.actions.append(i.Refuse(job.req.request, min(max(0.0, retry_after), most), why))
+            limit, retry_after = math.inf, self.schedule_retry(job, retry_after)
+        self.actions.append(i.Refuse(job.req.request, min(max(0.0, retry_after), limit), why))
 
     def close(self, job: Job | None) -> None:
-        """Late or repeated news changes nothing."""
-        if job and not job.out and job.req.request in self.jobs:
+        """Close a job, idempotently."""
+        if job and not job.in_flight and job.req.request in self.jobs:
             del self.jobs[job.req.request]
             self.unreached.pop(job.req.request, None)
-            self.release(job, unsent=job.ran is None)
+            self.release(job, unsent=job.possible_run is None)
         if job:
             job.closed = True
 
-    # --- the tick ----------------------------------------------------------------------------------
+    # --- timer ------------------------------------------------------------------------------------
 
     def set_timer(self) -> None:
-        if not self.jobs and not self.holding:
+        if not self.jobs and not self.returnable:
             return
-        waits = self.out < len(self.jobs)
-        due = self.now + TICK * (1 if waits else WATCH_TICKS)
-        if not self.now + 1e-4 < self.tick_at <= due:
-            self.tick_at = due
+        has_waiting = self.attempts_in_flight < len(self.jobs)
+        due = self.now + TICK_S * (1 if has_waiting else SCAN_TICKS)
+        if not self.now + EPSILON < self.timer_due <= due:
+            self.timer_due = due
             self.actions.append(i.SetTimer(due, 1))
 
-    def tick(self) -> None:
-        for job in [j for j in self.jobs.values() if not j.out and not j.closed]:
-            if self.now > job.end - MARGIN - TICK:
+    def on_tick(self) -> None:
+        for job in [j for j in self.jobs.values() if not j.in_flight and not j.closed]:
+            if self.now > job.deadline - MARGIN_S - TICK_S:
                 self.refuse(job, 0.0, Why.DEADLINE)
-        self.call_waiting()
-        self.rescue()
+        self.admit_queued()
+        self.retry_silent()
         if self.now >= self.scan_at:
-            self.scan_at = self.now + WATCH_TICKS * TICK
-            self.scan()
+            self.scan_at = self.now + SCAN_TICKS * TICK_S
+            self.return_idle_credits()
 
-    def rescue(self) -> None:
-        """Another server for a repeatable request whose own has fallen silent."""
-        for job in [j for j in self.jobs.values() if len(j.out) == 1 and not j.closed]:
+    def retry_silent(self) -> None:
+        """Cancel attempts of safe requests at silent backends, to retry them at others."""
+        for job in [j for j in self.jobs.values() if len(j.in_flight) == 1 and not j.closed]:
             if job.cls.effect is not Effect.SAFE:
                 continue
-            ((attempt, (server, sent)),) = job.out.items()
-            usual = self.usual[job.req.cls]
-            quiet = self.now - max(sent, server.answered)
-            if quiet < max(LEAST_SILENCE, SILENCE * usual) or self.now - sent < LOST * usual:
+            ((attempt, (backend, sent_at)),) = job.in_flight.items()
+            usual = self.class_latency[job.req.cls]
+            silence = self.now - max(sent_at, backend.answered_at)
+            is_silent = silence >= max(MIN_SILENCE_S, SILENT_FACTOR * usual)
+            if not is_silent or self.now - sent_at < LOST_FACTOR * usual:
                 continue
-            most = job.req.most or self.settings.limits.max_attempts
+            max_attempts = job.req.most or self.settings.limits.max_attempts
             service = self.service(job.req.service)
-            arrived = job.attempts - self.unreached.get(job.req.request, 0)
-            if arrived < most and service.tries >= 1 and job.end - self.now > usual:
-                self.actions.append(i.Cancel(job.req.request, attempt))  # `further` sends again
+            reached = job.attempts - self.unreached.get(job.req.request, 0)
+            may_retry = reached < max_attempts and service.retry_tokens >= 1
+            if may_retry and job.deadline - self.now > usual:
+                self.actions.append(i.Cancel(job.req.request, attempt))  # `retry_or_end` sends it again
--- a/orchidhill/state.py
+++ b/orchidhill/state.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps of customers, backends and requests; how it changes stands in gateway.py.  Pure."""
+"""What a gateway keeps of customers, backends and requests; gateway.py and admission.py change it.  Pure."""
 
 from __future__ import annotations
 
@@ -9,55 +9,55 @@
 from orchidhill import interface as i
 from orchidhill.interface import State
 
-FIRST_LATENCY = 0.3  # guess before the first answer, in seconds
+INITIAL_LATENCY_S = 0.3  # estimate before the first answer
 
 
 @dataclass(slots=True)
 class Lease:
-    """A customer's leased budget at this gateway: rate units, or slots where `slots` is set."""
+    """A customer's leased credits at this gateway: rate units, or concurrency slots with `for_slots`."""
 
     customer: int
     plan: i.Plan
-    width: int
-    first: int  # of the customer's gateways
-    slots: bool
-    length: float  # of a window
-    phase: float  # customers' windows roll at different times, to spread the calls
-    base: float  # what may be leased at once
-    span: float  # seconds in which that fills again
-    size: float  # ln of the batch to lease
-    window: int = -1
+    width: int  # gateways that the customer's requests come to
+    first_gateway: int  # of the customer's gateways
+    for_slots: bool
+    window_length: float  # seconds
+    phase: float  # seconds; offsets the customers' windows, to spread the calls
+    capacity: float  # credits that may be leased at once
+    refill_time: float  # seconds in which the capacity refills
+    log_size: float  # ln of the lease size
+    window: int = -1  # number of the current window
     credits: float = 0.0
-    unripe: float = 0.0  # of the credits, leased when the store did not hold them: they come with time
-    unripe_at: float = 0.0
-    wide: bool = False  # the customer comes to more gateways than it may lease units at once
-    epoch: int = -1  # spans passed
-    asked: float = 0.0  # the batch of the lease in flight
-    waiting: bool = False  # whether one is
-    total: float = 0.0  # of this window's name, as last seen, with my calls that are out
-    mine: float = 0.0  # what the counter confirmed of my adds to this window
-    odds: float = 1.0  # share of this customer's leases that were granted
-    owed: float = 0.0  # to be added yet: let in unasked, flowed over, lacking at the edge
-    seed: float = 0.0  # what it lacked at the edge, until it is known to be on the window's name
-    lapsed: float = 0.0  # credit that lapsed there, until then
-    met: bool = False  # whether the counter has answered in this window
+    advance: float = 0.0  # of the credits, leased before the bucket held them: spendable as it refills
+    advance_at: float = 0.0
+    is_wide: bool = False  # whether the customer comes to more gateways than it may lease credits at once
+    refill_period: int = -1  # number of the current period of `refill_time`
+    requested: float = 0.0  # credits that the lease call in flight asks for; 0: it only reads the total
+    is_leasing: bool = False  # whether a lease call or a read is in flight
+    total: float = 0.0  # counter total of this window as last seen, with the own calls in flight
+    confirmed: float = 0.0  # own additions to this window that the counter confirmed
+    grant_odds: float = 1.0  # smoothed share of the customer's leases that were granted
+    owed: float = 0.0  # still to be added to the counter: admitted locally, overflow, deficit at the edge
+    edge_deficit: float = 0.0  # what the bucket lacked at the edge, until it is known to be in the total
+    expired_credits: float = 0.0  # credits that expired at the edge, until then
+    is_synced: bool = False  # whether the counter has answered in this window
     denied_until: float = 0.0
-    apart_at: float = 0.0  # since when the counter does not answer for it; 0: it does
-    told: float = 0.0  # the last total of this window
-    checked: float = -math.inf  # when the counter last answered for it
-    last: float = 0.0  # of the window before: what the counter confirmed of my adds, less what is doubtful
-    whole: float = 0.0  # and the most that its total came to
-    part: float = 0.0  # of the customer's use, what was at this gateway, at the least
-    shaky: float = 0.0  # taken off without an answer
-    doubts: list[tuple[float, int]] = field(default_factory=list)  # adds without one, to be made again
-    born: int = 0  # the incarnation of the counts that answered last
-    brought: float = 0.0  # of what I added to counts that had lost it, what had been the others'
-    served: float = 0.0
-    slope: float = 1e-6  # AdaGrad's sum of squared gradients
-    in_use: int = 0  # slots of attempts out
-    bucket: float = 0.0  # local share, for when the counter cannot be asked
-    bucket_at: float = 0.0
-    touched: float = 0.0
+    degraded_at: float = 0.0  # since when the counter has not answered for this customer; 0: it answers
+    last_total: float = 0.0  # the counter's last answer for this window
+    answered_at: float = -math.inf  # when the counter last answered for this customer
+    previous_confirmed: float = 0.0  # own additions confirmed in the previous window, less the uncertain ones
+    previous_total: float = 0.0  # the most that the previous window's total may have been
+    usage_share: float = 0.0  # lower bound of this gateway's share of the customer's use
+    unanswered_returns: float = 0.0  # sum of returns that got no answer, negative
+    unanswered_adds: list[tuple[float, int]] = field(default_factory=list)  # amount, serial; to be repeated
+    incarnation: int = 0  # of the counter that answered last
+    restored_for_others: float = 0.0  # of what was restored to a counter that lost it, what others had added
+    served_units: float = 0.0  # in this refill period
+    gradient_sum: float = 1e-6  # AdaGrad's sum of squared gradients
+    in_use: int = 0  # slots held by attempts in flight
+    local_level: float = 0.0  # token bucket of the local share, for when the counter can't be asked
+    local_level_at: float = 0.0
+    used_at: float = 0.0
     waiters: deque[Job] = field(default_factory=deque)
 
 
@@ -68,42 +68,44 @@
     lease: Lease
     window: int
     amount: float
-    gives: bool  # asks for nothing
-    number: int  # 0: it may not be made again
-    fix: float = 0.0  # of the amount, what puts the name right
+    is_adjustment: bool  # corrects the total or returns credits: no request waits for it
+    serial: int  # 0: it must not be repeated
+    correction: float = 0.0  # part of the amount that repairs the total, such as overflow
 
 
 @dataclass(slots=True)
 class Backend:
+    """A backend as this gateway sees it."""
+
     entry: i.Entry
-    out: dict[tuple[int, int], float] = field(default_factory=dict)  # attempts out, oldest first
+    in_flight: dict[tuple[int, int], float] = field(default_factory=dict)  # sent at, oldest attempt first
     state: State = State.READY
-    latency: float = FIRST_LATENCY
-    answered: float = 0.0  # when it last answered
-    heard: dict[int, float] = field(default_factory=dict)  # and by class
-    seen: float = 0.0  # when anything was last learned of it
-    load: float = 0.0  # waiting requests and busy share, as last reported
+    latency: float = INITIAL_LATENCY_S
+    answered_at: float = 0.0
+    class_answered_at: dict[int, float] = field(default_factory=dict)
+    observed_at: float = 0.0  # when the latency was last updated
+    load: float = 0.0  # waiting requests and utilisation, as last reported
     load_at: float = -math.inf
-    silent: dict[int, float] = field(default_factory=dict)  # classes it left unanswered, and when
-    cold_level: float = 0.0  # token bucket for sends while it is cold
+    silent_since: dict[int, float] = field(default_factory=dict)  # by class that it left unanswered
+    cold_level: float = 0.0  # token bucket for sends during warm-up
     cold_at: float = 0.0
-    rank: int = 0  # the lowest ones are near: so every gateway has a set of its own that changes little
+    rank: int = 0  # stable hash; the lowest form the gateway's own subset, which so changes little
 
 
 @dataclass(slots=True)
 class Job:
-    """A request that still needs an answer, or whose attempts are still out."""
+    """A request that still needs an answer, or whose attempts are still in flight."""
 
     req: i.Request
     cls: i.RequestClass
     plan: i.Plan
-    arrived: float
-    end: float
+    arrived_at: float
+    deadline: float
     leases: list[Lease]
-    held: list[Lease] = field(default_factory=list)  # leases whose credit it holds
-    out: dict[int, tuple[Backend, float]] = field(default_factory=dict)
-    tried: list[int] = field(default_factory=list)
+    granted: list[Lease] = field(default_factory=list)  # leases whose credit it holds
+    in_flight: dict[int, tuple[Backend, float]] = field(default_factory=dict)  # by attempt: where, sent at
+    tried: list[int] = field(default_factory=list)  # backends, in order
     attempts: int = 0
-    window: int = 0  # whose credit it holds
-    ran: tuple[Backend, float] | None = None  # first attempt that may have run
+    credit_period: int = 0  # refill period of the credit that it holds
+    possible_run: tuple[Backend, float] | None = None  # attempt that may have taken effect
     closed: bool = False
--- a/tests/proxy/test_proxy_gateway.py
+++ b/tests/proxy/test_proxy_gateway.py
@@ -11,7 +11,7 @@
 from ivymux.proxy.module_settings import module_settings
 from orchidhill import interface as i
 from orchidhill.interface import Effect, Outcome, State, Why
-from orchidhill.proxy_gateway import MAX_TRIES, SILENT, Switch, Terms
+from orchidhill.proxy_gateway import MAX_RETRY_TOKENS, SILENT, ProxyGateway, ProxyRules
 
 CLASSES = tuple(
     i.RequestClass(name, 0.3, 1.2, effect, i.Scope.ALL, 0.0, 1.0, 0.1, False)
@@ -25,7 +25,7 @@
     """A switch with servers, and requests that are sent to it."""
 
     def __init__(self, servers: int = 4) -> None:
-        self.switch = Switch(module_settings(), 3, Terms(0.2, 5.0, 0.1, 20.0))
+        self.switch = ProxyGateway(module_settings(), 3, ProxyRules(0.2, 5.0, 0.1, 20.0))
         self.now, self.number = 1000.0, 0
         self.do(i.Classes(CLASSES))
         self.do(i.Plans((FREE, FEW)))
@@ -120,7 +120,7 @@
         for other in more:
             floor.ended(request, 1, other, Outcome.OK)
         floor.now += 0.05
-    assert 0.2 * firsts * 0.5 < again <= 0.2 * firsts + MAX_TRIES
+    assert 0.2 * firsts * 0.5 < again <= 0.2 * firsts + MAX_RETRY_TOKENS
 
 
 def test_requests_go_to_servers_of_their_service_that_are_ready() -> None:
@@ -171,7 +171,7 @@
     floor.do(i.Plans((FREE, replace(FEW, rate=2.0, burst=1.0))))
     actions = floor.do(i.Counted(count.name, Outcome.OK, 0.0, 0.001, 9))
     (lease,) = floor.switch.leases.values()
-    assert lease.plan.rate == 2.0 and lease.base == 1.0
+    assert lease.plan.rate == 2.0 and lease.capacity == 1.0
     assert 0.0 <= count.drained - 10.0 * count.since < 0.1 and count.since >= 0.0
 
 
@@ -180,7 +180,7 @@
     for doors in (2, 8, 75, 300):
         let_in = 0
         for seed in range(doors):
-            switch = Switch(module_settings(), seed, Terms(0.2, 5.0, 0.1, 20.0))
+            switch = ProxyGateway(module_settings(), seed, ProxyRules(0.2, 5.0, 0.1, 20.0))
             switch.handle(1000.0, i.Classes(CLASSES))
             switch.handle(1000.0, i.Plans((FREE, plan)))
             switch.handle(1000.0, i.Doors(doors))
@@ -239,7 +239,7 @@
     first: Counter[int] = Counter()
     for seed in range(85):
         floor = Floor(0)
-        floor.switch = Switch(module_settings(), seed, Terms(0.2, 5.0, 0.1, 20.0))
+        floor.switch = ProxyGateway(module_settings(), seed, ProxyRules(0.2, 5.0, 0.1, 20.0))
         floor.do(i.Classes(CLASSES))
         floor.do(i.Plans((FREE, FEW)))
         floor.members(*((n, State.READY) for n in range(1, 65)))
@@ -253,16 +253,16 @@
     """Its aim tells what it may take: nothing is given up and run anew before that is learned."""
     floor = Floor()
     floor.do(i.Classes((replace(CLASSES[0], aim=2.0, deadline=12.0), CLASSES[1])))
-    floor.switch.usual, floor.switch.seen = [], []
+    floor.switch.class_latency, floor.switch.answer_counts = [], []
     floor.do(i.Classes(floor.switch.settings.classes))
     number, actions = floor.ask()
     assert sent(actions)
     for _ in range(30):  # 3 s, five times what it usually takes
         floor.now += 0.1
         assert not [a for a in floor.do(i.Fired(1)) if isinstance(a, i.Cancel)]
-    assert floor.switch.usual[0] == pytest.approx(0.6)
+    assert floor.switch.class_latency[0] == pytest.approx(0.6)
     floor.ended(number, 0, sent(actions)[0], Outcome.OK)
-    assert floor.switch.usual[0] > 0.6  # a fifth of the way at the first answer
+    assert floor.switch.class_latency[0] > 0.6  # a fifth of the way at the first answer
 
 
 def test_a_server_that_other_doors_found_failing_is_left_alone_while_there_are_others() -> None:
@@ -288,11 +288,11 @@
         (server,) = sent(actions)
         chosen[server] += 1
         if server == 1:  # its clients wait for twice the usual time, then leave
-            floor.now += 2 * floor.switch.usual[0]
+            floor.now += 2 * floor.switch.class_latency[0]
             floor.do(i.Left(request))
             floor.do(i.Finished(request, 0, server, Outcome.CANCELLED, True, 0.1, 0, 0, ()))
         else:
-            floor.now += floor.switch.usual[0]
+            floor.now += floor.switch.class_latency[0]
             floor.ended(request, 0, server, Outcome.OK)
     assert chosen[1] < min(chosen[n] for n in (2, 3, 4)) / 2
 
@@ -301,7 +301,7 @@
     floor = Floor()
     request, actions = floor.ask()
     (server,) = sent(actions)
-    floor.now += floor.switch.usual[0] / 2
+    floor.now += floor.switch.class_latency[0] / 2
     floor.do(i.Left(request))
     floor.do(i.Finished(request, 0, server, Outcome.CANCELLED, True, 0.01, 0, 0, ()))
-    assert floor.switch.servers[server].pace == 1.0 and not floor.switch.jobs
+    assert floor.switch.backends[server].relative_latency == 1.0 and not floor.switch.jobs
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -19,7 +19,7 @@
 from ivymux.proxy.program import Door
 from orchidhill import interface as i
 from orchidhill.interface import Outcome, State
-from orchidhill.proxy_gateway import Switch
+from orchidhill.proxy_gateway import ProxyGateway
 
 
 def swap(owner: Any, name: str, part: Any) -> None:
@@ -31,15 +31,15 @@
 
 
 def action_sent_again() -> None:
-    true = Switch.further
+    true = ProxyGateway.retry_or_end
 
-    def further(self: Switch, job: Any, outcome: Outcome) -> None:
-        job.ran = None
+    def retry_or_end(self: ProxyGateway, job: Any, outcome: Outcome) -> None:
+        job.possible_run = None
         for service in self.services.values():
-            service.tries = 100.0
+            service.retry_tokens = 100.0
         true(self, job, outcome)
 
-    swap(Switch, "further", further)
+    swap(ProxyGateway, "retry_or_end", retry_or_end)
 
 
 def failure_promised() -> None:
@@ -123,30 +123,30 @@
 
 
 def drain_not_heard() -> None:
-    true = Switch.on_members
+    true = ProxyGateway.on_members
 
-    def on_members(self: Switch, event: i.Members) -> None:
+    def on_members(self: ProxyGateway, event: i.Members) -> None:
         entries = tuple(replace(entry, state=State.READY) for entry in event.entries)
         true(self, replace(event, entries=entries))
 
-    swap(Switch, "on_members", on_members)
+    swap(ProxyGateway, "on_members", on_members)
 
 
 def quota_not_held() -> None:
-    true = Switch.on_plans
-    swap(Switch, "on_plans", lambda self, plans: true(self, tuple(replace(p, rate=0.0) for p in plans)))
+    true = ProxyGateway.on_plans
+    swap(ProxyGateway, "on_plans", lambda self, plans: true(self, tuple(replace(p, rate=0.0) for p in plans)))
 
 
 def no_limit_of_attempts() -> None:
-    true = Switch.further
+    true = ProxyGateway.retry_or_end
 
-    def further(self: Switch, job: Any, outcome: Outcome) -> None:
+    def retry_or_end(self: ProxyGateway, job: Any, outcome: Outcome) -> None:
         job.req.most = 6
         for service in self.services.values():
-            service.tries = 100.0
+            service.retry_tokens = 100.0
         true(self, job, outcome)
 
-    swap(Switch, "further", further)
+    swap(ProxyGateway, "retry_or_end", retry_or_end)
 
 
 def deadline_not_kept() -> None:
--- a/tests/tally/test_four_doors.py
+++ b/tests/tally/test_four_doors.py
@@ -164,7 +164,7 @@
             load = asyncio.create_task(four.load(FLOOD, 5 * RATE, (1, 1, 1, 1), 45.0))
             await four.until(4.0)
             lease = next(iter(gateways[0].leases.values()))
-            edge = (lease.window + 1) * lease.length - lease.phase - loop.time()
+            edge = (lease.window + 1) * lease.window_length - lease.phase - loop.time()
             await asyncio.sleep(edge + 2.0)
             before, began = len(four.ran[FLOOD]), four.now
             names = dict(four.counts.totals)
@@ -178,7 +178,9 @@
             totals = {n: t - names.get(n, 0.0) for n, t in four.counts.totals.items()}
             (counted,) = [t for t in totals.values() if t > 1]
             held = sum(
-                each.credits - each.owed + sum(call.amount for calls in g.calls.values() for call in calls)
+                each.credits
+                - each.owed
+                + sum(call.amount for calls in g.pending_calls.values() for call in calls)
                 for g in gateways
                 for each in g.leases.values()
             )
--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -113,7 +113,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The search can fail: with the whole quota to each door apart it does, and cuts the schedule down."""
-    monkeypatch.setattr(degraded_mode, "share", lambda width, part: 1.0)
+    monkeypatch.setattr(degraded_mode, "quota_share", lambda width, part: 1.0)
     failed: list[list[Fault]] = []
 
     @seed(1)
@@ -158,8 +158,11 @@
 
 
 def test_a_share_fades_when_a_door_is_apart_for_long() -> None:
-    assert degraded_mode.fade(10.0) == degraded_mode.fade(degraded_mode.HOLD) == 1.0
-    assert degraded_mode.fade(90.0) == pytest.approx(2 / 3) and degraded_mode.fade(1e6) == degraded_mode.FADED
+    assert degraded_mode.fade_factor(10.0) == degraded_mode.fade_factor(degraded_mode.HOLD_S) == 1.0
+    assert (
+        degraded_mode.fade_factor(90.0) == pytest.approx(2 / 3)
+        and degraded_mode.fade_factor(1e6) == degraded_mode.MIN_FADE
+    )
 
 
 @given(
@@ -173,9 +176,9 @@
     own = own[:width]
     whole = sum(own) + unseen
     parts = [mine / max(mine, whole) if whole else 0.0 for mine in own]
-    total = sum(degraded_mode.share(width, part) for part in parts) + (
+    total = sum(degraded_mode.quota_share(width, part) for part in parts) + (
         width - len(own)
-    ) * degraded_mode.share(width, 0.0)
+    ) * degraded_mode.quota_share(width, 0.0)
     assert total <= 1 + 1e-9
 
 
@@ -186,15 +189,27 @@
     ceiling: float, rate: float, store: float
 ) -> None:
     made = plan(4.0, 8.0, ceiling)
-    assert degraded_mode.beside(made) == pytest.approx(rate) and degraded_mode.store(made) == pytest.approx(
-        store
-    )
+    assert degraded_mode.rate_factor(made) == pytest.approx(rate) and degraded_mode.shared_burst(
+        made
+    ) == pytest.approx(store)
 
 
 def test_where_the_doors_are_more_than_the_burst_only_the_first_ones_hold_a_unit() -> None:
     small = plan(1.0, 2.0, 2.0)  # a ceiling of 4 units
-    assert [degraded_mode.least(small, 8, rank) for rank in range(8)] == [1.0, 1.0, 0, 0, 0, 0, 0, 0]
-    assert degraded_mode.least(small, 2, 1) == 1.0 and degraded_mode.least(plan(1.0, 2.0), 8, 7) == 1.0
+    assert [degraded_mode.min_local_capacity(small, 8, rank) for rank in range(8)] == [
+        1.0,
+        1.0,
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+    ]
+    assert (
+        degraded_mode.min_local_capacity(small, 2, 1) == 1.0
+        and degraded_mode.min_local_capacity(plan(1.0, 2.0), 8, 7) == 1.0
+    )
     world = World(8, small, seed=2)
     begin = world.now
     world.load(FLOOD, 40.0, range(8), begin, begin + 25.0)
@@ -252,9 +267,9 @@
         world.after(4.0, lambda: world.cut([0], trouble))
         world.after(6.0, lambda: world.cut([0], "ok"))
         world.run(begin + 14.0)
-        (lease,) = [each for each in world.gateways[0].leases.values() if not each.slots]
+        (lease,) = [each for each in world.gateways[0].leases.values() if not each.for_slots]
         names = [total for total in world.tally.totals.values() if total > 0]
-        assert not lease.doubts and len(names) == 1 and len(world.let) > 40  # within one window
+        assert not lease.unanswered_adds and len(names) == 1 and len(world.let) > 40  # within one window
         return names[0] + lease.owed - lease.credits - len(world.let)
 
     assert beyond(how) == pytest.approx(beyond("ok"), abs=1.0)
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -9,8 +9,8 @@
 
 from orchidhill import bucket_overflow, degraded_mode
 from orchidhill import interface as i
-from orchidhill.call_rate import Pace
-from orchidhill.gateway import NEAR, Gateway
+from orchidhill.call_rate import CallRate
+from orchidhill.gateway import SUBSET_SIZE, Gateway
 from standins.fleet import Fleet
 from tests.helpers import START, Counter, done, entry, gateway, play, request, sends
 
@@ -29,15 +29,19 @@
 
 def test_a_gateway_of_a_large_fleet_keeps_to_a_set_of_its_own() -> None:
     one, other = (places(gateway(FLEET, me=str(n), peers_total="200"), 300) for n in (0, 1))
-    assert 8 <= len(one) <= NEAR and 8 <= len(other) <= NEAR and len(one & other) < NEAR // 2
+    assert (
+        8 <= len(one) <= SUBSET_SIZE
+        and 8 <= len(other) <= SUBSET_SIZE
+        and len(one & other) < SUBSET_SIZE // 2
+    )
 
 
 def test_the_set_changes_by_those_that_come_and_go_only() -> None:
     made = gateway(FLEET, peers_total="200")
-    before = {b.entry.backend for b in made.near}
+    before = {b.entry.backend for b in made.subset}
     gone = random.Random(1).sample(sorted(before), 4)
     made.handle(START, i.Members(i.Listing.DELTA, 2, tuple(entry(n, state=i.State.GONE) for n in gone)))
-    assert len(made.near) == NEAR and before - {b.entry.backend for b in made.near} == set(gone)
+    assert len(made.subset) == SUBSET_SIZE and before - {b.entry.backend for b in made.subset} == set(gone)
 
 
 def test_others_are_gone_to_where_none_of_the_set_may_be() -> None:
@@ -49,7 +53,7 @@
         assert again.backend % 9 == send.backend % 9 and again.backend != send.backend
         last = done(rid, again, i.Outcome.OK, attempt=1, closed=True)
         play(made, counter, START + rid + 0.2, last)
-    assert len(made.near) == NEAR
+    assert len(made.subset) == SUBSET_SIZE
 
 
 # --- leases of customers that come to more gateways than their burst has units ------------------
@@ -77,7 +81,7 @@
 def level(made: Gateway, counter: Counter, now: float) -> float:
     """What the name of the one customer says that its store of 8 units, 4 a second, holds."""
     (lease,) = made.leases.values()
-    since = now + lease.phase - lease.window * lease.length
+    since = now + lease.phase - lease.window * lease.window_length
     return 8.0 + 4.0 * since - sum(counter.totals.values())
 
 
@@ -114,33 +118,33 @@
 def test_a_request_waits_for_its_call_where_a_gateway_has_few() -> None:
     """200 gateways share 800 calls a second: what comes at once is neither refused nor let in unasked."""
     made, counter = gateway(peers_total="200", extra__counter_timeout_s="0.08"), Counter()
-    made.room = 10.0
+    made.backend_limit = 10.0
     found: list[i.Action] = []
     for n in range(3):
         found += play(made, counter, START, replace(request(n, customer=n), width=100))
     assert len(sends(found)) < 3 and not [a for a in found if isinstance(a, i.Refuse)]
     now = START
-    while made.wanting and now < START + 4.0:
+    while made.call_queue and now < START + 4.0:
         now += 0.025
         found += play(made, counter, now, i.Fired(1))
     assert len(sends(found)) == 3 and counter.calls >= 3 and START < now < START + 1.0
 
 
-def paced(pace: Pace, seconds: float, now: float) -> float:
+def paced(pace: CallRate, seconds: float, now: float) -> float:
     """As many calls as the pace allows, each answered well at once.  The time at the end."""
     for _ in range(round(seconds / 0.01)):
         now += 0.01
         while pace.budget(now) >= 1:
-            pace.called(now)
-            pace.answered(now, i.Outcome.OK, 0.001, False)
+            pace.record_call(now)
+            pace.record_answer(now, i.Outcome.OK, 0.001, False)
     return now
 
 
 def test_the_pace_of_one_gateway_of_many_goes_up_by_time_and_gently_behind_a_cut() -> None:
     """By the answer it took a front door with 4 calls a second 20 s to find what the counter bears."""
-    pace = Pace(800.0, 200, 0.08, 1.0)
+    pace = CallRate(800.0, 200, 0.08, 1.0)
     now = paced(pace, 1.0, START)
-    pace.answered(now, i.Outcome.FULL, 0.001, False)
+    pace.record_answer(now, i.Outcome.FULL, 0.001, False)
     low = pace.rate
     now = paced(pace, 1.0, now)
     assert low < pace.rate < 1.1 * low
@@ -149,24 +153,24 @@
 
 
 def test_the_pace_of_a_few_gateways_goes_up_by_the_answer() -> None:
-    pace = Pace(800.0, 4, 0.08, 1.0)
-    pace.answered(START, i.Outcome.FULL, 0.001, False)
-    low, pace.left, pace.at = pace.rate, 0.0, START
-    pace.answered(START, i.Outcome.OK, 0.001, False)
+    pace = CallRate(800.0, 4, 0.08, 1.0)
+    pace.record_answer(START, i.Outcome.FULL, 0.001, False)
+    low, pace.tokens, pace.tokens_at = pace.rate, 0.0, START
+    pace.record_answer(START, i.Outcome.OK, 0.001, False)
     assert pace.rate == pytest.approx(low * 1.01)
 
 
 def test_a_tally_that_is_back_is_taken_for_well_after_a_few_answers() -> None:
     """Of 200 front doors each calls a silent counter once in some seconds: thirteen answers took as long."""
-    watch = degraded_mode.Watch()
+    watch = degraded_mode.CounterHealth()
     for _ in range(60):
-        watch.called(START, i.Outcome.TIMEOUT)
-    seen = [watch.seen]
+        watch.record_outcome(START, i.Outcome.TIMEOUT)
+    seen = [watch.status]
     for _ in range(4):
-        watch.called(START, i.Outcome.OK)
-        seen.append(watch.seen)
-    assert seen[:2] == [degraded_mode.Seen.SILENT] * 2  # one of them changes nothing
-    assert seen[-1] is degraded_mode.Seen.WELL
+        watch.record_outcome(START, i.Outcome.OK)
+        seen.append(watch.status)
+    assert seen[:2] == [degraded_mode.CounterStatus.SILENT] * 2  # one of them changes nothing
+    assert seen[-1] is degraded_mode.CounterStatus.HEALTHY
 
 
 def test_a_gateway_that_leaves_gives_back_what_it_has_not_spent_and_pays_what_it_owes() -> None:
@@ -207,7 +211,7 @@
 def test_what_flowed_over_is_added_however_few_calls_a_gateway_has() -> None:
     """Left out for want of a call, a name said for a whole window that its store held ten bursts."""
     made, counter = gateway(peers_total="200", extra__counter_timeout_s="0.08"), Counter()
-    made.pace.left, made.pace.at = 1.5, START
+    made.call_rate.tokens, made.call_rate.tokens_at = 1.5, START
     found = play(made, counter, START, replace(request(1, plan=1), width=100))
     assert len(sends(found)) == 1 and not made.may_call()
     assert level(made, counter, START) == pytest.approx(8.0 - 1, abs=0.1)
@@ -217,10 +221,11 @@
     made = gateway()
     free, under = made.settings.plans[:2]
     assert (
-        bucket_overflow.over(free, free.burst * 1.4) == 0 and bucket_overflow.over(free, free.burst * 1.6) > 0
+        bucket_overflow.overflow(free, free.burst * 1.4) == 0
+        and bucket_overflow.overflow(free, free.burst * 1.6) > 0
     )
     # A ceiling of two bursts: a full store and as much again let in unasked leave nothing.
-    assert under.ceiling_burst == 2 * under.burst and bucket_overflow.over(under, under.burst + 0.1) > 0
+    assert under.ceiling_burst == 2 * under.burst and bucket_overflow.overflow(under, under.burst + 0.1) > 0
 
 
 def test_ceilings_hold_where_calls_are_few_and_customers_ask_far_more_than_their_quota() -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,9 +14,9 @@
 from hypothesis import strategies as st
 
 from orchidhill import interface as i
-from orchidhill.admission import FORGET, TICK, mix
+from orchidhill.admission import IDLE_TTL_S, TICK_S, stable_hash
 from orchidhill.gateway import Gateway
-from orchidhill.state import FIRST_LATENCY, Lease
+from orchidhill.state import INITIAL_LATENCY_S, Lease
 
 from .helpers import START, Counter, done, entry, gateway, play, request, sends
 
@@ -57,7 +57,7 @@
             now += gap
             made = gateways[who % count]
             for lease in made.leases.values():
-                lease.size = sizes[who]
+                lease.log_size = sizes[who]
             if serve_all(made, counter, now, rid):
                 store = min(8.0, store + 4.0 * (now - at)) - 1.0
                 at = now
@@ -82,8 +82,8 @@
     serve_all(made, counter, START, 1)
     lease = only_lease(made)
     lease.credits = 3.0
-    made.now = START + lease.length
-    made.roll(lease)
+    made.now = START + lease.window_length
+    made.roll_window(lease)
     assert lease.credits == 0.0
 
 
@@ -126,7 +126,7 @@
     """
     counter, made = Counter(), gateway()
     admitted = sum(serve_all(made, counter, START, rid) for rid in range(30))
-    assert admitted == 8 and made.level(only_lease(made)) == pytest.approx(0.0)
+    assert admitted == 8 and made.bucket_level(only_lease(made)) == pytest.approx(0.0)
     refused = [a for a in play(made, counter, START + 0.1, request(40)) if isinstance(a, i.Refuse)]
     assert [round(a.retry_after, 3) for a in refused] == [0.15]  # 4 units a second
     assert not serve_all(made, counter, START + 0.24, 41)
@@ -134,7 +134,7 @@
     assert serve_all(made, counter, START + 0.26, 42)
     assert counter.calls == calls + 1
     assert not serve_all(made, counter, START + 0.3, 43)  # leased, but 0.8 of a unit is missing
-    assert made.level(only_lease(made)) == pytest.approx(8 + 0.3 * 4 - 10)
+    assert made.bucket_level(only_lease(made)) == pytest.approx(8 + 0.3 * 4 - 10)
     calls = counter.calls
     assert not serve_all(made, counter, START + 0.49, 44)
     assert serve_all(made, counter, START + 0.51, 45)
@@ -168,7 +168,7 @@
     assert admitted == 8 + kept
     for made in (one, other):
         serve_all(made, counter, later + 0.01, 100)
-    assert {round(made.level(only_lease(made)), 2) for made in (one, other)} == {0.04}
+    assert {round(made.bucket_level(only_lease(made)), 2) for made in (one, other)} == {0.04}
 
 
 def test_two_gateways_that_meet_a_customer_at_once_take_what_flowed_over_off_once() -> None:
@@ -180,7 +180,7 @@
         answers = [(m, counter.answer(a)) for m, found in calls for a in found if isinstance(a, i.Count)]
         calls = [(made, made.handle(START, answer)) for made, answer in answers]
     assert [only_lease(made).credits for made in pair] == [2.0, 2.0]
-    assert min(made.level(only_lease(made)) for made in pair) == pytest.approx(8.0 - 2 * 3.0)
+    assert min(made.bucket_level(only_lease(made)) for made in pair) == pytest.approx(8.0 - 2 * 3.0)
 
 
 def test_what_the_store_lacks_goes_over_the_edge_once_and_unspent_credit_not_at_all() -> None:
@@ -188,7 +188,7 @@
     one, other = gateway(me="0"), gateway(me="1")
     assert serve_all(one, counter, START, 1)
     lease = only_lease(one)
-    edge = (lease.window + 1) * lease.length - lease.phase
+    edge = (lease.window + 1) * lease.window_length - lease.phase
     lease.credits = 0.0
     assert serve_all(other, counter, edge - 0.01, 2)
     leased = only_lease(other).credits
@@ -198,7 +198,7 @@
     more = sum(serve_all(made, counter, now, rid) for rid in range(50, 70) for made in (one, other))
     held = lease.credits + only_lease(other).credits
     assert 1 <= more <= leased
-    assert other.level(only_lease(other)) + held + more == pytest.approx(leased + 0.02 * 4)
+    assert other.bucket_level(only_lease(other)) + held + more == pytest.approx(leased + 0.02 * 4)
 
 
 def test_an_idle_gateway_sets_no_timer() -> None:
@@ -224,25 +224,25 @@
         made.handle(START, i.Probed(backend, i.Outcome.OK, 0.01, (0.0, 0.5, 2.0)))
     made.handle(START, i.Probed(probe.backend, i.Outcome.OK, 0.01, ()))
     silent = made.burden(made.backends[probe.backend])
-    assert all(silent > made.burden(b) - 0.5 for b in made.live) and silent > 1 + made.load
+    assert all(silent > made.burden(b) - 0.5 for b in made.ready) and silent > 1 + made.mean_load
 
 
 def test_reported_load_sheds_by_chance_before_latencies_tell() -> None:
     made = gateway(caps__may_probe="true", report__how="pull", report__columns="inflight")
-    assert all(made.has_room() for _ in range(50))
+    assert all(made.has_capacity() for _ in range(50))
     for _ in range(30):
         made.handle(START, i.Probed(1, i.Outcome.OK, 0.01, (40.0,)))
-    assert not any(made.has_room() for _ in range(50))
+    assert not any(made.has_capacity() for _ in range(50))
 
 
 def test_held_credit_under_a_ceiling_lapses_with_its_window() -> None:
     counter, made = Counter(), gateway()
-    made.missed, made.room = 1.0, 0.0
+    made.miss_ratio, made.backend_limit = 1.0, 0.0
     made.backends.clear()
-    made.live.clear()
+    made.ready.clear()
     play(made, counter, START, request(1, plan=1))
     calls, (lease,) = counter.calls, made.leases.values()
-    later, made.room = START + lease.length + 0.01, 4.0
+    later, made.backend_limit = START + lease.window_length + 0.01, 4.0
     found = play(made, counter, later, i.Members(i.Listing.FULL, 2, (entry(1),)))
     assert counter.calls == calls + 2 and not [a for a in found if isinstance(a, i.Fail)]
 
@@ -252,26 +252,26 @@
     made = gateway(tariffs__0__peak_units="80.0")
     made.handle(START, request(1))
     lease = only_lease(made)
-    lease.size, lease.odds = start, 1.0
+    lease.log_size, lease.grant_odds = start, 1.0
     optimum = math.log(math.sqrt(2 * 16.0 / 0.5))
-    before = abs(lease.size - optimum)
+    before = abs(lease.log_size - optimum)
     for _ in range(200):
-        lease.served, lease.odds = 16.0, 1.0
-        made.learn(lease)
-    assert abs(lease.size - optimum) < min(before, 0.1)
+        lease.served_units, lease.grant_odds = 16.0, 1.0
+        made.adapt_lease_size(lease)
+    assert abs(lease.log_size - optimum) < min(before, 0.1)
 
 
 def test_idle_records_age_out() -> None:
     counter, made = Counter(), gateway()
     serve_all(made, counter, START, 1)
-    made.now = START + FORGET + 1
-    made.scan()
+    made.now = START + IDLE_TTL_S + 1
+    made.return_idle_credits()
     assert not made.leases
 
 
 def test_names_are_stable_and_distinct() -> None:
-    assert mix(1, 2, 3) == mix(1, 2, 3)
-    assert len({mix(c, w, k) for c in range(50) for w in range(50) for k in range(3)}) == 7500
+    assert stable_hash(1, 2, 3) == stable_hash(1, 2, 3)
+    assert len({stable_hash(c, w, k) for c in range(50) for w in range(50) for k in range(3)}) == 7500
 
 
 def test_slots_cap_attempts_and_go_back() -> None:
@@ -435,8 +435,8 @@
     made.handle(START, request(1, left=0.3))  # its lease is never answered
     ended: list[i.Action] = []
     for n in range(1, 13):
-        ended += made.handle(START + n * TICK, i.Fired(1))
-    assert [a for a in ended if isinstance(a, i.Refuse)] == [i.Refuse(1, FIRST_LATENCY, i.Why.COUNTER)]
+        ended += made.handle(START + n * TICK_S, i.Fired(1))
+    assert [a for a in ended if isinstance(a, i.Refuse)] == [i.Refuse(1, INITIAL_LATENCY_S, i.Why.COUNTER)]
 
 
 def test_the_time_out_at_the_deadline_is_answered_as_failed() -> None:
@@ -482,7 +482,7 @@
     hold(made, 1)
     found: list[i.Action] = []
     for n in range(1, 80):
-        found += made.handle(START + n * TICK, i.Fired(1))
+        found += made.handle(START + n * TICK_S, i.Fired(1))
     assert not sends(found) and i.Cancel(1, 0) in found
 
 
@@ -552,8 +552,8 @@
         if send.backend == 2:
             made.handle(START + 0.1, done(send.request, send, i.Outcome.OK, closed=True))
     made.now = START + 1.5
-    hanging = len(made.backends[1].out)
-    assert hanging >= 1 and made.has_room()
+    hanging = len(made.backends[1].in_flight)
+    assert hanging >= 1 and made.has_capacity()
     assert {s.backend for s in sends(made.handle(START + 1.5, request(99)))} == {2}
 
 
@@ -562,10 +562,10 @@
     (sent,) = sends(made.handle(START, request(1)))
     made.handle(START + 0.25, done(1, sent, i.Outcome.CONNECT_FAILED))
     backend = made.backends[sent.backend]
-    at_once = made.expected(backend)
+    at_once = made.expected_latency(backend)
     made.now = START + 30
-    assert at_once > 5 * made.latency and made.expected(backend) < 1.1 * made.latency
-    assert made.room == pytest.approx(12 / 3)
+    assert at_once > 5 * made.latency and made.expected_latency(backend) < 1.1 * made.latency
+    assert made.backend_limit == pytest.approx(12 / 3)
 
 
 def test_calls_are_paced_down_while_the_counter_fails_and_up_again() -> None:
@@ -573,12 +573,12 @@
     counter.outcome = i.Outcome.TIMEOUT
     for rid in range(200):
         serve_all(made, counter, START + rid / 50, rid, customer=rid)
-    low = made.pace.rate
+    low = made.call_rate.rate
     assert low <= 20 and counter.calls < 150
     counter.outcome = i.Outcome.OK
     for rid in range(200):
         serve_all(made, counter, START + 4 + rid / 50, 1000 + rid, customer=1000 + rid)
-    assert made.pace.rate > 2 * low
+    assert made.call_rate.rate > 2 * low
 
 
 # --- same events, same actions ---
@@ -623,9 +623,9 @@
     for _ in range(30):
         made.handle(START, i.Probed(1, i.Outcome.OK, 0.01, (40.0,)))
     made.handle(START, request(1))
-    assert not made.fits(only_lease(made), 1.0)
-    made.tally.failing = 1.0
-    assert made.fits(only_lease(made), 1.0)
+    assert not made.fits_local_share(only_lease(made), 1.0)
+    made.counter_health.failing = 1.0
+    assert made.fits_local_share(only_lease(made), 1.0)
 
 
 def test_a_cap_is_shared_by_what_it_holds_in_a_latency() -> None:
@@ -649,12 +649,12 @@
     (sent,) = sends(made.handle(START, request(1)))
     silent = made.backends[sent.backend]
     made.handle(START + 2.0, i.Fired(1))
-    silent.answered = silent.seen = START + 2.0
-    assert 0 in silent.silent and 1 not in silent.silent
+    silent.answered_at = silent.observed_at = START + 2.0
+    assert 0 in silent.silent_since and 1 not in silent.silent_since
     (again,) = sends(made.handle(START + 2.5, request(2)))
     assert again.backend != sent.backend
     made.handle(START + 2.6, done(1, sent, i.Outcome.OK, closed=True))
-    assert not silent.silent
+    assert not silent.silent_since
 
 
 def test_refusals_tell_when_to_come_back_whatever_the_clients_are_said_to_do() -> None:
@@ -697,8 +697,8 @@
     while not made.queue:  # until neither has room
         play(made, counter, START, request(busy, customer=busy))
         busy += 1
-    (first, *_) = [j for j in made.jobs.values() if j.out]
-    (attempt, (backend, _)) = next(iter(first.out.items()))
+    (first, *_) = [j for j in made.jobs.values() if j.in_flight]
+    (attempt, (backend, _)) = next(iter(first.in_flight.items()))
     sent = i.Send(first.req.request, backend.entry.backend, 0.0)
     found = made.handle(START + 0.01, done(sent.request, sent, i.Outcome.CONNECT_FAILED, attempt=attempt))
     assert not [a for a in found if isinstance(a, i.Refuse | i.Fail)] and sent.request in made.jobs
@@ -710,7 +710,7 @@
     (send,) = sends(play(made, counter, START, request(1)))
     gone = entry(1, state=i.State.GONE)
     made.handle(START + 1, i.Members(i.Listing.DELTA, 2, (gone, entry(2))))
-    assert set(made.backends) == {1, 2} and [b.entry.backend for b in made.live] == [2]
+    assert set(made.backends) == {1, 2} and [b.entry.backend for b in made.ready] == [2]
     made.handle(START + 1.1, done(1, send, i.Outcome.OK, closed=True))
     assert set(made.backends) == {2}
     made.handle(START + 2, i.Members(i.Listing.DELTA, 3, (entry(2, state=i.State.GONE),)))
@@ -737,13 +737,13 @@
     made, counter = gateway(), Counter()
     unsafe = made.settings.classes[2]
     (send,) = sends(play(made, counter, START, request(1, cls=2)))
-    made.usual[2] = 9.0
-    made.backends[send.backend].silent[2] = START
+    made.class_latency[2] = 9.0
+    made.backends[send.backend].silent_since[2] = START
     # The number of the unsafe class goes to a safe one, and a fourth class comes.
     safe = replace(unsafe, name="other", effect=i.Effect.SAFE)
     made.handle(START + 0.1, i.Classes((*made.settings.classes[:2], safe, unsafe)))
-    assert made.usual[2] == FIRST_LATENCY and len(made.usual) == 4
-    assert 2 not in made.backends[send.backend].silent
+    assert made.class_latency[2] == INITIAL_LATENCY_S and len(made.class_latency) == 4
+    assert 2 not in made.backends[send.backend].silent_since
     # The request came in as an unsafe one: after a reset it is failed, never sent again nor refused.
     actions = play(made, counter, START + 0.2, done(1, send, i.Outcome.RESET))
     assert not sends(actions) and i.Fail(1) in actions
@@ -767,4 +767,4 @@
 def test_slots_are_split_evenly_where_shares_add_up() -> None:
     made = gateway(tariffs__2__over_cost="2.0")
     made.handle(START, request(1, plan=2))
-    assert made.share(only_lease(made)) == pytest.approx(1 / 3)
+    assert made.local_share(only_lease(made)) == pytest.approx(1 / 3)
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -14,7 +14,7 @@
 from ivymux.data_plane.server import IDLE_TIMEOUT_S, MAX_HEAD_BYTES, MAX_PIPELINED
 from ivymux.platform.frontend import MAX_BODY_BYTES
 from orchidhill import interface as i
-from orchidhill.admission import WINDOW, mix
+from orchidhill.admission import WINDOW_S, stable_hash
 from orchidhill.interface import Outcome
 
 from .pauses import Pauses
@@ -36,7 +36,7 @@
 
 def in_mid_window() -> int:
     """A customer whose lease window began 8 to 10 s ago."""
-    edges = ((c, (time.time() + mix(c) / 2**64 * WINDOW) % WINDOW) for c in range(1, 1000))
+    edges = ((c, (time.time() + stable_hash(c) / 2**64 * WINDOW_S) % WINDOW_S) for c in range(1, 1000))
     return next(customer for customer, since in edges if 8 < since < 10)
 
 
@@ -528,7 +528,7 @@
             await until(lambda: costly)
             sent = time.monotonic()
             while time.monotonic() - sent < 0.5:
-                gateway.usual[1] = gateway.latency = 0.1
+                gateway.class_latency[1] = gateway.latency = 0.1
                 assert (await other.ask(1)).status == 200
             release.set()
             assert (await asked).status == 200
@@ -577,7 +577,7 @@
             front_door(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (door, _),
             Client(door.server) as client,
         ):
-            door.host.gateway.usual[0] = door.host.gateway.latency = 0.02
+            door.host.gateway.class_latency[0] = door.host.gateway.latency = 0.02
             answer = await client.ask()
             assert (answer.status, answer.body) == (200, b"done")
             assert len(seen) == 2 and seen[0] is not seen[1] and seen[0].open == 0
@@ -811,12 +811,12 @@
             front_door(dial, counter=counter) as (door, _),
         ):
             gateway = door.host.gateway
-            pace = gateway.pace.rate
+            pace = gateway.call_rate.rate
             for customer in range(1, 80):
                 async with Client(door.server, customer) as client:
                     assert (await client.ask()).status == 200
-            assert tally.opened > 6 and gateway.tally.failing > 0
-            assert gateway.pace.rate >= pace
+            assert tally.opened > 6 and gateway.counter_health.failing > 0
+            assert gateway.call_rate.rate >= pace
 
     run(test())
 
