--- a/ivymux/config_store/changes.py
+++ b/ivymux/config_store/changes.py
@@ -15,9 +15,9 @@
 )
 from ivymux.config_store.records import ConfigurationState, DurableState, address_of
 from ivymux.config_store.replica_state import ReplicaState
-from ivymux.config_store.timing import RETRY
+from ivymux.config_store.timing import RETRY_INTERVAL_S
 
-NONE_YET = -1  # the version before the first
+NO_VERSION = -1  # the version before the first
 
 
 @dataclass(slots=True)
@@ -40,10 +40,10 @@
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
         self.pending: list[PendingChange] = []  # in rising order of versions
-        self.published = NONE_YET  # the version that this machine's host was last told
+        self.published_version = NO_VERSION  # the version that this machine's host was last told
 
     def held_version(self) -> int:
-        return self.state.version if self.state is not None else NONE_YET
+        return self.state.version if self.state is not None else NO_VERSION
 
     # --- calls ---------------------------------------------------------------------------------------
 
@@ -73,7 +73,7 @@
     def reply(self, identity: Identity, version: int, digest: str, wait: bool = False) -> Reply:
         """What an operator is told: what became of the change, and what is held."""
         known = {**self.history.digests, **{change.version: change.digest for change in self.pending}}
-        held = max(known, default=NONE_YET)
+        held = max(known, default=NO_VERSION)
         answer: dict[str, Any] = {
             "ok": True,
             "outcome": identity.value,
@@ -87,32 +87,32 @@
 
     def write(self, change: PendingChange) -> None:
         """Write a change to both disks of the pair."""
-        assert self.leading is not None
+        assert self.led_epoch is not None
         change.on_own_disk = change.on_backup = False
         change.written_at = self.now
         self.send_write(change)
-        state = ConfigurationState(self.leading.number, change.version, change.text)
+        state = ConfigurationState(self.led_epoch.number, change.version, change.text)
         self.actions.append(Persist(state=state, change=(change.version, change.digest)))
-        self.send(address_of(self.me), WriteStored(self.me, state.epoch, state.version))
+        self.send(address_of(self.identity), WriteStored(self.identity, state.epoch, state.version))
 
     def send_write(self, change: PendingChange) -> None:
-        assert self.leading is not None
+        assert self.led_epoch is not None
         change.sent_at = self.now
         at = self.pending.index(change)
         previous = self.pending[at - 1].version if at else self.held_version()
         self.send(
-            address_of(self.leading.backup),
-            WriteRequest(self.me, self.leading.number, previous, change.version, change.text),
+            address_of(self.led_epoch.backup),
+            WriteRequest(self.identity, self.led_epoch.number, previous, change.version, change.text),
         )
 
-    def send_writes_again(self) -> None:
+    def resend_writes(self) -> None:
         if not self.is_writable():
             return
         for change in self.pending:
-            if self.now - change.sent_at > RETRY:
+            if self.now - change.sent_at > RETRY_INTERVAL_S:
                 self.send_write(change)
 
-    def write_all_anew(self) -> None:
+    def rewrite_pending(self) -> None:
         """What came while this epoch was made is written under it."""
         for change in self.pending:
             self.write(change)
@@ -125,14 +125,14 @@
         return min([*changes, self.record_replication.waiting_for_backup_since()])
 
     def on_write_stored(self, source: str, message: WriteStored) -> None:
-        self.heard[message.sender] = self.now
-        if self.leading is None or message.epoch != self.leading.number or not self.is_writable():
+        self.last_received_at[message.sender] = self.now
+        if self.led_epoch is None or message.epoch != self.led_epoch.number or not self.is_writable():
             return
         for change in self.pending:
             # Changes are written in their order: a disk that has a later one has this one too.
             if change.version <= message.version:
-                change.on_own_disk = change.on_own_disk or message.sender == self.me
-                change.on_backup = change.on_backup or message.sender == self.leading.backup
+                change.on_own_disk = change.on_own_disk or message.sender == self.identity
+                change.on_backup = change.on_backup or message.sender == self.led_epoch.backup
         self.complete_changes()
 
     def complete_changes(self) -> None:
@@ -140,10 +140,10 @@
         done = [change for change in self.pending if change.on_own_disk and change.on_backup]
         if not done:
             return
-        assert self.leading is not None
+        assert self.led_epoch is not None
         self.pending = [change for change in self.pending if change not in done]
         for change in done:
-            self.state = ConfigurationState(self.leading.number, change.version, change.text)
+            self.state = ConfigurationState(self.led_epoch.number, change.version, change.text)
             self.history.take(change.version, change.digest)
             self.actions += [Complete(call) for call in change.calls]
         self.publish()
@@ -166,7 +166,7 @@
             change = (message.version, digest_of(message.text))
             self.history.take(*change)
             self.actions.append(Persist(state=self.state, change=change))
-        self.send(source, WriteStored(self.me, message.epoch, message.version))
+        self.send(source, WriteStored(self.identity, message.epoch, message.version))
 
     # --- what is in force ----------------------------------------------------------------------------
 
@@ -175,18 +175,18 @@
         state = self.state
         if state is None or state.version < 0:
             return
-        self.take_published(state.version, state.text)
-        self.broadcast(ConfigurationInForce(self.me, state.epoch, state.version, state.text))
+        self.update_published(state.version, state.text)
+        self.broadcast(ConfigurationInForce(self.identity, state.epoch, state.version, state.text))
 
-    def take_published(self, version: int, text: str) -> None:
-        if version > self.published:
-            self.published = version
+    def update_published(self, version: int, text: str) -> None:
+        if version > self.published_version:
+            self.published_version = version
             self.actions.append(Publish(version, text))
 
     def on_configuration_in_force(self, source: str, message: ConfigurationInForce) -> None:
-        self.take_published(message.version, message.text)
+        self.update_published(message.version, message.text)
 
     def on_configuration_request(self, source: str, message: ConfigurationRequest) -> None:
         state = self.state
         if self.may_serve(self.now) and state is not None:
-            self.send(source, ConfigurationInForce(self.me, state.epoch, state.version, state.text))
+            self.send(source, ConfigurationInForce(self.identity, state.epoch, state.version, state.text))
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -34,7 +34,7 @@
     StateStored,
 )
 from ivymux.config_store.records import ConfigurationState, EpochRecord, ReplicatedSetting, address_of
-from ivymux.config_store.timing import RETRY
+from ivymux.config_store.timing import RETRY_INTERVAL_S
 from ivymux.idempotency import CONVERSATIONS
 from ivymux.idempotency.record_store import (
     DONE,
@@ -64,20 +64,20 @@
     """The part of an election attempt that record replication needs."""
 
     number: int
-    record: EpochRecord | None
+    epoch_record: EpochRecord | None
 
 
 class ReplicaView(Protocol):
     """The part of the replica that record replication needs: its epoch, lease and outgoing messages."""
 
-    me: str
+    identity: str
     now: float
     actions: list[Action]
-    heard: dict[str, float]
+    last_received_at: dict[str, float]
     state: ConfigurationState | None
     promised: int
     promised_to: str
-    leading: EpochRecord | None
+    led_epoch: EpochRecord | None
 
     @property
     def attempt(self) -> AttemptView | None: ...
@@ -234,26 +234,26 @@
     def replicate(self, record: IdempotencyRecord, call_id: int) -> None:
         """Write a change to both disks; the call is answered once both have it."""
         replica = self.replica
-        assert replica.leading is not None
-        first_number = replica.leading.number * CHANGE_NUMBERS_PER_EPOCH
+        assert replica.led_epoch is not None
+        first_number = replica.led_epoch.number * CHANGE_NUMBERS_PER_EPOCH
         self.last_change_number = max(self.last_change_number, first_number) + 1
         record = replace(record, change_number=self.last_change_number)
         self.store.apply(record, replica.now)
         self.pending[record.change_number] = PendingRecord(record, [call_id], replica.now, replica.now)
         self.send_to_backup(record)
         replica.actions.append(Persist(idempotency_records=((record.key, record),)))
-        stored = RecordStored(replica.me, replica.leading.number, record.change_number)
-        replica.send(address_of(replica.me), stored)
+        stored = RecordStored(replica.identity, replica.led_epoch.number, record.change_number)
+        replica.send(address_of(replica.identity), stored)
 
     def send_to_backup(self, record: IdempotencyRecord) -> None:
         epoch, backup = self.epoch_and_backup()
-        self.replica.send(backup, RecordWrite(self.replica.me, epoch, record))
+        self.replica.send(backup, RecordWrite(self.replica.identity, epoch, record))
 
     def epoch_and_backup(self) -> tuple[int, str]:
         """Return the epoch under which records are sent to the backup, and the backup's address."""
         attempt = self.replica.attempt
-        epoch = attempt.record if attempt is not None and attempt.record is not None else None
-        epoch = epoch or self.replica.leading
+        epoch = attempt.epoch_record if attempt is not None and attempt.epoch_record is not None else None
+        epoch = epoch or self.replica.led_epoch
         assert epoch is not None
         return epoch.number, address_of(epoch.backup)
 
@@ -264,14 +264,14 @@
 
     def on_record_stored(self, source: str, message: RecordStored) -> None:
         replica = self.replica
-        replica.heard[message.sender] = replica.now
-        epoch = replica.leading
+        replica.last_received_at[message.sender] = replica.now
+        epoch = replica.led_epoch
         if epoch is None or message.epoch != epoch.number or not replica.is_writable():
             return
         pending = self.pending.get(message.number)
         if pending is None:
             return
-        pending.on_own_disk = pending.on_own_disk or message.sender == replica.me
+        pending.on_own_disk = pending.on_own_disk or message.sender == replica.identity
         pending.on_backup = pending.on_backup or message.sender == epoch.backup
         if pending.on_own_disk and pending.on_backup:
             del self.pending[message.number]
@@ -285,7 +285,7 @@
         if not self.replica.is_writable():
             return
         for pending in self.pending.values():
-            if now - pending.sent_at > RETRY:
+            if now - pending.sent_at > RETRY_INTERVAL_S:
                 pending.sent_at = now
                 self.send_to_backup(pending.record)
         if now >= self.next_sweep_at:
@@ -295,7 +295,7 @@
             self.next_compare_at = now + COMPARE_INTERVAL_S
             if self.store.records and not self.pending:
                 epoch, backup = self.epoch_and_backup()
-                digest = RecordDigest(self.replica.me, epoch, self.store.root_digest())
+                digest = RecordDigest(self.replica.identity, epoch, self.store.root_digest())
                 self.replica.send(backup, digest)
         if len(self.settings) < len(self.store.settings):
             self.publish_settings()
@@ -310,7 +310,7 @@
         if expired and not self.pending:
             self.remove(expired)
             epoch, backup = self.epoch_and_backup()
-            self.replica.send(backup, RecordsExpired(self.replica.me, epoch, tuple(expired)))
+            self.replica.send(backup, RecordsExpired(self.replica.identity, epoch, tuple(expired)))
 
     def remove(self, keys: list[str]) -> None:
         """Remove records from this copy and its disk."""
@@ -336,16 +336,16 @@
 
     def backup_to_repair(self, epoch: int) -> str:
         """Return the backup of an epoch, before the epoch is in force or while it is; empty if neither."""
-        attempt, leading = self.replica.attempt, self.replica.leading
-        if attempt is not None and attempt.record is not None and attempt.number == epoch:
-            return attempt.record.backup
+        attempt, leading = self.replica.attempt, self.replica.led_epoch
+        if attempt is not None and attempt.epoch_record is not None and attempt.number == epoch:
+            return attempt.epoch_record.backup
         in_force = leading is not None and leading.number == epoch and self.replica.is_writable()
         return leading.backup if in_force and leading is not None and not self.pending else ""
 
     def send_repair(self, ranges: list[tuple[int, tuple[IdempotencyRecord, ...]]], last: bool) -> None:
         epoch, backup = self.epoch_and_backup()
         digest = self.store.root_digest() if last else None
-        repair = RecordRepair(self.replica.me, epoch, self.last_change_number, tuple(ranges), digest)
+        repair = RecordRepair(self.replica.identity, epoch, self.last_change_number, tuple(ranges), digest)
         self.replica.send(backup, repair)
 
     def complete_pending(self) -> None:
@@ -370,7 +370,7 @@
             replica.state is not None
             and replica.state.epoch == epoch <= replica.promised
             and primary == replica.promised_to
-            and replica.leading is None
+            and replica.led_epoch is None
         )
 
     def on_record_write(self, source: str, message: RecordWrite) -> None:
@@ -380,7 +380,7 @@
         if self.store.apply(record, self.replica.now):
             self.replica.actions.append(Persist(idempotency_records=((record.key, record),)))
         self.last_change_number = max(self.last_change_number, record.change_number)
-        self.replica.send(source, RecordStored(self.replica.me, message.epoch, record.change_number))
+        self.replica.send(source, RecordStored(self.replica.identity, message.epoch, record.change_number))
 
     def on_records_expired(self, source: str, message: RecordsExpired) -> None:
         if self.is_backup_of(message.sender, message.epoch):
@@ -392,7 +392,9 @@
 
     def send_digests(self, primary: str, epoch: int) -> None:
         """Send the primary the digests of this copy, so that it repairs the ranges that differ."""
-        self.replica.send(primary, RecordRangeDigests(self.replica.me, epoch, tuple(self.store.digests)))
+        self.replica.send(
+            primary, RecordRangeDigests(self.replica.identity, epoch, tuple(self.store.digests))
+        )
 
     def on_record_repair(self, source: str, message: RecordRepair) -> None:
         """Apply ranges of the primary's copy.
@@ -411,7 +413,7 @@
         if changes:
             self.replica.actions.append(Persist(idempotency_records=tuple(changes)))
         if message.digest is not None and message.digest == self.store.root_digest():
-            self.replica.send(source, StateStored(self.replica.me, message.epoch))
+            self.replica.send(source, StateStored(self.replica.identity, message.epoch))
 
     # --- replicated settings ------------------------------------------------------------------------------
 
@@ -428,7 +430,7 @@
         for setting in settings:
             self.update_setting(setting)
         if settings:
-            self.replica.broadcast(SettingsInForce(self.replica.me, settings))
+            self.replica.broadcast(SettingsInForce(self.replica.identity, settings))
 
     def on_settings_in_force(self, source: str, message: SettingsInForce) -> None:
         for setting in message.notes:
--- a/ivymux/config_store/membership.py
+++ b/ivymux/config_store/membership.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 
 from ivymux.config_store.records import EpochRecord, address_of
-from ivymux.config_store.timing import LEAST_MEMBERS
+from ivymux.config_store.timing import MIN_MEMBERS
 
 
 def next_members(
@@ -27,7 +27,7 @@
         members[members.index(replaced)] = joiner
     elif joiner is not None:
         members.append(joiner)
-    elif replaced is not None and len(members) > LEAST_MEMBERS:
+    elif replaced is not None and len(members) > MIN_MEMBERS:
         members.remove(replaced)
     return tuple(members)
 
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -27,7 +27,7 @@
 from ivymux.config_store.messages import PROTOCOL_VERSION, Greeting, ReplicaMessage
 from ivymux.config_store.records import ReplicatedSetting, address_of
 from ivymux.config_store.replica import Replica
-from ivymux.config_store.timing import LEASE
+from ivymux.config_store.timing import LEASE_S
 from ivymux.data_plane.limits import Address
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
@@ -104,9 +104,9 @@
             )
 
     def greet(self, line: Connection) -> None:
-        greeting = Greeting(self.replica.me, self.settings.ip, PROTOCOL_VERSION)
+        greeting = Greeting(self.replica.identity, self.settings.ip, PROTOCOL_VERSION)
         line.send(messages.encode(greeting))
-        self.replica.meet()
+        self.replica.on_peer_connected()
 
     # --- messages ------------------------------------------------------------------------------------
 
@@ -174,7 +174,7 @@
 
     def tell_cores(self) -> None:
         """The core machines there are, for who asks the registries."""
-        record = self.replica.record
+        record = self.replica.known_epoch
         there = {address_of(m) for m in record.members} if record is not None else set()
         there |= {a for a, p in self.peers.items() if p.is_connected} | {self.settings.ip}
         cores = sorted(there)
@@ -274,8 +274,8 @@
     def leader(self) -> str | None:
         """The address of who leads, as last heard, where that is not long ago."""
         replica = self.replica
-        if replica.primary and time.monotonic() - replica.primary_at < 2 * LEASE:
-            return address_of(replica.primary)
+        if replica.last_primary and time.monotonic() - replica.primary_seen_at < 2 * LEASE_S:
+            return address_of(replica.last_primary)
         return None
 
     async def asked(self, line: Connection, message: Message) -> None:
@@ -348,9 +348,9 @@
         """What this machine holds goes over to others before it ends, for as long as `grace` allows."""
         until = time.monotonic() + max(0.0, self.settings.shutdown_grace_s - ENDS_BEFORE)
         self.carry(self.replica.leave(time.monotonic()))
-        while not self.replica.may_end() and time.monotonic() < until:
+        while not self.replica.may_exit() and time.monotonic() < until:
             await asyncio.sleep(LOOK_TO_END)
-        if not self.replica.may_end():
+        if not self.replica.may_exit():
             log.info("ends with a copy that no other machine could take over within `grace`.")
         self.ending = True
         for peer in self.peers.values():
--- a/ivymux/config_store/replica.py
+++ b/ivymux/config_store/replica.py
@@ -31,7 +31,7 @@
 from ivymux.config_store.leadership import Leadership
 from ivymux.config_store.messages import JoinRequest, Leaving, ReplicaMessage
 from ivymux.config_store.records import DurableState
-from ivymux.config_store.timing import JOIN_INTERVAL, STANDSTILL
+from ivymux.config_store.timing import JOIN_INTERVAL_S, PROCESS_PAUSE_S
 
 
 class Replica(Leadership):
@@ -40,7 +40,7 @@
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
         replication = self.record_replication
-        self.receivers: dict[type[ReplicaMessage], Callable[[str, Any], None]] = {
+        self.handlers: dict[type[ReplicaMessage], Callable[[str, Any], None]] = {
             messages.PromiseRequest: self.on_promise_request,
             messages.Promise: self.on_promise,
             messages.Refusal: self.on_refusal,
@@ -71,16 +71,16 @@
             messages.SettingsInForce: replication.on_settings_in_force,
         }
 
-    def enter(self, now: float) -> None:
+    def begin_step(self, now: float) -> None:
         """Each way in begins here.  A primary whose process stood still may ask for its lease once more."""
-        if now - self.now > STANDSTILL:
-            self.served_at = now
+        if now - self.now > PROCESS_PAUSE_S:
+            self.had_majority_at = now
         self.now, self.actions = now, []
 
     def handle(self, now: float, source: str, message: ReplicaMessage) -> list[Action]:
         """A message of the machine at address `source`.  Raises ValueError for what no correct peer says."""
-        self.enter(now)
-        receiver = self.receivers.get(type(message))
+        self.begin_step(now)
+        receiver = self.handlers.get(type(message))
         if receiver is None:
             raise ValueError(f"no message to a replica: {type(message).__name__}")
         receiver(source, message)
@@ -88,38 +88,38 @@
 
     def tick(self, now: float) -> list[Action]:
         """Called every 50 ms or so."""
-        self.enter(now)
+        self.begin_step(now)
         if self.leaving_since is not None:
-            self.broadcast(Leaving(self.me))
-        if self.leading is not None:
-            self.lead()
+            self.broadcast(Leaving(self.identity))
+        if self.led_epoch is not None:
+            self.act_as_primary()
         elif self.attempt is not None:
-            self.pursue()
-        elif self.may_begin():
-            self.begin("a first start" if self.is_founding() else "the primary is silent")
-        elif not self.is_member() and self.leaving_since is None and now >= self.renew_at:
-            self.renew_at = now + JOIN_INTERVAL
-            self.broadcast(JoinRequest(self.me))
-        if self.leading is None:
-            self.tell_epoch_while_unled()
+            self.continue_attempt()
+        elif self.may_begin_attempt():
+            self.begin_attempt("a first start" if self.is_founder() else "the primary is silent")
+        elif not self.is_member() and self.leaving_since is None and now >= self.next_broadcast_at:
+            self.next_broadcast_at = now + JOIN_INTERVAL_S
+            self.broadcast(JoinRequest(self.identity))
+        if self.led_epoch is None:
+            self.announce_epoch_without_primary()
         return self.actions
 
-    def meet(self) -> None:
+    def on_peer_connected(self) -> None:
         """Another machine can be reached from now on: what is being asked is said to it at once."""
-        self.renew_at = 0.0
+        self.next_broadcast_at = 0.0
 
     def leave(self, now: float) -> list[Action]:
         """This process is to end: what it holds goes over to others first.  `may_end` tells when it has."""
-        self.enter(now)
+        self.begin_step(now)
         self.leaving_since = now
-        self.broadcast(Leaving(self.me))
-        if self.leading is not None:
-            self.lead()
+        self.broadcast(Leaving(self.identity))
+        if self.led_epoch is not None:
+            self.act_as_primary()
         return self.actions
 
     def handle_call(self, now: float, call_id: int, call: Call) -> Reply | None:
         """A call that only who leads can answer; None where this machine does not.  Raises ValueError."""
-        self.enter(now)
+        self.begin_step(now)
         if isinstance(call, PutConfiguration):
             return self.put(call_id, call.version, call.text)
         return self.record_replication.handle_call(call_id, call)
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -1,4 +1,4 @@
-"""What a replica knows of epochs, its promises and its disk; the base of its other parts.  Pure.
+"""A replica's epochs, promises and durable state; the base class of its other parts.  Pure.
 
 The parts build on one another: `ReplicaState`, `ChangeReplication`, `Elections`, `Leadership`, `Replica`.
 """
@@ -12,164 +12,182 @@
 from ivymux.config_store.idempotency import RecordReplication
 from ivymux.config_store.messages import DiskSynced, Refusal, ReplicaMessage
 from ivymux.config_store.records import DurableState, EpochRecord, address_of, is_majority
-from ivymux.config_store.timing import BACKUP_SILENCE, LEASE
+from ivymux.config_store.timing import BACKUP_TIMEOUT_S, LEASE_S
 from ivymux.idempotency.record_store import RecordStore
 
+NEVER = -1e9  # a steady time before every other
+
 
 @dataclass(slots=True)
-class Attempt:
-    """A new epoch on its way."""
+class ElectionAttempt:
+    """A new epoch that this machine is trying to bring into force."""
 
     number: int
-    began: float
+    started_at: float
     promises: dict[str, EpochRecord] = field(default_factory=dict)
-    previous: EpochRecord | None = None
-    record: EpochRecord | None = None  # once a majority has promised: its state is fixed from then on
-    backed: bool = False  # its backup has the state on disk
-    accepted: set[str] = field(default_factory=set)
-    refused: set[str] = field(default_factory=set)  # who has promised this number to another
-    progress_at: float = 0.0  # when a member last took a step of it
-    ask_again_at: float = 0.0
-    working_at: float = -1e9  # when a member last said that its disk is at what was asked of it
+    previous_epoch: EpochRecord | None = None
+    # Set once a majority has promised; the state of the new epoch is fixed from then on.
+    epoch_record: EpochRecord | None = None
+    backup_has_state: bool = False  # on its disk
+    accepted_by: set[str] = field(default_factory=set)
+    refused_by: set[str] = field(
+        default_factory=set
+    )  # members that promised this number to another candidate
+    last_progress_at: float = 0.0  # when a member last took a step of the attempt
+    next_request_at: float = 0.0
+    still_writing_at: float = NEVER  # when a member last reported that its disk is still writing
 
 
 class ReplicaState:
-    """One core machine's part in the epochs; `now` is its steady time in seconds."""
+    """State and helpers that all parts of a replica share; `now` is the machine's steady time in seconds."""
 
     record_replication_class = RecordReplication
 
     def __init__(self, durable: DurableState, now: float) -> None:
-        self.me = durable.identity
+        self.identity = durable.identity
         self.now = now
         self.actions: list[Action] = []
-        # What is on disk, or on its way there.
-        self.record, self.state = durable.record, durable.state
+        # What is on disk, or being written.
+        self.known_epoch, self.state = durable.record, durable.state
         self.promised, self.promised_to = durable.promised, durable.promised_to
         self.history = ChangeHistory.of(durable.history)
-        self.steps = 0  # promises, records and states that were given to the disk
-        self.unsynced = 0  # the last of them, while it is not there
+        self.epoch_steps = 0  # promises, records and states that were given to the disk
+        self.unsynced_step = 0  # the last of them while it is not on disk yet, else 0
         # As a candidate or a primary.
-        self.leading: EpochRecord | None = None  # the epoch in force that this machine leads
-        self.attempt: Attempt | None = None
+        self.led_epoch: EpochRecord | None = None  # the epoch in force whose primary this machine is
+        self.attempt: ElectionAttempt | None = None
         self.failed_attempts = 0
         self.step_downs = 0
-        self.highest_seen = durable.promised  # the highest number that any member is known to have promised
-        self.grants: dict[str, float] = {}  # until when each member stands by this primary
-        self.heard: dict[str, float] = {}  # when each member last answered
-        self.joining: dict[str, float] = {}  # who would be a member, and when it last said so
-        self.leaving: dict[str, float] = {}  # who said that it ends, and when it last did
-        self.distrusted: dict[str, float] = {}  # whose disk did not answer, and until when that counts
-        self.served_at = now  # when a majority was last known to stand by this primary
-        self.leaving_since: float | None = None  # this machine's own process is to end
+        self.highest_promise_seen = durable.promised  # by any member
+        self.lease_grants: dict[str, float] = {}  # until when each member grants this primary its lease
+        self.last_received_at: dict[str, float] = {}  # when each member last answered
+        self.join_requested_at: dict[str, float] = {}  # when each non-member last asked to join
+        self.leave_announced_at: dict[str, float] = {}  # when each machine last announced that it leaves
+        self.distrusted_until: dict[str, float] = {}  # members whose disk did not answer
+        self.had_majority_at = now  # when a majority was last known to grant this primary its lease
+        self.leaving_since: float | None = None  # when this machine's own process was told to end
         # As a member.
-        self.leased_to, self.leased_until = "", 0.0  # this member's vote
-        # Votes from before a restart are not known: until they have ended only their holder gets a promise.
-        self.held_until = now + LEASE if durable.record is not None else 0.0
-        self.wait_until = 0.0  # before this machine begins an attempt
+        self.leased_to, self.leased_until = "", 0.0  # the lease that this member grants
+        # A lease granted before a restart is not remembered: until it must have ended, only the primary of
+        # the known epoch, which may hold it, gets a promise.
+        self.restart_lease_until = now + LEASE_S if durable.record is not None else 0.0
+        self.next_attempt_at = 0.0  # the earliest time for an attempt of this machine
         store = RecordStore()
         for record in durable.idempotency_records.values():
             store.apply(record, now)
         self.record_replication = self.record_replication_class(self, store)
 
-    # --- what it says and keeps ----------------------------------------------------------------------
+    # --- messages and durable steps -------------------------------------------------------------------
 
     def send(self, to: str, message: ReplicaMessage) -> None:
+        """Send a message to the machine at an address."""
         self.actions.append(Send(to, message))
 
     def broadcast(self, message: ReplicaMessage) -> None:
-        """To all core machines that are known, members or not."""
+        """Send a message to all known core machines, whether they are members or not."""
         self.send(EVERYONE, message)
 
     def log(self, text: str) -> None:
+        """Log a line."""
         self.actions.append(LogLine(text))
 
-    def persist_step(self, step: Persist) -> None:
-        """Write a step of an epoch; while that is on its way this machine begins no attempt."""
-        self.steps += 1
-        self.unsynced = self.steps
+    def persist_epoch_step(self, step: Persist) -> None:
+        """Write a step of an epoch to disk; this machine starts no attempt until it is there."""
+        self.epoch_steps += 1
+        self.unsynced_step = self.epoch_steps
         self.actions.append(step)
-        self.send(address_of(self.me), DiskSynced(self.me, self.steps))
+        self.send(address_of(self.identity), DiskSynced(self.identity, self.epoch_steps))
 
     def on_disk_synced(self, source: str, message: DiskSynced) -> None:
-        if message.sender == self.me and message.step == self.unsynced:
-            self.unsynced = 0
+        if message.sender == self.identity and message.step == self.unsynced_step:
+            self.unsynced_step = 0
 
-    # --- who is who ----------------------------------------------------------------------------------
+    # --- roles ----------------------------------------------------------------------------------------
 
     def is_member(self) -> bool:
-        return self.record is not None and self.me in self.record.members
+        """Whether this machine is a member of the newest epoch that it knows."""
+        return self.known_epoch is not None and self.identity in self.known_epoch.members
 
     def is_in_pair(self) -> bool:
-        return self.record is not None and self.me in (self.record.primary, self.record.backup)
+        """Whether this machine is the primary or the backup of the newest epoch that it knows."""
+        epoch = self.known_epoch
+        return epoch is not None and self.identity in (epoch.primary, epoch.backup)
+
+    def leaving_members(self) -> set[str]:
+        """Return the machines that are leaving.
 
-    def leavers(self) -> set[str]:
-        """Who is about to end: they say so again and again, and one that does no more has ended."""
-        return {member for member, at in self.leaving.items() if self.now - at < BACKUP_SILENCE}
+        A leaving machine repeats its announcement; one that has stopped doing so has ended.
+        """
+        return {member for member, at in self.leave_announced_at.items() if self.now - at < BACKUP_TIMEOUT_S}
 
     def unfit_backups(self) -> set[str]:
-        """Who is made the backup only where nobody else can be: it leaves, or its disk did not answer."""
-        return self.leavers() | {member for member, until in self.distrusted.items() if self.now < until}
+        """Return the machines to avoid as the backup: leaving ones, and ones whose disk did not answer."""
+        distrusted = {member for member, until in self.distrusted_until.items() if self.now < until}
+        return self.leaving_members() | distrusted
 
-    def is_founding(self) -> bool:
-        """Whether this machine is one of those of the system's very first start, with no epoch yet."""
-        return self.record is not None and self.record.number == 0 and self.me in self.record.members
+    def is_founder(self) -> bool:
+        """Whether this machine is a seed of the system's first start, before the first epoch."""
+        epoch = self.known_epoch
+        return epoch is not None and epoch.number == 0 and self.identity in epoch.members
 
     def may_serve(self, now: float) -> bool:
-        """Whether this machine leads an epoch in force, under a lease of a majority.
+        """Whether this machine is the primary of an epoch in force and holds the lease of a majority.
 
-        Once members have been asked to accept the next epoch, a majority of its members is needed too: they
-        could else make a further one among themselves.
+        Once members have been asked to accept the next epoch, the lease of a majority of its members is
+        needed too, as they could otherwise make a further epoch among themselves.
         """
-        if self.leading is None or self.record is None:
+        if self.led_epoch is None or self.known_epoch is None:
             return False
-        votes = {member for member, until in self.grants.items() if until > now} | {self.me}
-        epochs = (self.leading, self.record) if self.record.number > self.leading.number else (self.leading,)
+        votes = {member for member, until in self.lease_grants.items() if until > now} | {self.identity}
+        has_next_epoch = self.known_epoch.number > self.led_epoch.number
+        epochs = (self.led_epoch, self.known_epoch) if has_next_epoch else (self.led_epoch,)
         return all(is_majority(epoch.members, votes) for epoch in epochs)
 
     def is_writable(self) -> bool:
-        """Whether changes are written under the epoch in force.
+        """Whether changes may be written under the epoch in force.
 
-        Not any more once the state of the next one is fixed: who leads behind it may not have them.
+        They may not once the state of the next epoch is fixed, as its primary might not have them.
         """
-        if self.leading is None or self.state is None:
+        if self.led_epoch is None or self.state is None:
             return False
-        fixed = self.attempt is not None and self.attempt.record is not None
-        return not fixed and self.state.epoch == self.leading.number
+        next_state_fixed = self.attempt is not None and self.attempt.epoch_record is not None
+        return not next_state_fixed and self.state.epoch == self.led_epoch.number
 
-    # --- promises and records ------------------------------------------------------------------------
+    # --- promises and epoch records -------------------------------------------------------------------
 
     def promise(self, number: int, candidate: str) -> None:
-        """Take part in nothing below a number, and for that number only in what one candidate makes."""
-        if candidate != self.me:
-            self.step_down("another one leads now")
+        """Promise to ignore lower epochs and, for this number, every other candidate."""
+        if candidate != self.identity:
+            self.step_down("promised an epoch to another candidate")
         self.promised, self.promised_to = number, candidate
-        self.highest_seen = max(self.highest_seen, number)
-        self.persist_step(Persist(promised=(number, candidate)))
+        self.highest_promise_seen = max(self.highest_promise_seen, number)
+        self.persist_epoch_step(Persist(promised=(number, candidate)))
 
-    def refuse(self, source: str) -> None:
-        """Tell who asks for less than was promised what was promised."""
-        if self.record is not None:
-            self.send(source, Refusal(self.me, self.promised, self.record))
+    def send_refusal(self, source: str) -> None:
+        """Answer a request for less than was promised with the promise."""
+        if self.known_epoch is not None:
+            self.send(source, Refusal(self.identity, self.promised, self.known_epoch))
 
-    def learn(self, record: EpochRecord) -> None:
-        """An epoch that a peer knows; nothing happens where it is no later one."""
-        if self.record is not None and record.number <= self.record.number:
+    def learn_epoch(self, record: EpochRecord) -> None:
+        """Store an epoch record of a peer if it is newer than the known one."""
+        if self.known_epoch is not None and record.number <= self.known_epoch.number:
             return
-        if self.leading is not None and record.number > self.leading.number:
+        if self.led_epoch is not None and record.number > self.led_epoch.number:
             self.step_down("a later epoch is known")
-        same_primary = self.record is not None and self.record.primary == record.primary
-        self.record = record
-        self.persist_step(Persist(record=record, same_primary=same_primary))
+        same_primary = self.known_epoch is not None and self.known_epoch.primary == record.primary
+        self.known_epoch = record
+        self.persist_epoch_step(Persist(record=record, same_primary=same_primary))
 
     def step_down(self, why: str) -> None:
-        """Lead no more: what is not on both disks is not acknowledged by this machine."""
-        if self.leading is None:
+        """Stop being the primary; changes that are not on both disks are not acknowledged."""
+        if self.led_epoch is None:
             return
-        self.log(f"leads epoch {self.leading.number} no more: {why}")
-        self.leading, self.attempt = None, None
+        self.log(f"no longer the primary of epoch {self.led_epoch.number}: {why}")
+        self.led_epoch, self.attempt = None, None
         self.step_downs += 1
-        self.grants = {}
+        self.lease_grants = {}
         self.drop_unacknowledged()
 
     def drop_unacknowledged(self) -> None:
+        """Forget changes that are not on both disks."""
         self.record_replication.drop_pending()
--- a/ivymux/simulation/control_plane.py
+++ b/ivymux/simulation/control_plane.py
@@ -194,7 +194,7 @@
         if fault.machine not in ("primary", "backup"):
             present = [m for m in self.cores.machines if m not in self.cores.removed]
             return fault.machine if fault.machine in present else present[0]
-        records = [m.replica.leading for m in self.cores.machines.values() if m.replica is not None]
+        records = [m.replica.led_epoch for m in self.cores.machines.values() if m.replica is not None]
         leading = [record for record in records if record is not None]
         if not leading:
             return next(m for m in self.cores.machines if m not in self.cores.removed)
@@ -309,7 +309,7 @@
             replica = cores.machines[machine].replica
             if replica is None:  # it ended in time, or was lost meanwhile
                 self.remove(machine)
-            elif replica.leaving_since is not None and replica.may_end():
+            elif replica.leaving_since is not None and replica.may_exit():
                 cores.removed.add(machine)
                 cores.kill(machine)
             else:
--- a/ivymux/simulation/core_cluster.py
+++ b/ivymux/simulation/core_cluster.py
@@ -178,7 +178,7 @@
         def look() -> None:
             if machine.replica is None or machine.life != life:
                 return
-            if (machine.thawed is None and machine.replica.may_end()) or self.now >= ends:
+            if (machine.thawed is None and machine.replica.may_exit()) or self.now >= ends:
                 self.kill(ip)
             else:
                 self.at(TICK, look)
@@ -189,9 +189,9 @@
         """The addresses of the members of the epoch in force; none where nobody leads."""
         leaders = self.leaders()
         replica = self.machines[leaders[0]].replica if leaders else None
-        if replica is None or replica.leading is None:
+        if replica is None or replica.led_epoch is None:
             return set()
-        return {m.partition("/")[0] for m in replica.leading.members}
+        return {m.partition("/")[0] for m in replica.led_epoch.members}
 
     def wipe(self, ip: str) -> None:
         self.kill(ip)
--- a/ivymux/simulation/loss_scenarios.py
+++ b/ivymux/simulation/loss_scenarios.py
@@ -50,8 +50,8 @@
 def holding(cores: Cores, role: str, number: int = 0) -> str:
     """The address of a machine that has a role."""
     leader = cores.machines[cores.leaders()[0]].replica
-    assert leader is not None and leader.leading is not None
-    record = leader.leading
+    assert leader is not None and leader.led_epoch is not None
+    record = leader.led_epoch
     if role == PRIMARY:
         return address_of(record.primary)
     if role == BACKUP:
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -18,7 +18,7 @@
 from ivymux.config_store.messages import PromiseRequest, ReplicaMessage, WriteStored
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord, is_majority
 from ivymux.config_store.replica import Replica
-from ivymux.config_store.replica_state import Attempt
+from ivymux.config_store.replica_state import ElectionAttempt
 from ivymux.fault_injection import request_matcher
 from ivymux.fault_injection.request_matcher import Catch
 from ivymux.fault_injection.trial_set import Board
@@ -72,7 +72,7 @@
     """Does not wait until a lease that it stands by has ended."""
 
     def on_promise_request(self, source: str, message: PromiseRequest) -> None:
-        self.leased_until = self.held_until = 0.0
+        self.leased_until = self.restart_lease_until = 0.0
         super().on_promise_request(source, message)
 
 
@@ -80,25 +80,25 @@
     """Reads and answers for as long as it thinks that it leads, lease or not."""
 
     def may_serve(self, now: float) -> bool:
-        return self.leading is not None
+        return self.led_epoch is not None
 
 
 class Unbacked(Replica):
     """Goes on before its backup has the state."""
 
-    def transfer_state(self, attempt: Attempt) -> None:
+    def transfer_state(self, attempt: ElectionAttempt) -> None:
         super().transfer_state(attempt)
-        if not attempt.backed:
-            attempt.backed = True
-            self.keep_own_record(attempt)
+        if not attempt.backup_has_state:
+            attempt.backup_has_state = True
+            self.accept_own_record(attempt)
 
 
 class Alone(Replica):
     """Takes an epoch up without a majority."""
 
-    def check_acceptance(self, attempt: Attempt) -> None:
-        if attempt.previous is not None and attempt.record is not None:
-            attempt.accepted |= {*attempt.previous.members, *attempt.record.members}
+    def check_acceptance(self, attempt: ElectionAttempt) -> None:
+        if attempt.previous_epoch is not None and attempt.epoch_record is not None:
+            attempt.accepted_by |= {*attempt.previous_epoch.members, *attempt.epoch_record.members}
         super().check_acceptance(attempt)
 
 
@@ -107,7 +107,7 @@
 
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
-        self.held_until = 0.0
+        self.restart_lease_until = 0.0
 
 
 class Forgetful(Replica):
@@ -141,7 +141,7 @@
 class Abrupt(Replica):
     """Ends at once when it is told to, whatever it holds."""
 
-    def may_end(self) -> bool:
+    def may_exit(self) -> bool:
         return self.leaving_since is not None
 
 
@@ -179,7 +179,7 @@
 class NewestOnly(Replica):
     """Gives a new backup the newest change's digest, and no other."""
 
-    def transfer_state(self, attempt: Attempt) -> None:
+    def transfer_state(self, attempt: ElectionAttempt) -> None:
         self.history = ChangeHistory.of(self.history.changes()[-1:])
         super().transfer_state(attempt)
 
@@ -195,17 +195,17 @@
     """Reads under the lease of an epoch's members while those of the next one may go on without it."""
 
     def may_serve(self, now: float) -> bool:
-        if self.leading is None:
+        if self.led_epoch is None:
             return False
-        votes = {member for member, until in self.grants.items() if until > now} | {self.me}
-        return is_majority(self.leading.members, votes)
+        votes = {member for member, until in self.lease_grants.items() if until > now} | {self.identity}
+        return is_majority(self.led_epoch.members, votes)
 
 
 class Unfixed(Replica):
     """Writes changes under its epoch while the next one's backup has the state of before them."""
 
     def is_writable(self) -> bool:
-        return self.leading is not None and self.state is not None
+        return self.led_epoch is not None and self.state is not None
 
     def on_write_stored(self, source: str, message: WriteStored) -> None:
         for change in self.pending:
@@ -217,7 +217,7 @@
     """Lets out for its silence whom it has never listened to."""
 
     def is_silent(self, member: str, present: set[str], silence: float) -> bool:
-        return member not in present and self.now - self.heard.get(member, -1e9) > silence
+        return member not in present and self.now - self.last_received_at.get(member, -1e9) > silence
 
 
 class Stateless(Replica):
@@ -256,7 +256,7 @@
     """Says that it has the primary's book when it has only been asked to."""
 
     def send_digests(self, primary: str, epoch: int) -> None:
-        self.replica.send(primary, messages.StateStored(self.replica.me, epoch))
+        self.replica.send(primary, messages.StateStored(self.replica.identity, epoch))
 
 
 class Unrepaired(Replica):
--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -75,7 +75,9 @@
 def members(cores: Cores) -> set[str]:
     leaders = cores.leaders()
     replica = cores.machines[leaders[0]].replica if leaders else None
-    return {m.partition("/")[0] for m in replica.leading.members} if replica and replica.leading else set()
+    return (
+        {m.partition("/")[0] for m in replica.led_epoch.members} if replica and replica.led_epoch else set()
+    )
 
 
 @pytest.mark.parametrize("count", [3, 4])
@@ -117,8 +119,8 @@
         cores.run(1.0)
         leader = cores.leaders()[0]
         replica = cores.machines[leader].replica
-        assert replica is not None and replica.leading is not None
-        backup = replica.leading.backup.partition("/")[0]
+        assert replica is not None and replica.led_epoch is not None
+        backup = replica.led_epoch.backup.partition("/")[0]
         cores.put(leader, 4, "four")
         assert cores.acknowledged(4, 2.0)
         cores.wipe(backup)
@@ -157,8 +159,8 @@
     cores = started(seed, 3, make)
     cores.run(1.0)
     replica = cores.machines[cores.leaders()[0]].replica
-    assert replica is not None and replica.leading is not None
-    pair = [m.partition("/")[0] for m in (replica.leading.primary, replica.leading.backup)]
+    assert replica is not None and replica.led_epoch is not None
+    pair = [m.partition("/")[0] for m in (replica.led_epoch.primary, replica.led_epoch.backup)]
     cores.cut |= {(pair[0], pair[1]), (pair[1], pair[0])}
     (witness,) = set(cores.machines) - set(pair)
     for step in range(300):
@@ -235,7 +237,7 @@
     """Does not wait until a lease it stands by has ended."""
 
     def on_promise_request(self, source: str, message: PromiseRequest) -> None:
-        self.leased_until = self.held_until = 0.0
+        self.leased_until = self.restart_lease_until = 0.0
         super().on_promise_request(source, message)
 
 
@@ -267,5 +269,5 @@
         actions = replica.handle(now, "b", lease)
         return [type(a.message).__name__ for a in actions if isinstance(a, Send) and a.to != "c"]
 
-    assert votes(101.0) == [] and replica.record == new
+    assert votes(101.0) == [] and replica.known_epoch == new
     assert votes(101.3) == [] and votes(102.3) == ["LeaseGrant"]
--- a/tests/config_store/test_fencing.py
+++ b/tests/config_store/test_fencing.py
@@ -64,7 +64,7 @@
     actions = replica.handle(6.0, "a", message)
     assert not any(isinstance(action, Persist) for action in actions)
     assert not any(isinstance(answer, ACKNOWLEDGED) for answer in told(actions, "a"))
-    assert (replica.record, replica.promised, replica.promised_to) == (NEW, 6, "c/1")
+    assert (replica.known_epoch, replica.promised, replica.promised_to) == (NEW, 6, "c/1")
     assert (
         replica.state == ConfigurationState(state_epoch, 3, "three")
         and not replica.record_replication.store.records
@@ -80,8 +80,8 @@
 
 def test_an_old_primary_that_hears_of_a_higher_epoch_leads_no_more() -> None:
     replica = Replica(DurableState("a/1", OLD, 4, "a/1", ConfigurationState(4, 3, "three")), 0.0)
-    replica.leading = OLD
-    replica.grants = {"b/1": 100.0, "c/1": 100.0}
+    replica.led_epoch = OLD
+    replica.lease_grants = {"b/1": 100.0, "c/1": 100.0}
     assert replica.may_serve(1.0)
     replica.handle(1.0, "c", Refusal("c/1", 6, NEW))
-    assert replica.leading is None and not replica.may_serve(1.0) and replica.put(1, 9, "nine") is None
+    assert replica.led_epoch is None and not replica.may_serve(1.0) and replica.put(1, 9, "nine") is None
--- a/tests/config_store/test_tickets.py
+++ b/tests/config_store/test_tickets.py
@@ -51,8 +51,8 @@
 
 def pair(cores: Cores) -> tuple[str, str]:
     member = cores.machines[cores.leaders()[0]].replica
-    assert member is not None and member.leading is not None
-    return member.leading.primary.partition("/")[0], member.leading.backup.partition("/")[0]
+    assert member is not None and member.led_epoch is not None
+    return member.led_epoch.primary.partition("/")[0], member.led_epoch.backup.partition("/")[0]
 
 
 def kinds(cores: Cores) -> list[type[ReplicaMessage]]:
@@ -170,7 +170,7 @@
     """Says that it has all when it has only been asked to."""
 
     def send_digests(self, primary: str, epoch: int) -> None:
-        self.replica.send(primary, StateStored(self.replica.me, epoch))
+        self.replica.send(primary, StateStored(self.replica.identity, epoch))
 
 
 class Generous(RecordReplication):
