--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -36,7 +36,7 @@
 from ivymux.config_store.records import ConfigurationState
 from ivymux.proxy.counter_holders import CounterHolders
 from ivymux.proxy.membership_view import MembershipView
-from ivymux.proxy.name_tables import Tables
+from ivymux.proxy.name_tables import NameTables
 from ivymux.registry.backend_records import BackendRecords
 from ivymux.routing_config.route_plan import MAX_TEXT, Plan, plan_of
 from ivymux.simulation.loss_scenarios import started
@@ -93,8 +93,8 @@
     """A configuration as a proxy takes it in."""
     text = configuration(routes, tenants)
 
-    def take() -> tuple[Tables, Plan]:
-        tables = Tables()
+    def take() -> tuple[NameTables, Plan]:
+        tables = NameTables()
         plan = plan_of(text)
         tables.enter(plan)
         return tables, plan
--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -26,7 +26,7 @@
 from ivymux.config_store.messages import RecordStored, RecordWrite, encode
 from ivymux.data_plane.frontend import Answer
 from ivymux.idempotency.record_store import DONE, KEY_DIGITS, IdempotencyRecord
-from ivymux.proxy.keyed_actions import kept
+from ivymux.proxy.keyed_actions import encode_answer
 from ivymux.transport.frames import encode_frame
 
 DOORS = (3, 8, 32)
@@ -124,7 +124,7 @@
     """Bytes from a core machine to who leads, from there to the backup and back, for a claim and its end."""
     record = IdempotencyRecord("a" * KEY_DIGITS, "partner-one", f"{'b' * 16}/12345", "c" * 16, "d" * 16, 3.2)
     fields = [(b"content-type", b"text/plain"), (b"server-seal", b"e" * 24)]
-    answer = kept(Answer(200, ANSWER, headers=fields), 9999)
+    answer = encode_answer(Answer(200, ANSWER, headers=fields), 9999)
     passed = {"passed": True, "w": 0.85, "n": 1234}
     claimed = ClaimAction(
         record.key, record.tenant, record.claim, record.request_digest, record.body_digest, record.lifetime_s
--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -13,7 +13,7 @@
 from ivymux.data_plane.frontend import Answer
 from ivymux.idempotency.record_store import DONE, FREE, LOST, PROCEED
 from ivymux.idempotency.settings import ConversationSettings
-from ivymux.proxy.keyed_actions import Action, answer_of, kept
+from ivymux.proxy.keyed_actions import Action, answer_for_verdict, encode_answer
 from ivymux.transport.connection import Connector, TransportError
 from ivymux.transport.frames import Message
 
@@ -29,7 +29,7 @@
 Go = Callable[[Answer | None], None]
 
 
-class Claims:
+class ActionClaims:
     """All claims of one door; `cores` gives the lines to the core, the nearest first."""
 
     def __init__(self, cores: Callable[[], list[Connector]]) -> None:
@@ -41,8 +41,8 @@
         self.asked = self.went = self.unclaimed = 0  # since the start
         self.told = 0  # of `asked`, as last logged
 
-    def make(self, action: Action, end: float, name: bytes) -> Claim:
-        return Claim(self, action, f"{self.life}/{next(self.numbers)}", end, name)
+    def make(self, action: Action, end: float, name: bytes) -> ActionClaim:
+        return ActionClaim(self, action, f"{self.life}/{next(self.numbers)}", end, name)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -86,10 +86,10 @@
             task.cancel()
 
 
-class Claim:
+class ActionClaim:
     """One try of an action."""
 
-    def __init__(self, claims: Claims, action: Action, id: str, end: float, name: bytes) -> None:
+    def __init__(self, claims: ActionClaims, action: Action, id: str, end: float, name: bytes) -> None:
         self.claims, self.action, self.id, self.until, self.name = claims, action, id, end, name
         self.open = False  # whether the core may hold this claim
 
@@ -112,7 +112,7 @@
         try:
             verdict = str(told["verdict"]) if told is not None else ""
             if told is not None and verdict != PROCEED:
-                answer = answer_of(
+                answer = answer_for_verdict(
                     verdict, float(told["after"]), str(told["answer"]), str(told["what"]), self.name
                 )
         except (KeyError, TypeError, ValueError):  # no core machine of this build says that
@@ -133,7 +133,7 @@
             return
         self.open = False
         state = DONE if answer is not None else LOST if ran else FREE
-        text = kept(answer, self.claims.terms.limits.max_answer_chars) if answer is not None else ""
+        text = encode_answer(answer, self.claims.terms.limits.max_answer_chars) if answer is not None else ""
         message = encode(EndAction(self.action.key, self.id, state, text))
         if len(self.claims.tasks) < 2 * MOST:
             self.claims.spawn(self.ending(message))
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -12,7 +12,7 @@
 from orchidhill import interface as i
 
 if TYPE_CHECKING:
-    from ivymux.proxy.program import Door
+    from ivymux.proxy.program import Proxy
 
 NEAR_FIRST = 0.1  # seconds for which a door waits for the configuration from its own zone
 MAX_SHUN = 10.0  # seconds for which a door leaves a backend alone by the core's word
@@ -23,7 +23,7 @@
 class CoreConnection:
     """The connection to one core machine's registry."""
 
-    def __init__(self, door: Door, ip: str) -> None:
+    def __init__(self, door: Proxy, ip: str) -> None:
         self.door, self.ip = door, ip
         self.version, self.zone = -1, ""
         self.asked_at = 0.0
--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -12,7 +12,7 @@
 
 from ivymux.data_plane.limits import Address
 from ivymux.proxy.counter_holders import CounterHolders
-from ivymux.proxy.lease_counts import Counts
+from ivymux.proxy.lease_counts import LeaseCounts
 from ivymux.runtime.log import Log
 from ivymux.tally.store import MAX_AMOUNT, TallyFull
 from ivymux.transport.connection import Connection, Connector
@@ -51,14 +51,14 @@
     return made
 
 
-class HeldCounter:
+class DistributedCounter:
     """The counter as the host calls it: each call is answered once, those of one name in their order."""
 
     def __init__(
         self,
         me: str,
         holders: CounterHolders,
-        counts: Counts,
+        counts: LeaseCounts,
         timeout: float,
         post: Callable[[Counted | Late], None],
     ) -> None:
--- a/ivymux/proxy/failure_reports.py
+++ b/ivymux/proxy/failure_reports.py
@@ -16,7 +16,7 @@
 LOOK = 1.0  # seconds over which a door looks whether it is well itself
 
 
-def doubtful(outcome: Outcome, status: int) -> bool:
+def indicates_backend_failure(outcome: Outcome, status: int) -> bool:
     """Whether an attempt tells against its backend.
 
     Not what a full one says or does (503, 504, a reset): to leave those alone would fill the others.
@@ -33,12 +33,12 @@
     def on_attempt_finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
         if result.outcome is Outcome.OK:
             self.well += 1
-        elif doubtful(result.outcome, result.status) and not request.is_settled:
+        elif indicates_backend_failure(result.outcome, result.status) and not request.is_settled:
             self.doubt(backend)
         super().on_attempt_finished(request, number, backend, result)
 
 
-class Doubts:
+class FailureReporter:
     def __init__(
         self, well: Callable[[], int], id: Callable[[int], str], send: Callable[[Message], None]
     ) -> None:
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -10,13 +10,13 @@
 
 from ivymux.data_plane.client_departures import OnDeparture
 from ivymux.data_plane.frontend import CLOSE_CONNECTION, Answer, BadRequest, Call, Headers
-from ivymux.proxy.name_tables import Tables
+from ivymux.proxy.name_tables import NameTables
 from ivymux.routing_config.route_plan import Plan
 from orchidhill import interface as i
 
 if TYPE_CHECKING:
-    from ivymux.proxy.keyed_requests import Keyed
-    from ivymux.proxy.trial_client import Catcher
+    from ivymux.proxy.keyed_requests import KeyedRequests
+    from ivymux.proxy.trial_client import TrialClient
 
 REASONS = {
     200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 400: "Bad Request", 401: "Unauthorized",
@@ -46,8 +46,8 @@
     max_unread_clients = 200
 
     def __init__(
-        self, tables: Tables, instance: Callable[[int], bytes], doors: Callable[[], int],
-        keys: Callable[[], Keyed] | None = None, number: Callable[[str], int] = lambda backend: 0,
+        self, tables: NameTables, instance: Callable[[int], bytes], doors: Callable[[], int],
+        keys: Callable[[], KeyedRequests] | None = None, number: Callable[[str], int] = lambda backend: 0,
     ) -> None:  # fmt: skip
         """`instance`: the id of a backend's life by its number, `number` the other way; `doors`: how many
         doors there are; `keys`: what actions with keys need.
@@ -55,7 +55,7 @@
         self.tables, self.instance, self.doors = tables, instance, doors
         self.keys, self.number = keys, number
         self.plan: Plan | None = None
-        self.catcher: Catcher | None = None  # only while a trial may be in force
+        self.catcher: TrialClient | None = None  # only while a trial may be in force
         self.max_body_bytes = 64 << 20
 
     def answer_locally(self, target: bytes) -> Answer | None:
--- a/ivymux/proxy/keyed_actions.py
+++ b/ivymux/proxy/keyed_actions.py
@@ -43,7 +43,7 @@
     return made.hexdigest()
 
 
-def key_of(headers: Headers) -> bytes:
+def parse_key(headers: Headers) -> bytes:
     """The caller's key.  Raises BadRequest."""
     values = [value for field, value in headers if field == FIELD]
     found = KEY.fullmatch(values[0]) if len(values) == 1 else None
@@ -52,7 +52,7 @@
     return found[1] if found[1] is not None else found[2]
 
 
-def action(
+def make_action(
     headers: Headers, tenant: str, auth: bytes, header: bytes, method: bytes, host: bytes, target: bytes,
     body: bytes,
 ) -> Action:  # fmt: skip
@@ -62,13 +62,13 @@
     """
     name = next((value for field, value in headers if header and field == header), b"")
     return Action(
-        digest(tenant.encode(), key_of(headers), size=KEY_DIGITS // 2), tenant,
+        digest(tenant.encode(), parse_key(headers), size=KEY_DIGITS // 2), tenant,
         digest(method, host, target), digest(body),
         digest(b"named", name) if name else digest(b"caller", auth),
     )  # fmt: skip
 
 
-def kept(answer: Answer, most: int) -> str:
+def encode_answer(answer: Answer, most: int) -> str:
     """An answer as a ticket keeps it; empty where it is longer than `most` characters."""
     if len(answer.body) > most:
         return ""
@@ -82,7 +82,7 @@
     return text if len(text) <= most else ""
 
 
-def again(text: str, name: bytes) -> Answer:
+def replay_answer(text: str, name: bytes) -> Answer:
     """A kept answer, for another try of the same action."""
     wire: Any = msgspec.json.decode(text)
     status, fields, body = wire
@@ -92,12 +92,16 @@
     return Answer(int(status), b64decode(body), headers=[*headers, REPLAYED])
 
 
-def answer_of(verdict: str, after: float, text: str, what: str, name: bytes) -> Answer:
+def answer_for_verdict(verdict: str, after: float, text: str, what: str, name: bytes) -> Answer:
     """What a caller is told whose action is not sent."""
     if verdict == IN_PROGRESS:
         return Answer(409, b"an action with this key is at work\n", retry_after=max(0.05, after))
     if verdict == ANSWERED:
-        return again(text, name) if text else Answer(409, b"this action has run; its answer was not kept\n")
+        return (
+            replay_answer(text, name)
+            if text
+            else Answer(409, b"this action has run; its answer was not kept\n")
+        )
     if verdict == MISMATCH:
         return Answer(422, f"this key was sent with another {what}; give each action its own\n".encode())
     if verdict == LIMIT_REACHED:
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -11,8 +11,8 @@
 from ivymux.data_plane.frontend import Headers
 from ivymux.idempotency.affinity import BUCKETS, Homes, bucket
 from ivymux.idempotency.settings import ConversationSettingsError, read
-from ivymux.proxy.action_claims import Claim, Claims
-from ivymux.proxy.keyed_actions import action
+from ivymux.proxy.action_claims import ActionClaim, ActionClaims
+from ivymux.proxy.keyed_actions import make_action
 from ivymux.proxy.membership_view import UP, Backend
 from ivymux.routing_config.route_plan import Route
 from ivymux.runtime.log import Log
@@ -25,17 +25,17 @@
 class Taken:
     """What an action's key makes of its request."""
 
-    claim: Claim
+    claim: ActionClaim
     service: str
     home: str  # the backend of its conversation, by its id; empty where there is none
 
 
-class Keyed:
+class KeyedRequests:
     def __init__(
         self, lines: Callable[[], list[Connector]], backends: Callable[[], Iterable[Backend]]
     ) -> None:
         """`lines`: to the core, the nearest first; `backends`: all that the door knows."""
-        self.claims, self.homes = Claims(lines), Homes()
+        self.claims, self.homes = ActionClaims(lines), Homes()
         self.backends = backends
         self.stale = True  # whether backends have come or gone since homes were made
 
@@ -45,7 +45,7 @@
     ) -> Taken:  # fmt: skip
         """Raises BadRequest for what is no key."""
         header = self.claims.terms.header
-        made = action(headers, tenant, auth, header, method, host, target, body)
+        made = make_action(headers, tenant, auth, header, method, host, target, body)
         at = bucket(tenant, made.name)
         service = route.service((at + 0.5) / BUCKETS)  # a conversation stays with one service of a split too
         return Taken(self.claims.make(made, end, name), service, self.home(service, at))
--- a/ivymux/proxy/lease_counts.py
+++ b/ivymux/proxy/lease_counts.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class Book:
+class TenantUsage:
     """What one tenant was granted lately, and what its store holds."""
 
     level: float
@@ -96,11 +96,11 @@
     kept: Steps = field(default_factory=Steps)  # what was kept for doors that may be cut off
 
 
-class Counts:
+class LeaseCounts:
     def __init__(self, holders: CounterHolders, incarnation: int) -> None:
         self.store = Store(MAX_NAMES)
         self.holders, self.incarnation = holders, incarnation
-        self.books: dict[int, Book] = {}
+        self.books: dict[int, TenantUsage] = {}
 
     def add(self, count: Count, caller: str, now: float) -> float:
         """The total after an amount was added.  Raises TallyFull.
@@ -125,16 +125,16 @@
             self.grant(book, count, now)
         return count.burst + count.since * count.rate - self.room(book, count)
 
-    def room(self, book: Book, count: Count) -> float:
+    def room(self, book: TenantUsage, count: Count) -> float:
         """What may be granted now; less than nothing where too much was."""
         return min(book.level, count.span * count.rate + count.burst - book.granted.total)
 
-    def continues(self, book: Book, count: Count, now: float) -> bool:
+    def continues(self, book: TenantUsage, count: Count, now: float) -> bool:
         """Whether what is known of a tenant's earlier windows is all there was: nobody else held one."""
         trusted = self.holders.has_full_history(count.customer, count.since, now)
         return trusted and self.holders.find_holder(book.name, count.customer, book.began) == self.holders.me
 
-    def open(self, count: Count, now: float) -> Book:
+    def open(self, count: Count, now: float) -> TenantUsage:
         """A tenant that nothing is known of: as if it had been granted its rate and what its store lacks."""
         if len(self.books) > 2 * len(self.store.totals) + 64:
             self.books = {c: b for c, b in self.books.items() if now - b.at < MAX_IDLE}
@@ -145,13 +145,13 @@
             spent = 0.0 if self.holders.is_common_start(now) else LUMP * count.burst
             level += count.since * count.rate - count.drained - spent
             level = max(min(1.0, count.burst), level)  # one request is within what the rule leaves
-        book = Book(level, now, count.name, now - count.since, SURE if lost else 0.0)
+        book = TenantUsage(level, now, count.name, now - count.since, SURE if lost else 0.0)
         book.granted.spread(count.span * count.rate, now - count.span, now)
         book.granted.put(math.floor(now / STEP), count.burst - level)
         self.books[count.customer] = book
         return book
 
-    def fill(self, book: Book, count: Count, now: float) -> None:
+    def fill(self, book: TenantUsage, count: Count, now: float) -> None:
         """The store fills up to now; what it flows over by nobody can be granted any more."""
         pace = count.rate + count.burst / count.span if count.span else 0.0
         span, book.at = max(0.0, now - book.at), max(now, book.at)
@@ -168,7 +168,7 @@
             book.over.forget(step - int(KEPT / STEP))
             book.kept.forget(step - int(KEPT / STEP))
 
-    def keep_for_missing(self, book: Book, count: Count, span: float, now: float) -> None:
+    def keep_for_missing(self, book: TenantUsage, count: Count, span: float, now: float) -> None:
         """Doors that went may be cut off and let in their shares: nobody tells before they come back."""
         part = self.holders.missing_share(now)
         if part > 0 and span > 0:
@@ -177,7 +177,7 @@
             book.kept.spread(amount, now - span, now)
             book.granted.spread(amount, now - span, now)
 
-    def heed(self, book: Book, count: Count, now: float) -> None:
+    def heed(self, book: TenantUsage, count: Count, now: float) -> None:
         """What doors know that this one does not."""
         step, lacks = math.floor(now / STEP), 0.0
         # All that doors know of an edge is less than or as much as what was: the most of it counts.
@@ -191,7 +191,7 @@
             book.level -= lacks
             book.granted.put(step, lacks)
 
-    def grant(self, book: Book, count: Count, now: float) -> None:
+    def grant(self, book: TenantUsage, count: Count, now: float) -> None:
         step, late = math.floor(now / STEP), max(0.0, min(count.late, count.amount))
         fresh = count.amount - late
         book.level = min(count.burst, book.level - fresh)  # what is given back to a full store is lost
@@ -202,7 +202,7 @@
         if late > 0:
             self.let_in_before(book, late, count.spread, now)
 
-    def let_in_before(self, book: Book, late: float, spread: float, now: float) -> None:
+    def let_in_before(self, book: TenantUsage, late: float, spread: float, now: float) -> None:
         """An amount that was let in over the last seconds by a door that was cut off."""
         lacks = kept = 0.0
         for step, part in parts(now - spread, now):
--- a/ivymux/proxy/metrics.py
+++ b/ivymux/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""A door's figures, as operators and scrapers fetch them."""
+"""A door's collect_metrics, as operators and scrapers fetch them."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from ivymux.proxy.program import Door
+    from ivymux.proxy.program import Proxy
 
 PREFIX = "ivymux_proxy"
 
 
-def figures(door: Door) -> dict[str, float]:
+def collect_metrics(door: Proxy) -> dict[str, float]:
     """Counts since the start end in `_total`; the others are of this moment."""
     host, departures = door.host, door.host.departures
     return {
@@ -34,6 +34,6 @@
     }
 
 
-def metrics_text(values: Mapping[str, float]) -> bytes:
+def format_metrics(values: Mapping[str, float]) -> bytes:
     """One figure a line, `ivymux_proxy_NAME VALUE`, as scrapers of plain text read them."""
     return "".join(f"{PREFIX}_{name} {value:.10g}\n" for name, value in values.items()).encode()
--- a/ivymux/proxy/name_tables.py
+++ b/ivymux/proxy/name_tables.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Tables:
+class NameTables:
     routes: dict[str, int] = field(default_factory=dict)
     classes: list[i.RequestClass] = field(default_factory=list)
     tenants: dict[str, int] = field(default_factory=dict)
@@ -37,7 +37,7 @@
                 self.classes[number] = cls
         for tenant in plan.tenants.values():
             number = self.tenants.setdefault(tenant.name, len(self.plans))
-            self.customers[tenant.name] = customer(tenant.name)
+            self.customers[tenant.name] = customer_number(tenant.name)
             made = tenant_plan(tenant)
             if number == len(self.plans):
                 self.plans.append(made)
@@ -53,7 +53,7 @@
         return self.routes[key(route)]
 
 
-def customer(name: str) -> int:
+def customer_number(name: str) -> int:
     """A tenant's number, the same at every door; its counts go by it."""
     return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big") + 1
 
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -19,10 +19,10 @@
 from ivymux.proxy.answer_policy import proxy_answer_policy
 from ivymux.proxy.core_connection import CoreConnection
 from ivymux.proxy.counter_holders import CounterHolders
-from ivymux.proxy.distributed_counter import HeldCounter
-from ivymux.proxy.failure_reports import Doubts, WatchedHost
+from ivymux.proxy.distributed_counter import DistributedCounter
+from ivymux.proxy.failure_reports import FailureReporter, WatchedHost
 from ivymux.proxy.frontend import ProxyFrontend
-from ivymux.proxy.lease_counts import Counts
+from ivymux.proxy.lease_counts import LeaseCounts
 from ivymux.proxy.membership_view import (
     LOST,
     OFF,
@@ -32,9 +32,9 @@
     MembershipView,
     ProxyLocation,
 )
-from ivymux.proxy.metrics import figures, metrics_text
+from ivymux.proxy.metrics import collect_metrics, format_metrics
 from ivymux.proxy.module_settings import CONNECT_TIMEOUT, COUNTER_TIMEOUT, module_settings
-from ivymux.proxy.name_tables import Tables
+from ivymux.proxy.name_tables import NameTables
 from ivymux.proxy.status_pages import METRICS, READINESS, StatusPagesFrontend
 from ivymux.routing_config.route_plan import PlanError, plan_of
 from ivymux.runtime.clock import SystemClock
@@ -48,8 +48,8 @@
 from orchidhill.proxy_gateway import SILENT, ProxyGateway, ProxyRules
 
 if TYPE_CHECKING:
-    from ivymux.proxy.keyed_requests import Keyed
-    from ivymux.proxy.trial_client import Catcher
+    from ivymux.proxy.keyed_requests import KeyedRequests
+    from ivymux.proxy.trial_client import TrialClient
     from orchidhill.gateway import Gateway
 
 IDLE = 10.0  # seconds that a backend is taken to keep an idle connection, where it says nothing
@@ -66,7 +66,7 @@
 log = Log("proxy")
 
 
-class Door:
+class Proxy:
     def __init__(self, settings: Settings, waiting: socket.socket | None = None) -> None:
         """`waiting`: where clients wait already."""
         self.settings = settings
@@ -74,7 +74,7 @@
         self.id = f"{settings.ip}:{settings.proxy_port}"
         now = time.monotonic()
         self.clock = SystemClock(time.time(), now)
-        self.membership, self.tables = MembershipView(), Tables()
+        self.membership, self.tables = MembershipView(), NameTables()
         self.holders = CounterHolders(self.id, now, settings.is_initial_start)
         bounds = Bounds.from_limits(max(64, settings.fd_limit - 260), settings.memory_mb)
         held = int(settings.memory_mb * HELD_PART * (1 << 20))
@@ -88,15 +88,15 @@
         self.switch = ProxyGateway(made, secrets.randbits(64), terms)
         # The host needs of a module what both kinds have.
         self.host = WatchedHost(cast("Gateway", self.switch), upstream)
-        self.doubts = Doubts(lambda: self.host.well, self.id_of, self.tell_core)
+        self.doubts = FailureReporter(lambda: self.host.well, self.id_of, self.tell_core)
         self.host.doubt = self.doubts.doubt
         self.host.wall_clock = lambda: self.clock.system_time(time.monotonic())
-        counts = Counts(self.holders, secrets.randbits(48) | 1)
-        self.counter = HeldCounter(self.id, self.holders, counts, COUNTER_TIMEOUT, self.host.post)
+        counts = LeaseCounts(self.holders, secrets.randbits(48) | 1)
+        self.counter = DistributedCounter(self.id, self.holders, counts, COUNTER_TIMEOUT, self.host.post)
         self.host.counter = self.counter
-        self.keyed: Keyed | None = None
+        self.keyed: KeyedRequests | None = None
         self.terms = ""  # settings of conversations, as the core told them last
-        self.catcher: Catcher | None = None
+        self.catcher: TrialClient | None = None
         # Requests and those that ended without service, at each sweep: what trials are held against.
         self.counted: deque[tuple[float, int, int]] = deque(maxlen=COUNTED)
         self.front = ProxyFrontend(
@@ -143,7 +143,7 @@
         return Answer(200 if self.ready() else 503)
 
     def metrics(self) -> Answer:
-        return Answer(200, metrics_text(figures(self)))
+        return Answer(200, format_metrics(collect_metrics(self)))
 
     def instance(self, backend: int) -> bytes:
         return self.ids.get(backend, b"gone")
@@ -153,12 +153,12 @@
         up = [core for core in self.cores.values() if core.line.is_connected]
         return [core.line for core in sorted(up, key=lambda c: (c.zone != self.settings.zone, c.ip))]
 
-    def keys(self) -> Keyed:
+    def keys(self) -> KeyedRequests:
         """What actions with keys need, loaded with the first of them."""
         if self.keyed is None:
-            from ivymux.proxy.keyed_requests import Keyed
+            from ivymux.proxy.keyed_requests import KeyedRequests
 
-            self.keyed = Keyed(self.lines, self.membership.backends.values)
+            self.keyed = KeyedRequests(self.lines, self.membership.backends.values)
             if self.terms:
                 self.keyed.use(self.terms)
         return self.keyed
@@ -195,9 +195,9 @@
     def trials(self, text: str) -> None:
         """A board of trials; what it takes is loaded with the first of them."""
         if self.catcher is None:
-            from ivymux.proxy.trial_client import Catcher
+            from ivymux.proxy.trial_client import TrialClient
 
-            self.catcher = Catcher(
+            self.catcher = TrialClient(
                 self.settings.zone, self.id, self.host, self.lines, self.clock.system_time, self.counted
             )
             if self.front.plan is not None:
--- a/ivymux/proxy/trial_client.py
+++ b/ivymux/proxy/trial_client.py
@@ -39,7 +39,7 @@
 FREE = Caught()
 
 
-class Catcher:
+class TrialClient:
     def __init__(
         self, zone: str, id: str, host: Host, lines: Callable[[], list[Connector]],
         system: Callable[[float], float], kept: Iterable[tuple[float, int, int]],
--- a/ivymux/runtime/program.py
+++ b/ivymux/runtime/program.py
@@ -121,9 +121,9 @@
 def program_factory(role: str, early: socket.socket | None = None) -> Callable[[Settings], Program]:
     """Return what creates the program of a role.  Each role imports only what it needs, to start fast."""
     if role == "proxy":
-        from ivymux.proxy.program import Door
+        from ivymux.proxy.program import Proxy
 
-        return partial(Door, waiting=early)
+        return partial(Proxy, waiting=early)
     if role == "registry":
         from ivymux.registry.program import Registry
 
--- a/ivymux/simulation/backend_selection.py
+++ b/ivymux/simulation/backend_selection.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ivymux.proxy.failure_reports import doubtful
+from ivymux.proxy.failure_reports import indicates_backend_failure
 from ivymux.proxy.module_settings import module_settings
 from ivymux.registry.outlier_detection import OutlierDetector
 from ivymux.simulation.event_queue import START, Clocked
@@ -179,7 +179,7 @@
         if outcome is Outcome.OK:
             del self.open[number]
             self.took.append((asked.began, (self.now - asked.began) / self.kinds[asked.kind].work))
-        elif self.shared and doubtful(outcome, 500):
+        elif self.shared and indicates_backend_failure(outcome, 500):
             self.doubt(asked.door, backend)
         asked.server = 0
         self.tell(
--- a/ivymux/simulation/quota_sharing.py
+++ b/ivymux/simulation/quota_sharing.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from ivymux.proxy.counter_holders import CounterHolders
-from ivymux.proxy.lease_counts import Counts
+from ivymux.proxy.lease_counts import LeaseCounts
 from ivymux.proxy.module_settings import module_settings
 from ivymux.simulation.event_queue import START, Clocked
 from orchidhill import interface as i
@@ -85,7 +85,7 @@
         super().__init__()
         self.random = random.Random(seed)
         self.tenants, self.tries = tenants, tries
-        self.counts = Counts(alone("one", START, first=True), 1)
+        self.counts = LeaseCounts(alone("one", START, first=True), 1)
         self.number = itertools.count(1)
         self.calls: Counter[int] = Counter()
         self.dark_until = START
@@ -146,7 +146,7 @@
         self.lost(100.0)
 
     def lost(self, age: float) -> None:
-        self.counts = Counts(alone("another", self.now, age), self.counts.incarnation + 1)
+        self.counts = LeaseCounts(alone("another", self.now, age), self.counts.incarnation + 1)
 
     def lose_all(self, dark: float) -> None:
         """All doors are killed, and serve again after `dark` seconds; what comes meanwhile is given up."""
@@ -193,7 +193,7 @@
         self.calls[n] += 1
         self.counted(n, door, count, self.counts)
 
-    def counted(self, n: int, door: ProxyGateway, count: i.Count, counts: Counts) -> None:
+    def counted(self, n: int, door: ProxyGateway, count: i.Count, counts: LeaseCounts) -> None:
         total = counts.add(count, f"door {n}", self.now)
         told = i.Counted(count.name, i.Outcome.OK, total, ROUND_TRIP, counts.incarnation)
         self.at(self.now + self.way[n], lambda: self.tell_same(n, door, told))
@@ -211,7 +211,7 @@
         for holders in self.lists:
             holders.update_proxies(self.came, long_ago)
             holders.first_start = False
-        self.held = [Counts(holders, number + 1) for number, holders in enumerate(self.lists)]
+        self.held = [LeaseCounts(holders, number + 1) for number, holders in enumerate(self.lists)]
         super().__init__(count, tenants, seed)
 
     def cut(self, n: int) -> None:
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -23,7 +23,7 @@
 from ivymux.fault_injection.request_matcher import Catch
 from ivymux.fault_injection.trial_set import Board
 from ivymux.proxy.counter_holders import CounterHolders
-from ivymux.proxy.lease_counts import Book, Counts
+from ivymux.proxy.lease_counts import LeaseCounts, TenantUsage
 from ivymux.registry import outlier_detection
 from ivymux.simulation.control_plane import Control
 from ivymux.simulation.core_cluster import Cores, Disk
@@ -307,16 +307,16 @@
     self.machines[ip].disk = Disk(DurableState(kept.identity, record, 0, "", None))
 
 
-def forgets(self: Counts, count: Any, now: float) -> Book:
-    book = self.books[count.customer] = Book(count.burst, now, count.name, now - count.since)
+def forgets(self: LeaseCounts, count: Any, now: float) -> TenantUsage:
+    book = self.books[count.customer] = TenantUsage(count.burst, now, count.name, now - count.since)
     return book
 
 
-def endless_room(self: Counts, book: Book, count: i.Count) -> float:
+def endless_room(self: LeaseCounts, book: TenantUsage, count: i.Count) -> float:
     return book.level + count.span * count.rate
 
 
-def always(self: Counts, book: Book, count: i.Count, now: float) -> bool:
+def always(self: LeaseCounts, book: TenantUsage, count: i.Count, now: float) -> bool:
     return True
 
 
@@ -352,8 +352,8 @@
     "a trial that needs no word of the core": lambda: swapped(Trials(), Catch, use=unasked),
     "one door's word that shuts a backend out": lambda: swapped(Doubts(), outlier_detection, MIN_PROXIES=1),
     "no bound on what is shut out": lambda: swapped(Doubts(), outlier_detection, MAX_EJECTED_SHARE=1.0),
-    "a store that is not kept to its burst": lambda: swapped(Quotas(), Counts, room=endless_room),
-    "counts that are forgotten": lambda: swapped(Cuts(), Counts, open=forgets),
+    "a store that is not kept to its burst": lambda: swapped(Quotas(), LeaseCounts, room=endless_room),
+    "counts that are forgotten": lambda: swapped(Cuts(), LeaseCounts, open=forgets),
     "nothing kept for doors that are cut off": lambda: swapped(
         Cuts(), CounterHolders, missing_share=lambda *a: 0.0
     ),
@@ -380,5 +380,7 @@
     "core: promises that are on no disk": lambda: contextlib.nullcontext(Core(Forgetful)),
     "core: an answer before the own disk": lambda: contextlib.nullcontext(Core(Early)),
     "core: a wiped machine that votes as the old one": lambda: swapped(Core(), Cores, wipe=same_name),
-    "a door that comes back and goes on with its book": lambda: swapped(Cuts(), Counts, continues=always),
+    "a door that comes back and goes on with its book": lambda: swapped(
+        Cuts(), LeaseCounts, continues=always
+    ),
 }
--- a/tests/proxy/test_distributed_counter.py
+++ b/tests/proxy/test_distributed_counter.py
@@ -10,22 +10,24 @@
 
 from ivymux.data_plane.limits import Address
 from ivymux.proxy.counter_holders import CounterHolders
-from ivymux.proxy.distributed_counter import HeldCounter
-from ivymux.proxy.lease_counts import Counts
+from ivymux.proxy.distributed_counter import DistributedCounter
+from ivymux.proxy.lease_counts import LeaseCounts
 from ivymux.transport.connection import Connection, Listener
 from orchidhill.interface import Count, Counted, Late, Outcome
 
 from ..sockets import run, until
 
 
-class Door:
+class Proxy:
     """The counting part of a door."""
 
     def __init__(self, me: str, others: set[str]) -> None:
         self.me, self.told = me, list[Counted]()
         self.holders = CounterHolders(me, time.monotonic(), first_start=True)
         self.holders.update_proxies(there(me, *others), time.monotonic())
-        self.counter = HeldCounter(me, self.holders, Counts(self.holders, hash(me) | 1), 0.25, self.post)
+        self.counter = DistributedCounter(
+            me, self.holders, LeaseCounts(self.holders, hash(me) | 1), 0.25, self.post
+        )
         self.listener = Listener(self.counter.asked)
 
     def post(self, told: Counted | Late) -> None:
@@ -38,13 +40,13 @@
     return dict.fromkeys(doors, time.monotonic() - 100.0)
 
 
-def names(door: Door, holder: str, count: int) -> list[int]:
+def names(door: Proxy, holder: str, count: int) -> list[int]:
     return [n for n in range(10_000) if door.holders.find_holder(n, n, time.monotonic()) == holder][:count]
 
 
 def test_calls_reach_their_holder_and_end_with_it() -> None:
     async def test() -> None:
-        one, two = Door("one", {"two"}), Door("two", {"one"})
+        one, two = Proxy("one", {"two"}), Proxy("two", {"one"})
         port = await two.listener.start(Address("127.0.0.1", 0))
         at = {"two": Address("127.0.0.1", port), "one": Address("127.0.0.1", 1)}
         mine, theirs = names(one, "one", 1)[0], names(one, "two", 2)
@@ -76,7 +78,7 @@
 
 def test_a_door_that_is_not_the_holder_adds_nothing() -> None:
     async def test() -> None:
-        one, two = Door("one", {"two"}), Door("two", {"one"})
+        one, two = Proxy("one", {"two"}), Proxy("two", {"one"})
         port = await two.listener.start(Address("127.0.0.1", 0))
         one.counter.place({"two": Address("127.0.0.1", port)}, time.monotonic())
         name = names(one, "two", 1)[0]
@@ -118,7 +120,7 @@
 )
 def test_what_no_door_sends_ends_its_connection_and_counts_nothing(spoilt: dict[str, Any]) -> None:
     async def test() -> None:
-        one = Door("one", set())
+        one = Proxy("one", set())
         line = Connection(lambda line, message: None)
         line.is_connected = True
         one.counter.asked(line, spoilt)
--- a/tests/proxy/test_keyed_actions.py
+++ b/tests/proxy/test_keyed_actions.py
@@ -8,8 +8,15 @@
 import pytest
 
 from ivymux.data_plane.frontend import Answer, BadRequest
-from ivymux.proxy.action_claims import Claims
-from ivymux.proxy.keyed_actions import FIELD, action, again, answer_of, kept, key_of
+from ivymux.proxy.action_claims import ActionClaims
+from ivymux.proxy.keyed_actions import (
+    FIELD,
+    answer_for_verdict,
+    encode_answer,
+    make_action,
+    parse_key,
+    replay_answer,
+)
 from ivymux.transport.connection import Connector, TransportError
 
 
@@ -19,18 +26,18 @@
      (b"x" * 255, b"x" * 255)],
 )  # fmt: skip
 def test_a_key_is_a_text_in_quotes_or_a_bare_word(value: bytes, key: bytes) -> None:
-    assert key_of([(FIELD, value)]) == key
+    assert parse_key([(FIELD, value)]) == key
 
 
 @pytest.mark.parametrize("values", [[b'""'], [b'"a'], [b"a b"], [b""], [b"x" * 256], [b"\xff"], [b"a", b"b"]])
 def test_what_is_no_key_is_refused(values: list[bytes]) -> None:
     with pytest.raises(BadRequest, match="Idempotency-Key"):
-        key_of([(FIELD, value) for value in values])
+        parse_key([(FIELD, value) for value in values])
 
 
 def made(tenant: str = "t", key: bytes = b"k", body: bytes = b"b", target: bytes = b"/x", **more: Any) -> Any:
     headers = [(FIELD, key), *more.get("headers", [])]
-    return action(headers, tenant, b"Bearer 1", b"x-matter", b"POST", b"h", target, body)
+    return make_action(headers, tenant, b"Bearer 1", b"x-matter", b"POST", b"h", target, body)
 
 
 def test_keys_are_a_tenants_own_and_parts_do_not_run_together() -> None:
@@ -44,13 +51,13 @@
 
 def test_a_kept_answer_comes_back_for_another_try() -> None:
     first = Answer(201, b"\x00body", headers=[(b"server-seal", b"s"), (b"try-id", b"one"), (b"x", b"\xe9")])
-    answer = again(kept(first, 1000), b"two")
+    answer = replay_answer(encode_answer(first, 1000), b"two")
     assert (answer.status, answer.body) == (201, b"\x00body")
     assert answer.headers is not None and dict(answer.headers) == {
         b"server-seal": b"s", b"x": b"\xe9", b"try-id": b"two", b"idempotent-replayed": b"true",
     }  # fmt: skip
-    assert kept(Answer(200, b"x" * 50), 40) == "" and kept(Answer(200, b"x" * 38), 40) == ""
-    told = answer_of("answered", 0.0, "", "", b"")
+    assert encode_answer(Answer(200, b"x" * 50), 40) == "" and encode_answer(Answer(200, b"x" * 38), 40) == ""
+    told = answer_for_verdict("answered", 0.0, "", "", b"")
     assert told.status == 409 and told.retry_after == 0
 
 
@@ -85,7 +92,7 @@
 ) -> None:
     async def day() -> None:
         core = Core(*says)
-        claims = Claims(lambda: [cast(Connector, core)])
+        claims = ActionClaims(lambda: [cast(Connector, core)])
         loop = asyncio.get_running_loop()
         claim = claims.make(made(), loop.time() + 0.4, b"try")
         heard: asyncio.Future[Answer | None] = loop.create_future()
--- a/tests/proxy/test_lease_counts.py
+++ b/tests/proxy/test_lease_counts.py
@@ -7,15 +7,15 @@
 import pytest
 
 from ivymux.proxy.counter_holders import CounterHolders
-from ivymux.proxy.lease_counts import Counts
-from ivymux.proxy.name_tables import customer
+from ivymux.proxy.lease_counts import LeaseCounts
+from ivymux.proxy.name_tables import customer_number
 from ivymux.simulation.event_queue import START
 from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
 from orchidhill.interface import Count
 
 
-def held(first: bool = True, at: float = 0.0) -> Counts:
-    return Counts(CounterHolders("d0", at, first_start=first), 77)
+def held(first: bool = True, at: float = 0.0) -> LeaseCounts:
+    return LeaseCounts(CounterHolders("d0", at, first_start=first), 77)
 
 
 RATE, BURST, SPAN = 10.0, 20.0, 5.0  # 70 in any 5 s
@@ -40,7 +40,7 @@
     )
 
 
-def room(counts: Counts, now: float, since: float, name: int = 1, **more: float) -> float:
+def room(counts: LeaseCounts, now: float, since: float, name: int = 1, **more: float) -> float:
     """What may be granted, as doors reckon it from the total that they are told."""
     return BURST + RATE * since - counts.add(count(name, 0.0, since, **more), "looks", now)
 
@@ -48,16 +48,18 @@
 def test_a_name_that_may_have_been_elsewhere_begins_drained() -> None:
     holders = CounterHolders("d0", 0.0)
     holders.update_proxies({"d0": 1.0, "d1": 1.0}, 1.0)
-    counts = Counts(holders, 77)
+    counts = LeaseCounts(holders, 77)
     # Its window began before this door could know of it: what was granted there is not known.
     assert room(counts, 2.0, 2.0, drained=BURST + 20.0 - 4.0) == pytest.approx(4.0)
     # Who held it may have granted a burst just now, where not all doors had to start first.
     holders = CounterHolders("d0", 0.0)
     holders.update_proxies({"d0": 1.0, "d1": -50.0}, 1.0)
-    assert room(Counts(holders, 77), 2.0, 2.0, drained=BURST + 20.0 - 4.0) == pytest.approx(1.0)
-    assert room(Counts(holders, 77), 2.0, 2.0, drained=BURST + 20.0 - 14.0) == pytest.approx(14.0 - BURST / 2)
+    assert room(LeaseCounts(holders, 77), 2.0, 2.0, drained=BURST + 20.0 - 4.0) == pytest.approx(1.0)
+    assert room(LeaseCounts(holders, 77), 2.0, 2.0, drained=BURST + 20.0 - 14.0) == pytest.approx(
+        14.0 - BURST / 2
+    )
     # One that began after all doors agreed was nowhere else.
-    counts = Counts(holders, 77)
+    counts = LeaseCounts(holders, 77)
     assert room(counts, 9.0, 2.0, name=2) == pytest.approx(BURST)
     # The same call again counts once.
     for _ in range(2):
@@ -142,7 +144,7 @@
     holders = CounterHolders("d0", 0.0, first_start=True)
     doors = {f"d{n}": -100.0 for n in range(8)}
     holders.update_proxies(doors, 0.0)
-    counts = Counts(holders, 77)
+    counts = LeaseCounts(holders, 77)
     counts.add(count(1, BURST, 10.0), "d1", 10.0)
     holders.update_proxies({d: at for d, at in doors.items() if d not in ("d6", "d7")}, 10.0)
     # Two of eight are away for a second: a quarter of the rate is theirs.
@@ -222,4 +224,4 @@
 
 def test_tenants_with_long_names_that_end_alike_have_counts_of_their_own() -> None:
     names = [f"{place}-hall-minute-takers" for place in ("matlock", "belper", "cromford")]
-    assert len({customer(name) for name in names}) == 3
+    assert len({customer_number(name) for name in names}) == 3
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from ivymux.proxy.failure_reports import Doubts, doubtful
+from ivymux.proxy.failure_reports import FailureReporter, indicates_backend_failure
 from ivymux.registry.outlier_detection import (
     FIRST_EJECTION_S,
     MAX_EJECTED_SHARE,
@@ -62,7 +62,9 @@
 
 
 def test_answers_of_an_overloaded_backend_are_no_failures() -> None:
-    against = {(o, s) for o in Outcome for s in (0, 200, 404, 500, 502, 503, 504) if doubtful(o, s)}
+    against = {
+        (o, s) for o in Outcome for s in (0, 200, 404, 500, 502, 503, 504) if indicates_backend_failure(o, s)
+    }
     assert {(o, s) for o, s in against if o is not Outcome.CANCELLED} == {
         (Outcome.ERROR, 500), (Outcome.ERROR, 502),
     }  # fmt: skip
@@ -71,7 +73,7 @@
 def test_a_proxy_at_which_most_requests_fail_reports_nothing() -> None:
     async def test() -> None:
         well, said = [0], list[Message]()
-        doubts = Doubts(lambda: well[0], lambda backend: f"b{backend}", said.append)
+        doubts = FailureReporter(lambda: well[0], lambda backend: f"b{backend}", said.append)
         doubts.sample()
         for _ in range(3):
             doubts.doubt(1)
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -16,7 +16,7 @@
 from ivymux.data_plane.upstream import Attempt
 from ivymux.proxy.answer_policy import ProxyAnswerPolicy
 from ivymux.proxy.frontend import ProxyFrontend
-from ivymux.proxy.program import Door
+from ivymux.proxy.program import Proxy
 from orchidhill import interface as i
 from orchidhill.interface import Outcome, State
 from orchidhill.proxy_gateway import ProxyGateway
@@ -101,25 +101,25 @@
 
 
 def configuration_not_applied() -> None:
-    true = Door.apply
+    true = Proxy.apply
 
-    def apply(self: Door, version: int, text: str) -> None:
+    def apply(self: Proxy, version: int, text: str) -> None:
         if self.version < 0:
             true(self, version, text)
 
-    swap(Door, "apply", apply)
+    swap(Proxy, "apply", apply)
 
 
 def configuration_reverted() -> None:
-    true, first = Door.apply, list[Any]()
+    true, first = Proxy.apply, list[Any]()
 
-    def apply(self: Door, version: int, text: str) -> None:
+    def apply(self: Proxy, version: int, text: str) -> None:
         true(self, version, text)
         first.append(self.front.plan)
         if len(first) == 2:  # the newer one holds for a second
             self.loop.call_later(1.0, self.front.use, first[0])
 
-    swap(Door, "apply", apply)
+    swap(Proxy, "apply", apply)
 
 
 def drain_not_heard() -> None:
@@ -161,11 +161,11 @@
 
 
 def end_cuts_requests() -> None:
-    async def stop(self: Door) -> None:
+    async def stop(self: Proxy) -> None:
         for client in list(self.server.clients):
             client.abort()
 
-    swap(Door, "stop", stop)
+    swap(Proxy, "stop", stop)
 
 
 def no_fault() -> None:
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -6,7 +6,7 @@
 
 from ivymux.data_plane.client_departures import LATE_AFTER_S, DepartureCounts, OnDeparture
 from ivymux.data_plane.frontend import Answer
-from ivymux.proxy.metrics import metrics_text
+from ivymux.proxy.metrics import format_metrics
 from ivymux.proxy.status_pages import METRICS, StatusPagesFrontend
 
 
@@ -39,7 +39,7 @@
 
 def test_metrics_are_one_figure_a_line_and_other_paths_are_not_found() -> None:
     front = StatusPagesFrontend(
-        {METRICS: lambda: Answer(200, metrics_text({"clients": 3, "longest_seconds": 0.25}))}
+        {METRICS: lambda: Answer(200, format_metrics({"clients": 3, "longest_seconds": 0.25}))}
     )
     page = front.answer_locally(METRICS + b"?x=1")
     assert page is not None
