--- a/ivymux/data_plane/upstream.py
+++ b/ivymux/data_plane/upstream.py
@@ -1,4 +1,4 @@
-"""Backends: pooled connections, attempts and how they end, load reports, probes."""
+"""HTTP/1.1 connections to backends: pools, attempts and their outcomes, load reports and probes."""
 
 from __future__ import annotations
 
@@ -18,13 +18,11 @@
 from ivymux.data_plane.limits import Address
 from orchidhill.interface import Outcome
 
-MAX_HEAD_BYTES = 16 * 1024  # with those of interim answers
-MAX_CHUNKED_OVERHEAD = (
-    8  # times its body that an answer may have on the wire, as chunks of one byte may be sent
-)
-MAX_SHARE_PER_BACKEND = 0.5  # of all connections, that one backend may have
-IDLE_TIME_SHARE = 0.5  # of the backend's idle time, after which an idle connection is retired here
-SWEEP_INTERVAL_S = 1.0  # seconds between looks for such connections
+MAX_HEAD_BYTES = 16 * 1024  # of an answer's header section, including interim answers
+MAX_CHUNKED_OVERHEAD = 8  # bytes on the wire for each byte of body, as a chunk may hold a single byte
+MAX_SHARE_PER_BACKEND = 0.5  # of all connections that one backend may have
+IDLE_TIME_SHARE = 0.5  # of the backend's idle timeout, after which an idle connection is closed here
+SWEEP_INTERVAL_S = 1.0  # between two searches for such connections
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d{1,6})", re.ASCII | re.IGNORECASE)
 REPORT_VALUE = re.compile(r"\d{1,15}(\.\d{1,15})?", re.ASCII)
 
@@ -36,16 +34,16 @@
     """How an attempt or a probe ended."""
 
     outcome: Outcome
-    spent: float
-    report: tuple[float, ...] = ()
+    spent: float  # seconds
+    report: tuple[float, ...] = ()  # the load report, in the order of the settings' columns
     body: bytes = b""
     content_type: bytes = b""
-    status: int = 0  # of a whole answer, where a front door passes it on
-    headers: list[tuple[bytes, bytes]] | None = None
+    status: int = 0  # for the client, if the answer policy passes the backend's status on
+    headers: list[tuple[bytes, bytes]] | None = None  # likewise
 
 
 class Attempt:
-    """One request on its way to one backend; `done` hears of its end exactly once."""
+    """One transmission of a request to one backend; `on_done` is called exactly once, when it ends."""
 
     __slots__ = (
         "connection",
@@ -60,19 +58,23 @@
     )
 
     def __init__(
-        self, payload: bytes, done: Callable[[Result], None], head: bool = False, name: bytes = b""
+        self,
+        payload: bytes,
+        on_done: Callable[[Result], None],
+        is_head: bool = False,
+        request_id: bytes = b"",
     ) -> None:
-        self.payload, self.on_done, self.is_head = payload, done, head
-        self.request_id = name  # of the request, as its answer has to name it
+        self.payload, self.on_done, self.is_head = payload, on_done, is_head
+        self.request_id = request_id  # which its answer has to repeat
         self.started_at = time.perf_counter()
-        self.connection: BackendConnection | None = None  # once its first byte may have been written
+        self.connection: BackendConnection | None = None  # set just before the first byte is written
         self.timer: asyncio.TimerHandle | None = None
-        self.give_up_outcome: Outcome | None = None  # why it was given up here
+        self.give_up_outcome: Outcome | None = None  # set while its connection is being aborted
         self.is_finished = False
 
     @property
     def is_written(self) -> bool:
-        """Whether a backend may have read any of it."""
+        """Whether a backend may have read part of it."""
         return self.connection is not None
 
     def finish(self, result: Result) -> None:
@@ -85,26 +87,28 @@
     def fail(self, outcome: Outcome) -> None:
         self.finish(Result(outcome, time.perf_counter() - self.started_at))
 
-    def give_up(self, why: Outcome) -> None:
-        """Stop waiting.  What was written is out until its connection has ended, so that ends first and
-        `done` hears of it then; else a further attempt might be out beside this one.
+    def give_up(self, outcome: Outcome) -> None:
+        """Abandon the attempt.
+
+        If bytes were written, `on_done` is called only after the connection has been closed: otherwise a
+        retry could be in flight at the same time as this attempt.
         """
         if self.is_finished or self.give_up_outcome is not None:
             return
         if self.connection is None:
-            # Nothing was written: it never ran, whatever the reason for giving it up.
-            self.fail(Outcome.MOOT if why is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
+            # Nothing was written, so the request was not executed, whatever the reason for giving it up.
+            self.fail(Outcome.MOOT if outcome is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         else:
-            self.give_up_outcome = why
+            self.give_up_outcome = outcome
             self.connection.abort()
 
 
 class InvalidAnswer(Exception):
-    """Stops the parser: what comes is not, or no longer, part of an answer to the attempt."""
+    """The bytes read are not a valid answer to the attempt; stops the parser."""
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection to a backend; it carries one attempt at a time."""
+    """One connection to a backend; it serves one attempt at a time."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
@@ -112,45 +116,47 @@
         self.attempt: Attempt | None = None
         self.policy = pool.upstream.answer_policy
         self.idle_since = 0.0
-        self.has_unsent_bytes = False  # whether part of the request still waits in this process
+        self.has_unsent_bytes = False  # whether part of the request is still in the write buffer
         self.parser = httptools.HttpResponseParser(self)
         self.poller = select.poll()
-        self.body_bytes = 0  # bytes of the body that is coming
-        self.had_mismatch = False  # whether an answer to an earlier request came where another was due
-        self.keep_alive_s = 0.0  # seconds that the backend said it keeps an idle connection; 0: it did not
+        self.body_bytes = 0  # of the answer that is being received
+        self.had_mismatch = False  # whether the answer to an earlier request was received instead
+        self.keep_alive_s = 0.0  # idle timeout that the backend announced; 0 if none
         self.reset()
 
     def reset(self) -> None:
-        self.read_bytes = 0  # bytes read for the answer that is coming, those of interim ones too
+        """Prepare for the answer to the next request."""
+        self.read_bytes = 0  # of the current answer, including interim answers
         self.pool.upstream.held_bytes -= self.body_bytes
-        self.result: Result | None = None  # the whole answer
+        self.result: Result | None = None  # set once the answer is complete
         self.is_reusable = False
         self.begin_answer()
 
     def begin_answer(self) -> None:
         self.has_final_headers = False
-        self.is_bodiless = (
-            False  # whether it ended with its header section, so that the parser is of no use on
-        )
+        # Whether the answer ended with its header section; the parser then still waits for a body.
+        self.is_bodiless = False
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
         self.body_bytes = 0
         self.content_length = 0
-        self.not_started = False
-        self.is_framed = False  # whether the answer's end can be told from its connection's end
+        self.not_started = False  # whether the backend says that it did not execute the request
+        self.is_framed = False  # whether the answer's length is known without the connection's end
         self.load_report = b""
         self.answered_request_id = b""
         self.content_type = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
-        transport.set_write_buffer_limits(high=0)  # hear at once of bytes that could not be written
+        transport.set_write_buffer_limits(high=0)  # `pause_writing` is called as soon as bytes are buffered
         self.transport = transport
         self.poller.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def is_usable(self) -> bool:
-        """Whether an idle connection can carry an attempt.  What can be read from it before that is not
-        its answer: a second copy of the last one, noise, or the connection's end.
+        """Whether an idle connection can serve an attempt.
+
+        If it is readable before a request is sent, the bytes can't be the answer: they are a repeated
+        answer, garbage or the end of the connection.
         """
         return self.transport is not None and not self.transport.is_closing() and not self.poller.poll(0)
 
@@ -170,7 +176,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
-            self.abort()  # an answer that nobody asked for: framing is lost
+            self.abort()  # an answer without a request: the bytes can't be attributed
             return
         self.read_bytes += len(data)
         error: Exception | None = None
@@ -180,40 +186,42 @@
             error = caught
         if self.result is None:
             if error is not None:
-                log.warning("backend %s: spoilt answer: %s", self.pool.name, error.__context__ or error)
-            elif self.read_bytes > (
-                MAX_CHUNKED_OVERHEAD * self.policy.max_body_bytes
-                if self.has_final_headers
-                else MAX_HEAD_BYTES
-            ):
-                log.warning("backend %s: an answer without end", self.pool.name)
+                log.warning("backend %s: invalid answer: %s", self.pool.backend, error.__context__ or error)
+            elif self.read_bytes > self.max_answer_bytes():
+                log.warning("backend %s: the answer is too long", self.pool.backend)
             else:
                 return
-            # It may have run.  The backend is well, so this is an error of its own, not a broken connection.
+            # The request may have been executed.  The connection works, so the outcome is not RESET.
             self.attempt.give_up_outcome = self.attempt.give_up_outcome or Outcome.ERROR
-            self.abort()  # the attempt ends with its connection
+            self.abort()  # ends the attempt, in `connection_lost`
             return
-        # Only now, with all that was read looked at: `finish` may bring the next attempt to this link,
-        # which must not get what stood behind this answer.  The answer itself is good in any case.
+        # Deliver only after all bytes read were parsed: `finish` may start the next attempt on this
+        # connection, and bytes behind this answer must not count for it.  This answer is valid anyway.
         self.deliver(
             self.attempt, self.result, self.is_reusable and error is None and not self.has_unsent_bytes
         )
 
+    def max_answer_bytes(self) -> int:
+        """Return how many bytes may be read of an answer that is not complete."""
+        if self.has_final_headers:
+            return MAX_CHUNKED_OVERHEAD * self.policy.max_body_bytes
+        return MAX_HEAD_BYTES
+
     def eof_received(self) -> None:
-        """The backend has ended its sending: so ends an answer that announced no length (RFC 9112, 6.3)."""
-        ends = self.policy.passes_all_statuses and not self.policy.requires_framing
-        if ends and self.has_final_headers and not self.is_framed and self.attempt is not None:
+        """Complete an answer whose length is given only by the end of the connection (RFC 9112, 6.3)."""
+        may_end = self.policy.passes_all_statuses and not self.policy.requires_framing
+        if may_end and self.has_final_headers and not self.is_framed and self.attempt is not None:
             self.on_answer_complete(self.parser.get_status_code())
             if self.result is not None:
-                self.deliver(self.attempt, self.result, keep=False)
+                self.deliver(self.attempt, self.result, is_reusable=False)
 
-    def deliver(self, attempt: Attempt, result: Result, keep: bool) -> None:
-        """Give the attempt its answer; the connection goes back to its pool or ends."""
+    def deliver(self, attempt: Attempt, result: Result, is_reusable: bool) -> None:
+        """Finish the attempt with its answer; put the connection back into its pool or close it."""
         self.attempt = None
-        if self.is_bodiless and keep:
-            self.parser = httptools.HttpResponseParser(self)  # that one would wait for a body
+        if self.is_bodiless and is_reusable:
+            self.parser = httptools.HttpResponseParser(self)  # the old one still waits for a body
         self.reset()
-        if keep:
+        if is_reusable:
             self.pool.put_back(self)
         else:
             self.abort()
@@ -221,7 +229,7 @@
 
     def on_message_begin(self) -> None:
         if self.result is not None:
-            raise InvalidAnswer("bytes behind the answer")
+            raise InvalidAnswer("bytes after the answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
@@ -231,7 +239,8 @@
             self.not_started = value == b"1"
         elif name == self.policy.request_id_header:
             if self.answered_request_id and self.answered_request_id != value:
-                raise InvalidAnswer("an answer that names two requests")  # part of another stands before it
+                # Part of another answer has been read as the beginning of this one.
+                raise InvalidAnswer("the answer names two requests")
             self.answered_request_id = value
         elif name == b"keep-alive" and self.policy.request_id_header:
             found = KEEP_ALIVE_TIMEOUT.search(value)
@@ -239,7 +248,7 @@
         elif name == b"content-type":
             self.content_type = value
         elif name == b"content-length":
-            self.is_framed, self.content_length = True, int(value)  # the parser takes digits only
+            self.is_framed, self.content_length = True, int(value)  # the parser accepts digits only
         elif name == b"transfer-encoding":
             self.is_framed = True
         if self.policy.passes_all_statuses:
@@ -251,25 +260,26 @@
         attempt = self.attempt if self.has_final_headers and self.policy.passes_all_statuses else None
         if attempt is not None and has_no_body(status, attempt.is_head):
             self.is_bodiless = True
-            self.is_framed = status != 204 or not self.content_length  # one that announces a body may send it
+            # A 204 that announces a body may also send it; its connection is not reused.
+            self.is_framed = status != 204 or not self.content_length
             self.on_answer_complete(status)
             return
         if self.content_length > self.policy.max_body_bytes:
-            raise InvalidAnswer(f"announces {self.content_length} bytes")
+            raise InvalidAnswer(f"its Content-Length is {self.content_length} bytes")
 
     def on_chunk_header(self) -> None:
         if self.is_bodiless:
-            raise InvalidAnswer("a body behind an answer that has none")
+            raise InvalidAnswer("a body after an answer that has none")
 
     def on_body(self, body: bytes) -> None:
         if self.is_bodiless:
-            raise InvalidAnswer("a body behind an answer that has none")
+            raise InvalidAnswer("a body after an answer that has none")
         self.body_bytes += len(body)
         self.pool.upstream.held_bytes += len(body)
         if self.body_bytes > self.policy.max_body_bytes:
-            raise InvalidAnswer(f"over {self.policy.max_body_bytes} bytes")
+            raise InvalidAnswer(f"its body is longer than {self.policy.max_body_bytes} bytes")
         if self.pool.upstream.held_bytes > self.policy.max_held_bytes:
-            raise InvalidAnswer("too much is held of all answers")
+            raise InvalidAnswer("too many bytes of answers are buffered")
         self.body.append(body)
 
     def on_message_complete(self) -> None:
@@ -280,17 +290,14 @@
             self.on_answer_complete(status)
 
     def on_answer_complete(self, status: int) -> None:
-        """The answer is whole."""
+        """Make the complete answer the result of the attempt, unless it belongs to another request."""
         if self.transport is None or self.transport.is_closing() or self.attempt is None:
             return
-        if (
-            self.answered_request_id
-            and self.attempt.request_id
-            and self.answered_request_id != self.attempt.request_id
-        ):
-            # A second answer to an earlier request; the one that is waited for stands behind it.
+        answered_id, expected_id = self.answered_request_id, self.attempt.request_id
+        if answered_id and expected_id and answered_id != expected_id:
+            # A repeated answer to an earlier request; the expected one may follow.
             if self.is_bodiless:
-                raise InvalidAnswer("another request's answer")
+                raise InvalidAnswer("the answer belongs to another request")
             self.had_mismatch = True
             self.pool.upstream.mismatched_answers += 1
             self.pool.upstream.held_bytes -= self.body_bytes
@@ -324,32 +331,30 @@
             )
             if self.has_unsent_bytes and attempt.give_up_outcome is Outcome.CANCELLED:
                 outcome = Outcome.MOOT
-            # The descriptor is closed only after this call returns; a further attempt must come later.
+            # The descriptor is closed only after this call returns, and a retry must not start before that.
             self.pool.upstream.loop.call_soon(attempt.fail, outcome)
 
 
 class ConnectionPool:
     """The connections to one backend."""
 
-    def __init__(self, owner: Upstream, name: int, address: Address, started: float) -> None:
-        self.upstream, self.name, self.address, self.started = owner, name, address, started
-        self.idle: deque[BackendConnection] = deque()  # the newest last; it is used first
+    def __init__(self, upstream: Upstream, backend: int, address: Address, started: float) -> None:
+        self.upstream, self.backend, self.address, self.started = upstream, backend, address, started
+        self.idle: deque[BackendConnection] = deque()  # the last one was used last and is used next
         self.connections: set[BackendConnection] = set()
         self.connecting_count = 0
 
     def start_attempt(self, attempt: Attempt) -> None:
+        """Send on an idle connection, or on a new one if the limits allow it."""
         while self.idle:
-            link = self.idle.pop()
-            if link.is_usable():
-                link.send(attempt)
+            connection = self.idle.pop()
+            if connection.is_usable():
+                connection.send(attempt)
                 return
-            link.abort()
-        if (
-            self.connecting_count + len(self.connections)
-            >= self.upstream.max_connections * MAX_SHARE_PER_BACKEND
-            or not self.upstream.make_room()
-        ):
-            # Nothing was sent.  Not a failed connection: the backend is not to blame.
+            connection.abort()
+        max_connections = self.upstream.max_connections * MAX_SHARE_PER_BACKEND
+        if self.connecting_count + len(self.connections) >= max_connections or not self.upstream.make_room():
+            # Nothing was sent.  The outcome is not CONNECT_FAILED, as the backend is not the cause.
             self.upstream.loop.call_soon(attempt.fail, Outcome.FULL)
             return
         self.connecting_count += 1
@@ -361,7 +366,7 @@
     async def connect(self, attempt: Attempt) -> None:
         try:
             async with asyncio.timeout(self.upstream.connect_timeout):
-                _, link = await self.upstream.loop.create_connection(
+                _, connection = await self.upstream.loop.create_connection(
                     lambda: BackendConnection(self), self.address.host, self.address.port
                 )
         except (OSError, TimeoutError):
@@ -370,72 +375,80 @@
             return
         finally:
             self.connecting_count -= 1
-        self.connections.add(link)
-        if link.transport is None or link.transport.is_closing():
-            self.forget(link)
+        self.connections.add(connection)
+        if connection.transport is None or connection.transport.is_closing():
+            self.forget(connection)
             attempt.fail(Outcome.CONNECT_FAILED)
-        elif attempt.is_finished:  # given up meanwhile; the connection is paid for
-            self.put_back(link)
+        elif attempt.is_finished:  # given up meanwhile; the connection is kept for the next attempt
+            self.put_back(connection)
         else:
-            link.send(attempt)
+            connection.send(attempt)
 
-    def put_back(self, link: BackendConnection) -> None:
-        if self.upstream.pools.get(self.name) is not self:
-            link.abort()  # the backend has moved or is gone
+    def put_back(self, connection: BackendConnection) -> None:
+        """Keep a connection for the next attempt, unless its backend has been removed or replaced."""
+        if self.upstream.pools.get(self.backend) is not self:
+            connection.abort()
             return
-        link.idle_since = time.monotonic()
-        self.idle.append(link)
+        connection.idle_since = time.monotonic()
+        self.idle.append(connection)
         self.upstream.schedule_sweep()
 
-    def forget(self, link: BackendConnection) -> None:
-        if link in self.connections:
-            self.connections.remove(link)
+    def forget(self, connection: BackendConnection) -> None:
+        if connection in self.connections:
+            self.connections.remove(connection)
             self.upstream.connection_count -= 1
-        if link in self.idle:
-            self.idle.remove(link)
+        if connection in self.idle:
+            self.idle.remove(connection)
 
     def close_idle(self) -> None:
         idle, self.idle = self.idle, deque()
-        for link in idle:
-            link.abort()
+        for connection in idle:
+            connection.abort()
 
 
 class Upstream:
-    """All backends that discovery has named."""
+    """The connection pools of all backends that discovery has named."""
 
     def __init__(
         self,
         connect_timeout: float,
         conn_idle: float,
-        columns: tuple[str, ...],
-        most_open: int,
-        style: AnswerPolicy = PLATFORM_POLICY,
+        report_columns: tuple[str, ...],
+        max_connections: int,
+        answer_policy: AnswerPolicy = PLATFORM_POLICY,
     ) -> None:
-        self.answer_policy = style
+        """`connect_timeout` and `conn_idle`, the backends' default idle timeout, are in seconds.
+
+        `report_columns` names the values of a load report; it is empty if there are no reports.
+        """
+        self.answer_policy = answer_policy
         self.mismatched_answers = 0  # answers that belonged to an earlier request
-        self.held_bytes = 0  # bytes of answers that are coming in
-        self.connect_timeout, self.report_columns, self.max_connections = connect_timeout, columns, most_open
+        self.held_bytes = 0  # of the bodies of answers that are being received
+        self.connect_timeout, self.report_columns = connect_timeout, report_columns
+        self.max_connections = max_connections
         self.default_max_idle_s = IDLE_TIME_SHARE * conn_idle
         self.loop = asyncio.get_running_loop()
         self.pools: dict[int, ConnectionPool] = {}
-        self.backend_by_address: dict[Address, int] = {}  # who listens there
+        self.backend_by_address: dict[Address, int] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.connection_count = 0  # connections and attempts to connect
+        self.connection_count = 0  # including those that are being opened
         self.is_closed = False
-        self.sweep_timer: asyncio.TimerHandle | None = None  # only while something stands idle
+        self.sweep_timer: asyncio.TimerHandle | None = None  # set only while there are idle connections
 
     def schedule_sweep(self) -> None:
         if self.sweep_timer is None and not self.is_closed:
             self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_expired)
 
     def update_backend(self, backend: int, address: Address, started: float) -> None:
-        """Where a backend listens.  Once it has moved or started again its idle connections are stale: a
-        machine that vanished never closed them.  What is out on the others runs on.
+        """Add a backend or replace its pool after a change of its address or a restart.
+
+        The idle connections of the old pool are closed: a machine that has failed never closes them.
+        Attempts in flight on the others go on.
         """
         pool = self.pools.get(backend)
         if pool is None or (pool.address, pool.started) != (address, started):
             self.remove_backend(backend)
-            # A new one where another listened: that one is gone, and what is meant for it must not go here.
+            # Another backend at this address no longer exists; its requests must not be sent to this one.
             self.remove_backend(self.backend_by_address.get(address, backend))
             self.pools[backend] = ConnectionPool(self, backend, address, started)
             self.backend_by_address[address] = backend
@@ -450,15 +463,15 @@
         backend: int,
         payload: bytes,
         timeout: float,
-        done: Callable[[Result], None],
-        head: bool = False,
-        name: bytes = b"",
+        on_done: Callable[[Result], None],
+        is_head: bool = False,
+        request_id: bytes = b"",
     ) -> Attempt:
-        """Begin an attempt.
+        """Start an attempt; `timeout` is in seconds.
 
-        `timeout` in seconds, `head`: its answer has no body, `name`: the request's id.
+        `is_head`: its answer has no body; `request_id`: which the answer has to repeat.
         """
-        attempt = Attempt(payload, done, head, name)
+        attempt = Attempt(payload, on_done, is_head, request_id)
         pool = self.pools.get(backend)
         if pool is None:
             self.loop.call_soon(attempt.fail, Outcome.CONNECT_FAILED)
@@ -467,40 +480,42 @@
             pool.start_attempt(attempt)
         return attempt
 
-    def probe(self, backend: int, done: Callable[[Result], None]) -> None:
-        """Health, with the load report as body where there are reports."""
+    def probe(self, backend: int, on_done: Callable[[Result], None]) -> None:
+        """Request a backend's load report, or its health if there are no reports."""
         path = b"/-/load" if self.report_columns else b"/-/healthy"
 
-        def heard(result: Result) -> None:
+        def on_answer(result: Result) -> None:
             if result.outcome is Outcome.OK and not result.report:
                 result.report = self.parse_report(result.body)
-            done(result)
+            on_done(result)
 
-        self.start_attempt(
-            backend, b"GET " + path + b" HTTP/1.1\r\nHost: origin.svc\r\n\r\n", self.connect_timeout, heard
-        )
+        payload = b"GET " + path + b" HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
+        self.start_attempt(backend, payload, self.connect_timeout, on_answer)
 
     def parse_report(self, text: bytes) -> tuple[float, ...]:
-        """A load report in the order of the settings' columns; one that lacks a column counts as none."""
+        """Return the values of a load report in the order of `report_columns`.
+
+        A report that lacks a column or holds an invalid value gives an empty tuple.
+        """
         if not text:
             return ()
         values: dict[str, float] = {}
         for part in text.decode("latin-1").removeprefix("TEXT").split(","):
-            key, sep, value = part.partition("=")
-            if sep:
+            key, separator, value = part.partition("=")
+            if separator:
                 if not REPORT_VALUE.fullmatch(value.strip()):
                     return ()
                 values[key.strip()] = float(value)
-        if any(c not in values for c in self.report_columns):
+        if any(column not in values for column in self.report_columns):
             return ()
-        return tuple(values[c] for c in self.report_columns)
+        return tuple(values[column] for column in self.report_columns)
 
     def close_idle(self, backend: int) -> None:
         if (pool := self.pools.get(backend)) is not None:
             pool.close_idle()
 
     def make_room(self) -> bool:
-        """Whether a connection may be opened; the one that has stood idle longest makes room for it."""
+        """Return whether a connection may be opened; close the one idle longest if that is needed."""
         if self.connection_count < self.max_connections:
             return True
         idle = [pool for pool in self.pools.values() if pool.idle]
@@ -510,23 +525,25 @@
         return True
 
     def close_expired(self) -> None:
-        """Retire idle connections well before the backend does: a request that crosses its close is lost."""
-        now, left = time.monotonic(), False
+        """Close idle connections well before the backend does.
+
+        A request that is sent while the backend closes its connection would be lost.
+        """
+        now, has_idle = time.monotonic(), False
         for pool in self.pools.values():
             while pool.idle and now - pool.idle[0].idle_since > self.max_idle_s(pool.idle[0]):
                 pool.idle.popleft().abort()
-            left = left or bool(pool.idle)
+            has_idle = has_idle or bool(pool.idle)
         self.sweep_timer = None
-        if left:
+        if has_idle:
             self.schedule_sweep()
 
-    def max_idle_s(self, link: BackendConnection) -> float:
-        """Seconds that a connection may stand idle: by what its backend said, where it did."""
-        return (
-            max(IDLE_TIME_SHARE * link.keep_alive_s, link.keep_alive_s - 2 * SWEEP_INTERVAL_S)
-            if link.keep_alive_s
-            else self.default_max_idle_s
-        )
+    def max_idle_s(self, connection: BackendConnection) -> float:
+        """Return how many seconds a connection may be idle, by its backend's Keep-Alive if there was one."""
+        announced = connection.keep_alive_s
+        if not announced:
+            return self.default_max_idle_s
+        return max(IDLE_TIME_SHARE * announced, announced - 2 * SWEEP_INTERVAL_S)
 
     def close(self) -> None:
         self.is_closed = True
@@ -535,5 +552,5 @@
         for task in self.tasks:
             task.cancel()
         for pool in self.pools.values():
-            for link in pool.connections:
-                link.abort()
+            for connection in pool.connections:
+                connection.abort()
--- a/tests/proxy/test_claimed.py
+++ b/tests/proxy/test_claimed.py
@@ -131,7 +131,7 @@
         assert it.claim.go is not None
         it.claim.go(None)
         attempt = it.request.attempts[0]
-        attempt.give_up = lambda why: it.sent[0](Result(Outcome.MOOT, 0.0))  # type: ignore[method-assign]
+        attempt.give_up = lambda outcome: it.sent[0](Result(Outcome.MOOT, 0.0))  # type: ignore[method-assign]
         it.host.on_client_left(it.request)
         assert not it.host.requests and it.claim.ends == [(None, False)]
 
