--- a/orchidhill/__init__.py
+++ b/orchidhill/__init__.py
@@ -1,4 +1,4 @@
-"""orchidhill: the decisions of an admission gateway for a service sold by plan."""
+"""Decisions of an admission gateway for a service with customers, plans and quotas."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """`Gateway`, once it is asked for: a door of the system decides without it, and starts faster."""
+    """Import `Gateway` on first use: a proxy starts faster without it."""
     if name != "Gateway":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from orchidhill.gateway import Gateway
--- a/orchidhill/benchlink.py
+++ b/orchidhill/benchlink.py
@@ -1,4 +1,4 @@
-"""Host loop for the simulator: frames in on standard input, replies out on standard output."""
+"""Simulator adapter: reads batches from standard input, writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def answer(gateways: dict[int, Gateway], batch: wire.Batch) -> bytes:
-    """Hand a batch's events to their instances and encode what they do."""
+    """Pass a batch's events to their gateway instances and encode the reply."""
     out: dict[int, Listed] = {}
     for instance, event in batch.records:
         listed = out.setdefault(instance, [])
@@ -25,13 +25,13 @@
                 listed.clear()
             elif instance in gateways:
                 listed.extend(gateways[instance].handle(batch.now, event))
-        except Exception as error:  # any failure of the module is reported, none is hidden
+        except Exception as error:  # every failure is reported to the simulator
             listed.append(wire.Fault(f"{type(error).__name__}: {error}"))
     return wire.encode_reply(batch.number, out.items())
 
 
 def read_batch(source: BinaryIO) -> wire.Batch | None:
-    """The next batch, or None at a clean end of input."""
+    """Read the next batch; None at the end of input.  Raises WireError."""
     head = source.read(wire.HEADER.size)
     if not head:
         return None
--- a/orchidhill/interface.py
+++ b/orchidhill/interface.py
@@ -1,7 +1,7 @@
 """The types a host exchanges with :class:`orchidhill.gateway.Gateway`.
 
-A host builds one ``Gateway(settings, seed)``, passes it one event at a time with the current
-time in seconds, and carries out the returned actions in order.  Nothing in here decides.
+A host builds one ``Gateway(settings, seed)``, passes it one event at a time with the current time in
+seconds, and carries out the returned actions in order.  This module has types only.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 
 class Effect(Enum):
-    """What repeating a request may do."""
+    """Whether a request may be repeated."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # always
+    KEYED = "keyed"  # within its class's scope and memory, where backends drop duplicates by key
+    UNSAFE = "unsafe"  # only if it never ran
 
 
 class Scope(Enum):
-    """Which backends drop a repeat of a keyed request."""
+    """Within which group of backends a repeated keyed request is dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,11 +31,11 @@
 
     OK = 0
     ERROR = 5
-    FULL = 11
+    FULL = 11  # rejected for overload
     RESET = 104
     TIMEOUT = 110
     CONNECT_FAILED = 111
-    MOOT = 114
+    MOOT = 114  # never started
     CANCELLED = 125
 
     @property
@@ -53,7 +53,7 @@
 
 
 class Listing(IntEnum):
-    """What a membership event carries."""
+    """The form of a membership event."""
 
     CACHED = 1
     DELTA = 2
@@ -64,12 +64,12 @@
 class Why(Enum):
     """Why a request was refused."""
 
-    QUOTA = "quota"  # the counter says that its customer's quota is used up
-    CEILING = "ceiling"  # the counter can't be asked, and what a ceiling leaves here is used up
-    COUNTER = "counter"  # the counter can't be asked, or not soon enough, and the local share is used up
-    ROOM = "room"  # no backend had room in time
-    BACKENDS = "backends"  # its attempts failed, and no other may follow
-    DEADLINE = "deadline"  # it came with too little time to be served
+    QUOTA = "quota"  # by the counter the customer's quota is exhausted
+    CEILING = "ceiling"  # in degraded mode, under a ceiling: the local share is exhausted
+    COUNTER = "counter"  # no call to the counter was possible in time, and the local share is exhausted
+    ROOM = "room"  # no backend had capacity in time
+    BACKENDS = "backends"  # all attempts failed, and no retry is allowed
+    DEADLINE = "deadline"  # too little time was left to serve it
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,35 +77,35 @@
     """A class of requests; times in seconds."""
 
     name: str
-    aim: float
+    aim: float  # target latency
     deadline: float
     effect: Effect
-    scope: Scope
-    memory: float
-    worth: float
-    late_worth: float
+    scope: Scope  # of keyed requests
+    memory: float  # for which backends drop repeats of a keyed request
+    worth: float  # of an answer within the target latency
+    late_worth: float  # of a later one
     stream: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A plan; quotas hold for each customer over all gateways.  0 means no such limit."""
+    """The quotas of each of a plan's customers, over all gateways; 0 means no such limit."""
 
     name: str
-    rate: float
-    burst: float
-    parallel: int
-    price: float
-    over_cost: float
-    over_worth: float
-    ceiling_rate: float
+    rate: float  # units per second
+    burst: float  # units
+    parallel: int  # concurrent attempts
+    price: float  # orders requests by value, with their class's worth
+    over_cost: float  # of a unit admitted beyond the quota
+    over_worth: float  # of the same
+    ceiling_rate: float  # never exceeded, not even in degraded mode
     ceiling_burst: float
     ceiling_slack: float
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Figures of the rules; times in seconds."""
+    """Parameters of the operating rules; times in seconds."""
 
     answer_slack: float
     drain_grace: float
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the deployment allows."""
+    """What the deployment allows; times in seconds."""
 
     max_attempts: int
     second_copies: bool
@@ -131,10 +131,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a gateway is told at start."""
+    """A gateway's settings at start; times in seconds."""
 
-    me: int
-    peers: int
+    me: int  # number of this gateway
+    peers: int  # number of gateways, this one included
     zone: int
     zones: tuple[str, ...]
     period: float
@@ -151,12 +151,12 @@
     report_how: str
     report_columns: tuple[str, ...]
     prices: dict[str, float]
-    counter_pace: float = 800.0  # calls a second that it bears to begin with, by all gateways
+    counter_pace: float = 800.0  # initial estimate of the calls per second that the counter handles
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One backend in a membership list; ``started`` 0 means long ago."""
+    """One backend in a membership list; ``started`` 0 means that it has warmed up."""
 
     backend: int
     zone: int
@@ -165,11 +165,13 @@
     kind: int
     cell: int
     weight: float
-    service: int = 0  # requests go to backends of their own service only
+    service: int = 0  # it serves only requests of this service
 
 
 @dataclass(slots=True)
 class Members:
+    """A membership list, or changes to it."""
+
     listing: Listing
     version: int
     entries: tuple[Entry, ...]
@@ -177,7 +179,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's try; ``left`` is the time until the client gives up on it."""
+    """A client's request; ``left`` is the time in seconds until the client gives up."""
 
     request: int
     cls: int
@@ -185,17 +187,19 @@
     customer: int
     left: float
     units: float
-    width: int
-    first: int
-    is_retry: bool
+    width: int  # number of gateways that the customer's requests go to
+    first: int  # number of the first of these gateways
+    is_retry: bool  # by the client
     is_write: bool
     service: int = 0
-    most: int = 0  # backends that it may be sent to; 0: what the limits say
-    home: int = 0  # the backend that its conversation goes to; 0: none
+    most: int = 0  # maximum of backends that it may reach; 0: as the limits say
+    home: int = 0  # the backend with the conversation's state; 0: none
 
 
 @dataclass(slots=True)
 class UnderWay:
+    """The backend has started an attempt."""
+
     request: int
     attempt: int
     backend: int
@@ -204,6 +208,8 @@
 
 @dataclass(slots=True)
 class Finished:
+    """An attempt has ended; ``closed``: its request is settled."""
+
     request: int
     attempt: int
     backend: int
@@ -217,16 +223,22 @@
 
 @dataclass(slots=True)
 class Left:
+    """The client has left."""
+
     request: int
 
 
 @dataclass(slots=True)
 class Fired:
+    """A timer is due."""
+
     token: int
 
 
 @dataclass(slots=True)
 class Probed:
+    """The answer to one ``Probe``."""
+
     backend: int
     outcome: Outcome
     spent: float
@@ -235,21 +247,21 @@
 
 @dataclass(slots=True)
 class Classes:
-    """The request classes from now on, never fewer.  Open requests keep the class that they came with."""
+    """The new request classes, never fewer than before.  Open requests keep their class."""
 
     classes: tuple[RequestClass, ...]
 
 
 @dataclass(slots=True)
 class Plans:
-    """The plans from now on, never fewer.  Open requests keep the plan that they came with."""
+    """The new plans, never fewer than before.  Open requests keep their plan."""
 
     plans: tuple[Plan, ...]
 
 
 @dataclass(slots=True)
 class Shun:
-    """Several gateways have met failures at a backend: it is left alone for a while, if others are there."""
+    """Several gateways reported failures of a backend: eject it for a while, unless no other is left."""
 
     backend: int
     seconds: float
@@ -257,23 +269,25 @@
 
 @dataclass(slots=True)
 class Doors:
-    """How many gateways there are, this one among them."""
+    """The number of gateways, this one included."""
 
     count: int
 
 
 @dataclass(slots=True)
 class PeerSays:
+    """A message from another gateway."""
+
     source: int
     data: bytes
 
 
 @dataclass(slots=True)
 class Counted:
-    """The answer to one ``Count``; ``total`` holds only with ``Outcome.OK``.
+    """The answer to one ``Count``; ``total`` is valid only with ``Outcome.OK``.
 
-    ``born`` names the incarnation of the counts that the total continues: another one began anew, or from a
-    copy.  0 where the counter does not tell.
+    ``born`` identifies the incarnation of the counter's totals: another one started empty or from a copy.
+    0 if the counter does not report it.
     """
 
     name: int
@@ -285,14 +299,14 @@
 
 @dataclass(slots=True)
 class Late:
-    """A ``Count`` that was told as timed out was answered after all."""
+    """A ``Count`` that was reported as timed out was answered after all."""
 
     name: int
 
 
 @dataclass(slots=True)
 class Leaving:
-    """The process is about to end, with all requests answered."""
+    """The process is about to end; all requests are answered."""
 
 
 News = Members | UnderWay | Finished | Probed | PeerSays | Counted | Late
@@ -301,7 +315,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; ``timeout`` 0 means until the client gives up."""
+    """Start an attempt; ``timeout`` in seconds, 0 means until the client gives up."""
 
     request: int
     backend: int
@@ -319,34 +333,44 @@
 
 @dataclass(slots=True)
 class Fail:
+    """Answer that a request failed and may have taken effect."""
+
     request: int
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an attempt; ``Finished`` follows."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send ``Fired`` at a time."""
+
     at: float
     token: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Ask a backend for its load."""
+
     backend: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close idle connections to a backend."""
+
     backend: int
 
 
 @dataclass(slots=True)
 class Tell:
-    """A message to one peer, or to all with ``peer`` None."""
+    """Send a message to one gateway, or to all others with ``peer`` None."""
 
     peer: int | None
     data: bytes
@@ -354,30 +378,34 @@
 
 @dataclass(slots=True)
 class Log:
+    """Write a log line."""
+
     text: str
 
 
 @dataclass(slots=True)
 class Watch:
+    """Turn membership watching on or off; `Gateway` does not use it."""
+
     on: bool
 
 
 @dataclass(slots=True)
 class Pull:
-    pass
+    """Request the membership list; `Gateway` does not use it."""
 
 
 @dataclass(slots=True)
 class Count:
-    """Add to a named count; a new name is forgotten ``expires`` seconds after its first call.
-
-    ``call`` names the call where it may be made again: a counter that tells ``born`` adds it once.  0: never.
-    ``drained`` is the total at which the name's store would hold nothing now, ``since`` the seconds since the
-    name's window began: a counter that may have lost the name goes by them.  A counter that keeps stores
-    itself goes by the ``customer``, its ``rate`` and ``burst``, which it may have over any ``span`` seconds,
-    ``seed``, what its store lacked when its window began as far as its caller knows, and ``known``, the last
-    total that was told, by the incarnation ``knew``.  Of the amount, ``late`` was let in before, evenly over
-    the last ``spread`` seconds, as the counter could not be asked.
+    """Add to a named total; a new name expires ``expires`` seconds after its first call.
+
+    ``call`` identifies a call that may be repeated: a counter that reports ``born`` adds it once.  0: never
+    repeated.  A counter that may have lost the name uses ``drained``, the total at which its token bucket
+    would be empty now, and ``since``, the seconds since its window began.  A counter that keeps the buckets
+    itself uses the ``customer``, its ``rate`` and ``burst``, allowed over any ``span`` seconds; ``seed``, the
+    bucket's deficit when its window began, as far as the caller knows; and ``known``, the last total that the
+    incarnation ``knew`` reported.  Of the amount, ``late`` was admitted in degraded mode, evenly over the last
+    ``spread`` seconds.
     """
 
     name: int
--- a/orchidhill/wire.py
+++ b/orchidhill/wire.py
@@ -1,4 +1,4 @@
-"""Codec for the simulator's wire 'quartz-61d8': bytes to events, actions to bytes, settings text to types."""
+"""Codec for the simulator's protocol 'quartz-61d8': decodes events and settings, encodes actions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WireError(ValueError):
-    """A frame that no correct peer would send."""
+    """A malformed frame."""
 
 
 class SettingsError(ValueError):
@@ -19,29 +19,35 @@
 
 @dataclass(slots=True)
 class Configure:
+    """Start a gateway instance with a settings text."""
+
     seed: int
     text: str
 
 
 @dataclass(slots=True)
 class Crash:
-    pass
+    """Discard a gateway instance."""
 
 
 @dataclass(slots=True)
 class Fault:
+    """Report that handling an event raised an exception."""
+
     text: str
 
 
 @dataclass(slots=True)
 class Batch:
+    """Events of one moment, each with the number of its gateway instance."""
+
     now: float
     number: int
     records: list[tuple[int, i.Event | Configure | Crash]]
 
 
 HEADER = struct.Struct("<IIdI")
-LENGTH_END = 8  # bytes of a batch header up to and with its length field
+LENGTH_END = 8  # bytes of a batch header up to the end of its length field
 REPLY = struct.Struct("<III")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
@@ -171,7 +177,7 @@
 
 
 def decode_batch(head: bytes, body: bytes) -> Batch:
-    """Decode one batch: its header and the records behind it."""
+    """Decode a batch from its header and its records.  Raises WireError."""
     count, length, now, number = HEADER.unpack(head)
     if length != len(body) + HEADER.size - LENGTH_END:
         raise WireError("the batch's length does not match its body")
@@ -189,7 +195,7 @@
             if decoder is None:
                 raise WireError(f"unknown record code {code}")
             if instance < 0:
-                raise WireError("a record stands before any AT")
+                raise WireError("a record precedes the first AT record")
             event, at = decoder(body, at)
             batch.records.append((instance, event))
     except (struct.error, IndexError):
@@ -202,7 +208,7 @@
 
 
 def encode_action(action: i.Action | Fault) -> bytes:
-    """One action as the record that carries it."""
+    """Encode an action as a record."""
     match action:
         case i.Send():
             return _ASSIGN.pack(1, action.request, action.backend, action.timeout)
@@ -240,7 +246,7 @@
 
 
 def encode_reply(number: int, actions: Iterable[tuple[int, list[i.Action | Fault]]]) -> bytes:
-    """The reply to one batch: each instance's actions behind a BY record."""
+    """Encode the reply to a batch: for each instance a BY record, then its actions."""
     parts: list[bytes] = []
     for instance, listed in actions:
         if listed:
@@ -251,7 +257,7 @@
 
 
 class _Reader:
-    """Typed look-ups in the path=value lines; errors name the key."""
+    """Typed look-ups in lines of key=value.  Raises SettingsError that names the key."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
@@ -334,7 +340,7 @@
 
 
 def parse_settings(text: str) -> i.Settings:
-    """The settings message as a typed object; keys it does not know are skipped."""
+    """Parse the settings message; unknown keys are ignored.  Raises SettingsError."""
     r = _Reader(text)
     rules = i.Rules(
         answer_slack=r.number("rules.answer_slack_s"),
