--- a/orchidhill/interface.py
+++ b/orchidhill/interface.py
@@ -404,8 +404,8 @@
     would be empty now, and ``since``, the seconds since its window began.  A counter that keeps the buckets
     itself uses the ``customer``, its ``rate`` and ``burst``, allowed over any ``span`` seconds; ``seed``, the
     bucket's deficit when its window began, as far as the caller knows; and ``known``, the last total that the
-    incarnation ``knew`` reported.  Of the amount, ``late`` was admitted in degraded mode, evenly over the last
-    ``spread`` seconds.
+    incarnation ``knew`` reported.  Of the amount, ``late`` was admitted in degraded mode, evenly over the
+    last ``spread`` seconds.
     """
 
     name: int
