--- a/bench/trials.py
+++ b/bench/trials.py
@@ -28,7 +28,7 @@
 import uvloop
 
 from bench.common import figure, html, parser, quantile, report
-from ivymux.fault_injection.request_matcher import LEASE
+from ivymux.fault_injection.request_matcher import LEASE_S
 from ivymux.simulation.local_cluster import Lab, lab
 
 DOORS, CORES, PARTNERS = 12, 3, 8
@@ -415,7 +415,7 @@
         with tempfile.TemporaryDirectory() as folder:
             figures |= await speed(Path(folder), doors, 10 if args.quick else 100)
     what = Counter(kind for _, kind in made.events)
-    load = f"{DOORS} doors, {CORES} core machines, {PARTNERS} partners, {dict(what)}, lease {LEASE:g} s"
+    load = f"{DOORS} doors, {CORES} core machines, {PARTNERS} partners, {dict(what)}, lease {LEASE_S:g} s"
     report(args, load, figures, ratios)
 
 
--- a/ivymux/fault_injection/__init__.py
+++ b/ivymux/fault_injection/__init__.py
@@ -1,3 +1,3 @@
-"""Intercept: trials, in which every door fails one named caller's requests, and nobody else's."""
+"""Fault injection: in a trial, all proxies fail or delay the requests of one named caller."""
 
-TRIALS = "trials"  # the note that holds them
+TRIALS = "trials"  # the replicated setting that holds them
--- a/ivymux/fault_injection/guard.py
+++ b/ivymux/fault_injection/guard.py
@@ -1,9 +1,8 @@
-"""The guard of trials: ends them where others' requests fail beside them.  Pure; steady time is passed in.
+"""Ends all trials if requests that are under no trial start to fail.  Pure; steady time is passed in.
 
-Doors tell how many requests they had that are under no trial, and how many of these ended without service
-for other reasons than a quota; and the same of the time before.  Where that rises over all doors together
-beyond chance, the trial is taken to be the cause: wrongly at times, as an outage of something else ends it
-too, and that does no harm.
+Proxies report how many of their requests were under no trial, how many of these failed for reasons other than
+a quota, and the same two counts from before the trials.  If the failures over all proxies rise beyond chance,
+the trials are taken to be the cause.  An unrelated outage ends them too, which does no harm.
 """
 
 from __future__ import annotations
@@ -11,56 +10,79 @@
 import math
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-SPAN = 5.0  # seconds over which others' failures are looked at
-FLOOR = 0.01  # share of others' failures that is ordinary, where none was seen before
-RISE = 2.0  # times what was seen before
-CHANCE = 4.0  # standard deviations
-LEAST = 10  # failures, under which nothing is said
-FORGET = 10.0  # seconds without a word after which a door's counts are left out
+WINDOW_S = 5.0  # failures are counted over this time
+MIN_FAILURE_RATE = 0.01  # expected where no failures were seen before the trials
+RATE_FACTOR = 2.0  # by which the failure rate from before the trials may rise
+MAX_DEVIATIONS = 4.0  # standard deviations above the expected failures that still count as chance
+MIN_FAILURES = 10  # fewer never end a trial
+REPORT_TTL_S = 10.0  # a proxy without a report for this long is left out
 
 
 class GuardError(ValueError):
-    """A report that no door sends."""
+    """An invalid report of a proxy."""
+
+
+class Sample(NamedTuple):
+    """A proxy's counts since its start, of requests under no trial."""
+
+    at: float
+    requests: int
+    failures: int
 
 
 @dataclass(slots=True)
-class Seen:
-    """One door's counts of requests under no trial, rising; and those of a span before the trials."""
+class ProxyCounts:
+    """One proxy's samples of the last WINDOW_S, and its counts from before the trials."""
 
-    at: deque[tuple[float, int, int]] = field(default_factory=deque)  # time, requests, failures
-    before: tuple[int, int] = (0, 0)
+    samples: deque[Sample] = field(default_factory=deque)
+    requests_before: int = 0
+    failures_before: int = 0
 
 
 @dataclass(slots=True)
 class Guard:
-    doors: dict[str, Seen] = field(default_factory=dict)
+    proxies: dict[str, ProxyCounts] = field(default_factory=dict)
 
-    def hear(self, door: str, now: float, asked: int, failed: int, before: tuple[int, int]) -> None:
-        """Raises GuardError."""
-        if min(asked, failed, *before) < 0:
+    def report(
+        self, proxy: str, now: float, requests: int, failures: int, counts_before: tuple[int, int]
+    ) -> None:
+        """Take a proxy's counts; `counts_before` are requests and failures from before the trials.
+
+        Raises GuardError.
+        """
+        if min(requests, failures, *counts_before) < 0:
             raise GuardError("counts below 0")
-        seen = self.doors.setdefault(door, Seen())
-        if seen.at and (asked < seen.at[-1][1] or failed < seen.at[-1][2]):
-            seen.at.clear()  # a door that has started anew
-        seen.at.append((now, asked, failed))
-        seen.before = before
-        while len(seen.at) > 2 and seen.at[1][0] <= now - SPAN:
-            seen.at.popleft()
-
-    def tripped(self, now: float) -> str:
-        """Why the trials have to end; empty where they need not."""
-        asked = failed = before = lost = 0
-        for door, seen in list(self.doors.items()):
-            if now - seen.at[-1][0] > FORGET:
-                del self.doors[door]
+        counts = self.proxies.setdefault(proxy, ProxyCounts())
+        samples = counts.samples
+        if samples and (requests < samples[-1].requests or failures < samples[-1].failures):
+            samples.clear()  # the proxy has restarted
+        samples.append(Sample(now, requests, failures))
+        counts.requests_before, counts.failures_before = counts_before
+        while len(samples) > 2 and samples[1].at <= now - WINDOW_S:
+            samples.popleft()
+
+    def trip_reason(self, now: float) -> str:
+        """Why the trials have to end; empty if they need not."""
+        requests = failures = requests_before = failures_before = 0
+        for proxy, counts in list(self.proxies.items()):
+            first, last = counts.samples[0], counts.samples[-1]
+            if now - last.at > REPORT_TTL_S:
+                del self.proxies[proxy]
                 continue
-            asked += seen.at[-1][1] - seen.at[0][1]
-            failed += seen.at[-1][2] - seen.at[0][2]
-            before += seen.before[0]
-            lost += seen.before[1]
-        usual = max(FLOOR, RISE * lost / before) if before else FLOOR
-        expected = asked * min(1.0, usual)
-        if failed < LEAST or failed <= expected + CHANCE * math.sqrt(max(1.0, expected)):
+            requests += last.requests - first.requests
+            failures += last.failures - first.failures
+            requests_before += counts.requests_before
+            failures_before += counts.failures_before
+        expected_rate = MIN_FAILURE_RATE
+        if requests_before:
+            expected_rate = max(MIN_FAILURE_RATE, RATE_FACTOR * failures_before / requests_before)
+        expected = requests * min(1.0, expected_rate)
+        tolerance = MAX_DEVIATIONS * math.sqrt(max(1.0, expected))
+        if failures < MIN_FAILURES or failures <= expected + tolerance:
             return ""
-        return f"others failed beside it: {failed} of {asked} in {SPAN:g} s, {usual:.1%} are usual"
+        return (
+            f"others failed beside it: {failures} of {requests} in {WINDOW_S:g} s,"
+            f" {expected_rate:.1%} are usual"
+        )
--- a/ivymux/fault_injection/request_matcher.py
+++ b/ivymux/fault_injection/request_matcher.py
@@ -1,9 +1,10 @@
-"""A door's part in trials: which requests are caught, and until when.  Pure; times are passed in.
+"""Decides at a proxy which requests are under a trial, and until when.  Pure; times are passed in.
 
-What a door has heard of a trial binds it only while it knows that the core still holds to it.  It asks the
-core again and again; each answer says how old it is, and counts from when it was asked for.  `LEASE` seconds
-behind that the door lets every trial go, on its steady clock, whatever it has heard or not.  So a trial ends
-at each door within the lease of its end, in touch or not; a door that starts anew has none at first.
+A trial is in force at a proxy only under a lease.  The proxy asks the core for the trials again and again;
+each answer says how old it is, and grants a lease of LEASE_S from the moment at which it was true.  Without
+a renewal every trial ends at that proxy, by its steady clock.  So a trial has ended at each proxy at most
+one lease after its end, even at a proxy that is partitioned from the core; a proxy that restarts has no
+lease at first.
 """
 
 from __future__ import annotations
@@ -13,113 +14,125 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ivymux.fault_injection.trial_set import Board, Trial, digest
+from ivymux.fault_injection.trial_set import Trial, TrialSet, key_digest
 
-LEASE = 3.0  # seconds for which a core's word on trials binds a door, from when it was asked for
-RENEW = 0.6  # seconds between a door's questions
+LEASE_S = 3.0
+RENEWAL_INTERVAL_S = 0.6
 
 
 @dataclass(slots=True)
-class Live:
-    """One trial at this door, in steady time."""
+class ActiveTrial:
+    """One running trial at this proxy; times are steady seconds."""
 
     trial: Trial
-    begin: float
-    end: float
-    keys: frozenset[bytes] = frozenset()  # of a trial about one key
-    asked: int = 0  # requests of its caller, at this door
-    caught: int = 0
-    since: float = 0.0  # when it first caught or could have; 0: not yet
-
-    def draws(self, name: bytes) -> bool:
-        """Whether a request is of the share: by its id, the same at every door."""
+    starts_at: float
+    ends_at: float
+    keys: frozenset[bytes] = frozenset()  # the key that the trial is limited to, if the configuration has it
+    requests: int = 0  # of the trial's caller, at this proxy
+    injected: int = 0
+    first_request_at: float = 0.0  # 0: none yet
+
+    def is_sampled(self, request_id: bytes) -> bool:
+        """Whether a request is in the trial's share.  All proxies decide alike, as only its id counts."""
         if self.trial.share >= 1:
             return True
-        drawn = blake2b(name, digest_size=8, key=self.trial.name.encode()).digest()
-        return int.from_bytes(drawn, "big") / 2**64 < self.trial.share
+        sample = blake2b(request_id, digest_size=8, key=self.trial.name.encode()).digest()
+        return int.from_bytes(sample, "big") / 2**64 < self.trial.share
 
 
 @dataclass(slots=True)
-class Catch:
-    zone: str  # the door's
-    board: Board = field(default_factory=Board)
-    live: dict[str, Live] = field(default_factory=dict)
-    keys: dict[str, bytes] = field(default_factory=dict)  # the configuration's keys, by their digests
-    fresh: float = -math.inf  # steady time up to which the core's word counts
-    mine: dict[str, list[Live]] = field(default_factory=dict)  # of this zone, by caller
-    under: int = 0  # requests under a trial that went on to the module
-
-    def use(self, board: Board, steady: float, unix: float) -> bool:
-        """Take a newer board; whether it is one."""
-        if board.version <= self.board.version:
+class RequestMatcher:
+    """The trials that one proxy knows, and its lease on them."""
+
+    zone: str
+    trials: TrialSet = field(default_factory=TrialSet)
+    active: dict[str, ActiveTrial] = field(default_factory=dict)  # by the trial's name
+    key_by_digest: dict[str, bytes] = field(default_factory=dict)  # the configuration's keys
+    lease_until: float = -math.inf  # steady time
+    active_by_caller: dict[str, list[ActiveTrial]] = field(default_factory=dict)  # those of this zone
+    forwarded: int = 0  # requests under a trial that still went to a backend
+
+    def apply(self, trials: TrialSet, steady: float, unix: float) -> bool:
+        """Take a newer set of trials; return whether it is newer."""
+        if trials.version <= self.trials.version:
             return False
-        self.board = board
-        before, self.live = self.live, {}
-        for trial in board.running:
-            wait = max(0.0, trial.at - unix)
-            found = Live(trial, steady + wait, steady + min(wait + trial.lasts, trial.until - unix))
-            known = before.get(trial.name)
-            if known is not None and known.trial == trial:  # no clock's step makes it longer
-                known.end = min(known.end, found.end)
-                found = known
-            self.live[trial.name] = found
-        self.place()
+        self.trials = trials
+        previous, self.active = self.active, {}
+        for trial in trials.running:
+            delay = max(0.0, trial.at - unix)
+            active = ActiveTrial(
+                trial, steady + delay, steady + min(delay + trial.lasts, trial.ends_at - unix)
+            )
+            known = previous.get(trial.name)
+            if known is not None and known.trial == trial:  # a jump of the wall clock must not extend it
+                known.ends_at = min(known.ends_at, active.ends_at)
+                active = known
+            self.active[trial.name] = active
+        self.index_by_caller()
         return True
 
-    def configured(self, keys: Iterable[bytes]) -> None:
-        """The keys of the configuration in force."""
-        self.keys = {digest(key): key for key in keys}
-        self.place()
+    def update_keys(self, keys: Iterable[bytes]) -> None:
+        """Take the API keys of the configuration in force."""
+        self.key_by_digest = {key_digest(key): key for key in keys}
+        self.index_by_caller()
 
-    def place(self) -> None:
-        self.mine = {}
-        for live in self.live.values():
-            trial = live.trial
+    def index_by_caller(self) -> None:
+        self.active_by_caller = {}
+        for active in self.active.values():
+            trial = active.trial
             if trial.zone and trial.zone != self.zone:
                 continue
-            live.keys = frozenset({self.keys[trial.key]} if trial.key in self.keys else ())
-            self.mine.setdefault(trial.caller, []).append(live)
-
-    def renew(self, version: int, asked: float, age: float) -> None:
-        """The core's answer to a question of steady time `asked`: the board it held `age` seconds before."""
-        if version == self.board.version:
-            self.fresh = max(self.fresh, asked - max(0.0, age) + LEASE)
-
-    def due(self, steady: float) -> bool:
-        """Whether there is anything to ask the core about."""
-        return any(steady < live.end for live in self.live.values())
-
-    def in_force(self, name: str, steady: float) -> bool:
-        live = self.live.get(name)
-        return live is not None and steady < self.fresh and live.begin <= steady < live.end
+            key = self.key_by_digest.get(trial.key)
+            active.keys = frozenset() if key is None else frozenset({key})
+            self.active_by_caller.setdefault(trial.caller, []).append(active)
+
+    def renew_lease(self, version: int, asked_at: float, age_s: float) -> None:
+        """Take the core's answer to a question asked at `asked_at`: `age_s` before, `version` was current."""
+        if version == self.trials.version:
+            self.lease_until = max(self.lease_until, asked_at - max(0.0, age_s) + LEASE_S)
+
+    def has_running_trial(self, steady: float) -> bool:
+        """Whether the lease has to be renewed."""
+        return any(steady < active.ends_at for active in self.active.values())
+
+    def is_in_force(self, name: str, steady: float) -> bool:
+        active = self.active.get(name)
+        if active is None or steady >= self.lease_until:
+            return False
+        return active.starts_at <= steady < active.ends_at
 
-    def find(
-        self, steady: float, tenant: str, key: bytes, route: str, service: str, name: bytes
+    def match(
+        self, steady: float, tenant: str, key: bytes, route: str, service: str, request_id: bytes
     ) -> Trial | None:
-        """The trial that a request is caught by, if any."""
-        lives = self.mine.get(tenant)
-        if lives is None or steady >= self.fresh:
+        """Return the trial to apply to a request, None if there is none; counts the request."""
+        candidates = self.active_by_caller.get(tenant)
+        if candidates is None or steady >= self.lease_until:
             return None
-        for live in lives:
-            trial = live.trial
-            if not live.begin <= steady < live.end:
+        for active in candidates:
+            trial = active.trial
+            if not active.starts_at <= steady < active.ends_at:
                 continue
-            if trial.key and key not in live.keys:
+            if trial.key and key not in active.keys:
                 continue
             if (trial.route and trial.route != route) or (trial.service and trial.service != service):
                 continue
-            live.asked += 1
-            live.since = live.since or steady
-            if not live.draws(name):
+            active.requests += 1
+            active.first_request_at = active.first_request_at or steady
+            if not active.is_sampled(request_id):
                 return None
-            live.caught += 1
+            active.injected += 1
             return trial
         return None
 
     def counts(self, steady: float) -> dict[str, list[float]]:
-        """By trial: whether it is in force here, requests of its caller, those caught."""
+        """By trial's name: whether it is in force, requests, injected ones, seconds since its start here."""
         return {
-            name: [int(self.in_force(name, steady)), live.asked, live.caught, round(steady - live.begin, 2)]
-            for name, live in self.live.items()
-            if live in self.mine.get(live.trial.caller, ())
+            name: [
+                int(self.is_in_force(name, steady)),
+                active.requests,
+                active.injected,
+                round(steady - active.starts_at, 2),
+            ]
+            for name, active in self.active.items()
+            if active in self.active_by_caller.get(active.trial.caller, ())
         }
--- a/ivymux/fault_injection/validation.py
+++ b/ivymux/fault_injection/validation.py
@@ -1,4 +1,7 @@
-"""Trials as the core takes them: read by pyserde besides.  Pure.  Costly to import."""
+"""Decodes operators' calls about trials by msgspec and by pyserde; both have to accept.  Pure.
+
+Importing pyserde takes long: import this module only where such a call is served.
+"""
 
 from __future__ import annotations
 
@@ -12,21 +15,21 @@
 serde(trial_set.EndDocument)
 
 
-def document(text: bytes) -> TrialDocument:
-    """Raises TrialError."""
-    made = trial_set.document(text)
+def decode_trial(text: bytes) -> TrialDocument:
+    """Decode the body of a call that starts a trial.  Raises TrialError."""
+    document = trial_set.decode_trial(text)
     try:
         from_dict(TrialDocument, msgspec.json.decode(text))
     except SerdeError as error:
         raise TrialError(f"the trial: {' '.join(str(error).split())}") from None
-    return made
+    return document
 
 
-def ending(text: bytes) -> EndDocument:
-    """Raises TrialError."""
-    made = trial_set.ending(text)
+def decode_end(text: bytes) -> EndDocument:
+    """Decode the body of a call that ends a trial.  Raises TrialError."""
+    document = trial_set.decode_end(text)
     try:
         from_dict(EndDocument, msgspec.json.decode(text))
     except SerdeError as error:
         raise TrialError(f"the end of a trial: {' '.join(str(error).split())}") from None
-    return made
+    return document
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -22,7 +22,7 @@
 from ivymux.registry.backend_records import QUIESCING, UP, BackendRecords, CallError
 from ivymux.registry.outlier_detection import OutlierDetector
 from ivymux.registry.proxy_reachability import ProxyReachability
-from ivymux.registry.trial_endpoints import TrialCalls
+from ivymux.registry.trial_endpoints import TrialEndpoints
 from ivymux.routing_config.route_plan import MAX_TEXT, PlanError
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
@@ -91,9 +91,9 @@
         return [self.id, self.address, self.port, self.zone, round(now - self.came, 3)]
 
 
-class Registry(TrialCalls):
+class Registry(TrialEndpoints):
     def __init__(self, settings: Settings) -> None:
-        self.longest_trial = settings.max_trial_s
+        self.max_trial_s = settings.max_trial_s
         self.settings = settings
         self.run_id = secrets.token_hex(6)  # another run's numbers mean nothing here
         self.steady_unix = time.time() - time.monotonic()
@@ -177,7 +177,7 @@
             for id, count in message["l"]:
                 self.doubted(door, str(id), int(count))
         elif kind == "trial":
-            self.trials().heard(line, message, door.id, door.zone)
+            self.trial_service().on_proxy_message(line, message, door.id, door.zone)
         elif kind in ("claim", "end"):
             if len(self.passing) >= MAX_PASSING:
                 line.answer(message, ok=False)
@@ -339,7 +339,7 @@
                 for door in self.doors.values():
                     door.line.write(data)
                 if name == TRIALS:
-                    self.trials().use(text)
+                    self.trial_service().apply(text)
         elif kind == "cores":
             cores = [str(c) for c in message["l"]]
             if cores != self.cores:
--- a/ivymux/registry/trial_endpoints.py
+++ b/ivymux/registry/trial_endpoints.py
@@ -1,4 +1,4 @@
-"""The operators' calls about trials, declared; the first one loads trial_service.py, which runs them."""
+"""The operators' endpoints about trials.  Their first use imports trial_service.py, which serves them."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 from ivymux.transport.http_calls import HttpRequest, endpoint
 
 if TYPE_CHECKING:
-    from ivymux.registry.trial_service import Trials
+    from ivymux.registry.trial_service import TrialService
 
 
-class TrialCalls:
-    longest_trial: float  # seconds
-    intercepts: Trials | None = None
+class TrialEndpoints:
+    """A base class of the registry."""
 
-    def trials(self) -> Trials:
-        if self.intercepts is None:
-            from ivymux.registry.trial_service import Trials
+    max_trial_s: float
+    loaded_trial_service: TrialService | None = None
+
+    def trial_service(self) -> TrialService:
+        if self.loaded_trial_service is None:
+            from ivymux.registry.trial_service import TrialService
 
             registry: Any = self
-            self.intercepts = Trials(registry, self.longest_trial)
-        return self.intercepts
+            self.loaded_trial_service = TrialService(registry, self.max_trial_s)
+        return self.loaded_trial_service
 
     @endpoint("PUT", "/trials/{}")
     async def put_trial(self, request: HttpRequest) -> Answer:
-        return await self.trials().put(request)
+        return await self.trial_service().handle_put(request)
 
     @endpoint("DELETE", "/trials/{}")
     async def end_trial(self, request: HttpRequest) -> Answer:
-        return await self.trials().end(request)
+        return await self.trial_service().handle_end(request)
 
     @endpoint("GET", "/trials")
     async def list_trials(self, request: HttpRequest) -> Answer:
-        return await self.trials().list()
+        return await self.trial_service().handle_list()
 
     @endpoint("GET", "/trials/{}")
     async def get_trial(self, request: HttpRequest) -> Answer:
-        return await self.trials().get(request.name)
+        return await self.trial_service().handle_get(request.name)
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -1,10 +1,11 @@
-"""Trials at a registry: operators' calls, what doors are told and tell, the loop that ends what is due.
-Imported with the first word on trials.
+"""Trials at a registry: operators' calls, proxies' reports, and the loop that ends trials.
 
-The board is a note of the store of configuration.  A change is made from the board that it was read from, or
-not at all.  While a trial runs, the board is read again and again from who leads: each answer to a door says
-how old that reading is, and the door's lease counts from there.  Any registry may end what is due, or what
-the guard ends; that it was ended by another already is no error.
+Imported on first use.
+
+The set of trials is a replicated setting of the config store, written by compare-and-set on the version
+that was read.  While a trial runs, the set is read again and again from the leader.  Each answer to a proxy
+says how old that reading is, and the proxy's lease counts from there.  Every registry ends the trials whose
+time is over and those that the guard stops; it is no error if another registry was faster.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import asyncio
 import time
 from dataclasses import dataclass, field, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgspec
 
@@ -20,7 +21,7 @@
 from ivymux.data_plane.frontend import Answer
 from ivymux.fault_injection import TRIALS, trial_set
 from ivymux.fault_injection.guard import Guard, GuardError
-from ivymux.fault_injection.trial_set import Board, Trial, TrialError
+from ivymux.fault_injection.trial_set import Trial, TrialError, TrialSet
 from ivymux.routing_config.route_plan import Plan, PlanError, plan_of
 from ivymux.runtime.log import Log
 from ivymux.transport.connection import Connection, TransportError
@@ -30,237 +31,274 @@
 if TYPE_CHECKING:
     from ivymux.registry.program import Registry
 
-READ = 0.4  # seconds between readings of the board, while a trial runs
-CALL = 0.8  # seconds of one
-OLD = 30.0  # seconds for which a door's last word on a trial is shown
+READ_INTERVAL_S = 0.4  # while a trial runs
+STORE_CALL_TIMEOUT_S = 0.8
+REPORT_TTL_S = 30.0  # a proxy's last report is shown this long
 MAX_COUNT = 1 << 53
-MAX_SHOWN = 2000  # doors that one status names
-AGAIN = 5  # times that a change is made anew where another came between
-NOBODY = "no core machine can answer for trials just now; repeat the call"
-FAST = "trials change too fast; repeat the call"
+MAX_LISTED_PROXIES = 2000  # in the status of one trial
+MAX_NAME_CHARS = 48  # of a trial, in a proxy's report
+MAX_WRITE_ATTEMPTS = 5  # of a change, when others write in between
+NEVER = -1e9  # steady time
+ENDED_BY_SYSTEM = "ivymux"  # the author of an end that no operator ordered
+UNAVAILABLE = "no core machine can answer for trials just now; repeat the call"
+TOO_MANY_CHANGES = "trials change too fast; repeat the call"
 
 log = Log("registry")
 
 
+class TrialCounts(NamedTuple):
+    """What one proxy reports of one trial."""
+
+    is_in_force: bool
+    requests: int
+    injected: int
+    running_s: float
+
+
 @dataclass(slots=True)
-class Word:
-    """What a door said last of trials."""
+class ProxyReport:
+    """A proxy's last report about trials."""
 
-    at: float
-    version: int
+    received_at: float
+    version: int  # of the set of trials that the proxy has
     zone: str
-    counts: dict[str, tuple[bool, int, int, float]]  # in force, requests, caught, seconds since its beginning
+    counts: dict[str, TrialCounts]  # by the trial's name
 
 
 @dataclass(slots=True)
-class Trials:
+class TrialService:
     registry: Registry
-    longest: float
-    board: Board = field(default_factory=Board)
-    read_at: float = -1e9  # steady time at which the last reading was asked for
-    words: dict[str, Word] = field(default_factory=dict)  # by door
+    max_trial_s: float
+    trials: TrialSet = field(default_factory=TrialSet)
+    read_at: float = NEVER  # steady time at which the last reading was requested
+    reports: dict[str, ProxyReport] = field(default_factory=dict)  # by proxy
     guard: Guard = field(default_factory=Guard)
-    task: asyncio.Task[None] | None = None
-    plan: Plan | None = None  # of the configuration, as last looked at
+    watcher: asyncio.Task[None] | None = None
+    cached_plan: Plan | None = None
 
-    # --- the board -------------------------------------------------------------------------------------
+    # --- the set of trials -----------------------------------------------------------------------------
 
-    def use(self, text: str) -> None:
-        """A board that is in force."""
+    def apply(self, text: str) -> None:
+        """Take the replicated setting's text that is in force."""
         try:
-            board = trial_set.read(text)
+            trials = trial_set.decode(text)
         except TrialError as error:
-            log.info(f"{error}; it is left.")
+            log.info(f"{error}; these trials are ignored.")
             return
-        if board.version > self.board.version:
-            self.board = board
-            if not board.running:
+        if trials.version > self.trials.version:
+            self.trials = trials
+            if not trials.running:
                 self.guard = Guard()
-        if self.board.running and (self.task is None or self.task.done()):
-            self.task = asyncio.get_running_loop().create_task(self.watch())
+        if self.trials.running and (self.watcher is None or self.watcher.done()):
+            self.watcher = asyncio.get_running_loop().create_task(self.watch_running())
 
-    async def read(self) -> Board | None:
-        """The board from who leads; None where nobody who does can be reached."""
-        began = time.monotonic()
+    async def read_trials(self) -> TrialSet | None:
+        """Read the set of trials from the config store's leader; None if no leader can be reached."""
+        requested_at = time.monotonic()
+        call = encode(ReadSetting(TRIALS))
         try:
-            told = await self.registry.config_store.call(encode(ReadSetting(TRIALS)), CALL)
+            reply = await self.registry.config_store.call(call, STORE_CALL_TIMEOUT_S)
         except TransportError:
             return None
-        if told.get("ok") is not True:
+        if reply.get("ok") is not True:
             return None
-        version, text = int(told["version"]), str(told["text"])
+        version, text = int(reply["version"]), str(reply["text"])
         if text:
-            self.use(text)
-        if version >= self.board.version:  # else another's reading was faster than this one
-            self.read_at = max(self.read_at, began)
-        return self.board if version == self.board.version else trial_set.read(text)
-
-    async def write(self, board: Board) -> bool:
-        """Have a board taken in the place of the one before it; whether it was.  Raises TrialError."""
-        note = PutSetting(TRIALS, board.version, board.text(), based_on=board.version - 1)
+            self.apply(text)
+        if version >= self.trials.version:  # otherwise a newer set has arrived in the meantime
+            self.read_at = max(self.read_at, requested_at)
+        return self.trials if version == self.trials.version else trial_set.decode(text)
+
+    async def write_trials(self, trials: TrialSet) -> bool:
+        """Replace the previous version by `trials`; return False if another write came first.
+
+        Raises TrialError.
+        """
+        setting = PutSetting(TRIALS, trials.version, trials.encode(), based_on=trials.version - 1)
         try:
-            told = await self.registry.config_store.call(encode(note), CALL)
+            reply = await self.registry.config_store.call(encode(setting), STORE_CALL_TIMEOUT_S)
         except TransportError as error:
             raise TrialError(f"the store does not answer: {error}; repeat the call", 503) from None
-        if told.get("ok") is not True:
+        if reply.get("ok") is not True:
             raise TrialError("no core machine can take a change just now; repeat the call", 503)
-        if told.get("taken") is False:
+        if reply.get("taken") is False:
             return False
-        self.use(board.text())
+        self.apply(trials.encode())
         return True
 
-    async def watch(self) -> None:
-        """While a trial runs: read the board, end what is due or does harm."""
-        while self.board.running and not self.registry.ending:
-            await asyncio.gather(self.read(), asyncio.sleep(READ))
+    async def watch_running(self) -> None:
+        """While a trial runs: renew the reading, and end trials that are over or that the guard stops."""
+        while self.trials.running and not self.registry.ending:
+            await asyncio.gather(self.read_trials(), asyncio.sleep(READ_INTERVAL_S))
             now = time.time()
-            reason = self.guard.tripped(time.monotonic())
-            names = [t.name for t in self.board.running] if reason else trial_set.due(self.board, now)
+            trip_reason = self.guard.trip_reason(time.monotonic())
+            names = trial_set.expired_trials(self.trials, now)
+            if trip_reason:
+                names = [trial.name for trial in self.trials.running]
+            why = f"guard: {trip_reason}" if trip_reason else trial_set.DONE
             for name in names:
                 try:
-                    await self.close(name, "ivymux", f"guard: {reason}" if reason else trial_set.DONE)
+                    await self.end_trial(name, ENDED_BY_SYSTEM, why)
                 except TrialError:
-                    continue  # ended by another, or nobody leads: the next look goes on
-                log.info(f"trial {name} is ended: {reason or trial_set.DONE}.")
-
-    async def close(self, name: str, by: str, why: str) -> Trial:
-        """End one trial.  Raises TrialError."""
-        for _ in range(AGAIN):
-            board = await self.read()
-            if board is None:
-                raise TrialError(NOBODY, 503)
-            asked, caught = self.sums(name)
-            made = trial_set.ended(board, name, by, why, time.time(), asked, caught)
-            if await self.write(made):
-                return made.past[0]
-        raise TrialError(FAST, 503)
-
-    # --- doors -------------------------------------------------------------------------------------------
-
-    def heard(self, line: Connection, message: Message, door: str, zone: str) -> None:
-        """A door's question and its counts.  Raises ValueError for what no door sends."""
+                    continue  # ended by another registry, or there is no leader: the next round tries again
+                log.info(f"trial {name} is ended: {trip_reason or trial_set.DONE}.")
+
+    async def end_trial(self, name: str, by: str, why: str) -> Trial:
+        """End one trial and return it.  Raises TrialError."""
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            trials = await self.read_trials()
+            if trials is None:
+                raise TrialError(UNAVAILABLE, 503)
+            requests, injected = self.total_counts(name)
+            changed = trial_set.end_trial(trials, name, by, why, time.time(), requests, injected)
+            if await self.write_trials(changed):
+                return changed.past[0]
+        raise TrialError(TOO_MANY_CHANGES, 503)
+
+    # --- proxies -----------------------------------------------------------------------------------------
+
+    def on_proxy_message(self, connection: Connection, message: Message, proxy: str, zone: str) -> None:
+        """Take a proxy's report and answer its question for the trials.  Raises ValueError if invalid."""
         now = time.monotonic()
         version = int(message["v"])
         counts = {}
-        for name, (on, asked, caught, since) in dict(message["c"]).items():
-            if not 0 <= int(caught) <= int(asked) < MAX_COUNT:
+        for name, (is_in_force, requests, injected, running_s) in dict(message["c"]).items():
+            if not 0 <= int(injected) <= int(requests) < MAX_COUNT:
                 raise ValueError("counts of a trial")
-            counts[str(name)[:48]] = (bool(on), int(asked), int(caught), float(since))
+            counts[str(name)[:MAX_NAME_CHARS]] = TrialCounts(
+                bool(is_in_force), int(requests), int(injected), float(running_s)
+            )
         if len(counts) > trial_set.MAX_RUNNING:
             raise ValueError("too many trials")
-        self.words[door] = Word(now, version, zone, counts)
-        if message.get("o") is not None:
-            asked, failed, before, lost = map(int, message["o"])
+        self.reports[proxy] = ProxyReport(now, version, zone, counts)
+        others = message.get("o")
+        if others is not None:
+            requests, failures, requests_before, failures_before = map(int, others)
             try:
-                self.guard.hear(door, now, asked, failed, (before, lost))
+                self.guard.report(proxy, now, requests, failures, (requests_before, failures_before))
             except GuardError as error:
                 raise ValueError(str(error)) from None
         if "n" in message:
-            fresh = self.read_at > -1e9
-            line.answer(
-                message, v=self.board.version, age=round(now - self.read_at, 3) if fresh else None,
-                t=self.board.text() if version != self.board.version else "",
-            )  # fmt: skip
-
-    def sums(self, name: str) -> tuple[int, int]:
-        """Requests of a trial's caller and those caught, over all doors that told."""
-        found = [word.counts[name] for word in self.words.values() if name in word.counts]
-        return sum(c[1] for c in found), sum(c[2] for c in found)
-
-    # --- what is told ------------------------------------------------------------------------------------
-
-    def status(self, trial: Trial) -> dict[str, Any]:
-        """One trial with what each door says of it."""
+            has_read = self.read_at > NEVER
+            connection.answer(
+                message,
+                v=self.trials.version,
+                age=round(now - self.read_at, 3) if has_read else None,
+                t=self.trials.encode() if version != self.trials.version else "",
+            )
+
+    def total_counts(self, name: str) -> tuple[int, int]:
+        """The requests of a trial's caller and the injected ones, over all proxies that reported."""
+        found = [report.counts[name] for report in self.reports.values() if name in report.counts]
+        return sum(counts.requests for counts in found), sum(counts.injected for counts in found)
+
+    # --- operators' calls --------------------------------------------------------------------------------
+
+    def describe_status(self, trial: Trial) -> dict[str, Any]:
+        """One trial with what each proxy reports of it."""
         now = time.monotonic()
-        asked, caught = self.sums(trial.name)
-        there, lacking = [], []
-        for door in sorted({d.id for d in self.registry.doors.values()})[:MAX_SHOWN]:
-            word = self.words.get(door)
-            said = word.counts.get(trial.name) if word is not None and now - word.at < OLD else None
-            if said is None or not said[0]:
-                lacking.append(door)
+        requests, injected = self.total_counts(trial.name)
+        in_force_at, not_in_force_at = [], []
+        for proxy in sorted({proxy.id for proxy in self.registry.doors.values()})[:MAX_LISTED_PROXIES]:
+            report = self.reports.get(proxy)
+            counts = None
+            if report is not None and now - report.received_at < REPORT_TTL_S:
+                counts = report.counts.get(trial.name)
+            if counts is None or not counts.is_in_force:
+                not_in_force_at.append(proxy)
             else:
-                there.append({"door": door, "for_s": said[3], "asked": said[1], "caught": said[2]})
+                in_force_at.append(
+                    {
+                        "door": proxy,
+                        "for_s": counts.running_s,
+                        "asked": counts.requests,
+                        "caught": counts.injected,
+                    }
+                )
         return {
-            **trial_set.shown(trial), "asked": asked or trial.asked, "caught": caught or trial.caught,
-            "in_force_at": there, "not_in_force_at": lacking,
-        }  # fmt: skip
-
-    # --- operators' calls ----------------------------------------------------------------------------------
-
-    def configured(self) -> Plan | None:
-        """The plan of the configuration that this machine holds; None where there is none."""
+            **trial_set.describe(trial),
+            "asked": requests or trial.asked,
+            "caught": injected or trial.caught,
+            "in_force_at": in_force_at,
+            "not_in_force_at": not_in_force_at,
+        }
+
+    def current_plan(self) -> Plan | None:
+        """The plan of the configuration that this machine has; None if there is none."""
         version, text = self.registry.version, self.registry.text
         if version < 0:
             return None
-        if self.plan is None or self.plan.version != version:
+        if self.cached_plan is None or self.cached_plan.version != version:
             try:
-                self.plan = plan_of(text.encode())
+                self.cached_plan = plan_of(text.encode())
             except PlanError:
                 return None
-        return self.plan
+        return self.cached_plan
 
-    async def put(self, request: HttpRequest) -> Answer:
-        """Start a trial, or tell (`dry_run`) what would be started."""
-        from ivymux.fault_injection.validation import document  # it takes long to import
+    async def handle_put(self, request: HttpRequest) -> Answer:
+        """Start a trial, or only describe it if the call says `dry_run`."""
+        from ivymux.fault_injection.validation import decode_trial  # slow to import
 
         try:
-            sent = document(request.body)
-            for _ in range(AGAIN):
-                board = await self.read()
-                if board is None:
-                    return error_answer(503, NOBODY)
-                trial = trial_set.made(request.name, sent, self.configured(), time.time(), self.longest)
-                known = next((t for t in board.running if t.name == trial.name), None)
-                if known is not None and same(known, trial):
-                    return told(self.status(known))  # once more: its answer was lost
-                made = trial_set.started(board, trial)
-                if sent.dry_run:
-                    return told({"dry_run": True, **trial_set.shown(trial)})
-                if await self.write(made):
+            document = decode_trial(request.body)
+            for _ in range(MAX_WRITE_ATTEMPTS):
+                trials = await self.read_trials()
+                if trials is None:
+                    return error_answer(503, UNAVAILABLE)
+                trial = trial_set.create_trial(
+                    request.name, document, self.current_plan(), time.time(), self.max_trial_s
+                )
+                running = next((t for t in trials.running if t.name == trial.name), None)
+                if running is not None and is_same_order(running, trial):
+                    return json_answer(self.describe_status(running))  # a repeat: its first answer was lost
+                changed = trial_set.start_trial(trials, trial)
+                if document.dry_run:
+                    return json_answer({"dry_run": True, **trial_set.describe(trial)})
+                if await self.write_trials(changed):
                     log.info(f"trial {trial.name} is started: {trial.does}, share {trial.share:g}.")
-                    return told(self.status(trial))
+                    return json_answer(self.describe_status(trial))
         except TrialError as error:
             return error_answer(error.status, str(error))
-        return error_answer(503, FAST)
+        return error_answer(503, TOO_MANY_CHANGES)
 
-    async def end(self, request: HttpRequest) -> Answer:
-        from ivymux.fault_injection.validation import ending
+    async def handle_end(self, request: HttpRequest) -> Answer:
+        """End a trial by an operator's order."""
+        from ivymux.fault_injection.validation import decode_end  # slow to import
 
         try:
-            sent = ending(request.body)
-            ended = await self.close(request.name, sent.by, sent.why)
+            document = decode_end(request.body)
+            ended = await self.end_trial(request.name, document.by, document.why)
         except TrialError as error:
             return error_answer(error.status, str(error))
         log.info(f"trial {request.name} is ended by an operator.")
-        return told(trial_set.shown(ended))
+        return json_answer(trial_set.describe(ended))
 
-    async def list(self) -> Answer:
-        board = await self.read()
-        if board is None:
-            return error_answer(503, NOBODY)
-        return told(
+    async def handle_list(self) -> Answer:
+        trials = await self.read_trials()
+        if trials is None:
+            return error_answer(503, UNAVAILABLE)
+        return json_answer(
             {
-                "board_version": board.version,
-                "running": [self.status(t) for t in board.running],
-                "past": [trial_set.shown(t) for t in board.past],
+                "board_version": trials.version,
+                "running": [self.describe_status(trial) for trial in trials.running],
+                "past": [trial_set.describe(trial) for trial in trials.past],
             }
         )
 
-    async def get(self, name: str) -> Answer:
-        board = await self.read()
-        if board is None:
-            return error_answer(503, NOBODY)
-        trial = board.find(name)
+    async def handle_get(self, name: str) -> Answer:
+        trials = await self.read_trials()
+        if trials is None:
+            return error_answer(503, UNAVAILABLE)
+        trial = trials.find(name)
         if trial is None:
             return error_answer(404, f"there is no trial {name[:60]!r}; GET /trials lists them")
-        return told(trial_set.shown(trial) if trial.ended else self.status(trial))
+        return json_answer(trial_set.describe(trial) if trial.ended else self.describe_status(trial))
 
 
-def same(one: Trial, other: Trial) -> bool:
-    """Whether two are one order, sent twice: all alike but for when it came."""
+def is_same_order(one: Trial, other: Trial) -> bool:
+    """Whether two trials come from the same order sent twice: they differ only in when it arrived."""
     return replace(one, made=other.made, at=other.at) == other
 
 
-def told(body: dict[str, Any]) -> Answer:
+def json_answer(body: dict[str, Any]) -> Answer:
     return Answer(200, msgspec.json.encode(body), JSON)
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -20,8 +20,8 @@
 from ivymux.config_store.replica import Replica
 from ivymux.config_store.replica_state import ElectionAttempt
 from ivymux.fault_injection import request_matcher
-from ivymux.fault_injection.request_matcher import Catch
-from ivymux.fault_injection.trial_set import Board
+from ivymux.fault_injection.request_matcher import RequestMatcher
+from ivymux.fault_injection.trial_set import TrialSet
 from ivymux.proxy.counter_holders import CounterHolders
 from ivymux.proxy.lease_counts import LeaseCounts, TenantUsage
 from ivymux.registry import outlier_detection
@@ -265,38 +265,40 @@
     record_replication_class = ForgetfulBook
 
 
-def by_hearing(self: Catch, version: int, asked: float, age: float) -> None:
+def by_hearing(self: RequestMatcher, version: int, asked: float, age: float) -> None:
     true_renew(self, version, asked + age, 0.0)
 
 
-def any_board(self: Catch, board: Any, steady: float, unix: float) -> bool:
-    self.board = Board(board.version - 1)
+def any_board(self: RequestMatcher, board: Any, steady: float, unix: float) -> bool:
+    self.trials = TrialSet(board.version - 1)
     return true_use(self, board, steady, unix)
 
 
-def alike(self: Catch, steady: float, tenant: str, key: bytes, route: str, service: str, name: bytes) -> Any:
-    near = next((caller for caller in self.mine if tenant.startswith(caller)), tenant)
+def alike(
+    self: RequestMatcher, steady: float, tenant: str, key: bytes, route: str, service: str, name: bytes
+) -> Any:
+    near = next((caller for caller in self.active_by_caller if tenant.startswith(caller)), tenant)
     return true_find(self, steady, near, key, route, service, name)
 
 
 def keyless(
-    self: Catch, steady: float, tenant: str, key: bytes, route: str, service: str, name: bytes
+    self: RequestMatcher, steady: float, tenant: str, key: bytes, route: str, service: str, name: bytes
 ) -> Any:
-    for live in self.mine.get(tenant, ()):
+    for live in self.active_by_caller.get(tenant, ()):
         live.keys |= {key}
     return true_find(self, steady, tenant, key, route, service, name)
 
 
-def endless(self: Catch, board: Any, steady: float, unix: float) -> bool:
-    before = dict(self.live)
+def endless(self: RequestMatcher, board: Any, steady: float, unix: float) -> bool:
+    before = dict(self.active)
     news = true_use(self, board, steady, unix)
-    self.live = before | self.live
-    self.place()
+    self.active = before | self.active
+    self.index_by_caller()
     return news
 
 
-def unasked(self: Catch, board: Any, steady: float, unix: float) -> bool:
-    self.fresh = float("inf")
+def unasked(self: RequestMatcher, board: Any, steady: float, unix: float) -> bool:
+    self.lease_until = float("inf")
     return true_use(self, board, steady, unix)
 
 
@@ -320,7 +322,7 @@
     return True
 
 
-true_renew, true_use, true_find = Catch.renew, Catch.use, Catch.find
+true_renew, true_use, true_find = RequestMatcher.renew_lease, RequestMatcher.apply, RequestMatcher.match
 
 FAULTS: dict[str, Seeded] = {
     "an answer after one disk": lambda: contextlib.nullcontext(Core(Lonely)),
@@ -341,15 +343,15 @@
     "an epoch whose backup has not the state": lambda: contextlib.nullcontext(Control(Unbacked)),
     "an answer before the own disk": lambda: contextlib.nullcontext(Control(Early)),
     "a majority of one": lambda: any_majority(Core()),
-    "a trial's lease from its hearing": lambda: swapped(Trials(), Catch, renew=by_hearing),
+    "a trial's lease from its hearing": lambda: swapped(Trials(), RequestMatcher, renew_lease=by_hearing),
     "a lease of twice its length": lambda: swapped(
-        Trials(), request_matcher, LEASE=2 * request_matcher.LEASE
+        Trials(), request_matcher, LEASE_S=2 * request_matcher.LEASE_S
     ),
-    "an old board in the place of a new one": lambda: swapped(Trials(), Catch, use=any_board),
-    "callers whose names begin alike": lambda: swapped(Trials(), Catch, find=alike),
-    "a trial of one key that takes all": lambda: swapped(Trials(), Catch, find=keyless),
-    "an end that a door does not heed": lambda: swapped(Trials(), Catch, use=endless),
-    "a trial that needs no word of the core": lambda: swapped(Trials(), Catch, use=unasked),
+    "an old board in the place of a new one": lambda: swapped(Trials(), RequestMatcher, apply=any_board),
+    "callers whose names begin alike": lambda: swapped(Trials(), RequestMatcher, match=alike),
+    "a trial of one key that takes all": lambda: swapped(Trials(), RequestMatcher, match=keyless),
+    "an end that a door does not heed": lambda: swapped(Trials(), RequestMatcher, apply=endless),
+    "a trial that needs no word of the core": lambda: swapped(Trials(), RequestMatcher, apply=unasked),
     "one door's word that shuts a backend out": lambda: swapped(Doubts(), outlier_detection, MIN_PROXIES=1),
     "no bound on what is shut out": lambda: swapped(Doubts(), outlier_detection, MAX_EJECTED_SHARE=1.0),
     "a store that is not kept to its burst": lambda: swapped(Quotas(), LeaseCounts, room=endless_room),
--- a/ivymux/simulation/trial_model.py
+++ b/ivymux/simulation/trial_model.py
@@ -13,18 +13,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ivymux.fault_injection.request_matcher import LEASE, RENEW, Catch
+from ivymux.fault_injection.request_matcher import LEASE_S, RENEWAL_INTERVAL_S, RequestMatcher
 from ivymux.fault_injection.trial_set import (
     CLOSE,
     LOSE,
     REFUSE,
-    Board,
     Trial,
     TrialError,
-    digest,
-    due,
-    ended,
-    started,
+    TrialSet,
+    end_trial,
+    expired_trials,
+    key_digest,
+    start_trial,
 )
 
 SECONDS = 30.0
@@ -51,7 +51,7 @@
 class Known:
     """What a registry knows."""
 
-    board: Board = field(default_factory=Board)
+    board: TrialSet = field(default_factory=TrialSet)
     read_at: float = -1e9
 
 
@@ -84,7 +84,7 @@
     happenings: tuple[Happening, ...] | None = None  # drawn where there are none
     caught: list[Caught] = field(default_factory=list)
     asked: int = 0
-    core: Board = field(default_factory=Board)
+    core: TrialSet = field(default_factory=TrialSet)
     begun: dict[str, float] = field(default_factory=dict)  # when a trial came on the board
     gone: dict[str, float] = field(default_factory=dict)  # and when it was off it
     broken: list[str] = field(default_factory=list)
@@ -100,9 +100,9 @@
         self.cut: dict[tuple[str, int], float] = {}  # until when a registry or a door hears nobody
         self.names = itertools.count()
 
-    def door(self) -> Catch:
-        made = Catch("hall")
-        made.configured(key for _, key in self.keys())
+    def door(self) -> RequestMatcher:
+        made = RequestMatcher("hall")
+        made.update_keys(key for _, key in self.keys())
         return made
 
     def keys(self) -> list[tuple[str, bytes]]:
@@ -127,7 +127,7 @@
         for number in range(REGISTRIES):
             self.later(self.chance.uniform(0, READ), lambda n=number: self.reading(n))  # type: ignore[misc]
         for number in range(DOORS):
-            self.later(self.chance.uniform(0, RENEW), lambda n=number: self.asking(n))  # type: ignore[misc]
+            self.later(self.chance.uniform(0, RENEWAL_INTERVAL_S), lambda n=number: self.asking(n))  # type: ignore[misc]
             self.later(self.chance.uniform(0, STEP), lambda n=number: self.request(n))  # type: ignore[misc]
         for thing in drawn(self.chance) if self.happenings is None else self.happenings:
             act = self.operate if thing.kind == "operate" else self.trouble
@@ -141,7 +141,7 @@
 
     # --- the core --------------------------------------------------------------------------------------
 
-    def change(self, board: Board) -> None:
+    def change(self, board: TrialSet) -> None:
         for trial in self.core.running:
             if trial not in board.running:
                 self.gone[trial.name] = self.now
@@ -153,23 +153,25 @@
 
     def operate(self, chance: random.Random) -> None:
         if self.core.running and chance.random() < 0.4:
-            self.change(ended(self.core, chance.choice(self.core.running).name, "ann", "enough", self.now))
+            self.change(
+                end_trial(self.core, chance.choice(self.core.running).name, "ann", "enough", self.now)
+            )
             return
         caller, key = chance.choice(self.keys())
         trial = Trial(
             f"t{next(self.names)}", caller, chance.choice((REFUSE, LOSE, CLOSE)), "ann", "to see", self.now,
             self.now + chance.choice((0.0, 0.0, 2.0)), chance.uniform(1.0, 12.0),
-            digest(key) if chance.random() < 0.4 else "", chance.choice(("", "", "sign")),
+            key_digest(key) if chance.random() < 0.4 else "", chance.choice(("", "", "sign")),
             share=chance.choice((1.0, 0.3)),
         )  # fmt: skip
         try:
-            self.change(started(self.core, trial))
+            self.change(start_trial(self.core, trial))
         except TrialError:
             return
 
     # --- registries -----------------------------------------------------------------------------------
 
-    def told(self, number: int, board: Board) -> None:
+    def told(self, number: int, board: TrialSet) -> None:
         """A board that was pushed."""
         known = self.registries[number]
         if board.version > known.board.version:
@@ -181,13 +183,13 @@
         self.later(READ, lambda: self.reading(number))
         known, asked = self.registries[number], self.now
 
-        def answer(board: Board) -> None:
+        def answer(board: TrialSet) -> None:
             self.told(number, board)
             if board.version >= known.board.version:
                 known.read_at = max(known.read_at, asked)
-            for name in due(board, self.now):
+            for name in expired_trials(board, self.now):
                 if board.version == self.core.version:  # else it is not taken
-                    self.change(ended(self.core, name, "ivymux", "its time is over", self.now))
+                    self.change(end_trial(self.core, name, "ivymux", "its time is over", self.now))
 
         self.send(
             ("registry", number),
@@ -196,16 +198,16 @@
 
     # --- doors -----------------------------------------------------------------------------------------
 
-    def pushed(self, number: int, board: Board) -> None:
-        self.doors[number].use(board, self.now, self.now + self.skew[number])
+    def pushed(self, number: int, board: TrialSet) -> None:
+        self.doors[number].apply(board, self.now, self.now + self.skew[number])
 
     def asking(self, number: int) -> None:
-        self.later(RENEW, lambda: self.asking(number))
+        self.later(RENEWAL_INTERVAL_S, lambda: self.asking(number))
         door, asked = self.doors[number], self.now
         for at in range(REGISTRIES):
             self.send(("door", number), lambda n=at: self.question(number, door, n, asked))  # type: ignore[misc]
 
-    def question(self, number: int, door: Catch, at: int, asked: float) -> None:
+    def question(self, number: int, door: RequestMatcher, at: int, asked: float) -> None:
         known = self.registries[at]
         if known.read_at < 0:
             return
@@ -213,8 +215,8 @@
 
         def answer() -> None:
             if self.doors[number] is door:
-                door.use(board, self.now, self.now + self.skew[number])
-                door.renew(board.version, asked, age)
+                door.apply(board, self.now, self.now + self.skew[number])
+                door.renew_lease(board.version, asked, age)
 
         self.send(("door", number), answer)
 
@@ -224,7 +226,7 @@
         route = self.chance.choice(("sign", "read"))
         name = f"{number}/{self.asked}".encode()
         self.asked += 1
-        trial = self.doors[number].find(self.now, tenant, key, route, "desk", name)
+        trial = self.doors[number].match(self.now, tenant, key, route, "desk", name)
         if trial is not None:
             self.caught.append(Caught(self.now, number, trial, tenant, key, route))
             self.judge(self.caught[-1])
@@ -233,15 +235,15 @@
         trial = seen.trial
         other = (
             seen.tenant != trial.caller
-            or (trial.key and digest(seen.key) != trial.key)
+            or (trial.key and key_digest(seen.key) != trial.key)
             or (trial.route and seen.route != trial.route)
         )
         if other:
             self.broken.append(f"{seen.at:.2f}: another caller was caught by {trial.name}")
-        if seen.at > self.gone.get(trial.name, seen.at) + LEASE:
+        if seen.at > self.gone.get(trial.name, seen.at) + LEASE_S:
             self.broken.append(f"{seen.at:.2f}: {trial.name} ended at {self.gone[trial.name]:.2f}")
-        if not trial.at - SKEW <= seen.at <= trial.until + SKEW + 1e-9:
-            self.broken.append(f"{seen.at:.2f}: {trial.name} runs from {trial.at:.2f} to {trial.until:.2f}")
+        if not trial.at - SKEW <= seen.at <= trial.ends_at + SKEW + 1e-9:
+            self.broken.append(f"{seen.at:.2f}: {trial.name} runs from {trial.at:.2f} to {trial.ends_at:.2f}")
 
     def trouble(self, chance: random.Random) -> None:
         kind = chance.choice(("registry", "door", "anew"))
--- a/ivymux/trial_command.py
+++ b/ivymux/trial_command.py
@@ -19,7 +19,7 @@
 import httpx
 from absl import flags
 
-from ivymux.fault_injection.trial_set import digest
+from ivymux.fault_injection.trial_set import key_digest
 from ivymux.runtime.log import fail
 
 VERBS = ("start", "end", "list", "report", "watch", "digest")
@@ -137,7 +137,7 @@
         if verb not in VERBS:
             raise flags.Error(f"write one of {', '.join(VERBS)}")
         if verb == "digest" and not names:
-            print(digest(sys.stdin.buffer.readline().strip()))
+            print(key_digest(sys.stdin.buffer.readline().strip()))
             return 0
         if len(names) != (verb != "list") or not values.core:
             raise flags.Error("name one trial (none for list) and --core=HOST:PORT[,HOST:PORT]")
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -9,8 +9,8 @@
 
 from syrupy.assertion import SnapshotAssertion
 
-from ivymux.fault_injection.request_matcher import LEASE
-from ivymux.fault_injection.trial_set import digest
+from ivymux.fault_injection.request_matcher import LEASE_S
+from ivymux.fault_injection.trial_set import key_digest
 from ivymux.simulation.local_cluster import Lab, document, lab
 from ivymux.trial_command import line
 from standins.backend import Backend
@@ -96,7 +96,7 @@
                 ({"caller": "clerks", "status": 500}, "a status that promises nothing"),
                 ({"caller": "clerks", "share": 0}, "no share"),
                 ({"caller": "clerks", "route": "none"}, "no route"),
-                ({"caller": "clerks", "key_digest": digest(b"key-two")[:16]}, "another's key"),
+                ({"caller": "clerks", "key_digest": key_digest(b"key-two")[:16]}, "another's key"),
                 ({"caller": "clerks", "delay": "1s"}, "a delay that nothing heeds"),
             ):  # fmt: skip
                 sent = {"by": "ann", "why": "to see it fail", **body} if body else {}
@@ -129,7 +129,7 @@
             await show("ended")
             said.append(line(await report(it, "t-refuse", 2)))
 
-            await start(it, "t-key", key_digest=digest(b"key-one-b")[:20], route="sign", does="close")
+            await start(it, "t-key", key_digest=key_digest(b"key-one-b")[:20], route="sign", does="close")
             await show(
                 "its connection closed, of one key on one route", "/sign/1", ("clerks", "key-one-b", "chairs")
             )
@@ -158,7 +158,7 @@
             told = json.loads(answer)
             said.append(f"on the board: {[t['name'] for t in told['past']]}, running {told['running']}")
             log = (tmp_path / "log.txt").read_text()
-            assert not any(key in log for key in CALLERS.values()) and digest(b"key-one") not in log
+            assert not any(key in log for key in CALLERS.values()) and key_digest(b"key-one") not in log
 
     asyncio.run(day())
     assert said == snapshot
@@ -184,7 +184,7 @@
             await start(it, "short", core=core, lasts="2s")
             while "ended" not in (told := await report(it, "short", core)):
                 await asyncio.sleep(0.02)
-            assert told["ended_by"] == "ivymux" and told["ended"] - told["at"] < 2.0 + LEASE
+            assert told["ended_by"] == "ivymux" and told["ended"] - told["at"] < 2.0 + LEASE_S
             assert (await met(it, 0, "clerks")).startswith("200")
 
     asyncio.run(day())
@@ -200,7 +200,7 @@
             gone = asyncio.get_running_loop().time()
             while not (await met(it, 0, "clerks")).startswith("200"):
                 await asyncio.sleep(0.02)
-            assert asyncio.get_running_loop().time() - gone < LEASE + 0.5
+            assert asyncio.get_running_loop().time() - gone < LEASE_S + 0.5
             for ip in it.cores:
                 await it.start(ip)
             while not (await met(it, 0, "clerks")).startswith("503"):  # the core is back, and holds to it
