--- a/ivymux/config_store/actions.py
+++ b/ivymux/config_store/actions.py
@@ -1,4 +1,4 @@
-"""What a replica has its host do, and what of it may be done before the disk is.  Pure."""
+"""The actions that a replica asks its host to carry out, and which of them may overtake a write.  Pure."""
 
 from __future__ import annotations
 
@@ -11,28 +11,29 @@
 from ivymux.config_store.records import ConfigurationState, EpochRecord, ReplicatedSetting
 from ivymux.idempotency.record_store import IdempotencyRecord
 
-EVERYONE = "*"  # the address of all core machines that are known
+EVERYONE = "*"  # the address of all known core machines
 
 
 @dataclass(slots=True)
 class Persist:
-    """Write this to disk; what follows rests on it.  A ticket that is None is gone.
+    """Write to disk; later actions may depend on this write.
 
-    `history` takes the place of the history that is there, `change` is added to it.
+    `history` replaces the stored history, `change` is added to it.  A key whose idempotency record is None is
+    deleted.
     """
 
-    record: EpochRecord | None = None
+    epoch_record: EpochRecord | None = None
     promised: tuple[int, str] | None = None
     state: ConfigurationState | None = None
     idempotency_records: tuple[tuple[str, IdempotencyRecord | None], ...] = ()
     history: tuple[tuple[int, str], ...] | None = None
     change: tuple[int, str] | None = None
-    same_primary: bool = False  # of a record: the one before it has the same primary
+    same_primary: bool = False  # of `epoch_record`: the epoch record before it has the same primary
 
 
 @dataclass(slots=True)
 class Send:
-    """A message to the machine at an address, or to EVERYONE."""
+    """Send a message to the machine at an address, or to EVERYONE."""
 
     to: str
     message: ReplicaMessage
@@ -40,14 +41,14 @@
 
 @dataclass(slots=True)
 class Complete:
-    """What a call waits for is on both disks: it may be answered."""
+    """Answer a call: both disks hold the change that it waits for."""
 
     call: int
 
 
 @dataclass(slots=True)
 class Publish:
-    """The configuration that is in force, as far as this machine knows."""
+    """Tell registries the configuration in force, as far as this machine knows."""
 
     version: int
     text: str
@@ -55,11 +56,15 @@
 
 @dataclass(slots=True)
 class PublishSetting:
-    note: ReplicatedSetting
+    """Tell registries a replicated setting that is in force."""
+
+    setting: ReplicatedSetting
 
 
 @dataclass(slots=True)
 class LogLine:
+    """Log a line."""
+
     text: str
 
 
@@ -68,15 +73,15 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What a call is answered with: now, or (`wait`) once both disks have what it rests on."""
+    """The answer to a call; with `wait`, it is sent once `Complete` names the call."""
 
     actions: list[Action]
     answer: dict[str, Any]
     wait: bool = False
 
 
-# Messages that rest on no disk.
-UNSTORED: tuple[type[ReplicaMessage], ...] = (
+# Messages that do not depend on a write to the sender's disk.
+DISK_INDEPENDENT: tuple[type[ReplicaMessage], ...] = (
     messages.PromiseRequest,
     messages.Refusal,
     messages.StillWriting,
@@ -96,16 +101,18 @@
 
 
 def may_overtake(action: Action, unwritten: Iterable[Action]) -> bool:
-    """Whether an action may be carried out before what is not on disk yet: what rests on no disk may.
+    """Whether an action may be carried out before writes that are not on disk yet.
 
-    A vote for a lease rests on its epoch's record: a member that forgot that with its process would give
-    the next vote to another, while this one is still counted on.  Where the record before names the same
-    primary the member that forgot gives it to that one alone.
+    A message that depends on no write may.  A lease grant depends on its epoch's record: a member that
+    forgot the record in a restart would grant its next lease to another primary while this one still counts
+    on it.  Where the epoch record before names the same primary, a member that forgot still grants its lease
+    to that primary alone.
     """
     if not isinstance(action, Send):
         return not isinstance(action, Persist)
-    if not isinstance(action.message, UNSTORED):
+    if not isinstance(action.message, DISK_INDEPENDENT):
         return False
     return not isinstance(action.message, messages.LeaseGrant) or not any(
-        isinstance(step, Persist) and step.record is not None and not step.same_primary for step in unwritten
+        isinstance(step, Persist) and step.epoch_record is not None and not step.same_primary
+        for step in unwritten
     )
--- a/ivymux/config_store/calls.py
+++ b/ivymux/config_store/calls.py
@@ -1,6 +1,7 @@
-"""What registries and doors ask of the configuration stores, of which the one that leads answers.  Pure.
+"""Calls of registries and proxies to the config stores; the primary answers them.  Pure.
 
-The transport's own fields (the call's number, how long it may take) stand beside these.
+The transport adds its own fields beside these: the call's number and how long the call may take.  Where a
+field's name on the wire is not the attribute's, `msgspec.field` gives it.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 
 class Call(msgspec.Struct, frozen=True, tag_field="k", omit_defaults=True):
-    """Common to all calls."""
+    """Base of all calls."""
 
 
 class PutConfiguration(Call, frozen=True, tag="put"):
-    """Take a change that was checked."""
+    """Store a change of the configuration, which the registry has validated."""
 
     version: int
     text: str
@@ -31,13 +32,13 @@
     key: str
     tenant: str
     claim: str
-    place: str
-    body: str
-    life: float
+    request_digest: str = msgspec.field(name="place")
+    body_digest: str = msgspec.field(name="body")
+    lifetime_s: float = msgspec.field(name="life")
 
 
 class EndAction(Call, frozen=True, tag="end"):
-    """How an action ended; the answer is kept for repeats of it."""
+    """End an action's idempotency record; the answer is kept for repeats of the action."""
 
     key: str
     claim: str
@@ -46,15 +47,17 @@
 
 
 class PutSetting(Call, frozen=True, tag="note"):
-    """Keep a setting of the system's own; `based_on`: the version that it was made from, if that matters."""
+    """Store a replicated setting."""
 
     name: str
     version: int
     text: str
-    based_on: int | None = None
+    based_on: int | None = None  # the version that must be held; None for any
 
 
 class ReadSetting(Call, frozen=True, tag="read"):
+    """Return a replicated setting."""
+
     name: str
 
 
@@ -63,14 +66,14 @@
 
 
 def encode(call: Call) -> dict[str, Any]:
-    """The call as a connection takes it."""
+    """Return the fields of a call as a connection carries them."""
     fields = msgspec.to_builtins(call)
     assert isinstance(fields, dict)
     return fields
 
 
 def decode(fields: dict[str, Any]) -> AnyCall:
-    """Raises CallError."""
+    """Return the call that the fields describe.  Raises CallError."""
     try:
         return msgspec.convert(fields, type=AnyCall)  # type: ignore[no-any-return]
     except msgspec.ValidationError as error:
--- a/ivymux/config_store/durable_store.py
+++ b/ivymux/config_store/durable_store.py
@@ -111,7 +111,7 @@
 
 
 def _write_step(change: lmdb.Transaction, step: Persist) -> None:
-    for name, value in ((b"record", step.record), (b"promised", step.promised), (b"state", step.state)):
+    for name, value in ((b"record", step.epoch_record), (b"promised", step.promised), (b"state", step.state)):
         if value is not None:
             change.put(name, _pack(value))
     if step.history is not None:
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -141,9 +141,10 @@
 
     def on_promise_request(self, source: str, message: PromiseRequest) -> None:
         candidate, number = message.sender, message.epoch
-        if not self.is_member() and self.identity in message.record.members and self.leaving_since is None:
+        named_member = self.identity in message.epoch_record.members
+        if not self.is_member() and named_member and self.leaving_since is None:
             # What this machine has said rests on its disk: without a record there it has said nothing yet.
-            self.learn_epoch(message.record)
+            self.learn_epoch(message.epoch_record)
         if self.known_epoch is None or not self.is_member():
             return
         if number < self.promised or (number == self.promised and candidate != self.promised_to):
@@ -187,7 +188,7 @@
         )
 
     def on_refusal(self, source: str, message: Refusal) -> None:
-        self.learn_epoch(message.record)
+        self.learn_epoch(message.epoch_record)
         self.highest_promise_seen = max(self.highest_promise_seen, message.promised)
         attempt = self.attempt
         if attempt is None or attempt.number > message.promised:
@@ -212,7 +213,7 @@
         self.last_received_at[message.sender] = self.now
         if message.sender not in attempt.promises:
             attempt.last_progress_at = self.now
-        attempt.promises[message.sender] = message.record
+        attempt.promises[message.sender] = message.epoch_record
         self.choose_epoch(attempt)
 
     # --- the state at the new backup -------------------------------------------------------------------
@@ -301,7 +302,7 @@
                 0  # numbers of an epoch before mean nothing in this one
             )
             self.persist_epoch_step(Persist(state=self.state, history=self.history.changes()))
-        if message.book_digest != self.record_replication.store.root_digest():
+        if message.store_digest != self.record_replication.store.root_digest():
             self.record_replication.send_digests(
                 source, number
             )  # `StateStored` follows once they are repaired
@@ -328,7 +329,7 @@
         """This machine counts as one that keeps the record: it is on its disk before the others are asked."""
         assert attempt.epoch_record is not None
         self.known_epoch = attempt.epoch_record
-        self.actions.append(Persist(record=attempt.epoch_record))
+        self.actions.append(Persist(epoch_record=attempt.epoch_record))
         attempt.accepted_by.add(self.identity)
         self.request_acceptance(attempt)
         self.check_acceptance(attempt)
@@ -339,7 +340,7 @@
         self.broadcast(AcceptRequest(self.identity, attempt.epoch_record))
 
     def on_accept_request(self, source: str, message: AcceptRequest) -> None:
-        record = message.record
+        record = message.epoch_record
         if record.number < self.promised:
             self.send_refusal(source)
             return
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -174,7 +174,9 @@
 
     def claim_action(self, call_id: int, call: ClaimAction) -> Reply:
         """Open a record for an action, or answer with why that is not possible."""
-        record = IdempotencyRecord(call.key, call.tenant, call.claim, call.place, call.body, call.life)
+        record = IdempotencyRecord(
+            call.key, call.tenant, call.claim, call.request_digest, call.body_digest, call.lifetime_s
+        )
         verdict = self.store.judge_claim(record, self.limits, self.replica.now)
         held = self.store.records.get(record.key)
         pending = self.pending_for(record.key)
@@ -268,13 +270,13 @@
         epoch = replica.led_epoch
         if epoch is None or message.epoch != epoch.number or not replica.is_writable():
             return
-        pending = self.pending.get(message.number)
+        pending = self.pending.get(message.change_number)
         if pending is None:
             return
         pending.on_own_disk = pending.on_own_disk or message.sender == replica.identity
         pending.on_backup = pending.on_backup or message.sender == epoch.backup
         if pending.on_own_disk and pending.on_backup:
-            del self.pending[message.number]
+            del self.pending[message.change_number]
             replica.actions += [Complete(call_id) for call_id in pending.calls]
             if pending.record.is_setting:
                 self.publish_settings()
@@ -376,7 +378,7 @@
     def on_record_write(self, source: str, message: RecordWrite) -> None:
         if not self.is_backup_of(message.sender, message.epoch):
             return
-        record = message.ticket
+        record = message.record
         if self.store.apply(record, self.replica.now):
             self.replica.actions.append(Persist(idempotency_records=((record.key, record),)))
         self.last_change_number = max(self.last_change_number, record.change_number)
@@ -403,7 +405,7 @@
         """
         if not self.is_backup_of(message.sender, message.epoch):
             return
-        if message.last_number < self.last_change_number:
+        if message.last_change_number < self.last_change_number:
             return
         changes: list[tuple[str, IdempotencyRecord | None]] = []
         for number, records in message.ranges:
@@ -433,7 +435,7 @@
             self.replica.broadcast(SettingsInForce(self.replica.identity, settings))
 
     def on_settings_in_force(self, source: str, message: SettingsInForce) -> None:
-        for setting in message.notes:
+        for setting in message.settings:
             self.update_setting(setting)
 
     def on_settings_request(self, source: str, message: SettingsRequest) -> None:
--- a/ivymux/config_store/leadership.py
+++ b/ivymux/config_store/leadership.py
@@ -150,13 +150,13 @@
             self.send(source, LeaseGrant(self.identity, record.number, message.sent_at))
         if message.version > self.published_version:
             self.send(source, ConfigurationRequest(self.identity))
-        if message.notes_told > self.record_replication.settings_progress():
+        if message.settings_progress > self.record_replication.settings_progress():
             self.send(source, SettingsRequest(self.identity))
 
     def requested_epoch(self, message: LeaseRequest) -> EpochRecord | None:
         """The epoch of a lease request, as far as it is known; without members where a later one is."""
-        if message.record is not None:
-            return message.record
+        if message.epoch_record is not None:
+            return message.epoch_record
         if self.known_epoch is None or self.known_epoch.number < message.epoch:
             return None
         if self.known_epoch.number > message.epoch:
@@ -193,7 +193,7 @@
         self.broadcast(EpochKnown(self.identity, self.known_epoch))
 
     def on_epoch_known(self, source: str, message: EpochKnown) -> None:
-        self.learn_epoch(message.record)
+        self.learn_epoch(message.epoch_record)
 
     # --- who joins and leaves ----------------------------------------------------------------------------
 
--- a/ivymux/config_store/messages.py
+++ b/ivymux/config_store/messages.py
@@ -1,7 +1,8 @@
-"""What the core machines' configuration stores say to one another.  Pure.
+"""Messages between the config stores of the core machines.  Pure.
 
-Each message names its sender's identity.  `decode` gives them their type, `encode` is what a connection
-carries; the first message of a connection is a `Greeting` with the protocol's version.
+Each message carries its sender's identity.  `encode` returns the fields that a connection carries, `decode`
+the typed message; the first message of a connection is a `Greeting` with the protocol's version.  Where a
+field's name on the wire is not the attribute's, `msgspec.field` gives it.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 
 
 class MessageError(ValueError):
-    """What no configuration store of this version says."""
+    """A message that no config store of this protocol version sends."""
 
 
 class ReplicaMessage(msgspec.Struct, frozen=True, tag_field=TAG, omit_defaults=True):
-    """Common to all messages between replicas."""
+    """Base of all messages between replicas."""
 
     sender: str
 
@@ -34,72 +35,73 @@
     version: int
 
 
-# --- a new epoch ------------------------------------------------------------------------------------------
+# --- elections --------------------------------------------------------------------------------------------
 
 
 class PromiseRequest(ReplicaMessage, frozen=True, tag="promise_request"):
-    """Asks to take part in nothing below an epoch's number; `record`: the newest that the candidate knows.
-
-    `waits_for_disk`: a member's disk is at what was asked of it, and others do well to wait too.
-    """
+    """A candidate's request for a promise to ignore epochs below its number."""
 
     epoch: int
-    record: EpochRecord
-    waits_for_disk: bool = False
+    epoch_record: EpochRecord = msgspec.field(name="record")  # the newest that the candidate knows
+    waits_for_disk: bool = False  # a member is still writing to its disk, so other candidates should wait
 
 
 class Promise(ReplicaMessage, frozen=True, tag="promise"):
-    """Given, and on disk; `record`: the newest epoch that the sender knows."""
+    """A promise, sent once it is on the member's disk."""
 
     epoch: int
-    record: EpochRecord
+    epoch_record: EpochRecord = msgspec.field(name="record")  # the newest that the sender knows
 
 
 class Refusal(ReplicaMessage, frozen=True, tag="refusal"):
-    """A higher number was promised, or this one to another."""
+    """The sender has promised a higher number, or this number to another candidate."""
 
     promised: int
-    record: EpochRecord
+    epoch_record: EpochRecord = msgspec.field(name="record")
 
 
 class StillWriting(ReplicaMessage, frozen=True, tag="working"):
-    """The sender's disk is at what was asked of it."""
+    """The sender is still writing the requested step to its disk."""
 
     epoch: int
 
 
 class StateTransfer(ReplicaMessage, frozen=True, tag="state_transfer"):
-    """The whole state, to who is to be the backup of an epoch."""
+    """The whole configuration state and the digest of the record store, for the backup of a new epoch."""
 
     epoch: int
     version: int
     text: str
     history: tuple[tuple[int, str], ...]
-    book_digest: int
+    store_digest: int = msgspec.field(name="book_digest")
 
 
 class StateStored(ReplicaMessage, frozen=True, tag="state_stored"):
+    """The new backup's disk holds the whole state."""
+
     epoch: int
 
 
 class AcceptRequest(ReplicaMessage, frozen=True, tag="accept_request"):
-    """Asks to keep an epoch's record."""
+    """A candidate's request to store the record of its epoch."""
 
-    record: EpochRecord
+    epoch_record: EpochRecord = msgspec.field(name="record")
 
 
 class Accepted(ReplicaMessage, frozen=True, tag="accepted"):
+    """The sender's disk holds the epoch's record."""
+
     epoch: int
 
 
 class EpochKnown(ReplicaMessage, frozen=True, tag="epoch_known"):
-    """The newest epoch that the sender knows, while it hears of none in force."""
+    """The newest epoch that the sender knows, sent while it receives no lease requests."""
 
-    record: EpochRecord
+    epoch_record: EpochRecord = msgspec.field(name="record")
 
 
 class DiskSynced(ReplicaMessage, frozen=True, tag="disk_synced"):
-    """Said by a machine to itself once a step is on its disk."""
+    """Sent by a machine to itself once a step is on its disk."""
 
     step: int
 
@@ -108,57 +110,57 @@
 
 
 class JoinRequest(ReplicaMessage, frozen=True, tag="join_request"):
-    """The sender is no member and would be one."""
+    """The sender is not a member and asks to become one."""
 
 
 class Leaving(ReplicaMessage, frozen=True, tag="leaving"):
-    """The sender's process is to end."""
+    """The sender's process was told to end."""
 
 
 class DepartureGranted(ReplicaMessage, frozen=True, tag="departure_granted"):
-    """The primary's answer to one that leaves: an epoch is in force in which nothing rests on it."""
+    """The primary's permission to end: an epoch is in force that does not depend on the leaving machine."""
 
     epoch: int
 
 
 class LeadershipReleased(ReplicaMessage, frozen=True, tag="leadership_released"):
-    """The sender leads no more: votes for its lease are void."""
+    """The sender is no longer the primary: leases granted to it are void."""
 
 
 class LeaseRequest(ReplicaMessage, frozen=True, tag="lease_request"):
-    """Asks to stand by the sender; `sent_at` is of its steady clock, in seconds.
+    """The primary's periodic request for its lease.
 
-    `record` comes with some of them only: who does not know the epoch waits for such a one.
+    Only some requests carry the epoch record; a member that does not know the epoch waits for one that does.
     """
 
     epoch: int
-    sent_at: float
-    version: int
-    record: EpochRecord | None = None
-    notes_told: int = 0
+    sent_at: float  # seconds on the sender's steady clock
+    version: int  # of the configuration that the sender holds
+    epoch_record: EpochRecord | None = msgspec.field(name="record", default=None)
+    settings_progress: int = msgspec.field(name="notes_told", default=0)
 
 
 class LeaseGrant(ReplicaMessage, frozen=True, tag="lease_grant"):
-    """A vote; `sent_at` is that of the request."""
+    """A member's grant of the lease."""
 
     epoch: int
-    sent_at: float
+    sent_at: float  # of the request
 
 
 # --- the configuration ------------------------------------------------------------------------------------
 
 
 class WriteRequest(ReplicaMessage, frozen=True, tag="write_request"):
-    """A change, to the backup; `previous` is the version that it follows."""
+    """A change of the configuration, for the backup."""
 
     epoch: int
-    previous: int
+    previous: int  # the version that the change follows
     version: int
     text: str
 
 
 class WriteStored(ReplicaMessage, frozen=True, tag="write_stored"):
-    """All changes of an epoch up to a version are on the sender's disk."""
+    """The sender's disk holds all changes of an epoch up to a version."""
 
     epoch: int
     version: int
@@ -169,65 +171,71 @@
 
 
 class ConfigurationInForce(ReplicaMessage, frozen=True, tag="configuration_in_force"):
+    """The configuration in force."""
+
     epoch: int
     version: int
     text: str
 
 
-# --- idempotency records and notes ------------------------------------------------------------------------
+# --- idempotency records and replicated settings ----------------------------------------------------------
 
 
 class RecordWrite(ReplicaMessage, frozen=True, tag="ticket_write"):
+    """A change of an idempotency record, for the backup."""
+
     epoch: int
-    ticket: IdempotencyRecord
+    record: IdempotencyRecord = msgspec.field(name="ticket")
 
 
 class RecordStored(ReplicaMessage, frozen=True, tag="ticket_stored"):
-    """The change of this number is on the sender's disk."""
+    """The sender's disk holds the change of this number."""
 
     epoch: int
-    number: int
+    change_number: int = msgspec.field(name="number")
 
 
 class RecordsExpired(ReplicaMessage, frozen=True, tag="tickets_dropped"):
-    """These keys' time is over."""
+    """The retention time of the records with these keys is over."""
 
     epoch: int
     keys: tuple[str, ...]
 
 
 class RecordDigest(ReplicaMessage, frozen=True, tag="book_comparison"):
-    """The digest of the primary's copy."""
+    """The digest of the primary's record store, for a comparison with the backup's."""
 
     epoch: int
     digest: int
 
 
 class RecordRangeDigests(ReplicaMessage, frozen=True, tag="book_digests"):
-    """The backup's digests by range, where its copy is not the primary's."""
+    """The digests of each range of the backup's record store, sent where it differs from the primary's."""
 
     epoch: int
     digests: tuple[int, ...]
 
 
 class RecordRepair(ReplicaMessage, frozen=True, tag="book_repair"):
-    """Ranges as the primary has them; the last of several messages has the digest of all.
+    """Ranges of the primary's record store.
 
-    `last_number`: of the newest change that is in them.
+    A repair may take several messages; the last of them carries the digest of the whole store.
     """
 
     epoch: int
-    last_number: int
+    last_change_number: int = msgspec.field(name="last_number")  # of the newest change in the store
     ranges: tuple[tuple[int, tuple[IdempotencyRecord, ...]], ...]
     digest: int | None = None
 
 
 class SettingsRequest(ReplicaMessage, frozen=True, tag="notes_request"):
-    """The sender knows older notes than those in force."""
+    """The sender knows older replicated settings than those in force."""
 
 
 class SettingsInForce(ReplicaMessage, frozen=True, tag="notes_in_force"):
-    notes: tuple[ReplicatedSetting, ...]
+    """The replicated settings in force."""
+
+    settings: tuple[ReplicatedSetting, ...] = msgspec.field(name="notes")
 
 
 AnyMessage = (
@@ -264,14 +272,14 @@
 
 
 def encode(message: ReplicaMessage) -> dict[str, Any]:
-    """The message as a connection takes it."""
+    """Return the fields of a message as a connection carries them."""
     fields = msgspec.to_builtins(message)
     assert isinstance(fields, dict)
     return fields
 
 
 def decode(fields: dict[str, Any]) -> ReplicaMessage:
-    """Raises MessageError."""
+    """Return the message that the fields describe.  Raises MessageError."""
     try:
         return msgspec.convert(fields, type=AnyMessage)  # type: ignore[no-any-return]
     except msgspec.ValidationError as error:
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -74,10 +74,10 @@
         self.other_versions: set[str] = set()  # peers that speak another version of the protocol
         self.ending = False
         self.tasks: set[asyncio.Task[None]] = set()
-        members = durable.record.members if durable.record else ()
+        members = durable.epoch_record.members if durable.epoch_record else ()
         for address in (*seeds, *(address_of(member) for member in members)):
             self.meet(address)
-        where = f"epoch {durable.record.number}" if durable.record else "no epoch"
+        where = f"epoch {durable.epoch_record.number}" if durable.epoch_record else "no epoch"
         version = durable.state.version if durable.state else "none"
         log.info(f"starts as {durable.identity} with {where}, version {version}.")
 
@@ -248,7 +248,7 @@
                 self.published = action
                 self.tell_registries(self.news(action))
             case PublishSetting():
-                self.tell_registries(self.note(action.note))
+                self.tell_registries(self.note(action.setting))
             case LogLine():
                 log.info(f"{action.text}.")
 
--- a/ivymux/config_store/records.py
+++ b/ivymux/config_store/records.py
@@ -1,6 +1,6 @@
-"""What one core machine knows and keeps: epochs, the configuration, its own promises.  Pure.
+"""What one core machine knows and stores: epochs, the configuration, its promises.  Pure.
 
-Identities are `ADDRESS/TOKEN`: a machine whose disk was lost comes back at its address with another token.
+An identity is `ADDRESS/TOKEN`.  A machine that has lost its disk returns at its address with another token.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class EpochRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One epoch: who leads, who keeps the second copy, whose majority decides."""
+    """One epoch: its primary, its backup, and the members that form its majorities."""
 
     number: int
     primary: str
@@ -23,7 +23,7 @@
 
 
 class ConfigurationState(msgspec.Struct, frozen=True, array_like=True):
-    """What the primary and the backup keep: the configuration's text, under the epoch that it belongs to."""
+    """The configuration's text as the primary and the backup store it, under the epoch that it belongs to."""
 
     epoch: int
     version: int
@@ -31,7 +31,7 @@
 
 
 class ReplicatedSetting(msgspec.Struct, frozen=True, array_like=True):
-    """A setting of the system's own that is in force, as far as a machine knows."""
+    """A setting of the system's own that is replicated by the config stores."""
 
     name: str
     version: int
@@ -40,18 +40,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DurableState:
-    """All that one machine has on its disk."""
+    """Everything that one machine has on its disk."""
 
     identity: str
-    record: EpochRecord | None
+    epoch_record: EpochRecord | None
     promised: int
     promised_to: str
     state: ConfigurationState | None
-    idempotency_records: dict[str, IdempotencyRecord] = field(default_factory=dict)
-    history: tuple[tuple[int, str], ...] = ()  # versions that were taken, with the digests of their texts
+    idempotency_records: dict[str, IdempotencyRecord] = field(default_factory=dict)  # by key
+    history: tuple[tuple[int, str], ...] = ()  # stored versions, with the digests of their texts
 
 
 def address_of(identity: str) -> str:
+    """Return the address part of an identity."""
     return identity.partition("/")[0]
 
 
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -48,7 +48,7 @@
         self.now = now
         self.actions: list[Action] = []
         # What is on disk, or being written.
-        self.known_epoch, self.state = durable.record, durable.state
+        self.known_epoch, self.state = durable.epoch_record, durable.state
         self.promised, self.promised_to = durable.promised, durable.promised_to
         self.history = ChangeHistory.of(durable.history)
         self.epoch_steps = 0  # promises, records and states that were given to the disk
@@ -70,7 +70,7 @@
         self.leased_to, self.leased_until = "", 0.0  # the lease that this member grants
         # A lease granted before a restart is not remembered: until it must have ended, only the primary of
         # the known epoch, which may hold it, gets a promise.
-        self.restart_lease_until = now + LEASE_S if durable.record is not None else 0.0
+        self.restart_lease_until = now + LEASE_S if durable.epoch_record is not None else 0.0
         self.next_attempt_at = 0.0  # the earliest time for an attempt of this machine
         store = RecordStore()
         for record in durable.idempotency_records.values():
@@ -176,7 +176,7 @@
             self.step_down("a later epoch is known")
         same_primary = self.known_epoch is not None and self.known_epoch.primary == record.primary
         self.known_epoch = record
-        self.persist_epoch_step(Persist(record=record, same_primary=same_primary))
+        self.persist_epoch_step(Persist(epoch_record=record, same_primary=same_primary))
 
     def step_down(self, why: str) -> None:
         """Stop being the primary; changes that are not on both disks are not acknowledged."""
--- a/ivymux/simulation/core_cluster.py
+++ b/ivymux/simulation/core_cluster.py
@@ -269,7 +269,7 @@
                 history = (*history, thing.change)
             disk.kept = DurableState(
                 old.identity,
-                thing.record or old.record,
+                thing.epoch_record or old.epoch_record,
                 *promised,
                 thing.state or old.state,
                 records,
--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -218,8 +218,8 @@
 def test_a_vote_waits_for_the_disk_that_it_rests_on() -> None:
     """A disk hangs with the record of an epoch in force; the vote for its primary must not overtake that."""
     lease = Send("b", LeaseGrant("c/1", 3, 0.0))
-    record = Persist(record=EpochRecord(3, "b/1", "a/1", ("a/1", "b/1", "c/1")))
-    same_primary = Persist(record=record.record, same_primary=True)
+    record = Persist(epoch_record=EpochRecord(3, "b/1", "a/1", ("a/1", "b/1", "c/1")))
+    same_primary = Persist(epoch_record=record.epoch_record, same_primary=True)
     assert may_overtake(lease, [Persist(promised=(3, "b/1")), same_primary])
     assert not may_overtake(lease, [record])
     write = Send("b", WriteRequest("c/1", 3, 0, 1, "one"))
--- a/tests/config_store/test_fencing.py
+++ b/tests/config_store/test_fencing.py
@@ -75,7 +75,7 @@
 def test_who_asks_for_a_lower_epoch_hears_of_the_higher_one(message: ReplicaMessage) -> None:
     answers = told(backup(6).handle(6.0, "a", message), "a")
     assert [type(answer) for answer in answers] == [Refusal]
-    assert isinstance(answers[0], Refusal) and (answers[0].promised, answers[0].record) == (6, NEW)
+    assert isinstance(answers[0], Refusal) and (answers[0].promised, answers[0].epoch_record) == (6, NEW)
 
 
 def test_an_old_primary_that_hears_of_a_higher_epoch_leads_no_more() -> None:
--- a/tests/config_store/test_tickets.py
+++ b/tests/config_store/test_tickets.py
@@ -160,7 +160,7 @@
     """Answers a claim once its own disk has it."""
 
     def on_record_stored(self, source: str, message: RecordStored) -> None:
-        pending = self.pending.get(message.number)
+        pending = self.pending.get(message.change_number)
         if pending is not None:
             pending.on_backup = True
         super().on_record_stored(source, message)
