--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -1,4 +1,4 @@
-"""Clients: HTTP/1.1, /-/ready, answers; refuses what cannot be read."""
+"""The HTTP/1.1 server for client connections: reads requests, writes answers in order, limits resources."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
     from ivymux.data_plane.host import Host, OpenRequest
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_STRAY_BYTES = 1024  # bytes, such as empty lines, that belong to no request
-MAX_PIPELINED = 4  # requests on one connection that wait for their answers
-READ_TIMEOUT_S = 2.3  # seconds for a request to come whole, the first one counted from connecting
-IDLE_TIMEOUT_S = 15.0  # seconds that a connection may stand idle, while there is room for it
-LINGER_S = 3.0  # seconds that a client has to read the last answer on its connection
-UNREAD_TIMEOUT_S = 30.0  # seconds that a client may take to read what waits for it
-SWEEP_INTERVAL_S = 0.25  # seconds between looks at these times
-EVICTABLE_IDLE_S = 2.0  # seconds without a request after which a connection may be closed for room
-EVICTABLE_SILENT_S = 0.1  # and after which one that has asked nothing, or has its last answer, may be
-MAX_DISCARD_BYTES = 1 << 20  # bytes read of a client that is being turned away, after which it has to pause
+MAX_STRAY_BYTES = 1024  # received outside of requests, such as empty lines
+MAX_PIPELINED = 4  # unanswered requests on one connection
+READ_TIMEOUT_S = 2.3  # to receive a complete request; the first one is timed from the connect
+IDLE_TIMEOUT_S = 15.0  # of a keep-alive connection, while fewer than half of all connections are in use
+LINGER_S = 3.0  # for a client to read the last answer on its connection
+UNREAD_TIMEOUT_S = 30.0  # for a client to read the answers in its write buffer
+SWEEP_INTERVAL_S = 0.25  # between two checks of these timeouts
+EVICTABLE_IDLE_S = 2.0  # idle time after which a connection may be closed in favour of a new one
+EVICTABLE_SILENT_S = 0.1  # the same for one that sent no request yet or got its last answer
+MAX_DISCARD_BYTES = 1 << 20  # read from a refused client before reading pauses
 DISCARD_PAUSE_S = 0.01
 
 log = logging.getLogger(__name__)
 
 
 class Exchange:
-    """One request on a client's connection and its answer, which waits for those before it."""
+    """One request on a client connection and its answer, which is written after those before it."""
 
     __slots__ = ("answer", "call", "client", "held_bytes", "keep_alive", "request")
 
@@ -53,7 +53,7 @@
         self.client.write_answers()
 
     def release(self) -> None:
-        """The request is over, also at the backends: what was kept for it is let go."""
+        """Free what the request held; called once it is answered and has no attempts in flight."""
         server = self.client.server
         server.held_bytes -= self.held_bytes
         self.held_bytes = 0
@@ -64,7 +64,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection."""
+    """One client connection with its parser and its pipelined requests."""
 
     exchange_type: type[Exchange] = Exchange
 
@@ -72,18 +72,16 @@
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.exchanges: deque[Exchange] = deque()
-        self.queue: OrderedDict[ClientConnection, None] | None = (
-            None  # the waiting line of `Server` that it is in
-        )
-        self.queued_at = 0.0  # and since when
-        self.request_started_at = 0.0  # when the request that is coming in began
-        self.is_receiving = False
-        self.is_discarding = False  # nothing more is read as a request
-        self.peer_address = ""  # the client's address
-        self.has_sent_eof = False  # whether the client has ended its sending
-        self.stray_bytes = 0
-        self.held_bytes = 0  # bytes of a body that is coming in
+        self.exchanges: deque[Exchange] = deque()  # whose answers are not written yet, in request order
+        self.queue: OrderedDict[ClientConnection, None] | None = None  # of `Server`, ordered by `queued_at`
+        self.queued_at = 0.0
+        self.request_started_at = 0.0  # when the first byte of the current request was received
+        self.is_receiving = False  # whether a request is incomplete
+        self.is_discarding = False  # whether further bytes are read but not parsed
+        self.peer_address = ""
+        self.has_sent_eof = False  # whether the client has closed its sending side
+        self.stray_bytes = 0  # since the last complete request
+        self.held_bytes = 0  # of the body that is being received
         self.reset_request()
 
     def reset_request(self) -> None:
@@ -93,13 +91,13 @@
         self.head_bytes = 0
         self.body: list[bytes] = []
 
-    def move_to_queue(self, line: OrderedDict[ClientConnection, None] | None) -> None:
-        """Wait in a line, last, or in none."""
+    def move_to_queue(self, queue: OrderedDict[ClientConnection, None] | None) -> None:
+        """Leave the current queue and append the connection to another one, if any."""
         if self.queue is not None:
             self.queue.pop(self, None)
-        self.queue = line
-        if line is not None:
-            line[self] = None
+        self.queue = queue
+        if queue is not None:
+            queue[self] = None
             self.queued_at = time.monotonic()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -111,7 +109,7 @@
         self.server.add_client(self)
 
     def eof_received(self) -> bool:
-        """A client that has ended its sending after a whole request may still be owed an answer."""
+        """Keep a half-closed connection open if requests on it are still unanswered."""
         if not (self.server.frontend.allows_half_close and self.exchanges):
             return False
         self.is_discarding = self.has_sent_eof = True
@@ -126,8 +124,8 @@
         self.move_to_queue(None)
         self.server.clients.discard(self)
         self.release_body()
-        pending, self.exchanges = self.exchanges, deque()
-        for exchange in pending:
+        unanswered, self.exchanges = self.exchanges, deque()
+        for exchange in unanswered:
             if exchange.request is not None:
                 exchange.request.host.on_client_left(exchange.request)
 
@@ -153,7 +151,11 @@
             self.reject(BadRequest("no request"))
 
     def limit_discarding(self) -> None:
-        """Read on behind an error, as a reset on unread bytes could overtake it, but at a bounded pace."""
+        """Pause reading after `MAX_DISCARD_BYTES`.
+
+        Bytes after a rejected request are read, as unread ones make the kernel send a reset that could
+        overtake the answer; the pauses bound the effort.
+        """
         if self.stray_bytes > MAX_DISCARD_BYTES and self.transport is not None:
             self.stray_bytes = 0
             self.transport.pause_reading()
@@ -168,6 +170,7 @@
             self.move_to_queue(self.server.receiving_clients)
 
     def count_head_bytes(self, size: int) -> None:
+        """Raise BadRequest if the request line and headers are too large."""
         self.head_bytes += size
         if self.head_bytes > self.server.max_head_bytes:
             raise BadRequest("header too large", self.server.frontend.header_too_large_status)
@@ -178,7 +181,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.count_head_bytes(len(name) + len(value) + 4)
-        if not self.has_headers:  # a trailer is no header: it could stand in for one that was left out
+        if not self.has_headers:  # trailers are dropped: they must not replace a missing header
             self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
@@ -200,13 +203,13 @@
         if self.held_bytes > self.server.frontend.max_body_bytes:
             raise BadRequest("body too large", 413)
         if self.server.held_bytes > self.server.max_held_bytes:
-            raise BadRequest("too much is held", 503)  # nothing has run: memory is bounded
+            raise BadRequest("too much is held", 503)  # nothing has been executed
         self.body.append(body)
 
     def on_message_complete(self) -> None:
         self.is_receiving, self.stray_bytes = False, 0
         if len(self.exchanges) >= MAX_PIPELINED:
-            # One read may hold hundreds of requests, each with an answer of 64 KiB to be kept for its turn.
+            # One read may hold hundreds of requests, and each answer of up to 64 KiB waits for its turn.
             raise BadRequest("too many requests at once", 503)
         self.move_to_queue(None)
         exchange = self.exchange_type(self, self.parser.should_keep_alive())
@@ -217,12 +220,13 @@
             exchange.keep_alive = exchange.keep_alive and not self.server.frontend.closes_after_refusal
             exchange.reply(self.server.refusal(error))
         except Exception:
-            log.exception("a request could not be taken")
+            log.exception("a request could not be handled")
             if exchange.answer is None:
                 exchange.reply(Answer(502))
         self.release_body()
 
     def handle_request(self, exchange: Exchange) -> None:
+        """Answer a complete request or pass it to the host.  Raises BadRequest."""
         server = self.server
         if (answer := server.frontend.answer_locally(self.url)) is not None:
             exchange.reply(answer)
@@ -249,7 +253,7 @@
         self.submit(exchange, call)
 
     def submit(self, exchange: Exchange, call: Call) -> None:
-        """What was taken goes to the module, and its body with it."""
+        """Pass an accepted request to the host; its body is then counted by the exchange."""
         exchange.call = call
         exchange.held_bytes, self.held_bytes = self.held_bytes, 0
         host = self.server.host
@@ -259,14 +263,14 @@
     # --- writing -----------------------------------------------------------------------------------
 
     def write_answers(self) -> None:
+        """Write all answers that are due, in the order of their requests."""
         while self.exchanges and (answer := self.exchanges[0].answer) is not None:
             exchange = self.exchanges.popleft()
             if self.transport is None or self.transport.is_closing():
                 continue
-            ends = self.server.is_stopping or self.server.closes_after_answer
-            close = (
-                not exchange.keep_alive or (ends and not self.exchanges) or answer.status == CLOSE_CONNECTION
-            )
+            server_ends = self.server.is_stopping or self.server.closes_after_answer
+            is_last = server_ends and not self.exchanges
+            close = not exchange.keep_alive or is_last or answer.status == CLOSE_CONNECTION
             self.transport.write(self.server.frontend.encode(answer, close, exchange.call))
             if close:
                 self.end_sending()
@@ -277,13 +281,13 @@
             )
 
     def pause_writing(self) -> None:
-        """Answers that a client does not read must not pile up here: no further requests until it does."""
+        """Read no further requests from a client that does not read its answers, to bound the buffer."""
         if self.transport is not None:
             self.transport.pause_reading()
-        unread = self.server.slow_readers
-        unread[self] = time.monotonic()
-        if len(unread) > self.server.frontend.max_unread_clients:
-            next(iter(unread)).abort()
+        slow_readers = self.server.slow_readers
+        slow_readers[self] = time.monotonic()
+        if len(slow_readers) > self.server.frontend.max_unread_clients:
+            next(iter(slow_readers)).abort()
 
     def resume_writing(self) -> None:
         self.server.slow_readers.pop(self, None)
@@ -294,24 +298,27 @@
             self.transport.resume_reading()
 
     def reject(self, error: BadRequest) -> None:
-        """Answer what cannot be read as a request, behind the answers still owed, and end."""
+        """Answer bytes that can't be parsed as a request, after the answers still due, and close."""
         if not self.is_discarding:
             self.is_discarding, self.is_receiving = True, False
             self.release_body()
             if self.exchanges:
-                self.move_to_queue(None)  # the answers before it have their own time limits
+                self.move_to_queue(None)  # the requests before it have their own deadlines
             exchange = Exchange(self, keep_alive=False)
             self.exchanges.append(exchange)
             exchange.reply(self.server.refusal(error))
 
     def end_sending(self) -> None:
-        """End sending; read on for a moment, as a reset on unread bytes could overtake the answer."""
+        """Close the sending side; keep reading for up to `LINGER_S`.
+
+        Unread bytes would make the kernel send a reset, which could overtake the last answer.
+        """
         self.is_discarding = True
         if self.transport is not None:
             self.transport.close() if self.has_sent_eof else self.transport.write_eof()
             self.move_to_queue(self.server.closing_clients)
             for exchange in self.exchanges:
-                if exchange.request is not None:  # pipelined behind a last one: nobody waits for it
+                if exchange.request is not None:  # pipelined after the last answered request
                     exchange.request.host.on_client_left(exchange.request)
             self.exchanges.clear()
 
@@ -322,68 +329,70 @@
 
 
 class Server:
+    """One listening address, its client connections and their limits."""
+
     client_type: type[ClientConnection] = ClientConnection
 
-    def __init__(self, front: Frontend, listen: Address, bounds: Bounds, host: Host | None) -> None:
-        """Without a host its clients name one for each request."""
-        self.frontend, self.listen, self.host = front, listen, host
+    def __init__(self, frontend: Frontend, listen: Address, bounds: Bounds, host: Host | None) -> None:
+        """`host`: receives the requests; None if a subclass selects a host for each request."""
+        self.frontend, self.listen, self.host = frontend, listen, host
         self.max_clients, self.surplus_clients = bounds.max_clients, bounds.surplus_clients
-        self.max_held_bytes = bounds.max_held_bytes  # bytes of bodies; beyond it requests are refused
+        self.max_held_bytes = bounds.max_held_bytes  # of request bodies; requests beyond it are refused
         self.loop = asyncio.get_running_loop()
         self.clients: set[ClientConnection] = set()
-        # Waiting lines, the longest wait first: before a first request is whole, between requests, while
-        # one comes in, and after the last answer.  Who waits for an answer is in none.
-        self.new_clients: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.idle_clients: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.receiving_clients: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.closing_clients: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.slow_readers: dict[ClientConnection, float] = {}  # who does not read its answers, and since when
-        self.open_keys: set[bytes] = set()  # of requests that are open
+        # Each connection is in at most one queue, ordered by the time at which it entered it; one that
+        # waits for an answer is in none.
+        self.new_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # no complete request yet
+        self.idle_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # between two requests
+        self.receiving_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # within a request
+        self.closing_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # after the last answer
+        self.slow_readers: dict[ClientConnection, float] = {}  # since when their write buffers are full
+        self.open_keys: set[bytes] = set()  # of requests that are not finished
         self.held_bytes = 0
         self.is_stopping = False
-        self.closes_after_answer = False  # no connection is kept behind its answer, though new ones are taken
-        self.max_head_bytes, self.read_timeout, self.idle_timeout = (
-            MAX_HEAD_BYTES,
-            READ_TIMEOUT_S,
-            IDLE_TIMEOUT_S,
-        )
+        self.closes_after_answer = False  # no keep-alive; new connections are still accepted
+        self.max_head_bytes = MAX_HEAD_BYTES
+        self.read_timeout, self.idle_timeout = READ_TIMEOUT_S, IDLE_TIMEOUT_S
         self.asyncio_server: asyncio.Server | None = None
-        self.listening_socket: socket.socket | None = None  # listens, and nobody reads there yet
+        self.listening_socket: socket.socket | None = None  # until connections are accepted from it
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_overdue)
         self.refusal_log = host.refusal_log if host is not None else RefusalLog()
 
     def refusal(self, error: BadRequest) -> Answer:
-        """The answer to what can't be taken; counted where that is for limits of this front door."""
+        """Return the answer to a refused request; count it if the gateway's own limits are the cause."""
         if error.status == 503:
             self.refusal_log.record(GATEWAY)
         return self.frontend.refusal(error)
 
     def listen_without_accepting(self) -> None:
-        """Listen without reading: connections wait, whole, in the system's queue.  Raises OSError."""
+        """Listen, but leave connections and their bytes in the kernel's queue.  Raises OSError."""
         if self.listening_socket is None:
             self.listening_socket = socket.create_server(
                 (self.listen.host, self.listen.port), backlog=LISTEN_BACKLOG
             )
 
     async def start(self) -> None:
-        """Take connections, those first that have waited since `open`.  Raises OSError."""
-        waiting, self.listening_socket = self.listening_socket, None
-        if waiting is not None:
-            made = self.loop.create_server(
-                lambda: self.client_type(self), sock=waiting, backlog=LISTEN_BACKLOG
+        """Accept connections, beginning with those queued since `listen_without_accepting`.
+
+        Raises OSError.
+        """
+        listening_socket, self.listening_socket = self.listening_socket, None
+        if listening_socket is not None:
+            server = self.loop.create_server(
+                lambda: self.client_type(self), sock=listening_socket, backlog=LISTEN_BACKLOG
             )
         else:
-            made = self.loop.create_server(
+            server = self.loop.create_server(
                 lambda: self.client_type(self), self.listen.host, self.listen.port, backlog=LISTEN_BACKLOG
             )
-        self.asyncio_server = await made
+        self.asyncio_server = await server
 
     def add_client(self, client: ClientConnection) -> None:
         self.clients.add(client)
         if len(self.clients) <= self.max_clients:
             return
-        # Descriptors are bounded: one without a request gives way.  With none the new one is answered with
-        # a refusal, as ending it at once could fail a request.
+        # Descriptors are limited, so a connection without a request is closed.  If there is none, the new
+        # connection is kept and its request refused, as closing it at once could fail that request.
         victim = self.client_to_evict(client)
         if victim is None and len(self.clients) > self.max_clients + self.surplus_clients:
             victim = client
@@ -392,50 +401,55 @@
             victim.abort()
 
     def client_to_evict(self, newest: ClientConnection) -> ClientConnection | None:
-        """Whose connection is missed least; one that has just been opened may be about to ask."""
+        """Return the connection whose closing does the least harm, if there is one.
+
+        A connection that was opened or used a moment ago is closed last: it may be about to send a request.
+        """
         now = time.monotonic()
         choices = (
             (self.closing_clients, EVICTABLE_SILENT_S), (self.new_clients, EVICTABLE_SILENT_S),
             (self.idle_clients, EVICTABLE_IDLE_S),
             (self.closing_clients, 0.0), (self.idle_clients, 0.0), (self.new_clients, 0.0),
         )  # fmt: skip
-        for line, least in choices:
-            first = next(iter(line), None)
-            if first is not None and first is not newest and now - first.queued_at >= least:
+        for queue, min_wait_s in choices:
+            first = next(iter(queue), None)
+            if first is not None and first is not newest and now - first.queued_at >= min_wait_s:
                 return first
         return None
 
     def close_overdue(self) -> None:
-        """End who has waited too long: says nothing, drips, stands idle or does not read."""
+        """Close connections whose client has exceeded a timeout for sending, idling or reading."""
         late = BadRequest("the request did not come whole", 408)
-        for line, most in (
+        for queue, timeout in (
             (self.new_clients, self.read_timeout),
             (self.receiving_clients, self.read_timeout),
         ):
-            for client in self.pop_overdue(line, most):
-                # Bytes that came without a request, such as empty lines, are owed an answer too.
+            for client in self.pop_overdue(queue, timeout):
+                # A client that sent bytes outside of a request, such as empty lines, gets an answer too.
                 client.reject(late) if client.is_receiving or client.stray_bytes else client.abort()
-        # Room is made before it is needed: a burst of new ones must not end those that are about to ask.
-        idle_most = self.idle_timeout if len(self.clients) < self.max_clients / 2 else EVICTABLE_IDLE_S
-        for line, most in ((self.idle_clients, idle_most), (self.closing_clients, LINGER_S)):
-            for client in self.pop_overdue(line, most):
-                client.abort()  # a close would wait for a client that never reads its last answer
-        if self.frontend.allows_half_close:  # on the platform others' time limits do for it
-            slow = time.monotonic() - UNREAD_TIMEOUT_S
-            for client in [c for c, since in self.slow_readers.items() if since < slow]:
+        # Free descriptors early: a burst of new connections must not close those about to send a request.
+        is_half_full = len(self.clients) >= self.max_clients / 2
+        max_idle_s = EVICTABLE_IDLE_S if is_half_full else self.idle_timeout
+        for queue, timeout in ((self.idle_clients, max_idle_s), (self.closing_clients, LINGER_S)):
+            for client in self.pop_overdue(queue, timeout):
+                client.abort()  # `close` would wait for a client that never reads its last answer
+        if self.frontend.allows_half_close:  # on the platform other timeouts already cover slow readers
+            latest = time.monotonic() - UNREAD_TIMEOUT_S
+            for client in [client for client, since in self.slow_readers.items() if since < latest]:
                 client.abort()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_overdue)
 
     def pop_overdue(
-        self, line: OrderedDict[ClientConnection, None], most: float
+        self, queue: OrderedDict[ClientConnection, None], timeout: float
     ) -> Iterator[ClientConnection]:
-        before = time.monotonic() - most
-        while line and (client := next(iter(line))).queued_at < before:
+        """Remove and return the connections that have been in a queue for longer than `timeout` seconds."""
+        latest = time.monotonic() - timeout
+        while queue and (client := next(iter(queue))).queued_at < latest:
             client.move_to_queue(None)
             yield client
 
     def stop_listening(self) -> None:
-        """No new connections; those that stand idle are closed, the others after their answers."""
+        """Accept no connections; close idle ones now and the others after their answers."""
         self.is_stopping = True
         if self.listening_socket is not None:
             self.listening_socket.close()
