--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -38,7 +38,7 @@
 from ivymux.proxy.membership_view import MembershipView
 from ivymux.proxy.name_tables import NameTables
 from ivymux.registry.backend_records import BackendRecords
-from ivymux.routing_config.route_plan import MAX_TEXT, Plan, plan_of
+from ivymux.routing_config.route_plan import MAX_TEXT_BYTES, RoutePlan, parse_route_plan
 from ivymux.simulation.loss_scenarios import started
 from ivymux.transport.frames import encode_frame
 
@@ -93,9 +93,9 @@
     """A configuration as a proxy takes it in."""
     text = configuration(routes, tenants)
 
-    def take() -> tuple[NameTables, Plan]:
+    def take() -> tuple[NameTables, RoutePlan]:
         tables = NameTables()
-        plan = plan_of(text)
+        plan = parse_route_plan(text)
         tables.enter(plan)
         return tables, plan
 
@@ -373,7 +373,7 @@
     text, figures = tables(points)
     if args.markdown:
         print(text)
-    load = f"a configuration of {MAX_TEXT >> 20} MiB at most"
+    load = f"a configuration of {MAX_TEXT_BYTES >> 20} MiB at most"
     report(args, load, figures, {})
 
 
--- a/ivymux/fault_injection/trial_set.py
+++ b/ivymux/fault_injection/trial_set.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ivymux.routing_config.route_plan import Plan
+from ivymux.routing_config.route_plan import RoutePlan
 
 REFUSE, DELAY, LOSE, CLOSE = "refuse", "delay", "lose", "close"
 DOES = {
@@ -189,7 +189,7 @@
 def create_trial(
     name: str,
     document: TrialDocument,
-    plan: Plan | None,
+    plan: RoutePlan | None,
     now: float,
     max_trial_s: float = DEFAULT_MAX_TRIAL_S,
 ) -> Trial:
@@ -212,7 +212,9 @@
         raise TrialError(f"status: {document.status}; write 429 or 503: they promise that nothing has run")
     if isinstance(document.share, bool) or not 0 < document.share <= 1:
         raise TrialError(f"share: {document.share}; write more than 0 and 1 at most")
-    if document.route and all(r.name != document.route for routes in plan.hosts.values() for r in routes):
+    if document.route and all(
+        r.name != document.route for routes in plan.routes_by_host.values() for r in routes
+    ):
         raise TrialError(f"route: {document.route[:60]!r} is no route of version {plan.version}")
     if document.service and document.service not in plan.services:
         raise TrialError(f"service: {document.service[:60]!r} is no service of version {plan.version}")
@@ -241,13 +243,13 @@
     )
 
 
-def resolve_key_digest(prefix: str, caller: str, plan: Plan) -> str:
+def resolve_key_digest(prefix: str, caller: str, plan: RoutePlan) -> str:
     """Return the digest of the caller's only key whose digest has this prefix.  Raises TrialError."""
     if not prefix:
         return ""
     if not DIGEST.fullmatch(prefix):
         raise TrialError("key_digest: write 12 to 64 hex digits of the key's SHA-256, never the key")
-    own = (key_digest(key) for key, tenant in plan.keys.items() if tenant == caller)
+    own = (key_digest(key) for key, tenant in plan.tenant_by_key.items() if tenant == caller)
     found = {digest for digest in own if digest.startswith(prefix)}
     if len(found) != 1:
         raise TrialError(f"key_digest: it names {len(found)} keys of {caller!r}; name one")
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -11,7 +11,7 @@
 from ivymux.data_plane.client_departures import OnDeparture
 from ivymux.data_plane.frontend import CLOSE_CONNECTION, Answer, BadRequest, Call, Headers
 from ivymux.proxy.name_tables import NameTables
-from ivymux.routing_config.route_plan import Plan
+from ivymux.routing_config.route_plan import RoutePlan
 from orchidhill import interface as i
 
 if TYPE_CHECKING:
@@ -54,16 +54,16 @@
         """
         self.tables, self.instance, self.doors = tables, instance, doors
         self.keys, self.number = keys, number
-        self.plan: Plan | None = None
+        self.plan: RoutePlan | None = None
         self.catcher: TrialClient | None = None  # only while a trial may be in force
         self.max_body_bytes = 64 << 20
 
     def answer_locally(self, target: bytes) -> Answer | None:
         return None
 
-    def use(self, plan: Plan) -> None:
+    def use(self, plan: RoutePlan) -> None:
         self.plan = plan
-        self.max_body_bytes = plan.bounds.body_bytes
+        self.max_body_bytes = plan.client_limits.max_body_bytes
 
     def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
@@ -92,28 +92,28 @@
         if hosts != 1:
             raise BadRequest("one Host is needed")
         path = target.partition(b"?")[0].decode("latin-1")
-        route = plan.find(host.decode("latin-1").lower().partition(":")[0], path)
+        route = plan.find_route(host.decode("latin-1").lower().partition(":")[0], path)
         if route is None:
             raise BadRequest("no route", 404)
         tenant, key = "", b""
-        if plan.keyed:
+        if plan.has_tenants:
             scheme, _, key = auth.partition(b" ")
             key = key.strip()
-            known = plan.keys.get(key) if scheme.lower() == b"bearer" else None
-            if known is None and not route.open:
+            known = plan.tenant_by_key.get(key) if scheme.lower() == b"bearer" else None
+            if known is None and not route.no_auth:
                 raise BadRequest("unknown key", 401)
             tenant = known or ""
             dropped.add(b"authorization")
         found = MILLISECONDS.fullmatch(left)
-        wait = min(route.deadline, int(found[1]) / 1000) if found else route.deadline
+        wait = min(route.deadline_s, int(found[1]) / 1000) if found else route.deadline_s
         end = began + wait
         draw = int.from_bytes(blake2b(name or target, digest_size=8).digest(), "big") / 2**64
         content = b"".join(body)
         claim, home, name_of = None, 0, ""
-        if keyed and tenant and not route.repeatable and self.keys is not None:
+        if keyed and tenant and not route.is_idempotent and self.keys is not None:
             taken = self.keys().take(route, headers, tenant, auth, method, host, target, content, end, name)
             claim, name_of, home = taken.claim, taken.service, self.number(taken.home)
-        service_name = name_of or route.service(draw)
+        service_name = name_of or route.choose_service(draw)
         hold, lose = 0.0, False
         if self.catcher is not None and tenant:
             caught = self.catcher.meet(tenant, key, route.name, service_name, name or target, end)
@@ -143,13 +143,13 @@
         def make(request: int) -> i.Request:
             return i.Request(
                 request, cls, plan_number, customer, end - time.monotonic(), 1.0, doors(), 0, False,
-                not route.repeatable, service, route.most, home,
+                not route.is_idempotent, service, route.max_attempts, home,
             )  # fmt: skip
 
         return Call(
             b"", end, make, _no_payload, method == b"HEAD", name,
             make_payload_for=to, claim=claim, hold_s=hold, drops_answer=lose,
-            on_departure=OnDeparture.for_request(route.repeatable),
+            on_departure=OnDeparture.for_request(route.is_idempotent),
         )  # fmt: skip
 
     def refusal(self, error: BadRequest) -> Answer:
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -47,7 +47,9 @@
         header = self.claims.terms.header
         made = make_action(headers, tenant, auth, header, method, host, target, body)
         at = bucket(tenant, made.name)
-        service = route.service((at + 0.5) / BUCKETS)  # a conversation stays with one service of a split too
+        service = route.choose_service(
+            (at + 0.5) / BUCKETS
+        )  # a conversation stays with one service of a split too
         return Taken(self.claims.make(made, end, name), service, self.home(service, at))
 
     def home(self, service: str, at: int) -> str:
--- a/ivymux/proxy/name_tables.py
+++ b/ivymux/proxy/name_tables.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ivymux.routing_config.route_plan import Plan, Route, Tenant
+from ivymux.routing_config.route_plan import Route, RoutePlan, Tenant
 from orchidhill import interface as i
 
 OVER_COST = 2.0  # shares of doors that cannot reach a holder add up to the quota
@@ -26,9 +26,9 @@
     def __post_init__(self) -> None:
         self.plans.append(i.Plan("", 0.0, 0.0, 0, 1.0, OVER_COST, 0.0, 0.0, 0.0, 0.0))  # without a limit
 
-    def enter(self, plan: Plan) -> None:
+    def enter(self, plan: RoutePlan) -> None:
         """Take in a configuration: names that are new get numbers, what others say is brought up to date."""
-        for route in (r for rs in plan.hosts.values() for r in rs):
+        for route in (r for rs in plan.routes_by_host.values() for r in rs):
             number = self.routes.setdefault(key(route), len(self.classes))
             cls = request_class(route)
             if number == len(self.classes):
@@ -59,14 +59,16 @@
 
 
 def key(route: Route) -> str:
-    return f"{route.host} {route.prefix}"
+    return f"{route.host} {route.path_prefix}"
 
 
 def request_class(route: Route) -> i.RequestClass:
-    effect = i.Effect.SAFE if route.repeatable else i.Effect.UNSAFE
-    return i.RequestClass(key(route), route.target, route.deadline, effect, i.Scope.ALL, 0.0, 1.0, 0.2, False)
+    effect = i.Effect.SAFE if route.is_idempotent else i.Effect.UNSAFE
+    return i.RequestClass(
+        key(route), route.target_latency_s, route.deadline_s, effect, i.Scope.ALL, 0.0, 1.0, 0.2, False
+    )
 
 
 def tenant_plan(tenant: Tenant) -> i.Plan:
-    burst = max(1.0, tenant.burst)
-    return i.Plan(tenant.name, tenant.rate, burst, 0, 1.0, OVER_COST, 0.0, 0.0, 0.0, 0.0)
+    burst = max(1.0, tenant.burst_size)
+    return i.Plan(tenant.name, tenant.rate_per_s, burst, 0, 1.0, OVER_COST, 0.0, 0.0, 0.0, 0.0)
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -36,7 +36,7 @@
 from ivymux.proxy.module_settings import CONNECT_TIMEOUT, COUNTER_TIMEOUT, module_settings
 from ivymux.proxy.name_tables import NameTables
 from ivymux.proxy.status_pages import METRICS, READINESS, StatusPagesFrontend
-from ivymux.routing_config.route_plan import PlanError, plan_of
+from ivymux.routing_config.route_plan import RoutingConfigError, parse_route_plan
 from ivymux.runtime.clock import SystemClock
 from ivymux.runtime.early_listener import keep_matching
 from ivymux.runtime.log import Log
@@ -201,7 +201,7 @@
                 self.settings.zone, self.id, self.host, self.lines, self.clock.system_time, self.counted
             )
             if self.front.plan is not None:
-                self.catcher.configured(self.front.plan.keys)
+                self.catcher.configured(self.front.plan.tenant_by_key)
         self.front.catcher = self.catcher if self.catcher.use(text) else None
 
     # --- the core ----------------------------------------------------------------------------------------
@@ -305,8 +305,8 @@
         if version <= self.version:
             return
         try:
-            plan = plan_of(text.encode())
-        except PlanError as error:
+            plan = parse_route_plan(text.encode())
+        except RoutingConfigError as error:
             log.info(f"version {version} was taken by the core and cannot be used here: {error}.")
             return
         self.tables.enter(plan)
@@ -314,10 +314,10 @@
         self.host.post(i.Plans(tuple(self.tables.plans)))
         self.front.use(plan)
         if self.catcher is not None:
-            self.catcher.configured(plan.keys)
-        self.server.max_head_bytes = plan.bounds.header_bytes
-        self.server.read_timeout = plan.bounds.header_time
-        self.server.idle_timeout = plan.bounds.idle_time
+            self.catcher.configured(plan.tenant_by_key)
+        self.server.max_head_bytes = plan.client_limits.max_header_bytes
+        self.server.read_timeout = plan.client_limits.header_timeout_s
+        self.server.idle_timeout = plan.client_limits.idle_timeout_s
         if self.version < 0:
             self.applied_at = time.monotonic()
             self.take_clients()
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -23,7 +23,7 @@
 from ivymux.registry.outlier_detection import OutlierDetector
 from ivymux.registry.proxy_reachability import ProxyReachability
 from ivymux.registry.trial_endpoints import TrialEndpoints
-from ivymux.routing_config.route_plan import MAX_TEXT, PlanError
+from ivymux.routing_config.route_plan import MAX_TEXT_BYTES, RoutingConfigError
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
 from ivymux.transport.connection import Connection, Connector, Listener, TransportError
@@ -121,7 +121,7 @@
         calls = min(settings.fd_limit - 200 - most_doors, 2000)
         bounds = Bounds.from_limits(max(64, calls), settings.memory_mb)
         self.server = Server(
-            HttpCallFrontend(self, MAX_TEXT),
+            HttpCallFrontend(self, MAX_TEXT_BYTES),
             settings.listen_addresses["control_addr"],
             bounds,
             self.http_calls.as_host(),
@@ -387,12 +387,14 @@
 
     @endpoint("PUT", "/configuration")
     async def put(self, request: HttpRequest) -> Answer:
-        from ivymux.routing_config.validation import plan_of  # it takes long to import: not at the start
+        from ivymux.routing_config.validation import (
+            parse_route_plan,  # it takes long to import: not at the start
+        )
 
         try:
-            plan = plan_of(request.body)
+            plan = parse_route_plan(request.body)
             text = request.body.decode()
-        except PlanError as error:
+        except RoutingConfigError as error:
             return error_answer(400, str(error))
         except UnicodeDecodeError:
             return error_answer(400, "the configuration is not UTF-8")
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -22,7 +22,7 @@
 from ivymux.fault_injection import TRIALS, trial_set
 from ivymux.fault_injection.guard import Guard, GuardError
 from ivymux.fault_injection.trial_set import Trial, TrialError, TrialSet
-from ivymux.routing_config.route_plan import Plan, PlanError, plan_of
+from ivymux.routing_config.route_plan import RoutePlan, RoutingConfigError, parse_route_plan
 from ivymux.runtime.log import Log
 from ivymux.transport.connection import Connection, TransportError
 from ivymux.transport.frames import Message
@@ -74,7 +74,7 @@
     reports: dict[str, ProxyReport] = field(default_factory=dict)  # by proxy
     guard: Guard = field(default_factory=Guard)
     watcher: asyncio.Task[None] | None = None
-    cached_plan: Plan | None = None
+    cached_plan: RoutePlan | None = None
 
     # --- the set of trials -----------------------------------------------------------------------------
 
@@ -223,15 +223,15 @@
             "not_in_force_at": not_in_force_at,
         }
 
-    def current_plan(self) -> Plan | None:
+    def current_plan(self) -> RoutePlan | None:
         """The plan of the configuration that this machine has; None if there is none."""
         version, text = self.registry.version, self.registry.text
         if version < 0:
             return None
         if self.cached_plan is None or self.cached_plan.version != version:
             try:
-                self.cached_plan = plan_of(text.encode())
-            except PlanError:
+                self.cached_plan = parse_route_plan(text.encode())
+            except RoutingConfigError:
                 return None
         return self.cached_plan
 
--- a/ivymux/routing_config/__init__.py
+++ b/ivymux/routing_config/__init__.py
@@ -1,1 +1,1 @@
-"""The users' configuration: its types, its check, and the plan of routes compiled from it.  Pure."""
+"""The users' configuration: its types, its checks, and the plan of routes compiled from it.  Pure."""
--- a/ivymux/routing_config/route_plan.py
+++ b/ivymux/routing_config/route_plan.py
@@ -1,8 +1,8 @@
-"""The users' configuration: read, checked, compiled into routes.  Pure.
+"""The users' configuration: decoded, checked and compiled into a plan of routes.  Pure.
 
-What is invalid is refused with the place and the mend; what is held is the text as it was sent.  A door
-reads it by msgspec: pyserde's classes cost it 0.4 s of each start.  The core, which takes it, has both
-(validation.py).
+An invalid configuration is refused with the place and how to correct it.  Only the text as it was sent is
+stored and passed on.  Proxies decode it by msgspec alone, as pyserde's classes would add 0.4 s to each start;
+core machines, which accept it, check it by both (validation.py).
 """
 
 from __future__ import annotations
@@ -13,18 +13,23 @@
 
 import msgspec
 
-MAX_DEADLINE = 600.0  # seconds
-MAX_TEXT = 6 << 20  # bytes of a configuration
-TIME = re.compile(r"(-?\d{1,12}(?:\.\d{1,9})?)(ms|s)", re.ASCII)
-KINDS = {"idempotent": True, "non_idempotent": False}
+MAX_DEADLINE_S = 600.0
+DEFAULT_DEADLINE_S = 30.0
+DEFAULT_HEADER_TIMEOUT_S = 3.0
+DEFAULT_IDLE_TIMEOUT_S = 15.0
+MAX_TEXT_BYTES = 6 << 20  # of a configuration
+DURATION = re.compile(r"(-?\d{1,12}(?:\.\d{1,9})?)(ms|s)", re.ASCII)
+IS_IDEMPOTENT = {"idempotent": True, "non_idempotent": False}  # by `route_type`
 
 
-class PlanError(ValueError):
-    """A configuration that is invalid; the text is one plain line with the place and the mend."""
+class RoutingConfigError(ValueError):
+    """An invalid configuration; the text is one line that names the place and how to correct it."""
 
 
 @dataclass
 class Split:
+    """One service of a route's weighted split."""
+
     service_name: str
     weight_value: int | float
 
@@ -70,6 +75,8 @@
 
 @dataclass
 class Document:
+    """A configuration as it is written; the classes above are its parts."""
+
     config_version: int
     route_table: list[RouteEntry]
     service_table: list[ServiceEntry]
@@ -79,194 +86,246 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route; times in seconds."""
-
     name: str
     host: str
-    prefix: str
-    repeatable: bool
-    deadline: float
-    target: float
-    rank: int
-    most: int  # backends to which a try may be sent
-    open: bool
-    split: tuple[tuple[str, float], ...]  # services and their weights, those of weight 0 left out
-
-    def service(self, draw: float) -> str:
-        """The service for a draw from 0 up to 1."""
-        at = draw * sum(weight for _, weight in self.split)
-        for name, weight in self.split:
-            at -= weight
-            if at < 0:
+    path_prefix: str
+    is_idempotent: bool
+    deadline_s: float
+    target_latency_s: float
+    precedence: int
+    max_attempts: int  # each at another backend
+    no_auth: bool
+    weighted_services: tuple[tuple[str, float], ...]  # names and weights, without those of weight 0
+
+    def choose_service(self, draw: float) -> str:
+        """Return the service for a draw from 0 up to 1."""
+        remaining = draw * sum(weight for _, weight in self.weighted_services)
+        for name, weight in self.weighted_services:
+            remaining -= weight
+            if remaining < 0:
                 return name
-        return self.split[-1][0]
+        return self.weighted_services[-1][0]
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
     name: str
-    health: str
-    connections: int  # from all callers together; 0: no limit is known
+    health_path: str
+    max_connections: int  # from all callers together; 0: the limit is unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
     name: str
-    rank: int
-    rate: float  # requests a second; 0: no limit
-    burst: float
+    precedence: int
+    rate_per_s: float  # of requests; 0: no limit
+    burst_size: float
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """What a client may send, and how long it may take; seconds and bytes."""
+class ClientLimits:
+    """What a client may send, and how long it may take."""
 
-    header_bytes: int
-    body_bytes: int
-    header_time: float
-    idle_time: float
+    max_header_bytes: int
+    max_body_bytes: int
+    header_timeout_s: float
+    idle_timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """A configuration, compiled."""
+class RoutePlan:
+    """A compiled configuration."""
 
     version: int
-    hosts: dict[str, tuple[Route, ...]]  # the longest prefix first
+    routes_by_host: dict[str, tuple[Route, ...]]  # the longest prefix first
     services: dict[str, Service]
     tenants: dict[str, Tenant]
-    keys: dict[bytes, str]
-    keyed: bool  # whether requests carry keys
-    bounds: Bounds
-
-    def find(self, host: str, path: str) -> Route | None:
-        """The route for a host and a path, without its query."""
-        for route in self.hosts.get(host, ()):
-            if path.startswith(route.prefix):
+    tenant_by_key: dict[bytes, str]
+    has_tenants: bool  # if so, requests need an API key
+    client_limits: ClientLimits
+
+    def find_route(self, host: str, path: str) -> Route | None:
+        """The route for a host and a path without its query."""
+        for route in self.routes_by_host.get(host, ()):
+            if path.startswith(route.path_prefix):
                 return route
         return None
 
 
-def seconds(text: object, where: str, default: float) -> float:
+def duration(text: object, where: str, default_s: float) -> float:
+    """Convert a time such as `1500ms` to seconds.  Raises RoutingConfigError."""
     if text is None:
-        return default
-    found = TIME.fullmatch(text) if isinstance(text, str) else None
+        return default_s
+    found = DURATION.fullmatch(text) if isinstance(text, str) else None
     if found is None:
-        raise PlanError(f"{where}: {text!r} is no time; write a number and ms or s, as 1500ms")
+        raise RoutingConfigError(f"{where}: {text!r} is no time; write a number and ms or s, as 1500ms")
     return float(found[1]) / (1000 if found[2] == "ms" else 1)
 
 
-def read(text: bytes) -> Document:
-    """The document in a configuration's text.  Raises PlanError."""
-    if len(text) > MAX_TEXT:
-        raise PlanError(f"the configuration has {len(text)} bytes; {MAX_TEXT} at most")
+def required_text(value: object, where: str) -> str:
+    if not isinstance(value, str):
+        raise RoutingConfigError(f"{where}: {value!r} is no text")
+    return value
+
+
+def required_number(value: object, where: str) -> Any:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise RoutingConfigError(f"{where}: {value!r} is no number")
+    return value
+
+
+def decode_document(text: bytes) -> Document:
+    """Decode a configuration's text.  Raises RoutingConfigError."""
+    if len(text) > MAX_TEXT_BYTES:
+        raise RoutingConfigError(f"the configuration has {len(text)} bytes; {MAX_TEXT_BYTES} at most")
     try:
         raw: Any = msgspec.json.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise PlanError(f"the configuration is no whole JSON: {error}") from None
+        raise RoutingConfigError(f"the configuration is no whole JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise PlanError("the configuration is no object; send config_version, route_table, service_table")
+        raise RoutingConfigError(
+            "the configuration is no object; send config_version, route_table, service_table"
+        )
     version = raw.get("config_version")
     if isinstance(version, bool) or not isinstance(version, int) or version < 0:
-        raise PlanError("config_version: write a whole number of 0 or more")
+        raise RoutingConfigError("config_version: write a whole number of 0 or more")
     try:
         return msgspec.convert(raw, Document)
     except msgspec.ValidationError as error:
-        raise PlanError(f"the configuration: {error}") from None
+        raise RoutingConfigError(f"the configuration: {error}") from None
 
 
-def compile(document: Document) -> Plan:
-    """The plan of a document.  Raises PlanError."""
-    services: dict[str, Service] = {}
-    for number, entry in enumerate(document.service_table):
-        where = f"service_table[{number}]"
-        if not text_of(entry.name, f"{where}.name") or entry.name in services:
-            raise PlanError(f"{where}.name: {entry.name!r} is empty or stands twice; name each service once")
-        services[entry.name] = Service(entry.name, str(entry.health_path), number_of(entry.conn_limit, where))
-    hosts: dict[str, list[Route]] = {}
-    places: set[tuple[str, str]] = set()
-    for number, line in enumerate(document.route_table):
-        route = route_of(line, f"route_table[{number}] ({line.name})", services)
-        if (route.host, route.prefix) in places:
-            raise PlanError(
-                f"route_table[{number}] ({line.name}): host_name and path_prefix stand twice; change one"
-            )
-        places.add((route.host, route.prefix))
-        hosts.setdefault(route.host, []).append(route)
-    tenants: dict[str, Tenant] = {}
-    keys: dict[bytes, str] = {}
-    for number, person in enumerate(document.tenant_table or ()):
-        where = f"tenant_table[{number}]"
-        if not text_of(person.name, f"{where}.name") or person.name in tenants:
-            raise PlanError(f"{where}.name: {person.name!r} is empty or stands twice; name each tenant once")
-        rate, burst = (
-            float(number_of(value, f"{where}.{name}"))
-            for name, value in (("rate_per_s", person.rate_per_s), ("burst_size", person.burst_size))
-        )
-        tenants[person.name] = Tenant(person.name, int(person.precedence), max(0.0, rate), max(0.0, burst))
-        for key in person.api_keys:
-            name = text_of(key, f"{where}.api_keys").encode()
-            if keys.get(name, person.name) != person.name:
-                raise PlanError(
-                    f"{where}.api_keys: one of them is another tenant's key; give each tenant its own"
-                )
-            keys[name] = person.name
+def compile_document(document: Document) -> RoutePlan:
+    """Check a document and compile it.  Raises RoutingConfigError."""
+    services = compile_services(document.service_table)
+    routes_by_host = compile_routes(document.route_table, services)
+    tenants, tenant_by_key = compile_tenants(document.tenant_table or [])
     limits = document.limits
-    bounds = Bounds(
-        int(number_of(limits.max_header_bytes, "limits.max_header_bytes")),
-        int(number_of(limits.max_body_bytes, "limits.max_body_bytes")),
-        seconds(limits.header_timeout, "limits.header_timeout", 3.0),
-        seconds(limits.idle_timeout, "limits.idle_timeout", 15.0),
+    client_limits = ClientLimits(
+        int(required_number(limits.max_header_bytes, "limits.max_header_bytes")),
+        int(required_number(limits.max_body_bytes, "limits.max_body_bytes")),
+        duration(limits.header_timeout, "limits.header_timeout", DEFAULT_HEADER_TIMEOUT_S),
+        duration(limits.idle_timeout, "limits.idle_timeout", DEFAULT_IDLE_TIMEOUT_S),
     )
-    ordered = {h: tuple(sorted(rs, key=lambda r: -len(r.prefix))) for h, rs in hosts.items()}
-    return Plan(
-        document.config_version, ordered, services, tenants, keys, document.tenant_table is not None, bounds
+    return RoutePlan(
+        version=document.config_version,
+        routes_by_host=routes_by_host,
+        services=services,
+        tenants=tenants,
+        tenant_by_key=tenant_by_key,
+        has_tenants=document.tenant_table is not None,
+        client_limits=client_limits,
     )
 
 
-def text_of(value: object, where: str) -> str:
-    if not isinstance(value, str):
-        raise PlanError(f"{where}: {value!r} is no text")
-    return value
-
-
-def number_of(value: object, where: str) -> Any:
-    if isinstance(value, bool) or not isinstance(value, int | float):
-        raise PlanError(f"{where}: {value!r} is no number")
-    return value
+def compile_services(entries: list[ServiceEntry]) -> dict[str, Service]:
+    """The services by name.  Raises RoutingConfigError."""
+    services: dict[str, Service] = {}
+    for number, entry in enumerate(entries):
+        where = f"service_table[{number}]"
+        if not required_text(entry.name, f"{where}.name") or entry.name in services:
+            raise RoutingConfigError(
+                f"{where}.name: {entry.name!r} is empty or stands twice; name each service once"
+            )
+        max_connections = required_number(entry.conn_limit, where)
+        services[entry.name] = Service(entry.name, str(entry.health_path), max_connections)
+    return services
+
+
+def compile_routes(entries: list[RouteEntry], services: dict[str, Service]) -> dict[str, tuple[Route, ...]]:
+    """The routes by host, the longest prefix first.  Raises RoutingConfigError."""
+    routes_by_host: dict[str, list[Route]] = {}
+    known: set[tuple[str, str]] = set()
+    for number, entry in enumerate(entries):
+        where = f"route_table[{number}] ({entry.name})"
+        route = compile_route(entry, where, services)
+        if (route.host, route.path_prefix) in known:
+            raise RoutingConfigError(f"{where}: host_name and path_prefix stand twice; change one")
+        known.add((route.host, route.path_prefix))
+        routes_by_host.setdefault(route.host, []).append(route)
+    return {
+        host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
+        for host, routes in routes_by_host.items()
+    }
+
+
+def compile_route(entry: RouteEntry, where: str, services: dict[str, Service]) -> Route:
+    """Check one route and compile it.  Raises RoutingConfigError."""
+    if not required_text(entry.path_prefix, f"{where}.path_prefix").startswith("/"):
+        raise RoutingConfigError(
+            f"{where}.path_prefix: {entry.path_prefix!r} lacks its first slash; put one there"
+        )
+    if entry.route_type not in IS_IDEMPOTENT:
+        raise RoutingConfigError(
+            f"{where}.route_type: {entry.route_type!r}; write idempotent or non_idempotent"
+        )
+    deadline_s = duration(entry.deadline, f"{where}.deadline", DEFAULT_DEADLINE_S)
+    if not 0 < deadline_s <= MAX_DEADLINE_S:
+        raise RoutingConfigError(
+            f"{where}.deadline: {entry.deadline!r}; write more than 0 and ten minutes at most"
+        )
+    weighted_services = compile_split(entry, where, services)
+    return Route(
+        name=entry.name,
+        host=required_text(entry.host_name, f"{where}.host_name").lower(),
+        path_prefix=entry.path_prefix,
+        is_idempotent=IS_IDEMPOTENT[entry.route_type],
+        deadline_s=deadline_s,
+        target_latency_s=duration(entry.target, f"{where}.target", deadline_s),
+        precedence=int(entry.precedence),
+        max_attempts=max(1, int(required_number(entry.max_attempts, f"{where}.max_attempts"))),
+        no_auth=entry.no_auth is True,
+        weighted_services=weighted_services,
+    )
 
 
-def route_of(line: RouteEntry, where: str, services: dict[str, Service]) -> Route:
-    """One route, checked.  Raises PlanError."""
-    if not text_of(line.path_prefix, f"{where}.path_prefix").startswith("/"):
-        raise PlanError(f"{where}.path_prefix: {line.path_prefix!r} lacks its first slash; put one there")
-    if line.route_type not in KINDS:
-        raise PlanError(f"{where}.route_type: {line.route_type!r}; write idempotent or non_idempotent")
-    deadline = seconds(line.deadline, f"{where}.deadline", 30.0)
-    if not 0 < deadline <= MAX_DEADLINE:
-        raise PlanError(f"{where}.deadline: {line.deadline!r}; write more than 0 and ten minutes at most")
-    if line.weighted_split is not None:
-        parts = [(part.service_name, number_of(part.weight_value, where)) for part in line.weighted_split]
-    elif line.service_name is not None:
-        parts = [(line.service_name, 1.0)]
+def compile_split(
+    entry: RouteEntry, where: str, services: dict[str, Service]
+) -> tuple[tuple[str, float], ...]:
+    """The names and weights of a route's services, without those of weight 0.  Raises RoutingConfigError."""
+    if entry.weighted_split is not None:
+        split = [
+            (part.service_name, required_number(part.weight_value, where)) for part in entry.weighted_split
+        ]
+    elif entry.service_name is not None:
+        split = [(entry.service_name, 1.0)]
     else:
-        raise PlanError(f"{where}: names no service; give service_name or weighted_split")
-    for name, weight in parts:
+        raise RoutingConfigError(f"{where}: names no service; give service_name or weighted_split")
+    for name, weight in split:
         if name not in services:
-            raise PlanError(f"{where}: service {name!r} is not in service_table; add it there")
+            raise RoutingConfigError(f"{where}: service {name!r} is not in service_table; add it there")
         if weight < 0:
-            raise PlanError(f"{where}.weighted_split: a weight of {weight}; write 0 or more")
-    if sum(weight for _, weight in parts) <= 0:
-        raise PlanError(f"{where}.weighted_split: the weights sum to 0; give one service more")
-    return Route(
-        line.name, text_of(line.host_name, f"{where}.host_name").lower(), line.path_prefix,
-        KINDS[line.route_type], deadline, seconds(line.target, f"{where}.target", deadline),
-        int(line.precedence),
-        max(1, int(number_of(line.max_attempts, f"{where}.max_attempts"))), line.no_auth is True,
-        tuple((name, float(weight)) for name, weight in parts if weight > 0),
-    )  # fmt: skip
+            raise RoutingConfigError(f"{where}.weighted_split: a weight of {weight}; write 0 or more")
+    if sum(weight for _, weight in split) <= 0:
+        raise RoutingConfigError(f"{where}.weighted_split: the weights sum to 0; give one service more")
+    return tuple((name, float(weight)) for name, weight in split if weight > 0)
+
+
+def compile_tenants(entries: list[TenantEntry]) -> tuple[dict[str, Tenant], dict[bytes, str]]:
+    """The tenants by name, and the tenants' names by API key.  Raises RoutingConfigError."""
+    tenants: dict[str, Tenant] = {}
+    tenant_by_key: dict[bytes, str] = {}
+    for number, entry in enumerate(entries):
+        where = f"tenant_table[{number}]"
+        if not required_text(entry.name, f"{where}.name") or entry.name in tenants:
+            raise RoutingConfigError(
+                f"{where}.name: {entry.name!r} is empty or stands twice; name each tenant once"
+            )
+        rate_per_s = float(required_number(entry.rate_per_s, f"{where}.rate_per_s"))
+        burst_size = float(required_number(entry.burst_size, f"{where}.burst_size"))
+        tenants[entry.name] = Tenant(
+            entry.name, int(entry.precedence), max(0.0, rate_per_s), max(0.0, burst_size)
+        )
+        for text in entry.api_keys:
+            key = required_text(text, f"{where}.api_keys").encode()
+            if tenant_by_key.get(key, entry.name) != entry.name:
+                raise RoutingConfigError(
+                    f"{where}.api_keys: one of them is another tenant's key; give each tenant its own"
+                )
+            tenant_by_key[key] = entry.name
+    return tenants, tenant_by_key
 
 
-def plan_of(text: bytes) -> Plan:
-    """The plan of a configuration's text.  Raises PlanError."""
-    return compile(read(text))
+def parse_route_plan(text: bytes) -> RoutePlan:
+    """Decode and compile a configuration's text.  Raises RoutingConfigError."""
+    return compile_document(decode_document(text))
--- a/ivymux/routing_config/validation.py
+++ b/ivymux/routing_config/validation.py
@@ -1,7 +1,7 @@
-"""The users' configuration as the core takes it: read by pyserde besides, before the plan is made.  Pure.
+"""Accepts the users' configuration on core machines: checked by msgspec and by pyserde.  Pure.
 
-A configuration has to pass both readers, so that none is taken that a door then cannot use.  This module
-costs 0.4 s to import: whoever needs it imports it when the start is over.
+Both have to accept it, so that no configuration is stored that a proxy can't use.  Importing this module
+takes 0.4 s: import it only once the process has started.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from serde import SerdeError, from_dict, serde
 
 from ivymux.routing_config import route_plan
-from ivymux.routing_config.route_plan import Plan, PlanError
+from ivymux.routing_config.route_plan import RoutePlan, RoutingConfigError
 
 for _part in (
     route_plan.Split,
@@ -23,11 +23,11 @@
     serde(_part)
 
 
-def plan_of(text: bytes) -> Plan:
-    """The plan of a configuration's text.  Raises PlanError."""
-    made = route_plan.plan_of(text)
+def parse_route_plan(text: bytes) -> RoutePlan:
+    """Decode and compile a configuration's text.  Raises RoutingConfigError."""
+    plan = route_plan.parse_route_plan(text)
     try:
         from_dict(route_plan.Document, msgspec.json.decode(text))
     except SerdeError as error:
-        raise PlanError(f"the configuration: {' '.join(str(error).split())}") from None
-    return made
+        raise RoutingConfigError(f"the configuration: {' '.join(str(error).split())}") from None
+    return plan
--- a/tests/routing_config/test_route_plan.py
+++ b/tests/routing_config/test_route_plan.py
@@ -1,4 +1,4 @@
-"""The users' configuration: what is taken, and what each refusal says."""
+"""The users' configuration: what is accepted, and the text of each refusal."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from ivymux.routing_config.route_plan import PlanError
-from ivymux.routing_config.validation import plan_of
+from ivymux.routing_config.route_plan import RoutingConfigError
+from ivymux.routing_config.validation import parse_route_plan
 
 
 def document() -> dict[str, Any]:
@@ -38,19 +38,19 @@
     }  # fmt: skip
 
 
-def sent(**changes: Any) -> bytes:
-    """The document's text with changes by path, as `route_table.0.deadline`."""
-    made: Any = document()
+def encoded(**changes: Any) -> bytes:
+    """The document's text with changes by path, such as `route_table__0__deadline`; `...` deletes."""
+    changed: Any = document()
     for path, value in changes.items():
         *steps, last = path.split("__")
-        at = made
+        at = changed
         for step in steps:
             at = at[int(step)] if step.isdigit() else at[step]
         if value is ...:
             del at[last]
         else:
             at[int(last) if last.isdigit() else last] = value
-    return json.dumps(made).encode()
+    return json.dumps(changed).encode()
 
 
 INVALID: dict[str, dict[str, Any]] = {
@@ -72,37 +72,39 @@
 }
 
 
-def test_each_refusal_names_the_place_and_the_mend(snapshot: SnapshotAssertion) -> None:
-    told = {}
+def test_each_refusal_names_the_place_and_how_to_correct_it(snapshot: SnapshotAssertion) -> None:
+    refusals = {}
     for name, changes in INVALID.items():
-        with pytest.raises(PlanError) as caught:
-            plan_of(sent(**changes))
-        told[name] = str(caught.value)
-        assert "key-one" not in told[name] and "\n" not in told[name]
-    assert told == snapshot
+        with pytest.raises(RoutingConfigError) as caught:
+            parse_route_plan(encoded(**changes))
+        refusals[name] = str(caught.value)
+        assert "key-one" not in refusals[name] and "\n" not in refusals[name]
+    assert refusals == snapshot
 
 
-def test_a_text_that_is_cut_anywhere_is_refused() -> None:
-    text = sent()
+def test_a_truncated_text_is_refused() -> None:
+    text = encoded()
     for cut in range(len(text)):
-        with pytest.raises(PlanError):
-            plan_of(text[:cut])
-    assert plan_of(text).version == 7
-
-
-def test_routes_keys_and_splits() -> None:
-    plan = plan_of(sent())
-    sign, read = plan.find("minutes.example", "/a/sign/9"), plan.find("minutes.example", "/a/9")
-    assert sign is not None and sign.name == "sign" and sign.open and not sign.repeatable
-    assert read is not None and read.name == "read" and read.repeatable and read.most == 2
-    assert plan.find("minutes.example", "/b/") is None and plan.find("other.example", "/a/") is None
-    assert plan.keys[b"key-two"] == "clerks" and plan.tenants["clerks"].burst == 31.5
-    drawn = [read.service(n / 1000) for n in range(1000)]
-    assert drawn.count("archive") == 900 and drawn.count("desk") == 100
-    assert read.service(0.9999999) == "desk"
-
-
-def test_fields_that_are_not_known_are_left() -> None:
-    made = document()
-    made["new"] = made["route_table"][0]["new"] = made["tenant_table"][0]["new"] = {"x": 1}
-    assert plan_of(json.dumps(made).encode()).version == 7
+        with pytest.raises(RoutingConfigError):
+            parse_route_plan(text[:cut])
+    assert parse_route_plan(text).version == 7
+
+
+def test_routes_keys_and_weighted_splits() -> None:
+    plan = parse_route_plan(encoded())
+    sign, read = plan.find_route("minutes.example", "/a/sign/9"), plan.find_route("minutes.example", "/a/9")
+    assert sign is not None and sign.name == "sign" and sign.no_auth and not sign.is_idempotent
+    assert read is not None and read.name == "read" and read.is_idempotent and read.max_attempts == 2
+    assert (
+        plan.find_route("minutes.example", "/b/") is None and plan.find_route("other.example", "/a/") is None
+    )
+    assert plan.tenant_by_key[b"key-two"] == "clerks" and plan.tenants["clerks"].burst_size == 31.5
+    chosen = [read.choose_service(n / 1000) for n in range(1000)]
+    assert chosen.count("archive") == 900 and chosen.count("desk") == 100
+    assert read.choose_service(0.9999999) == "desk"
+
+
+def test_unknown_fields_are_ignored() -> None:
+    extended = document()
+    extended["new"] = extended["route_table"][0]["new"] = extended["tenant_table"][0]["new"] = {"x": 1}
+    assert parse_route_plan(json.dumps(extended).encode()).version == 7
