--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and a small counter for driving gateways in tests."""
+"""Settings, events and a fake counter for tests of gateways."""
 
 from __future__ import annotations
 
@@ -54,21 +54,25 @@
 START = 100.0
 
 
-def text(**changes: str) -> str:
-    """The settings message, with keys changed (dots written as double underscores)."""
+def settings_text(**changes: str) -> str:
+    """Return the settings message with some keys changed; a double underscore stands for a dot."""
     values = BASE | {key.replace("__", "."): value for key, value in changes.items()}
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
 
-def entry(backend: int, *, cell: int = 0, started: float = 0.0, state: i.State = i.State.READY) -> i.Entry:
+def make_entry(
+    backend: int, *, cell: int = 0, started: float = 0.0, state: i.State = i.State.READY
+) -> i.Entry:
     return i.Entry(backend, 0, started, state, 0, cell, 1.0)
 
 
-def request(rid: int, *, cls: int = 0, plan: int = 0, customer: int = 5, left: float = 4.0) -> i.Request:
+def make_request(rid: int, *, cls: int = 0, plan: int = 0, customer: int = 5, left: float = 4.0) -> i.Request:
     return i.Request(rid, cls, plan, customer, left, 1.0, 3, 0, False, False)
 
 
-def done(rid: int, send: i.Send, outcome: i.Outcome, attempt: int = 0, closed: bool = False) -> i.Finished:
+def make_finished(
+    rid: int, send: i.Send, outcome: i.Outcome, attempt: int = 0, closed: bool = False
+) -> i.Finished:
     return i.Finished(rid, attempt, send.backend, outcome, closed, 0.1, 0, 0, ())
 
 
@@ -76,18 +80,16 @@
     return [a for a in actions if isinstance(a, i.Send)]
 
 
-class Counter:
-    """A shared counter as the deployments run it; `lose` forgets everything.  While it is `late` it adds, and
-    its answers come too late.
-    """
+class FakeCounter:
+    """A shared counter that answers with `outcome`; while `is_late` it adds, but its answers time out."""
 
     def __init__(self) -> None:
         self.totals: dict[int, float] = {}
         self.calls = 0
         self.outcome = i.Outcome.OK
-        self.late = False
+        self.is_late = False
 
-    def lose(self) -> None:
+    def lose_totals(self) -> None:
         self.totals.clear()
 
     def answer(self, call: i.Count) -> i.Counted:
@@ -95,25 +97,26 @@
         if self.outcome is not i.Outcome.OK:
             return i.Counted(call.name, self.outcome, 0.0, 0.05)
         self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
-        if self.late:
+        if self.is_late:
             return i.Counted(call.name, i.Outcome.TIMEOUT, 0.0, 0.05)
         return i.Counted(call.name, i.Outcome.OK, self.totals[call.name], 0.001)
 
 
-def gateway(backends: Iterable[i.Entry] = (), seed: int = 1, /, **changes: str) -> Gateway:
-    made = Gateway(parse_settings(text(**changes)), seed)
-    listed = tuple(backends) or tuple(entry(n, cell=n % 2) for n in range(1, 7))
-    made.handle(START, i.Members(i.Listing.CACHED, 1, listed))
-    return made
+def make_gateway(backends: Iterable[i.Entry] = (), seed: int = 1, /, **changes: str) -> Gateway:
+    """Return a gateway that knows these backends, by default six in two cells."""
+    gateway = Gateway(parse_settings(settings_text(**changes)), seed)
+    entries = tuple(backends) or tuple(make_entry(n, cell=n % 2) for n in range(1, 7))
+    gateway.handle(START, i.Members(i.Listing.CACHED, 1, entries))
+    return gateway
 
 
-def play(made: Gateway, counter: Counter, now: float, event: i.Event) -> list[i.Action]:
-    """Hand over an event and answer each counter call at once, to the end; timers are left alone."""
-    found = made.handle(now, event)
-    at = 0
-    while at < len(found):
-        action = found[at]
-        at += 1
+def handle_event(gateway: Gateway, counter: FakeCounter, now: float, event: i.Event) -> list[i.Action]:
+    """Pass an event, answer all counter calls that follow at once, and return all actions; ignore timers."""
+    actions = gateway.handle(now, event)
+    index = 0
+    while index < len(actions):
+        action = actions[index]
+        index += 1
         if isinstance(action, i.Count):
-            found = found + made.handle(now, counter.answer(action))
-    return found
+            actions = actions + gateway.handle(now, counter.answer(action))
+    return actions
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -15,13 +15,13 @@
 from ivymux.platform.config import parse
 from orchidhill.wire import parse_settings
 
-from .helpers import text
+from .helpers import settings_text
 from .sockets import config_text
 
 
 def test_nested_settings_read_as_the_simulators_do() -> None:
     config = parse(config_text([], "127.0.0.1:6400", report__columns="latency_ms,util"), {})
-    expected = parse_settings(text(report__columns="latency_ms,util"))
+    expected = parse_settings(settings_text(report__columns="latency_ms,util"))
     assert config.settings == expected
     assert (config.kinds, config.conn_idle, config.seed) == (("m2",), 30.0, 0x8C1F)
     assert config.counter == Address("127.0.0.1", 6400)
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -12,23 +12,34 @@
 from orchidhill.call_rate import CallRate
 from orchidhill.gateway import SUBSET_SIZE, Gateway
 from standins.fleet import Fleet
-from tests.helpers import START, Counter, done, entry, gateway, play, request, sends
+from tests.helpers import (
+    START,
+    FakeCounter,
+    handle_event,
+    make_entry,
+    make_finished,
+    make_gateway,
+    make_request,
+    sends,
+)
 
-FLEET = [entry(n, cell=n % 9) for n in range(1, 101)]
+FLEET = [make_entry(n, cell=n % 9) for n in range(1, 101)]
 
 
-def places(made: Gateway, count: int) -> set[int]:
+def places(gateway: Gateway, count: int) -> set[int]:
     """The backends that so many requests in turn are sent to."""
-    counter, found = Counter(), set()
+    counter, found = FakeCounter(), set()
     for rid in range(count):
-        for send in sends(play(made, counter, START + rid, request(rid, customer=rid))):
+        for send in sends(handle_event(gateway, counter, START + rid, make_request(rid, customer=rid))):
             found.add(send.backend)
-            play(made, counter, START + rid + 0.1, done(rid, send, i.Outcome.OK, closed=True))
+            handle_event(
+                gateway, counter, START + rid + 0.1, make_finished(rid, send, i.Outcome.OK, closed=True)
+            )
     return found
 
 
 def test_a_gateway_of_a_large_fleet_keeps_to_a_set_of_its_own() -> None:
-    one, other = (places(gateway(FLEET, me=str(n), peers_total="200"), 300) for n in (0, 1))
+    one, other = (places(make_gateway(FLEET, me=str(n), peers_total="200"), 300) for n in (0, 1))
     assert (
         8 <= len(one) <= SUBSET_SIZE
         and 8 <= len(other) <= SUBSET_SIZE
@@ -37,56 +48,64 @@
 
 
 def test_the_set_changes_by_those_that_come_and_go_only() -> None:
-    made = gateway(FLEET, peers_total="200")
-    before = {b.entry.backend for b in made.subset}
+    gateway = make_gateway(FLEET, peers_total="200")
+    before = {b.entry.backend for b in gateway.subset}
     gone = random.Random(1).sample(sorted(before), 4)
-    made.handle(START, i.Members(i.Listing.DELTA, 2, tuple(entry(n, state=i.State.GONE) for n in gone)))
-    assert len(made.subset) == SUBSET_SIZE and before - {b.entry.backend for b in made.subset} == set(gone)
+    gateway.handle(
+        START, i.Members(i.Listing.DELTA, 2, tuple(make_entry(n, state=i.State.GONE) for n in gone))
+    )
+    assert len(gateway.subset) == SUBSET_SIZE and before - {b.entry.backend for b in gateway.subset} == set(
+        gone
+    )
 
 
 def test_others_are_gone_to_where_none_of_the_set_may_be() -> None:
     """A keyed request may be sent again only within the cell in which it may have run."""
-    made, counter = gateway(FLEET, peers_total="200"), Counter()
+    gateway, counter = make_gateway(FLEET, peers_total="200"), FakeCounter()
     for rid in range(40):
-        (send,) = sends(play(made, counter, START + rid, request(rid, cls=1, customer=rid)))
-        (again,) = sends(play(made, counter, START + rid + 0.1, done(rid, send, i.Outcome.RESET)))
+        (send,) = sends(handle_event(gateway, counter, START + rid, make_request(rid, cls=1, customer=rid)))
+        (again,) = sends(
+            handle_event(gateway, counter, START + rid + 0.1, make_finished(rid, send, i.Outcome.RESET))
+        )
         assert again.backend % 9 == send.backend % 9 and again.backend != send.backend
-        last = done(rid, again, i.Outcome.OK, attempt=1, closed=True)
-        play(made, counter, START + rid + 0.2, last)
-    assert len(made.subset) == SUBSET_SIZE
+        last = make_finished(rid, again, i.Outcome.OK, attempt=1, closed=True)
+        handle_event(gateway, counter, START + rid + 0.2, last)
+    assert len(gateway.subset) == SUBSET_SIZE
 
 
 # --- leases of customers that come to more gateways than their burst has units ------------------
 
 
 def wide(rid: int, again: bool = False) -> i.Request:
-    return replace(request(rid), width=100, is_retry=again)
+    return replace(make_request(rid), width=100, is_retry=again)
 
 
 def crowd(count: int) -> list[Gateway]:
-    return [gateway(me=str(n), peers_total="100") for n in range(count)]
+    return [make_gateway(me=str(n), peers_total="100") for n in range(count)]
 
 
-def at_once(gateways: list[Gateway], counter: Counter, events: list[i.Event], now: float) -> list[i.Action]:
+def at_once(
+    gateways: list[Gateway], counter: FakeCounter, events: list[i.Event], now: float
+) -> list[i.Action]:
     """Each round all gateways' calls reach the counter before any hears of the others'."""
     seen: list[i.Action] = []
-    calls = [(made, made.handle(now, event)) for made, event in zip(gateways, events, strict=True)]
+    calls = [(gateway, gateway.handle(now, event)) for gateway, event in zip(gateways, events, strict=True)]
     while any(isinstance(a, i.Count) for _, found in calls for a in found):
         seen += [a for _, found in calls for a in found]
         answers = [(m, counter.answer(a)) for m, found in calls for a in found if isinstance(a, i.Count)]
-        calls = [(made, made.handle(now, answer)) for made, answer in answers]
+        calls = [(gateway, gateway.handle(now, answer)) for gateway, answer in answers]
     return seen + [a for _, found in calls for a in found]
 
 
-def level(made: Gateway, counter: Counter, now: float) -> float:
+def level(gateway: Gateway, counter: FakeCounter, now: float) -> float:
     """What the name of the one customer says that its store of 8 units, 4 a second, holds."""
-    (lease,) = made.leases.values()
+    (lease,) = gateway.leases.values()
     since = now + lease.phase - lease.window * lease.window_length
     return 8.0 + 4.0 * since - sum(counter.totals.values())
 
 
 def test_what_flowed_over_is_added_once_however_many_add_it() -> None:
-    counter, gateways = Counter(), crowd(6)
+    counter, gateways = FakeCounter(), crowd(6)
     found = at_once(gateways, counter, [wide(n) for n in range(6)], START)
     assert len(sends(found)) == 6
     assert level(gateways[0], counter, START) == pytest.approx(8.0 - 6, abs=0.1)
@@ -94,7 +113,7 @@
 
 def test_totals_of_a_debt_stay_what_they_are_however_many_see_it() -> None:
     """Forgiven by all that saw it, it left less than each had added: all brought theirs back, without end."""
-    counter, gateways = Counter(), crowd(6)
+    counter, gateways = FakeCounter(), crowd(6)
     at_once(gateways, counter, [wide(n) for n in range(6)], START)
     for name in counter.totals:
         counter.totals[name] += 60.0
@@ -104,7 +123,7 @@
 
 
 def test_a_customer_met_for_the_first_time_costs_one_call_and_a_clients_repeat_a_look() -> None:
-    counter, (one, other) = Counter(), crowd(2)
+    counter, (one, other) = FakeCounter(), crowd(2)
     (first,) = (a for a in one.handle(START, wide(1)) if isinstance(a, i.Count))
     (again,) = (a for a in other.handle(START, wide(2, again=True)) if isinstance(a, i.Count))
     assert first.amount == 1.0 and again.amount == 0.0
@@ -117,16 +136,16 @@
 
 def test_a_request_waits_for_its_call_where_a_gateway_has_few() -> None:
     """200 gateways share 800 calls a second: what comes at once is neither refused nor let in unasked."""
-    made, counter = gateway(peers_total="200", extra__counter_timeout_s="0.08"), Counter()
-    made.backend_limit = 10.0
+    gateway, counter = make_gateway(peers_total="200", extra__counter_timeout_s="0.08"), FakeCounter()
+    gateway.backend_limit = 10.0
     found: list[i.Action] = []
     for n in range(3):
-        found += play(made, counter, START, replace(request(n, customer=n), width=100))
+        found += handle_event(gateway, counter, START, replace(make_request(n, customer=n), width=100))
     assert len(sends(found)) < 3 and not [a for a in found if isinstance(a, i.Refuse)]
     now = START
-    while made.call_queue and now < START + 4.0:
+    while gateway.call_queue and now < START + 4.0:
         now += 0.025
-        found += play(made, counter, now, i.Fired(1))
+        found += handle_event(gateway, counter, now, i.Fired(1))
     assert len(sends(found)) == 3 and counter.calls >= 3 and START < now < START + 1.0
 
 
@@ -174,19 +193,19 @@
 
 
 def test_a_gateway_that_leaves_gives_back_what_it_has_not_spent_and_pays_what_it_owes() -> None:
-    counter, made = Counter(), gateway()
+    counter, gateway = FakeCounter(), make_gateway()
     for rid in range(4):
-        for send in sends(play(made, counter, START, request(rid))):
-            play(made, counter, START, done(rid, send, i.Outcome.OK, closed=True))
-    (lease,) = made.leases.values()
+        for send in sends(handle_event(gateway, counter, START, make_request(rid))):
+            handle_event(gateway, counter, START, make_finished(rid, send, i.Outcome.OK, closed=True))
+    (lease,) = gateway.leases.values()
     assert lease.credits > 0
-    play(made, counter, START, i.Leaving())
-    assert level(made, counter, START) == pytest.approx(8.0 - 4)
+    handle_event(gateway, counter, START, i.Leaving())
+    assert level(gateway, counter, START) == pytest.approx(8.0 - 4)
     # Nothing is left to be given back, also where it is told twice.
-    assert not [a for a in made.handle(START, i.Leaving()) if isinstance(a, i.Count)]
+    assert not [a for a in gateway.handle(START, i.Leaving()) if isinstance(a, i.Count)]
     lease.owed = 2.0
-    play(made, counter, START, i.Leaving())
-    assert level(made, counter, START) == pytest.approx(8.0 - 6)
+    handle_event(gateway, counter, START, i.Leaving())
+    assert level(gateway, counter, START) == pytest.approx(8.0 - 6)
 
 
 @pytest.mark.parametrize("doors", [4, 64])
@@ -210,16 +229,16 @@
 
 def test_what_flowed_over_is_added_however_few_calls_a_gateway_has() -> None:
     """Left out for want of a call, a name said for a whole window that its store held ten bursts."""
-    made, counter = gateway(peers_total="200", extra__counter_timeout_s="0.08"), Counter()
-    made.call_rate.tokens, made.call_rate.tokens_at = 1.5, START
-    found = play(made, counter, START, replace(request(1, plan=1), width=100))
-    assert len(sends(found)) == 1 and not made.may_call()
-    assert level(made, counter, START) == pytest.approx(8.0 - 1, abs=0.1)
+    gateway, counter = make_gateway(peers_total="200", extra__counter_timeout_s="0.08"), FakeCounter()
+    gateway.call_rate.tokens, gateway.call_rate.tokens_at = 1.5, START
+    found = handle_event(gateway, counter, START, replace(make_request(1, plan=1), width=100))
+    assert len(sends(found)) == 1 and not gateway.may_call()
+    assert level(gateway, counter, START) == pytest.approx(8.0 - 1, abs=0.1)
 
 
 def test_under_a_ceiling_a_name_lacks_no_more_than_that_leaves() -> None:
-    made = gateway()
-    free, under = made.settings.plans[:2]
+    gateway = make_gateway()
+    free, under = gateway.settings.plans[:2]
     assert (
         bucket_overflow.overflow(free, free.burst * 1.4) == 0
         and bucket_overflow.overflow(free, free.burst * 1.6) > 0
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -188,14 +188,14 @@
 def test_the_readme_example_runs() -> None:
     from orchidhill import interface as i
 
-    from .helpers import text
+    from .helpers import settings_text
 
     (example,) = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     space: dict[str, object] = {}
     exec(example, space)
     drive = space["drive"]
     assert callable(drive)
-    assert i.Send(1, 7, 0.0) in drive(text())
+    assert i.Send(1, 7, 0.0) in drive(settings_text())
 
 
 def test_the_deploy_file_names_the_module() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,7 @@
 from orchidhill import benchlink, wire
 from orchidhill import interface as i
 
-from .helpers import text
+from .helpers import settings_text
 
 CLOCK = struct.unpack("<d", bytes.fromhex("508d976e12d32040"))[0]
 
@@ -158,13 +158,13 @@
 )
 def test_malformed_settings_name_the_key(changes: dict[str, str], key: str) -> None:
     with pytest.raises(wire.SettingsError, match=key):
-        wire.parse_settings(text(**changes))
+        wire.parse_settings(settings_text(**changes))
 
 
 def test_missing_settings_name_the_key_and_unknown_ones_are_skipped() -> None:
     with pytest.raises(wire.SettingsError, match=r"rules\.fall_s"):
-        wire.parse_settings(text().replace("rules.fall_s", "rules.other"))
-    assert wire.parse_settings(text() + "\nnew.key=7\nnonsense").plans[2].parallel == 2
+        wire.parse_settings(settings_text().replace("rules.fall_s", "rules.other"))
+    assert wire.parse_settings(settings_text() + "\nnew.key=7\nnonsense").plans[2].parallel == 2
 
 
 def test_a_failing_module_is_reported_as_fault() -> None:
