--- a/ivymux/config_store/changes.py
+++ b/ivymux/config_store/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: one text for each version, on two disks before an answer.  Pure."""
+"""Replication of the configuration: one text per version, on two disks before it is acknowledged.  Pure."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ivymux.config_store.replica_state import ReplicaState
 from ivymux.config_store.timing import RETRY_INTERVAL_S
 
-NO_VERSION = -1  # the version before the first
+NO_VERSION = -1  # where no configuration is held
 
 
 @dataclass(slots=True)
@@ -29,64 +29,69 @@
     digest: str
     calls: list[int]
     sent_at: float = 0.0
-    written_at: float = 0.0  # first, under the epoch in force
+    written_at: float = 0.0  # when it was first written under the epoch in force
     on_own_disk: bool = False
     on_backup: bool = False
 
 
 class ChangeReplication(ReplicaState):
-    """The configuration at the primary and at the backup."""
+    """Replication of the configuration from the primary to the backup, and its publication to all."""
 
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
         self.pending: list[PendingChange] = []  # in rising order of versions
-        self.published_version = NO_VERSION  # the version that this machine's host was last told
+        self.published_version = NO_VERSION  # the last version that this machine published
 
     def held_version(self) -> int:
+        """Return the version of the configuration that this machine holds."""
         return self.state.version if self.state is not None else NO_VERSION
 
     # --- calls ---------------------------------------------------------------------------------------
 
     def put(self, call: int, version: int, text: str) -> Reply | None:
-        """Take a change that was checked.  None where this machine does not lead, or can't tell yet."""
+        """Store a validated change.
+
+        Returns None where this machine is not the primary, or cannot decide yet.
+        """
         if not self.may_serve(self.now):
             return None
         digest = digest_of(text)
         same = next((change for change in self.pending if change.version == version), None)
         if same is not None:
             if same.digest != digest:
-                return None  # which of the two holds is known once the first is on both disks
+                return None  # undecided until the first of the two texts is on both disks
             same.calls.append(call)
             return self.reply(Identity.TAKEN, version, digest, wait=True)
         identity = self.history.identify(version, digest)
         if identity is not Identity.NEW:
             return self.reply(identity, version, digest)
-        if self.pending and version < self.pending[-1].version:  # overtaken, once the higher one holds
+        if self.pending and version < self.pending[-1].version:
+            # Superseded once the higher version is on both disks.
             self.pending[-1].calls.append(call)
             return self.reply(Identity.SUPERSEDED, version, digest, wait=True)
         change = PendingChange(version, text, digest, [call])
         self.pending.append(change)
         if self.is_writable():
-            self.write(change)
+            self.write_change(change)
         return self.reply(Identity.TAKEN, version, digest, wait=True)
 
     def reply(self, identity: Identity, version: int, digest: str, wait: bool = False) -> Reply:
-        """What an operator is told: what became of the change, and what is held."""
+        """Return the answer for the operator: the outcome of the change, and the newest version."""
         known = {**self.history.digests, **{change.version: change.digest for change in self.pending}}
-        held = max(known, default=NO_VERSION)
+        newest = max(known, default=NO_VERSION)
         answer: dict[str, Any] = {
             "ok": True,
             "outcome": identity.value,
             "digest": digest,
-            "held_version": held,
-            "known_digest": known.get(version if identity is Identity.CONFLICT else held, ""),
+            "held_version": newest,
+            "known_digest": known.get(version if identity is Identity.CONFLICT else newest, ""),
         }
         return Reply(self.actions, answer, wait)
 
     # --- at the primary ------------------------------------------------------------------------------
 
-    def write(self, change: PendingChange) -> None:
-        """Write a change to both disks of the pair."""
+    def write_change(self, change: PendingChange) -> None:
+        """Write a change to the disks of the primary and the backup."""
         assert self.led_epoch is not None
         change.on_own_disk = change.on_backup = False
         change.written_at = self.now
@@ -96,16 +101,18 @@
         self.send(address_of(self.identity), WriteStored(self.identity, state.epoch, state.version))
 
     def send_write(self, change: PendingChange) -> None:
+        """Send a change to the backup."""
         assert self.led_epoch is not None
         change.sent_at = self.now
-        at = self.pending.index(change)
-        previous = self.pending[at - 1].version if at else self.held_version()
+        position = self.pending.index(change)
+        previous = self.pending[position - 1].version if position else self.held_version()
         self.send(
             address_of(self.led_epoch.backup),
             WriteRequest(self.identity, self.led_epoch.number, previous, change.version, change.text),
         )
 
     def resend_writes(self) -> None:
+        """Repeat writes that the backup has not acknowledged in time."""
         if not self.is_writable():
             return
         for change in self.pending:
@@ -113,12 +120,12 @@
                 self.send_write(change)
 
     def rewrite_pending(self) -> None:
-        """What came while this epoch was made is written under it."""
+        """Write changes that are still pending under the epoch that has come into force."""
         for change in self.pending:
-            self.write(change)
+            self.write_change(change)
 
     def waiting_for_backup_since(self) -> float:
-        """When the oldest of what is on this machine's disk alone was written; infinite where nothing is."""
+        """Return when the oldest change that only this machine's disk holds was written; infinity if none."""
         changes = [
             change.written_at for change in self.pending if change.on_own_disk and not change.on_backup
         ]
@@ -129,14 +136,14 @@
         if self.led_epoch is None or message.epoch != self.led_epoch.number or not self.is_writable():
             return
         for change in self.pending:
-            # Changes are written in their order: a disk that has a later one has this one too.
+            # Changes are written in order: a disk that holds a later one holds this one too.
             if change.version <= message.version:
                 change.on_own_disk = change.on_own_disk or message.sender == self.identity
                 change.on_backup = change.on_backup or message.sender == self.led_epoch.backup
         self.complete_changes()
 
     def complete_changes(self) -> None:
-        """Answer what is on both disks, and tell all of it."""
+        """Acknowledge and publish the changes that are on both disks."""
         done = [change for change in self.pending if change.on_own_disk and change.on_backup]
         if not done:
             return
@@ -158,20 +165,20 @@
         if self.state is None or self.state.epoch != message.epoch:
             return
         if self.promised > message.epoch and self.promised_to != message.sender:
-            return  # it has promised another: a primary of before is not followed any more
+            return  # promised to another candidate: writes of an earlier primary are fenced off
         if message.version > self.state.version:
             if message.previous > self.state.version:
-                return  # one before it was lost on its way: it comes again first
+                return  # a change before it was lost on the way and will be sent again
             self.state = ConfigurationState(message.epoch, message.version, message.text)
             change = (message.version, digest_of(message.text))
             self.history.take(*change)
             self.actions.append(Persist(state=self.state, change=change))
         self.send(source, WriteStored(self.identity, message.epoch, message.version))
 
-    # --- what is in force ----------------------------------------------------------------------------
+    # --- publication -----------------------------------------------------------------------------
 
     def publish(self) -> None:
-        """What can be lost no more goes to all."""
+        """Broadcast the configuration, which is on both disks."""
         state = self.state
         if state is None or state.version < 0:
             return
@@ -179,6 +186,7 @@
         self.broadcast(ConfigurationInForce(self.identity, state.epoch, state.version, state.text))
 
     def update_published(self, version: int, text: str) -> None:
+        """Publish a configuration to this machine's registries if it is newer than the last one."""
         if version > self.published_version:
             self.published_version = version
             self.actions.append(Publish(version, text))
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -1,9 +1,9 @@
-"""How a new epoch is made: promises, the whole state at its backup, its record at majorities.  Pure.
+"""Elections: promises of a majority, state transfer to the new backup, acceptance by majorities.  Pure.
 
-After Vertical Paxos II (Lamport, Malkhi, Zhou 2009) and PacificA (2008).  A candidate is the primary or the
-backup of the newest epoch that any promise names, or the primary in force that changes its backup or its
-members.  It asks again under one number until a member refuses: a try that is begun anew costs every member
-a commit, which on a slow disk takes longer than any time-out that suits a fast one.
+The protocol follows Vertical Paxos II (Lamport, Malkhi, Zhou 2009) and PacificA (2008).  A candidate is the
+primary or the backup of the newest epoch that any promise names, or the primary in force when it changes its
+backup or the members.  It repeats its requests under one number until a member refuses: each new number costs
+every member a commit, which on a slow disk takes longer than any time-out that suits a fast one.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     address_of,
     is_majority,
 )
-from ivymux.config_store.replica_state import ElectionAttempt
+from ivymux.config_store.replica_state import NEVER, ElectionAttempt
 from ivymux.config_store.timing import (
     BACKUP_TIMEOUT_S,
     JOIN_INTERVAL_S,
@@ -42,46 +42,52 @@
     TRANSFER_RETRY_INTERVAL_S,
 )
 
+MAX_DEFERRAL_DOUBLINGS = 8
+
 
 class Elections(ChangeReplication):
-    """A replica as the maker of a new epoch, and as one of those that it asks."""
+    """A replica as a candidate, and as a member that candidates ask."""
 
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
-        self.deferral_count = 0  # attempts of others since an epoch in force was last heard of
-        self.deferred_since = now  # when the last of them was first heard of
-        self.defer_until = 0.0  # how long it may keep this member from its own
+        self.deferral_count = 0  # attempts of others since the last lease request of a primary
+        self.deferred_since = now  # when the latest of them was first received
+        self.defer_until = 0.0  # how long that attempt may keep this member from its own
         if self.is_founder():
             self.next_attempt_at = now + 0.05 + 0.3 * self.attempt_rank()
 
     def on_became_primary(self) -> None:
-        """An epoch of this machine is in force."""
+        """Called when an epoch of this machine comes into force."""
         raise NotImplementedError
 
-    # --- beginning -----------------------------------------------------------------------------------
+    # --- starting an attempt ---------------------------------------------------------------------------
 
     def may_begin_attempt(self) -> bool:
-        """Whether this machine, which does not lead, may make the next epoch."""
+        """Whether this machine, which is not the primary, may try to make the next epoch."""
         if self.now < self.next_attempt_at or self.unsynced_step or self.known_epoch is None:
             return False
-        founding = self.is_founder()
-        if not founding and not (self.is_in_pair() and self.has_state_of(self.known_epoch)):
+        is_founder = self.is_founder()
+        if not is_founder and not (self.is_in_pair() and self.has_state_of(self.known_epoch)):
             return False
-        held_until = self.restart_lease_until if self.known_epoch.primary != self.identity else 0.0
-        return self.leased_to == self.identity or self.now >= max(self.leased_until, held_until)
+        restart_lease_until = self.restart_lease_until if self.known_epoch.primary != self.identity else 0.0
+        return self.leased_to == self.identity or self.now >= max(self.leased_until, restart_lease_until)
 
     def has_state_of(self, record: EpochRecord) -> bool:
+        """Whether this machine holds the state of an epoch, or of a later one."""
         return self.state is not None and self.state.epoch >= record.number
 
     def attempt_rank(self) -> int:
-        """My place among those that may begin, so that two do not go on meeting."""
+        """Return this machine's place among the possible candidates.
+
+        Pauses depend on it, so that two candidates do not keep colliding.
+        """
         assert self.known_epoch is not None
         pair = (self.known_epoch.backup, self.known_epoch.primary)
-        able = sorted(pair if self.known_epoch.number else self.known_epoch.members)
-        return able.index(self.identity) if self.identity in able else len(able)
+        candidates = sorted(pair if self.known_epoch.number else self.known_epoch.members)
+        return candidates.index(self.identity) if self.identity in candidates else len(candidates)
 
     def begin_attempt(self, why: str) -> None:
-        """Begin to make the next epoch."""
+        """Start an attempt to make the next epoch."""
         assert self.known_epoch is not None
         number = max(self.promised, self.highest_promise_seen, self.known_epoch.number) + 1
         attempt = self.attempt = ElectionAttempt(number, self.now, last_progress_at=self.now)
@@ -93,17 +99,17 @@
         self.choose_epoch(attempt)
 
     def continue_attempt(self) -> None:
-        """What an attempt needs is asked for again; one that comes to nothing is given up."""
+        """Repeat the attempt's unanswered requests, or abandon it if it is refused or stalled."""
         attempt = self.attempt
         assert attempt is not None
         if attempt.epoch_record is None:
             self.choose_epoch(attempt)
             if self.attempt is not attempt or attempt.epoch_record is not None:
                 return
-            if attempt.refused_by and self.now - attempt.last_progress_at > RETRY_INTERVAL_S * (
-                1 + self.attempt_rank()
-            ):
-                self.abandon_attempt(0.0)  # another has this number too, and who could decide is silent
+            patience_s = RETRY_INTERVAL_S * (1 + self.attempt_rank())
+            if attempt.refused_by and self.now - attempt.last_progress_at > patience_s:
+                # Another candidate has this number too, and the members that could decide are silent.
+                self.abandon_attempt(0.0)
                 return
         elif self.is_stalled(attempt, attempt.epoch_record.backup):
             self.abandon_attempt(0.05 * min(8, self.failed_attempts))
@@ -113,37 +119,41 @@
         if attempt.epoch_record is None:
             self.request_promises(attempt)
         elif not attempt.backup_has_state:
-            self.request_promises(attempt)  # so that others go on to defer
+            self.request_promises(attempt)  # so that other members keep deferring
             self.transfer_state(attempt)
         else:
             self.request_acceptance(attempt)
 
     def is_stalled(self, attempt: ElectionAttempt, backup: str) -> bool:
-        """Whether the backup that was chosen is silent, or nothing has come of an attempt for long."""
+        """Whether the chosen backup is silent, or the attempt has made no progress for too long."""
         silent_since = max(self.last_received_at.get(backup, 0.0), attempt.last_progress_at)
-        return (
-            self.now - attempt.last_progress_at > PROGRESS_TIMEOUT_S
-            or self.now - silent_since > BACKUP_TIMEOUT_S
-        )
+        lacks_progress = self.now - attempt.last_progress_at > PROGRESS_TIMEOUT_S
+        return lacks_progress or self.now - silent_since > BACKUP_TIMEOUT_S
 
     def abandon_attempt(self, pause: float) -> None:
+        """End the attempt; the next may start after `pause` seconds."""
         self.attempt = None
         self.next_attempt_at = self.now + pause
 
     # --- promises ------------------------------------------------------------------------------------
 
     def request_promises(self, attempt: ElectionAttempt) -> None:
-        """Ask for promises, of members too whose disk has not taken the record that made them members."""
+        """Ask all core machines for promises.
+
+        A machine that the known epoch names as a member is asked too if its disk does not hold that epoch
+        yet.
+        """
         assert self.known_epoch is not None
         attempt.next_request_at = self.now + RETRY_INTERVAL_S / 2
-        waits = self.now - attempt.still_writing_at < RETRY_INTERVAL_S
-        self.broadcast(PromiseRequest(self.identity, attempt.number, self.known_epoch, waits))
+        waits_for_disk = self.now - attempt.still_writing_at < RETRY_INTERVAL_S
+        self.broadcast(PromiseRequest(self.identity, attempt.number, self.known_epoch, waits_for_disk))
 
     def on_promise_request(self, source: str, message: PromiseRequest) -> None:
         candidate, number = message.sender, message.epoch
-        named_member = self.identity in message.epoch_record.members
-        if not self.is_member() and named_member and self.leaving_since is None:
-            # What this machine has said rests on its disk: without a record there it has said nothing yet.
+        is_named_member = self.identity in message.epoch_record.members
+        if not self.is_member() and is_named_member and self.leaving_since is None:
+            # Safe: without that epoch's record on its disk, this machine has promised and granted nothing as
+            # a member.
             self.learn_epoch(message.epoch_record)
         if self.known_epoch is None or not self.is_member():
             return
@@ -151,41 +161,44 @@
             self.send_refusal(source)
             return
         if self.is_bound_to_other(candidate):
-            return  # a primary may still act on this member's vote
+            return  # a primary may still act under the lease that this member granted
         if self.attempt is not None and self.attempt.number < number:
             self.attempt = None
-        again = number == self.promised
-        if not again:
+        is_repeat = number == self.promised
+        if not is_repeat:
             self.promise(number, candidate)
-        self.defer_to_attempt(again, progresses=message.waits_for_disk)
-        if again and self.unsynced_step:
+        self.defer_to_attempt(is_repeat, progresses=message.waits_for_disk)
+        if is_repeat and self.unsynced_step:
             self.send(source, StillWriting(self.identity, number))
         else:
             self.send(source, Promise(self.identity, number, self.known_epoch))
 
     def is_bound_to_other(self, candidate: str) -> bool:
+        """Whether a lease that this member granted, maybe before a restart, binds it to another machine."""
         assert self.known_epoch is not None
         leased_until = self.leased_until if self.leased_to != candidate else 0.0
-        from_before = self.known_epoch.primary != candidate and self.known_epoch.number > 0
-        return self.now < max(leased_until, self.restart_lease_until if from_before else 0.0)
+        granted_to_other = self.known_epoch.primary != candidate and self.known_epoch.number > 0
+        return self.now < max(leased_until, self.restart_lease_until if granted_to_other else 0.0)
 
     def defer_to_attempt(self, again: bool, progresses: bool = False) -> None:
-        """Let another's attempt come to an end: longer each time that one did not, and while a disk works.
+        """Postpone this member's own attempt in favour of another candidate's.
 
-        `again`: it is the attempt that was deferred to before; `progresses`: something is on its way.
+        The deferral grows with each attempt that failed, and lasts longer while a disk is written.  `again`:
+        the attempt is the one that was deferred to before; `progresses`: the attempt is making progress.
         """
         if not again:
             self.deferral_count += 1
             self.deferred_since = self.now
-            longest = min(MAX_DEFERRAL_S, MIN_DEFERRAL_S * (1 << min(self.deferral_count - 1, 8)))
-            self.defer_until = self.now + longest
+            doublings = min(self.deferral_count - 1, MAX_DEFERRAL_DOUBLINGS)
+            deferral_s = min(MAX_DEFERRAL_S, MIN_DEFERRAL_S * (1 << doublings))
+            self.defer_until = self.now + deferral_s
         if progresses:
-            at_most = self.deferred_since + MAX_DISK_DEFERRAL_S
-            self.defer_until = max(self.defer_until, min(self.now + MIN_DEFERRAL_S, at_most))
+            latest = self.deferred_since + MAX_DISK_DEFERRAL_S
+            self.defer_until = max(self.defer_until, min(self.now + MIN_DEFERRAL_S, latest))
         until = self.now + MIN_DEFERRAL_S
-        self.next_attempt_at = max(
-            self.next_attempt_at, until if self.unsynced_step else min(until, self.defer_until)
-        )
+        if not self.unsynced_step:
+            until = min(until, self.defer_until)
+        self.next_attempt_at = max(self.next_attempt_at, until)
 
     def on_refusal(self, source: str, message: Refusal) -> None:
         self.learn_epoch(message.epoch_record)
@@ -195,10 +208,10 @@
             return
         attempt.refused_by.add(message.sender)
         if attempt.number == message.promised and self.known_epoch is not None:
-            left = set(self.known_epoch.members) - attempt.refused_by
-            if is_majority(self.known_epoch.members, left):
-                return  # one that has promised this number to another: the rest suffices
-        # Two that try at once must not go on meeting: who has the lower name goes first.
+            remaining = set(self.known_epoch.members) - attempt.refused_by
+            if is_majority(self.known_epoch.members, remaining):
+                return  # this member promised the number to another candidate, but the others suffice
+        # The pause grows with the rank, so that two candidates do not keep colliding.
         self.abandon_attempt((0.03 + 0.15 * self.attempt_rank()) * min(4, self.failed_attempts))
 
     def on_still_writing(self, source: str, message: StillWriting) -> None:
@@ -219,21 +232,26 @@
     # --- the state at the new backup -------------------------------------------------------------------
 
     def choose_epoch(self, attempt: ElectionAttempt) -> None:
-        """With a majority's promises: who is the backup, who the members."""
+        """Choose the new epoch's backup and members, once a majority has promised.
+
+        Its state is fixed then, and is sent to the backup.
+        """
         previous = max(attempt.promises.values(), key=lambda record: record.number)
         if not is_majority(previous.members, set(attempt.promises)):
             return
-        founding = previous.number == 0
+        is_first_epoch = previous.number == 0
         in_pair = self.identity in (previous.primary, previous.backup)
-        if not founding and not (in_pair and self.has_state_of(previous)):
-            self.abandon_attempt(2 * MIN_DEFERRAL_S)  # it is another's to lead
+        if not is_first_epoch and not (in_pair and self.has_state_of(previous)):
+            self.abandon_attempt(2 * MIN_DEFERRAL_S)  # only another machine can be the primary
             self.learn_epoch(previous)
             return
         members = self.next_epoch_members(previous, set(attempt.promises))
         partner = previous.backup if previous.primary == self.identity else previous.primary
         able = [member for member in members if member in attempt.promises]
         backup = choose_backup(previous, self.identity, able, self.unfit_backups(), partner)
-        if backup is None or (not founding and self.better_backup_may_answer(attempt, backup, partner)):
+        if backup is None:
+            return
+        if not is_first_epoch and self.better_backup_may_answer(attempt, backup, partner):
             return
         attempt.previous_epoch = previous
         attempt.epoch_record = EpochRecord(attempt.number, self.identity, backup, members)
@@ -244,35 +262,38 @@
         self.transfer_state(attempt)
 
     def better_backup_may_answer(self, attempt: ElectionAttempt, backup: str, partner: str) -> bool:
-        """Whether the promise of a better backup may be on its way."""
+        """Whether the promise of a better backup may still be on its way."""
         unfit = self.unfit_backups()
         partner_may = partner not in attempt.promises and partner not in unfit
         return (partner_may or backup in unfit) and self.now - attempt.started_at < RETRY_INTERVAL_S / 3
 
     def next_epoch_members(self, record: EpochRecord, present: set[str]) -> tuple[str, ...]:
-        """The members of the epoch behind one, as far as can be told now."""
+        """Return the members of the epoch after `record`, as far as known now."""
         joiners = [
             joiner for joiner, at in self.join_requested_at.items() if self.now - at <= 3 * JOIN_INTERVAL_S
         ]
         others = [member for member in record.members if member != self.identity]
-        # One that is silent is replaced sooner than it is let out: it may be on its way back.
-        silence = BACKUP_TIMEOUT_S if any(j not in record.members for j in joiners) else MEMBER_TIMEOUT_S
+        # A silent member is replaced sooner than it is removed without a replacement, as it may return.
+        has_replacement = any(joiner not in record.members for joiner in joiners)
+        silence_s = BACKUP_TIMEOUT_S if has_replacement else MEMBER_TIMEOUT_S
         leaving_members = self.leaving_members()
-        going = [member for member in others if self.is_silent(member, present, silence)]
+        going = [member for member in others if self.is_silent(member, present, silence_s)]
+        # A leaving member that is the only possible backup stays until another machine can be the backup.
         if any(member in present and member not in leaving_members for member in others):
             going += [member for member in others if member in leaving_members]
-        # else the only one that can keep the second copy, though it leaves, stays until another can
         return next_members(record, self.identity, joiners, going)
 
     def is_silent(self, member: str, present: set[str], silence: float) -> bool:
-        """Whether a member has been silent for long.
+        """Whether a member has sent nothing for `silence` seconds.
 
-        Only who leads hears all members: one that takes over lets none out for its silence.
+        Only the primary in force receives messages of all members; a machine that takes over removes none for
+        its silence.
         """
-        silent = self.now - self.last_received_at.get(member, -1e9) > silence
+        silent = self.now - self.last_received_at.get(member, NEVER) > silence
         return self.led_epoch is not None and member not in present and silent
 
     def transfer_state(self, attempt: ElectionAttempt) -> None:
+        """Send the new epoch's state to its backup."""
         state = self.state
         assert attempt.epoch_record is not None and state is not None
         attempt.next_request_at = self.now + TRANSFER_RETRY_INTERVAL_S
@@ -298,35 +319,28 @@
         if self.state is None or self.state.epoch < number:
             self.state = ConfigurationState(number, message.version, message.text)
             self.history = ChangeHistory.of(message.history)
-            self.record_replication.last_change_number = (
-                0  # numbers of an epoch before mean nothing in this one
-            )
+            self.record_replication.last_change_number = 0  # change numbers of earlier epochs no longer count
             self.persist_epoch_step(Persist(state=self.state, history=self.history.changes()))
         if message.store_digest != self.record_replication.store.root_digest():
-            self.record_replication.send_digests(
-                source, number
-            )  # `StateStored` follows once they are repaired
+            self.record_replication.send_digests(source, number)  # `StateStored` follows the repair
         else:
             self.send(source, StateStored(self.identity, number))
 
     def on_state_stored(self, source: str, message: StateStored) -> None:
         attempt = self.attempt
-        if (
-            attempt is None
-            or attempt.epoch_record is None
-            or message.epoch != attempt.number
-            or attempt.backup_has_state
-        ):
+        if attempt is None or attempt.epoch_record is None or message.epoch != attempt.number:
+            return
+        if attempt.backup_has_state:
             return
         if message.sender == attempt.epoch_record.backup:
             attempt.backup_has_state = True
             attempt.last_progress_at = self.last_received_at[message.sender] = self.now
             self.accept_own_record(attempt)
 
-    # --- the record at majorities ----------------------------------------------------------------------
+    # --- acceptance of the epoch record -----------------------------------------------------------------
 
     def accept_own_record(self, attempt: ElectionAttempt) -> None:
-        """This machine counts as one that keeps the record: it is on its disk before the others are asked."""
+        """Store the new epoch's record here, before the other members are asked to."""
         assert attempt.epoch_record is not None
         self.known_epoch = attempt.epoch_record
         self.actions.append(Persist(epoch_record=attempt.epoch_record))
@@ -335,6 +349,7 @@
         self.check_acceptance(attempt)
 
     def request_acceptance(self, attempt: ElectionAttempt) -> None:
+        """Ask all core machines to store the new epoch's record."""
         assert attempt.epoch_record is not None
         attempt.next_request_at = self.now + RETRY_INTERVAL_S / 2
         self.broadcast(AcceptRequest(self.identity, attempt.epoch_record))
@@ -366,17 +381,17 @@
             self.check_acceptance(attempt)
 
     def check_acceptance(self, attempt: ElectionAttempt) -> None:
-        """In force once majorities of the members before and of its own keep the record."""
+        """Put the new epoch into force once majorities of the old and of the new members store its record."""
         record, previous = attempt.epoch_record, attempt.previous_epoch
         assert record is not None and previous is not None
         if not all(is_majority(epoch.members, attempt.accepted_by) for epoch in (previous, record)):
             return
-        led_before = self.led_epoch is not None
+        was_primary = self.led_epoch is not None
         self.led_epoch, self.attempt, self.failed_attempts = record, None, 0
-        if not led_before:
-            self.lease_grants = {}  # else they stand by this primary, whatever the epoch
+        if not was_primary:
+            self.lease_grants = {}  # grants to the primary of an epoch carry over to its next epoch
         self.had_majority_at = self.now
-        # The backup has just answered; the others have time to.
+        # The backup has just answered; the silence of the other members counts from now at the earliest.
         for member in record.members:
             self.last_received_at.setdefault(member, self.now)
             self.join_requested_at.pop(member, None)
--- a/ivymux/config_store/leadership.py
+++ b/ivymux/config_store/leadership.py
@@ -1,4 +1,4 @@
-"""An epoch in force: its primary's lease, who joins and leaves it, when the next one is made.  Pure."""
+"""An epoch in force: its primary's lease, joins and departures, the start of the next epoch.  Pure."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
     SettingsRequest,
 )
 from ivymux.config_store.records import DurableState, EpochRecord, address_of, is_majority
+from ivymux.config_store.replica_state import NEVER
 from ivymux.config_store.timing import (
     BACKUP_DISK_TIMEOUT_S,
     BACKUP_TIMEOUT_S,
@@ -33,16 +34,16 @@
 
 
 class Leadership(Elections):
-    """A replica as a primary, and as a member that stands by one."""
+    """A replica as the primary of an epoch in force, and as a member that grants the primary its lease."""
 
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
-        self.next_broadcast_at = 0.0  # the next lease request
+        self.next_broadcast_at = 0.0  # of a lease request, or of a join request
         self.renewal_count = 0
-        self.last_primary, self.primary_seen_at = "", -1e9  # who leads, as last heard, and when that was
+        self.last_primary, self.primary_seen_at = "", NEVER  # the last primary that asked for its lease
         self.next_announcement_at = now + 2 * LEASE_S
-        self.departure_granted = False  # this process, which is to end, may
-        self.no_lease_until = 0.0  # behind an epoch that was first heard of by a lease request
+        self.departure_granted = False  # whether this process, which was told to end, may end
+        self.no_lease_until = 0.0  # after an epoch was learned from a lease request
 
     # --- the primary -----------------------------------------------------------------------------------
 
@@ -53,7 +54,7 @@
         self.record_replication.publish_settings()
 
     def act_as_primary(self) -> None:
-        """While an epoch of this machine is in force."""
+        """Do the periodic work of a primary: lease, replication, the next epoch."""
         record = self.led_epoch
         assert record is not None
         if self.now >= self.next_broadcast_at:
@@ -61,7 +62,7 @@
         if self.may_serve(self.now):
             self.had_majority_at = self.now
         elif self.now - self.had_majority_at > LOST_MAJORITY_TIMEOUT_S:
-            self.step_down("no majority stands by it")
+            self.step_down("no lease of a majority")
             self.next_attempt_at = self.now + MIN_DEFERRAL_S
             return
         self.record_replication.tick_as_primary()
@@ -72,12 +73,15 @@
             self.reconfigure(record)
 
     def request_lease(self, record: EpochRecord) -> None:
-        """Ask all members to stand by this primary; now and then with the whole record."""
+        """Ask all core machines for the lease.
+
+        The request carries the whole epoch record periodically, and whenever a member may not know it.
+        """
         self.next_broadcast_at = self.now + RENEWAL_INTERVAL_S
         self.leased_to, self.leased_until = self.identity, self.now + LEASE_S
-        standing = sum(until > self.now for until in self.lease_grants.values())
-        some_may_not_know = standing < len(record.members) - 1
-        whole = self.renewal_count % RENEWALS_PER_RECORD == 0 or some_may_not_know
+        granting = sum(until > self.now for until in self.lease_grants.values())
+        some_may_not_know = granting < len(record.members) - 1
+        with_record = self.renewal_count % RENEWALS_PER_RECORD == 0 or some_may_not_know
         self.renewal_count += 1
         self.broadcast(
             LeaseRequest(
@@ -85,22 +89,25 @@
                 record.number,
                 self.now,
                 self.held_version(),
-                record if whole else None,
+                record if with_record else None,
                 self.record_replication.settings_progress(),
             )
         )
 
+    def reachable_machines(self) -> set[str]:
+        """Return this machine and those that have answered within BACKUP_TIMEOUT_S."""
+        recent = {m for m, at in self.last_received_at.items() if self.now - at < BACKUP_TIMEOUT_S}
+        return recent | {self.identity}
+
     def reconfigure(self, record: EpochRecord) -> None:
-        """Make a new epoch where this one does not do any more; let another lead before this process ends."""
-        present = {m for m, at in self.last_received_at.items() if self.now - at < BACKUP_TIMEOUT_S} | {
-            self.identity
-        }
+        """Start the next epoch if the current one no longer fits, or hand over if this process is to end."""
+        present = self.reachable_machines()
         leaving_members = self.leaving_members()
         staying = {m for m in present if m in record.members and m not in leaving_members}
         if self.highest_promise_seen > record.number:
-            self.begin_attempt("a member has promised another")
+            self.begin_attempt("a member has promised a higher epoch")
         elif not self.is_writable():
-            self.begin_attempt("one that was begun did not come to an end")
+            self.begin_attempt("the last attempt did not finish")
         elif self.now - self.last_received_at.get(record.backup, self.now) > BACKUP_TIMEOUT_S:
             if is_majority(record.members, present):
                 self.begin_attempt("the backup is silent")
@@ -115,9 +122,9 @@
             self.begin_attempt("the members change")
 
     def may_replace_hanging_backup(self, record: EpochRecord, present: set[str]) -> bool:
-        """Whether what waits for the backup's disk has waited for long, and another may do better.
+        """Whether the backup's disk has not answered for too long, and another member can be the backup.
 
-        The backup's process may be well: its heartbeats and lease grants rest on no disk.
+        The backup's process may still answer, as its lease grants need no disk.
         """
         if self.now - self.waiting_for_backup_since() <= BACKUP_DISK_TIMEOUT_S:
             return False
@@ -130,8 +137,8 @@
         primary = message.sender
         record = self.requested_epoch(message)
         if record is None:
-            return  # an epoch that is not known here: the next whole one tells
-        # A primary that makes the next epoch itself leads on until that is in force.
+            return  # the epoch is not known here; a later request carries its record
+        # A primary that makes the next epoch itself stays in charge until that epoch is in force.
         follows = self.known_epoch is not None and self.known_epoch.primary == primary
         later_known = self.known_epoch is not None and record.number < self.known_epoch.number and not follows
         if later_known or (record.number < self.promised and self.promised_to != primary):
@@ -154,7 +161,10 @@
             self.send(source, SettingsRequest(self.identity))
 
     def requested_epoch(self, message: LeaseRequest) -> EpochRecord | None:
-        """The epoch of a lease request, as far as it is known; without members where a later one is."""
+        """Return the epoch of a lease request; None where it is not known.
+
+        Where a later epoch is known, the record has the number and the primary alone.
+        """
         if message.epoch_record is not None:
             return message.epoch_record
         if self.known_epoch is None or self.known_epoch.number < message.epoch:
@@ -164,12 +174,16 @@
         return self.known_epoch
 
     def learn_epoch_in_force(self, record: EpochRecord, follows: bool) -> None:
-        """An epoch that is first heard of by a lease request: it is in force already."""
+        """Store an epoch that was learned from a lease request, and is therefore in force.
+
+        `follows`: its primary is the primary of the epoch known before.
+        """
         if self.promised < record.number:
             self.promise(record.number, record.primary)
         self.learn_epoch(record)
         if not follows:
-            # A vote must not outlive what the disk says of its epoch: none until that is surely there.
+            # A grant is safe only once the epoch's record is on disk: a restart before that would forget
+            # both.
             self.no_lease_until = self.now + LEASE_S
 
     def on_lease_grant(self, source: str, message: LeaseGrant) -> None:
@@ -182,12 +196,14 @@
     # --- without a primary -------------------------------------------------------------------------------
 
     def announce_epoch_without_primary(self) -> None:
-        """Who may lead the newest epoch may not know of it: the one that asked for its acceptance is lost."""
-        if (
-            self.known_epoch is None
-            or self.now < self.next_announcement_at
-            or self.now - self.primary_seen_at < 2 * LEASE_S
-        ):
+        """Broadcast the newest known epoch while no primary asks for its lease.
+
+        If the candidate that asked for acceptance of that epoch is lost, the machine that may lead next might
+        not know the epoch.
+        """
+        if self.known_epoch is None or self.now < self.next_announcement_at:
+            return
+        if self.now - self.primary_seen_at < 2 * LEASE_S:
             return
         self.next_announcement_at = self.now + RETRY_INTERVAL_S
         self.broadcast(EpochKnown(self.identity, self.known_epoch))
@@ -195,7 +211,7 @@
     def on_epoch_known(self, source: str, message: EpochKnown) -> None:
         self.learn_epoch(message.epoch_record)
 
-    # --- who joins and leaves ----------------------------------------------------------------------------
+    # --- members that join and leave ---------------------------------------------------------------------
 
     def on_join_request(self, source: str, message: JoinRequest) -> None:
         joiner = message.sender
@@ -214,38 +230,35 @@
             self.send(source, DepartureGranted(self.identity, self.led_epoch.number))
 
     def may_release(self, leaver: str, record: EpochRecord) -> bool:
-        """Whether nothing rests on a member that leaves: no copy, and no majority."""
+        """Whether a leaving machine holds no copy of the state and is not needed for a majority."""
         if self.attempt is not None or leaver in (record.primary, record.backup):
             return False
         if leaver not in record.members:
             return True
-        present = {m for m, at in self.last_received_at.items() if self.now - at < BACKUP_TIMEOUT_S} | {
-            self.identity
-        }
-        enough = is_majority(record.members, present - self.leaving_members())
-        return enough and len(record.members) <= MIN_MEMBERS
+        enough_stay = is_majority(record.members, self.reachable_machines() - self.leaving_members())
+        return enough_stay and len(record.members) <= MIN_MEMBERS
 
     def on_departure_granted(self, source: str, message: DepartureGranted) -> None:
         if self.leaving_since is not None and self.led_epoch is None:
             self.departure_granted = True
 
     def on_leadership_released(self, source: str, message: LeadershipReleased) -> None:
-        led_by_sender = self.known_epoch is not None and self.known_epoch.primary == message.sender
-        if self.leased_to != message.sender and not led_by_sender:
+        sender_was_primary = self.known_epoch is not None and self.known_epoch.primary == message.sender
+        if self.leased_to != message.sender and not sender_was_primary:
             return
         if self.leased_to == message.sender:
             self.leased_until = 0.0
-        if led_by_sender:
+        if sender_was_primary:
             self.restart_lease_until = 0.0
         self.next_attempt_at = 0.0
         if self.led_epoch is None and self.attempt is None and self.may_begin_attempt():
             self.begin_attempt("the primary leaves")
 
     def hand_over_when_drained(self, backup_stays: bool) -> None:
-        """Let the backup lead at once, when changes on their way have ended or DRAIN is over."""
+        """Release the leadership to the backup once pending changes are complete or DRAIN_S is over."""
         assert self.leaving_since is not None
-        drained = not self.pending and not self.record_replication.pending
-        if not backup_stays or not (drained or self.now - self.leaving_since > DRAIN_S):
+        is_drained = not self.pending and not self.record_replication.pending
+        if not backup_stays or not (is_drained or self.now - self.leaving_since > DRAIN_S):
             return
         self.step_down("this process ends")
         self.leased_to, self.leased_until = "", 0.0
@@ -253,8 +266,8 @@
         self.broadcast(LeadershipReleased(self.identity))
 
     def may_exit(self) -> bool:
-        """Whether this process, which is to end, holds nothing any more that others would miss."""
+        """Whether this process was told to end and no other machine depends on it any longer."""
         if self.leaving_since is None:
             return False
-        never_a_member = self.known_epoch is None or (self.known_epoch.number > 0 and not self.is_member())
-        return self.departure_granted or (never_a_member and not self.is_in_pair())
+        is_outsider = self.known_epoch is None or (self.known_epoch.number > 0 and not self.is_member())
+        return self.departure_granted or (is_outsider and not self.is_in_pair())
--- a/ivymux/config_store/replica.py
+++ b/ivymux/config_store/replica.py
@@ -1,23 +1,24 @@
-"""One core machine's replica: the ways in for messages, calls, time and the end of the process.  Pure.
-
-An epoch names a primary, a backup and the members whose majority decides.  Members that are neither keep only
-epochs (witnesses).
-
-* A member promises upward: once it has promised number n it takes part in nothing below n.
-* A new epoch needs promises of a majority of the members of the last epoch that any of them knows.  Only that
-  epoch's primary or backup may make it, and only with the whole state of that epoch.
-* It is in force once its backup has the whole state on disk, and a majority of the old members and of the new
-  ones keep its record on disk.
-* A primary writes to its own disk and its backup's before it answers.  It reads and answers only under a
-  lease of a majority, which it stops using before any of them counts it as over.
-* A primary that makes the next epoch itself leads on meanwhile, under the same lease: it reads, and once the
-  next epoch's state is fixed it takes changes that are written when that epoch is in force.
-* A member that leaves stays until an epoch is in force whose pair it is not in, and which has let it out
-  where others suffice: a copy of the state never ends with a process that was told to end.
-* A machine with an empty disk that is not at its first start has an identity of its own: it is no member
-  until an epoch takes it in.
-
-Whatever must be on disk before it is told comes as `Persist` before the messages that rest on it.
+"""One core machine's replica: entry points for messages, calls, ticks and the end of the process.  Pure.
+
+An epoch names a primary, a backup and the members whose majority decides.  Members that are neither primary
+nor backup store only epoch records (witnesses).
+
+* Fencing: a member that has promised epoch n ignores every lower epoch.
+* A new epoch needs the promises of a majority of the members of the newest epoch that any of them knows.
+  Only that epoch's primary or backup may make it, and only if it holds the whole state of that epoch.
+* An epoch is in force once its backup's disk holds the whole state, and the disks of a majority of the old
+  members and of a majority of the new members hold its record.
+* A primary writes to its own disk and to its backup's before it acknowledges.  It reads and acknowledges only
+  under the lease of a majority, which it stops using before any of the members counts it as expired.
+* A primary that makes the next epoch itself stays the primary meanwhile, under the same lease.  It still
+  serves reads; once the next epoch's state is fixed, new changes wait until that epoch is in force.
+* A leaving machine stays until an epoch is in force that has it neither as primary nor as backup, and that
+  has removed it from the members where enough others remain.  A copy of the state is therefore never lost
+  with a process that was told to end.
+* A machine with an empty disk that does not take part in the system's first start gets a new identity.  It is
+  not a member until an epoch includes it.
+
+Whatever must be on disk before a message is sent precedes that message as a `Persist` action.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 class Replica(Leadership):
-    """All parts together.  The host gives steady time, and carries out the actions in their order."""
+    """A complete replica.  The host passes in steady time and carries out the returned actions in order."""
 
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
@@ -72,22 +73,28 @@
         }
 
     def begin_step(self, now: float) -> None:
-        """Each way in begins here.  A primary whose process stood still may ask for its lease once more."""
+        """Start the handling of an event.
+
+        After a pause of its process, a primary gets the time to renew its lease before it steps down.
+        """
         if now - self.now > PROCESS_PAUSE_S:
             self.had_majority_at = now
         self.now, self.actions = now, []
 
     def handle(self, now: float, source: str, message: ReplicaMessage) -> list[Action]:
-        """A message of the machine at address `source`.  Raises ValueError for what no correct peer says."""
+        """Handle a message of the machine at address `source`.
+
+        Raises ValueError for a message that no correct peer sends.
+        """
         self.begin_step(now)
-        receiver = self.handlers.get(type(message))
-        if receiver is None:
+        handler = self.handlers.get(type(message))
+        if handler is None:
             raise ValueError(f"no message to a replica: {type(message).__name__}")
-        receiver(source, message)
+        handler(source, message)
         return self.actions
 
     def tick(self, now: float) -> list[Action]:
-        """Called every 50 ms or so."""
+        """Do the work that is due; called about every 50 ms."""
         self.begin_step(now)
         if self.leaving_since is not None:
             self.broadcast(Leaving(self.identity))
@@ -105,11 +112,11 @@
         return self.actions
 
     def on_peer_connected(self) -> None:
-        """Another machine can be reached from now on: what is being asked is said to it at once."""
+        """A connection to another machine is up: repeat lease or join requests at once."""
         self.next_broadcast_at = 0.0
 
     def leave(self, now: float) -> list[Action]:
-        """This process is to end: what it holds goes over to others first.  `may_end` tells when it has."""
+        """Start the end of this process by handing over what it holds; `may_exit` tells when it is done."""
         self.begin_step(now)
         self.leaving_since = now
         self.broadcast(Leaving(self.identity))
@@ -118,7 +125,10 @@
         return self.actions
 
     def handle_call(self, now: float, call_id: int, call: Call) -> Reply | None:
-        """A call that only who leads can answer; None where this machine does not.  Raises ValueError."""
+        """Handle a call that only the primary can answer; returns None where this machine is not the primary.
+
+        Raises ValueError for a call that no correct process makes.
+        """
         self.begin_step(now)
         if isinstance(call, PutConfiguration):
             return self.put(call_id, call.version, call.text)
