--- a/ivymux/data_plane/__init__.py
+++ b/ivymux/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane that all fronts share: client connections, the host, connections to backends."""
+"""The data plane that all frontends share: client connections, the host, connections to backends."""
--- a/ivymux/data_plane/frontend.py
+++ b/ivymux/data_plane/frontend.py
@@ -1,4 +1,4 @@
-"""What the data plane asks of a front: what a request may ask for, and how an answer is worded."""
+"""The interface between the data plane and a frontend: requests, answers, claims and their encoding."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from orchidhill import interface as i
 
 Headers = list[tuple[bytes, bytes]]
-CLOSE_CONNECTION = 0  # the status of an answer that is none: the connection is closed in its place
+CLOSE_CONNECTION = 0  # as an answer's status: no answer is sent and the connection is closed
 
 
 class BadRequest(ValueError):
-    """What a client sent can't be served; the text tells it why, `status` is the answer's."""
+    """A request that can't be served; its text and `status` go to the client."""
 
     def __init__(self, text: str, status: int = 400, headers: Headers | None = None) -> None:
         super().__init__(text)
@@ -24,69 +24,72 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer.  With `headers` it is a worker's, with those it came with; else the front door's own,
-    with what it adds in `extra`.
+    """A final answer.
+
+    With `headers` it comes from a backend, which sent them; else from the gateway, which may add
+    `extra_headers`.
     """
 
     status: int
     body: bytes = b""
     content_type: bytes = b""
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # seconds; 0 for no Retry-After
     headers: Headers | None = None
     extra_headers: Headers | None = None
 
 
 class Claim(Protocol):
-    """An action that is claimed before it goes to a backend, so that it goes there once."""
+    """The exclusive right to run an action, acquired before the action is sent to a backend."""
 
     def acquire(self, go: Callable[[Answer | None], None]) -> None:
-        """`go` hears None where the action may be sent, else its answer."""
+        """Call `go` with None if the action may be sent, else with the answer to the request."""
 
     def finish(self, answer: Answer | None, ran: bool) -> None:
-        """It is over: with a backend's answer, without one, or (not `ran`) without having run."""
+        """End the claim with the backend's answer, if any; `ran`: the action may have been executed."""
 
 
 @dataclass(slots=True)
 class Call:
-    """A request that a front has taken."""
+    """A request that a frontend has accepted."""
 
-    unique_key: bytes  # no second request with it may be open; empty for none
+    unique_key: bytes  # a second open request with the same key is refused; empty for no check
     deadline: float  # monotonic time at which its client gives up
-    make_event: Callable[[int], i.Request]  # the module's event, given its number
-    make_payload: Callable[[float], bytes]  # what goes to a backend, given the seconds that are left
+    make_event: Callable[[int], i.Request]  # makes the event for the decision module, by request number
+    make_payload: Callable[[float], bytes]  # makes the bytes for a backend, by the seconds left
     is_head: bool = False  # whether answers to it have no body
-    request_id: bytes = b""  # the request's id, as its answers tell it
-    on_finished: Callable[[], None] | None = None  # hears when it is answered and none of its attempts is out
-    make_payload_for: Callable[[float, int], bytes] | None = (
-        None  # in place of `payload`: what goes to one backend
-    )
+    request_id: bytes = b""  # which answers to it repeat
+    on_finished: Callable[[], None] | None = None  # called when it is answered with no attempts in flight
+    # Replaces `make_payload` if the bytes depend on the backend; by the seconds left and the backend.
+    make_payload_for: Callable[[float, int], bytes] | None = None
     claim: Claim | None = None
-    hold_s: float = 0.0  # seconds for which it is held before the module hears of it
-    drops_answer: bool = False  # whether a backend's answer to it is not passed on
+    hold_s: float = 0.0  # delay before it is passed to the decision module
+    drops_answer: bool = False  # whether the client gets no answer from a backend (fault injection)
     on_departure: OnDeparture = OnDeparture.RUN_ON
 
 
 class Frontend(Protocol):
-    """One kind of front door: the platform's, or one of ordinary HTTP."""
+    """What speaks a protocol with clients: that of the platform, of the proxy, or ordinary HTTP."""
 
-    max_body_bytes: int  # bytes of a request's body
-    allows_half_close: bool  # whether a client that has ended its sending is still answered
-    closes_after_refusal: (
-        bool  # whether a refusal's connection is closed: its descriptor may be of use to others
-    )
-    header_too_large_status: int = 400  # of the answer to a header that is too large
-    max_unread_clients: int  # clients that may leave answers unread; more of them make the first give way
+    max_body_bytes: int  # of a request
+    allows_half_close: bool  # whether a client that has closed its sending side still gets its answers
+    closes_after_refusal: bool  # whether a refusal closes the connection, which frees its descriptor
+    header_too_large_status: int = 400
+    max_unread_clients: int  # with full write buffers; if there are more, the longest waiting is closed
 
     def answer_locally(self, target: bytes) -> Answer | None:
-        """The answer to a request that is the front door's own, such as its readiness."""
+        """Return the answer to a request for the gateway itself, such as its readiness, else None."""
 
     def accept(
         self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
     ) -> Call | Answer:
-        """The request's terms.  Raises BadRequest for what must not reach the module or a backend."""
+        """Validate a request; return it as a call, or its answer if it needs no backend.
+
+        `began`: monotonic time of its first byte; `peer`: the client's address.  Raises BadRequest for
+        requests that must reach neither the decision module nor a backend.
+        """
 
     def refusal(self, error: BadRequest) -> Answer:
-        """The answer to what could not be taken."""
+        """Return the answer to a refused request."""
 
     def encode(self, answer: Answer, close: bool, call: Call | None) -> bytes:
-        """An answer as bytes; `call` is what it answers, where that was taken."""
+        """Return an answer as bytes; `call`: the request it answers, None if that was refused."""
--- a/ivymux/data_plane/limits.py
+++ b/ivymux/data_plane/limits.py
@@ -1,18 +1,17 @@
-"""Addresses, and what one process may hold."""
+"""Network addresses, and limits on the connections and memory of one process."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LISTEN_BACKLOG = 1024  # connections that wait to be taken
-RESERVED_DESCRIPTORS = (
-    28  # descriptors kept for discovery, the counter (both may be moving), the loop and the log
-)
-BODY_MEMORY_SHARE = 1 / 8  # of the memory, for the bodies of requests
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+# For the event loop, the log, discovery and the counter; the last two double while their address changes.
+RESERVED_DESCRIPTORS = 28
+BODY_MEMORY_SHARE = 1 / 8  # of the process's memory, for request bodies
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be served; the text is one plain line."""
+    """An invalid configuration; its text is a single line."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -23,22 +22,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """What the process may hold, from the configuration's limits."""
+    """Limits on the connections and buffers of one process."""
 
-    max_clients: int  # client connections
-    surplus_clients: int  # and above those, that are still answered, with a refusal
-    max_backend_connections: int  # connections to backends
-    max_held_bytes: int  # bytes of requests' bodies
+    max_clients: int  # client connections that are served
+    surplus_clients: int  # further client connections, whose requests are answered with a refusal
+    max_backend_connections: int
+    max_held_bytes: int  # of request bodies
 
     @classmethod
     def from_limits(cls, sockets: int, memory_mb: float) -> Bounds:
+        """Divide the configured number of sockets and the memory among clients and backends."""
         surplus = max(8, sockets // 16)
         left = sockets - RESERVED_DESCRIPTORS - surplus
         return cls(left // 2, surplus, left - left // 2, int(memory_mb * BODY_MEMORY_SHARE * (1 << 20)))
 
 
 def parse_address(text: object) -> Address:
-    host, sep, port = str(text).rpartition(":")
-    if not (sep and host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
+    """Parse HOST:PORT.  Raises ConfigError."""
+    host, separator, port = str(text).rpartition(":")
+    if not (separator and host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
         raise ConfigError(f"not an address of the form HOST:PORT: {text!r}")
     return Address(host, int(port))
--- a/ivymux/data_plane/passwords.py
+++ b/ivymux/data_plane/passwords.py
@@ -1,4 +1,4 @@
-"""Passwords that stand in files of their own."""
+"""Passwords that are kept in files."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 from ivymux.data_plane.limits import ConfigError
 
 
-def read_password(folder: Path, name: str, place: str) -> str:
-    """The first line of a file; empty where none is named.  Raises ConfigError, whose text never says what is
-    in the file.
+def read_password(folder: Path, name: str, setting: str) -> str:
+    """Return the first line of the file `name`; empty if no file is named.
+
+    Raises ConfigError with `setting`, the key that names the file, but never with the file's contents.
     """
     if not name:
         return ""
     try:
-        found = (folder / name).read_text(encoding="utf-8").partition("\n")[0].strip()
+        password = (folder / name).read_text(encoding="utf-8").partition("\n")[0].strip()
     except (OSError, UnicodeDecodeError):
-        found = ""
-    if not found:
-        raise ConfigError(f"{place}: {name} has no password in its first line")
-    return found
+        password = ""
+    if not password:
+        raise ConfigError(f"{setting}: {name} has no password in its first line")
+    return password
--- a/ivymux/data_plane/refusal_log.py
+++ b/ivymux/data_plane/refusal_log.py
@@ -1,4 +1,4 @@
-"""Tells a front door's refusals in its log: one line a minute at the most, none while nothing is refused."""
+"""Logs a gateway's refusals: at most one line in `LOG_INTERVAL_S`, none while nothing is refused."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class RefusalLog:
-    """The refusals of one front door, by all its modules and by its own limits."""
+    """The refusals of one gateway by all its decision modules and by its own limits."""
 
     def __init__(self) -> None:
         self.refusals = RefusalCounts()
-        self.timer: asyncio.TimerHandle | None = None  # only after a refusal: an idle front door has none
+        self.timer: asyncio.TimerHandle | None = None  # set from the first refusal to the next line
 
     def record(self, cause: str) -> None:
         if self.refusals.count(cause) and self.timer is None:
             self.timer = asyncio.get_running_loop().call_later(LOG_INTERVAL_S, self.write)
 
     def write(self) -> None:
-        """Also at the end, for what came since the last line."""
+        """Log the refusals since the last line; also called when the process ends."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/ivymux/data_plane/refusals.py
+++ b/ivymux/data_plane/refusals.py
@@ -1,8 +1,8 @@
-"""What requests were refused for: counts, and the one line of log that tells them.  Pure.
+"""Counts of refused requests by cause, and the log line that reports them.  Pure.
 
-A refusal is counted under its cause; nothing is logged for each.  A line comes at most once in `SPAN`, only
-after refusals, and holds the counts since the start and those since the line before, so that shares over any
-span can be made from a log (docs/operators/refusals.md).
+Single refusals are not logged.  A line is logged at most once in `LOG_INTERVAL_S` and only after refusals; it
+holds the counts since the start and those since the line before, so that shares over any period can be
+computed from a log (docs/operators/refusals.md).
 """
 
 from __future__ import annotations
@@ -11,40 +11,46 @@
 
 from orchidhill.interface import Why
 
-LOG_INTERVAL_S = 60.0  # seconds
-GATEWAY = "door"  # the front door's own limits on bodies, requests and connections
-FAILED = "failed"  # answered as failed: an attempt may have run, and none may follow
-TRIAL = "trial"  # by a trial of its caller (ivymux/fault_injection)
-UNSERVED = (Why.BACKENDS.value, Why.ROOM.value, FAILED)
+LOG_INTERVAL_S = 60.0
+GATEWAY = "door"  # the gateway's own limits on bodies, requests and connections
+FAILED = "failed"  # answered as failed: an attempt may have been executed, and no retry is allowed
+TRIAL = "trial"  # by a fault injection trial (ivymux/fault_injection)
+UNSERVED = (Why.BACKENDS.value, Why.ROOM.value, FAILED)  # failures and lack of backends or their capacity
 CAUSES = (*(why.value for why in Why), GATEWAY, FAILED, TRIAL)
 
 
 class RefusalCounts:
-    """Counts by cause, since the start."""
+    """Counts of refusals by cause since the start."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.logged_counts: Counter[str] = Counter()
-        self.has_unlogged = False  # whether any came since the last line
+        self.has_unlogged = False  # whether there were refusals since the last line
 
     def count(self, cause: str) -> bool:
-        """Count one; whether it is the first since the last line, so that one is due in `SPAN`."""
+        """Count a refusal; return whether it is the first since the last line.
+
+        If it is, the next line is due in `LOG_INTERVAL_S`.
+        """
         first, self.has_unlogged = not self.has_unlogged, True
         self.counts[cause] += 1
         return first
 
     def count_unserved(self) -> int:
-        """Requests since the start that ended without service for want of workers, not of a quota."""
+        """Return the number of requests since the start that failed for lack of backends, not of quota."""
         return sum(self.counts[cause] for cause in UNSERVED)
 
     def log_line(self) -> str:
-        """`refused: quota=12 (+3) room=1 (+0)`, causes in a fixed order; empty where there is nothing new."""
+        """Return a line such as `refused: quota=12 (+3) room=1 (+0)`; empty if there are no new refusals.
+
+        The causes are in a fixed order.
+        """
         if not self.has_unlogged:
             return ""
         parts = [
-            f"{c}={self.counts[c]} (+{self.counts[c] - self.logged_counts[c]})"
-            for c in CAUSES
-            if self.counts[c]
+            f"{cause}={self.counts[cause]} (+{self.counts[cause] - self.logged_counts[cause]})"
+            for cause in CAUSES
+            if self.counts[cause]
         ]
         self.logged_counts, self.has_unlogged = self.counts.copy(), False
         return "refused: " + " ".join(parts)
--- a/ivymux/proxy/answer_policy.py
+++ b/ivymux/proxy/answer_policy.py
@@ -32,10 +32,10 @@
         """A backend's status that promises more than the backend knows reaches no client."""
         return 502 if status in PROMISES else status
 
-    def refusal_status(self, beyond: bool, last: Outcome | None) -> int:
-        if last is not None and not last.never_ran:
-            return self.failure_status(last)
-        return 429 if beyond else 503
+    def refusal_status(self, over_quota: bool, last_outcome: Outcome | None) -> int:
+        if last_outcome is not None and not last_outcome.never_ran:
+            return self.failure_status(last_outcome)
+        return 429 if over_quota else 503
 
 
 def proxy_answer_policy(most_body: int, held: int) -> ProxyAnswerPolicy:
