--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -1,4 +1,8 @@
-"""The registry's process: outside calls, held connections to the doors and to its own machine's store."""
+"""The registry's process: which backends, proxies and core machines there are.
+
+It serves HTTP calls of backends and operators, and is connected to the proxies and to the config store of its
+own machine.  From it, proxies get every change of backends, proxies, core machines and the configuration.
+"""
 
 from __future__ import annotations
 
@@ -37,359 +41,385 @@
     error_answer,
 )
 
-SILENT_BEATS = 2.3  # beats without a word after which a backend counts as lost
-CALL = 0.95  # seconds for which a call of the operator may take; after one it goes to another machine
-APPLIED_WAIT = 0.3  # of that, the most that is waited for doors to have a configuration in force
-HEARD_WAIT = 0.45  # seconds for which a call waits until the doors have heard
-SWEEP = 0.25
-MAX_DOUBT = 10_000  # failures in one message of a door
-TOGETHER = 0.05  # seconds: doors that come and go within them are told of in one message
-MAX_BEAT = 16 * 1024  # bytes
-
-PASS = 0.88  # seconds for which a door's call about an action may take here
-MAX_PASSING = 4000
-DOORS_PART = 0.4  # of the descriptors, that doors may hold
+MAX_SILENT_HEARTBEATS = 2.3  # heartbeat periods without a call after which a backend counts as lost
+EXPIRY_INTERVAL_S = 0.25
+STORE_CALL_TIMEOUT_S = 0.95  # after a second, an operator sends a call to another core machine
+CONFIG_READ_TIMEOUT_S = 0.9
+APPLY_TIMEOUT_S = 0.3  # of that second, for the proxies to put a configuration in force
+ACK_TIMEOUT_S = 0.45  # for the proxies to acknowledge a change of a backend
+FORWARD_TIMEOUT_S = 0.88  # of a proxy's call that the config store answers
+MAX_FORWARDED_CALLS = 4000  # at once
+ANNOUNCE_INTERVAL_S = 0.05  # proxies that join or leave within it are announced in one message
+MAX_REPORTED_FAILURES = 10_000  # of one backend in one message
+MAX_HEARTBEAT_BYTES = 16 * 1024
+STOP_TIMEOUT_S = 1.0  # for HTTP calls under way
+LOGGED_COUNTS = (1, 10, 100, 1000)  # repeated events are logged at these counts only
+
+# How the process's file descriptors are divided.
+PROXY_FD_SHARE = 0.4
+MIN_PROXY_CONNECTIONS = 64
+RESERVED_FDS = 200
+MIN_HTTP_CONNECTIONS = 64
+MAX_HTTP_CONNECTIONS = 2000
 
 NOT_REACHED = "this machine does not reach the doors just now; call another core machine"
 
 log = Log("registry")
 
 
-def not_taken(version: int, told: Message) -> Answer:
-    """What an operator hears of a change that is not in force and never was."""
-    if told["outcome"] == Identity.CONFLICT.value:
-        digests = f"digest {told['known_digest']}, this one {told['digest']}"
+def rejection_answer(version: int, reply: Message) -> Answer:
+    """The answer to an operator whose change was not accepted, from the config store's reply."""
+    if reply["outcome"] == Identity.CONFLICT.value:
+        digests = f"digest {reply['known_digest']}, this one {reply['digest']}"
         why = f"version {version} was taken with other content ({digests})"
         return error_answer(409, f"{why}; read the configuration, and send the change under a higher version")
-    said = {
-        "config_version": version, "outcome": told["outcome"], "digest": told["digest"],
-        "held_version": told["held_version"], "held_digest": told["known_digest"],
+    body = {
+        "config_version": version, "outcome": reply["outcome"], "digest": reply["digest"],
+        "held_version": reply["held_version"], "held_digest": reply["known_digest"],
     }  # fmt: skip
-    return Answer(200, msgspec.json.encode(said), JSON)
+    return Answer(200, msgspec.json.encode(body), JSON)
 
 
-def note(name: str, version: int, text: str) -> Message:
+def setting_message(name: str, version: int, text: str) -> Message:
+    """The message that carries a replicated setting."""
     return {"k": "note", "name": name, "v": version, "t": text}
 
 
 @dataclass(slots=True, eq=False)
-class DoorLine:
-    """A door that holds a connection here."""
+class ConnectedProxy:
+    """A proxy with a connection to this registry."""
 
-    line: Connection
+    connection: Connection
     id: str
     address: str
     port: int
     zone: str
-    came: float  # since when it is in touch with some core machine, steady seconds
-    acked: int = 0  # the last change that it has acknowledged
-    has: int = -1  # the version of the configuration that it has
-    waiters: list[tuple[int, asyncio.Future[None]]] = field(default_factory=list)
+    joined_at: float  # steady time since when it is connected to any core machine
+    acked_change: int = 0  # the last change of backends that it has acknowledged
+    config_version: int = -1  # of the configuration that it has in force
+    ack_waiters: list[tuple[int, asyncio.Future[None]]] = field(default_factory=list)  # by change
 
-    def told(self, now: float) -> list[Any]:
-        """As doors hear of it: its place, and for how many seconds it has been there."""
-        return [self.id, self.address, self.port, self.zone, round(now - self.came, 3)]
+    def encode(self, now: float) -> list[Any]:
+        """The proxy as messages to other proxies carry it; the last field is for how long it is connected."""
+        return [self.id, self.address, self.port, self.zone, round(now - self.joined_at, 3)]
 
 
 class Registry(TrialEndpoints):
     def __init__(self, settings: Settings) -> None:
         self.max_trial_s = settings.max_trial_s
         self.settings = settings
-        self.run_id = secrets.token_hex(6)  # another run's numbers mean nothing here
-        self.steady_unix = time.time() - time.monotonic()
-        self.backends = BackendRecords(SILENT_BEATS * settings.heartbeat_period_s)
-        self.doors: dict[Connection, DoorLine] = {}
+        self.incarnation_id = secrets.token_hex(6)  # change numbers are valid within one incarnation only
+        self.unix_offset = time.time() - time.monotonic()  # system time minus steady time
+        self.backends = BackendRecords(MAX_SILENT_HEARTBEATS * settings.heartbeat_period_s)
+        self.proxies: dict[Connection, ConnectedProxy] = {}
         self.reachability = ProxyReachability()
-        # Of its descriptors a part is for doors, the rest for outside calls.
-        most_doors = max(64, int(settings.fd_limit * DOORS_PART))
-        self.listener = Listener(self.heard, on_disconnect=self.lost, max_connections=most_doors)
-        own = Address(settings.ip, settings.config_store_port)
+        max_proxies = max(MIN_PROXY_CONNECTIONS, int(settings.fd_limit * PROXY_FD_SHARE))
+        self.listener = Listener(
+            self.on_message, on_disconnect=self.on_disconnect, max_connections=max_proxies
+        )
         self.config_store = Connector(
-            own, self.from_config_store, on_connect=lambda line: line.send({"k": "desk"})
+            Address(settings.ip, settings.config_store_port),
+            self.on_config_store_message,
+            on_connect=lambda connection: connection.send({"k": "desk"}),
         )
-        self.version = -1
-        self.text = ""
-        self.applied: list[tuple[int, asyncio.Future[None]]] = []  # who waits for all doors, and for what
-        self.packed = b""  # the configuration's news, encoded once
-        self.stirred: dict[str, tuple[DoorLine, bool]] = {}  # doors whose coming or going is not told yet
-        self.stirred_at = 0.0
-        self.outliers = OutlierDetector()
-        self.shunned = 0
-        self.stirring: asyncio.TimerHandle | None = None
+        self.config_version = -1
+        self.config_text = ""
+        self.encoded_config = b""  # the message with the configuration, encoded once for all proxies
+        self.apply_waiters: list[tuple[int, asyncio.Future[None]]] = []  # by configuration version
+        self.replicated_settings: dict[str, tuple[int, str]] = {}  # versions and texts by name
         self.cores: list[str] = [settings.ip]
+        self.outliers = OutlierDetector()
+        self.ejections = 0
+        # Proxies that joined (True) or left and are not announced yet, by id.
+        self.unannounced: dict[str, tuple[ConnectedProxy, bool]] = {}
+        self.announced_at = 0.0
+        self.announce_timer: asyncio.TimerHandle | None = None
+        self.forwarded_calls: set[asyncio.Task[None]] = set()
+        self.invalid_messages = 0
         self.http_calls = HttpCallDispatcher(self)
-        calls = min(settings.fd_limit - 200 - most_doors, 2000)
-        bounds = Bounds.from_limits(max(64, calls), settings.memory_mb)
+        max_http = min(settings.fd_limit - RESERVED_FDS - max_proxies, MAX_HTTP_CONNECTIONS)
         self.server = Server(
             HttpCallFrontend(self, MAX_TEXT_BYTES),
             settings.listen_addresses["control_addr"],
-            bounds,
+            Bounds.from_limits(max(MIN_HTTP_CONNECTIONS, max_http), settings.memory_mb),
             self.http_calls.as_host(),
         )
-        self.notes: dict[str, tuple[int, str]] = {}  # settings of the system's own, by name
-        self.passing: set[asyncio.Task[None]] = set()  # doors' calls about actions
-        self.spoilt = 0
-        self.ending = False
-        self.sweeper: asyncio.Task[None] | None = None
+        self.is_stopping = False
+        self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Raises OSError."""
         await self.listener.start(Address(self.settings.ip, self.settings.registry_port))
         await self.server.start()
-        self.sweeper = asyncio.get_running_loop().create_task(self.sweep())
+        self.expiry_task = asyncio.get_running_loop().create_task(self.expire_backends())
         log.info(f"takes calls on {self.server.listen.host}:{self.server.listen.port}.")
 
-    async def sweep(self) -> None:
-        while not self.ending:
-            await asyncio.sleep(SWEEP)
+    async def expire_backends(self) -> None:
+        while not self.is_stopping:
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             before = self.backends.last_change
             if self.backends.expire(time.monotonic()):
-                self.tell_since(before)
+                self.broadcast_changes(before)
 
-    # --- doors -----------------------------------------------------------------------------------------
+    # --- messages of proxies -----------------------------------------------------------------------------
 
-    def heard(self, line: Connection, message: Message) -> None:
+    def on_message(self, connection: Connection, message: Message) -> None:
+        """Handle a proxy's message; an invalid one ends its connection."""
         try:
-            self.hear(line, message)
+            self.handle_message(connection, message)
         except (KeyError, TypeError, ValueError) as error:
-            self.spoilt += 1
-            if self.spoilt in (1, 10, 100, 1000):
-                log.info(f"invalid message from a proxy, connection closed: {error} ({self.spoilt} so far).")
-            line.abort()
-
-    def hear(self, line: Connection, message: Message) -> None:
+            self.invalid_messages += 1
+            if self.invalid_messages in LOGGED_COUNTS:
+                log.info(
+                    f"invalid message from a proxy, connection closed: {error}"
+                    f" ({self.invalid_messages} so far)."
+                )
+            connection.abort()
+
+    def handle_message(self, connection: Connection, message: Message) -> None:
+        """Raises KeyError, TypeError or ValueError if the message is invalid."""
         kind = message["k"]
         if kind == "door":
-            self.welcome(line, message)
+            self.add_proxy(connection, message)
             return
-        door = self.doors.get(line)
-        if door is None:
+        proxy = self.proxies.get(connection)
+        if proxy is None:
             return
         if kind == "ack":
-            door.acked = max(door.acked, int(message["n"]))
-            self.release(door)
+            proxy.acked_change = max(proxy.acked_change, int(message["n"]))
+            self.release_ack_waiters(proxy)
         elif kind == "have":
-            door.has = max(door.has, int(message["v"]))
-            self.release_applied()
-        elif kind == "want" and self.version >= 0:
-            line.write(self.packed)
+            proxy.config_version = max(proxy.config_version, int(message["v"]))
+            self.release_apply_waiters()
+        elif kind == "want" and self.config_version >= 0:
+            connection.write(self.encoded_config)
         elif kind == "doubt":
-            for id, count in message["l"]:
-                self.doubted(door, str(id), int(count))
+            for id, failures in message["l"]:
+                self.on_failure_report(proxy, str(id), int(failures))
         elif kind == "trial":
-            self.trial_service().on_proxy_message(line, message, door.id, door.zone)
+            self.trial_service().on_proxy_message(connection, message, proxy.id, proxy.zone)
         elif kind in ("claim", "end"):
-            if len(self.passing) >= MAX_PASSING:
-                line.answer(message, ok=False)
+            if len(self.forwarded_calls) >= MAX_FORWARDED_CALLS:
+                connection.answer(message, ok=False)
             else:
-                self.spawn(self.pass_on(line, message))
+                self.spawn(self.forward_call(connection, message))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self.passing.add(task)
-        task.add_done_callback(self.passing.discard)
+        self.forwarded_calls.add(task)
+        task.add_done_callback(self.forwarded_calls.discard)
 
-    async def pass_on(self, line: Connection, message: Message) -> None:
-        """A door's call about an action goes to who leads the configuration stores."""
-        asked = {name: value for name, value in message.items() if name != "n"}
+    async def forward_call(self, connection: Connection, message: Message) -> None:
+        """Forward a proxy's call about an action to the config store, and its reply back."""
+        call = {key: value for key, value in message.items() if key != "n"}
         try:
-            told = await self.config_store.call(asked, PASS)
+            reply = await self.config_store.call(call, FORWARD_TIMEOUT_S)
         except TransportError:
-            told = {"ok": False}
-        line.answer(message, **{name: value for name, value in told.items() if name != "re"})
-
-    def release(self, door: DoorLine) -> None:
-        due = [w for w in door.waiters if w[0] <= door.acked]
-        door.waiters = [w for w in door.waiters if w[0] > door.acked]
-        for _, waiting in due:
-            if not waiting.done():
-                waiting.set_result(None)
-
-    def release_applied(self) -> None:
-        """Calls that wait until all doors have a configuration."""
-        least = min((door.has for door in self.doors.values()), default=1 << 62)
-        for version, waiting in self.applied:
-            if version <= least and not waiting.done():
-                waiting.set_result(None)
-
-    async def all_apply(self, version: int, most: float) -> None:
-        """Until each door that is connected has acknowledged a configuration, or `most` seconds are over."""
-        waiting: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.applied.append((version, waiting))
-        self.release_applied()
-        await asyncio.wait([waiting], timeout=max(0.0, most))
-        self.applied.remove((version, waiting))
-
-    def welcome(self, line: Connection, message: Message) -> None:
-        """A door that comes: what it lacks, and the others are told of it."""
+            reply = {"ok": False}
+        connection.answer(message, **{key: value for key, value in reply.items() if key != "re"})
+
+    def on_failure_report(self, proxy: ConnectedProxy, id: str, failures: int) -> None:
+        """Take a proxy's report of failures of a backend.  Raises ValueError if it is invalid."""
+        if not 0 < failures < MAX_REPORTED_FAILURES:
+            raise ValueError("a doubt")
+        record = self.backends.records.get(id)
+        if record is None or record.state != UP:
+            return
+        peers = [
+            peer.id
+            for peer in self.backends.records.values()
+            if peer.service == record.service and peer.state == UP
+        ]
+        ejection_s = self.outliers.report(proxy.id, id, failures, len(self.proxies), peers, time.monotonic())
+        if ejection_s:
+            self.ejections += 1
+            if self.ejections in LOGGED_COUNTS:
+                log.info(f"backend {id} is ejected for {ejection_s:g} s ({self.ejections} ejections so far).")
+            self.broadcast(encode_frame({"k": "shun", "id": id, "for": ejection_s}))
+
+    # --- proxies that join and leave -----------------------------------------------------------------------
+
+    def add_proxy(self, connection: Connection, message: Message) -> None:
+        """Send a proxy that connects all that it lacks, and announce it to the others."""
         now = time.monotonic()
-        door = DoorLine(
-            line, str(message["id"]), str(message["ip"]), int(message["port"]), str(message["zone"]),
-            now - max(0.0, float(message.get("age", 0.0))),
+        age_s = max(0.0, float(message.get("age", 0.0)))
+        proxy = ConnectedProxy(
+            connection, str(message["id"]), str(message["ip"]), int(message["port"]), str(message["zone"]),
+            now - age_s,
         )  # fmt: skip
-        news = self.backends.changes_since(int(message["n"]), now) if message["run"] == self.run_id else None
-        self.doors[line] = door
-        self.reachability.on_connect(door.address)
-        line.send(
+        changes = None
+        if message["run"] == self.incarnation_id:
+            changes = self.backends.changes_since(int(message["n"]), now)
+        self.proxies[connection] = proxy
+        self.reachability.on_connect(proxy.address)
+        connection.send(
             {
-                "k": "here", "run": self.run_id, "n": self.backends.last_change, "whole": news is None,
-                "i": self.backends.encode_all(now) if news is None else news,
-                "doors": [d.told(now) for d in self.doors.values()],
-                "cores": self.cores, "t": self.steady_unix + now, "v": self.version,
+                "k": "here", "run": self.incarnation_id, "n": self.backends.last_change,
+                "whole": changes is None,
+                "i": self.backends.encode_all(now) if changes is None else changes,
+                "doors": [p.encode(now) for p in self.proxies.values()],
+                "cores": self.cores, "t": self.unix_offset + now, "v": self.config_version,
                 "zone": self.settings.zone,
             }
         )  # fmt: skip
-        for name, (version, text) in self.notes.items():
-            line.send(note(name, version, text))
-        self.stir(door, True)
+        for name, (version, text) in self.replicated_settings.items():
+            connection.send(setting_message(name, version, text))
+        self.announce(proxy, True)
 
-    def stir(self, door: DoorLine, on: bool) -> None:
-        """A door has come or gone.  The first is told of at once, those close behind it together: of a fleet
-        that starts at the same moment each door would else get as many messages as there are doors.
+    def on_disconnect(self, connection: Connection) -> None:
+        proxy = self.proxies.pop(connection, None)
+        if proxy is None:
+            return
+        self.reachability.on_disconnect(proxy.address, time.monotonic())
+        for _, waiter in proxy.ack_waiters:
+            if not waiter.done():
+                waiter.set_result(None)
+        self.release_apply_waiters()
+        if any(p.id == proxy.id for p in self.proxies.values()):
+            return  # it has reconnected already
+        self.announce(proxy, False)
+
+    def announce(self, proxy: ConnectedProxy, has_joined: bool) -> None:
+        """Announce a proxy that has joined or left to the others.
+
+        The first is announced at once, those that follow within ANNOUNCE_INTERVAL_S together.  Otherwise,
+        when a fleet starts, each proxy would get as many messages as there are proxies.
         """
-        self.stirred[door.id] = door, on
-        if self.stirring is None:
-            wait = self.stirred_at + TOGETHER - time.monotonic()
-            if wait <= 0:
-                self.tell_stirred()
+        self.unannounced[proxy.id] = proxy, has_joined
+        if self.announce_timer is None:
+            delay = self.announced_at + ANNOUNCE_INTERVAL_S - time.monotonic()
+            if delay <= 0:
+                self.send_announcements()
             else:
-                self.stirring = asyncio.get_running_loop().call_later(wait, self.tell_stirred)
-
-    def tell_stirred(self) -> None:
-        self.stirring, self.stirred_at = None, time.monotonic()
-        stirred, self.stirred = self.stirred, {}
-        come = [d.told(self.stirred_at) for d, on in stirred.values() if on]
-        left = [id for id, (_, on) in stirred.items() if not on]
-        told = encode_frame({"k": "doors", "on": come, "off": left})
-        for door in self.doors.values():
-            if len(stirred) > 1 or door.id not in stirred:  # one that comes has just been told of itself
-                door.line.write(told)
-
-    def lost(self, line: Connection) -> None:
-        door = self.doors.pop(line, None)
-        if door is None:
-            return
-        self.reachability.on_disconnect(door.address, time.monotonic())
-        for _, waiting in door.waiters:
-            if not waiting.done():
-                waiting.set_result(None)
-        self.release_applied()
-        if any(d.id == door.id for d in self.doors.values()):
-            return
-        self.stir(door, False)
-
-    def doubted(self, door: DoorLine, id: str, count: int) -> None:
-        """Failures that a door met at a backend.  Raises ValueError for what no door sends."""
-        if not 0 < count < MAX_DOUBT:
-            raise ValueError("a doubt")
-        record = self.backends.records.get(id)
-        if record is None or record.state != UP:
-            return
-        peers = [
-            r.id for r in self.backends.records.values() if r.service == record.service and r.state == UP
-        ]
-        span = self.outliers.report(door.id, id, count, len(self.doors), peers, time.monotonic())
-        if span:
-            self.shunned += 1
-            if self.shunned in (1, 10, 100, 1000):
-                log.info(f"doors leave backend {id} alone for {span:g} s: it fails ({self.shunned} so far).")
-            told = encode_frame({"k": "shun", "id": id, "for": span})
-            for other in self.doors.values():
-                other.line.write(told)
-
-    def tell_since(self, before: int) -> None:
-        """Changes of the register after a number go to all doors, encoded once."""
-        lines = self.backends.changes_since(before, time.monotonic()) or []
-        data = encode_frame({"k": "news", "f": before, "n": self.backends.last_change, "i": lines})
-        for door in self.doors.values():
-            door.line.write(data)
-
-    async def all_heard(self, number: int) -> bool:
-        """Until each door that is connected has acknowledged a change, or HEARD_WAIT is over; whether half of
-        the doors that there may be have.
+                self.announce_timer = asyncio.get_running_loop().call_later(delay, self.send_announcements)
+
+    def send_announcements(self) -> None:
+        self.announce_timer, self.announced_at = None, time.monotonic()
+        announced, self.unannounced = self.unannounced, {}
+        joined = [proxy.encode(self.announced_at) for proxy, has_joined in announced.values() if has_joined]
+        left = [id for id, (_, has_joined) in announced.items() if not has_joined]
+        data = encode_frame({"k": "doors", "on": joined, "off": left})
+        for proxy in self.proxies.values():
+            # A proxy that is announced alone knows of itself already.
+            if len(announced) > 1 or proxy.id not in announced:
+                proxy.connection.write(data)
+
+    # --- acknowledgements of proxies -----------------------------------------------------------------------
+
+    def broadcast(self, data: bytes) -> None:
+        """Send an encoded message to all connected proxies."""
+        for proxy in self.proxies.values():
+            proxy.connection.write(data)
+
+    def broadcast_changes(self, since: int) -> None:
+        """Send the changes of backends after the change number `since` to all proxies."""
+        changes = self.backends.changes_since(since, time.monotonic()) or []
+        self.broadcast(encode_frame({"k": "news", "f": since, "n": self.backends.last_change, "i": changes}))
+
+    async def wait_until_acknowledged(self, change: int) -> bool:
+        """Wait until all connected proxies have acknowledged a change, at most ACK_TIMEOUT_S.
+
+        Returns whether enough proxies have (see proxy_reachability.py).
         """
-        waits = []
-        for door in self.doors.values():
-            if door.acked < number:
-                waiting: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-                door.waiters.append((number, waiting))
-                waits.append(waiting)
-        if waits:
-            await asyncio.wait(waits, timeout=HEARD_WAIT)
-        heard = [door.address for door in self.doors.values() if door.acked >= number]
-        return self.reachability.is_sufficient(heard, time.monotonic())
-
-    # --- the configuration store -----------------------------------------------------------------------
-
-    def from_config_store(self, line: Connection, message: Message) -> None:
+        waiters = []
+        for proxy in self.proxies.values():
+            if proxy.acked_change < change:
+                waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+                proxy.ack_waiters.append((change, waiter))
+                waiters.append(waiter)
+        if waiters:
+            await asyncio.wait(waiters, timeout=ACK_TIMEOUT_S)
+        reached = [proxy.address for proxy in self.proxies.values() if proxy.acked_change >= change]
+        return self.reachability.is_sufficient(reached, time.monotonic())
+
+    def release_ack_waiters(self, proxy: ConnectedProxy) -> None:
+        due = [entry for entry in proxy.ack_waiters if entry[0] <= proxy.acked_change]
+        proxy.ack_waiters = [entry for entry in proxy.ack_waiters if entry[0] > proxy.acked_change]
+        for _, waiter in due:
+            if not waiter.done():
+                waiter.set_result(None)
+
+    async def wait_until_applied(self, version: int, timeout: float) -> None:
+        """Wait until all connected proxies have a configuration in force, at most `timeout` seconds."""
+        waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.apply_waiters.append((version, waiter))
+        self.release_apply_waiters()
+        await asyncio.wait([waiter], timeout=max(0.0, timeout))
+        self.apply_waiters.remove((version, waiter))
+
+    def release_apply_waiters(self) -> None:
+        lowest = min((proxy.config_version for proxy in self.proxies.values()), default=1 << 62)
+        for version, waiter in self.apply_waiters:
+            if version <= lowest and not waiter.done():
+                waiter.set_result(None)
+
+    # --- messages of the config store ----------------------------------------------------------------------
+
+    def on_config_store_message(self, connection: Connection, message: Message) -> None:
         kind = message.get("k")
         if kind == "config":
             version, text = int(message["v"]), str(message["t"])
-            if version > self.version:
-                self.version, self.text = version, text
-                self.packed = encode_frame({"k": "text", "v": version, "t": text})
-                told = encode_frame({"k": "config", "v": version})
-                for door in self.doors.values():
-                    door.line.write(told)
+            if version > self.config_version:
+                self.config_version, self.config_text = version, text
+                self.encoded_config = encode_frame({"k": "text", "v": version, "t": text})
+                self.broadcast(encode_frame({"k": "config", "v": version}))
         elif kind == "note":
             name, version, text = str(message["name"]), int(message["v"]), str(message["t"])
-            if version > self.notes.get(name, (-1, ""))[0]:
-                self.notes[name] = version, text
-                data = encode_frame(note(name, version, text))
-                for door in self.doors.values():
-                    door.line.write(data)
+            known_version, _ = self.replicated_settings.get(name, (-1, ""))
+            if version > known_version:
+                self.replicated_settings[name] = version, text
+                self.broadcast(encode_frame(setting_message(name, version, text)))
                 if name == TRIALS:
                     self.trial_service().apply(text)
         elif kind == "cores":
-            cores = [str(c) for c in message["l"]]
+            cores = [str(address) for address in message["l"]]
             if cores != self.cores:
                 self.cores = cores
-                told = encode_frame({"k": "cores", "l": cores})
-                for door in self.doors.values():
-                    door.line.write(told)
+                self.broadcast(encode_frame({"k": "cores", "l": cores}))
 
-    # --- outside calls -------------------------------------------------------------------------------------
+    # --- HTTP calls of backends ----------------------------------------------------------------------------
 
     @endpoint("PUT", "/instances/{}")
-    async def beat(self, request: HttpRequest) -> Answer:
-        if len(request.body) > MAX_BEAT:
-            return error_answer(413, f"a call of {len(request.body)} bytes; {MAX_BEAT} at most")
+    async def put_backend(self, request: HttpRequest) -> Answer:
+        """Take a backend's heartbeat; a change is acknowledged once it has reached the proxies."""
+        if len(request.body) > MAX_HEARTBEAT_BYTES:
+            return error_answer(413, f"a call of {len(request.body)} bytes; {MAX_HEARTBEAT_BYTES} at most")
         before = self.backends.last_change
         try:
-            changed = self.backends.heartbeat(
-                request.name, msgspec.json.decode(request.body), time.monotonic()
-            )
+            body = msgspec.json.decode(request.body)
+            has_changed = self.backends.heartbeat(request.name, body, time.monotonic())
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             return error_answer(400, "the body is no whole JSON")
         except CallError as error:
             return error_answer(400, str(error))
-        if changed:
-            self.tell_since(before)
+        if has_changed:
+            self.broadcast_changes(before)
         record = self.backends.records[request.name]
-        if changed or record.state == QUIESCING:  # also where an earlier call of the same was cut short
-            reached = await self.all_heard(record.change_number)
+        if has_changed or record.state == QUIESCING:  # the call may repeat one that was interrupted
+            is_reached = await self.wait_until_acknowledged(record.change_number)
         else:
-            connected = [door.address for door in self.doors.values()]
-            reached = self.reachability.is_sufficient(connected, time.monotonic())
-        if not reached:
+            connected = [proxy.address for proxy in self.proxies.values()]
+            is_reached = self.reachability.is_sufficient(connected, time.monotonic())
+        if not is_reached:
             return error_answer(503, NOT_REACHED)
         own = self.server.listen
         return Answer(200, msgspec.json.encode({"beat_target": f"{own.host}:{own.port}"}), JSON)
 
     @endpoint("DELETE", "/instances/{}")
-    async def leave(self, request: HttpRequest) -> Answer:
+    async def delete_backend(self, request: HttpRequest) -> Answer:
+        """End a backend's id for good."""
         before = self.backends.last_change
         if self.backends.deregister(request.name, time.monotonic()):
-            self.tell_since(before)
-        if not await self.all_heard(self.backends.last_change):
+            self.broadcast_changes(before)
+        if not await self.wait_until_acknowledged(self.backends.last_change):
             return error_answer(503, NOT_REACHED)
         return Answer(200, b"{}", JSON)
 
+    # --- HTTP calls of operators ---------------------------------------------------------------------------
+
     @endpoint("PUT", "/configuration")
-    async def put(self, request: HttpRequest) -> Answer:
-        from ivymux.routing_config.validation import (
-            parse_route_plan,  # it takes long to import: not at the start
-        )
+    async def put_configuration(self, request: HttpRequest) -> Answer:
+        from ivymux.routing_config.validation import parse_route_plan  # slow to import: not at the start
 
         try:
             plan = parse_route_plan(request.body)
@@ -399,75 +429,76 @@
         except UnicodeDecodeError:
             return error_answer(400, "the configuration is not UTF-8")
         began = time.monotonic()
-        told = await self.stored(PutConfiguration(plan.version, text))
-        if isinstance(told, Answer):
-            return told
-        if told["outcome"] != Identity.TAKEN.value:
-            return not_taken(plan.version, told)
-        # It holds whatever the doors do; but those in touch have it in force before the operator hears so.
-        await self.all_apply(plan.version, min(APPLIED_WAIT, CALL - (time.monotonic() - began)))
-        taken = {"config_version": plan.version, "outcome": told["outcome"], "digest": told["digest"]}
-        return Answer(200, msgspec.json.encode(taken), JSON)
-
-    async def stored(self, call: StoreCall) -> Message | Answer:
-        """Have a change taken by the core: what it says of it, or what its operator is told instead."""
+        reply = await self.store(PutConfiguration(plan.version, text))
+        if isinstance(reply, Answer):
+            return reply
+        if reply["outcome"] != Identity.TAKEN.value:
+            return rejection_answer(plan.version, reply)
+        # The change is final whatever the proxies do, but connected ones apply it before this call's answer.
+        left_s = STORE_CALL_TIMEOUT_S - (time.monotonic() - began)
+        await self.wait_until_applied(plan.version, min(APPLY_TIMEOUT_S, left_s))
+        body = {"config_version": plan.version, "outcome": reply["outcome"], "digest": reply["digest"]}
+        return Answer(200, msgspec.json.encode(body), JSON)
+
+    async def store(self, call: StoreCall) -> Message | Answer:
+        """Have a change stored; return the config store's reply, or an error answer for the operator."""
         try:
-            told = await self.config_store.call(encode(call), CALL)
+            reply = await self.config_store.call(encode(call), STORE_CALL_TIMEOUT_S)
         except TransportError as error:
             return error_answer(503, f"the store of configuration does not answer: {error}; repeat the call")
-        if not told.get("ok"):
+        if not reply.get("ok"):
             return error_answer(503, "no core machine can take a change just now; repeat the call")
-        return told
+        return reply
 
     @endpoint("GET", "/configuration")
-    async def get(self, request: HttpRequest) -> Answer:
+    async def get_configuration(self, request: HttpRequest) -> Answer:
         try:
-            told = await self.config_store.call({"k": "get"}, 0.9)
+            reply = await self.config_store.call({"k": "get"}, CONFIG_READ_TIMEOUT_S)
         except TransportError as error:
             return error_answer(503, f"the store of configuration does not answer: {error}; repeat the call")
-        if not told.get("ok"):
+        if not reply.get("ok"):
             return error_answer(
                 503, "no core machine can answer for the newest configuration just now; repeat the call"
             )
-        if int(told["v"]) < 0:
+        if int(reply["v"]) < 0:
             return error_answer(404, "there is no configuration yet; send one by PUT /configuration")
-        return Answer(200, str(told["t"]).encode(), JSON)
+        return Answer(200, str(reply["t"]).encode(), JSON)
 
     @endpoint("PUT", "/conversations")
     async def put_conversations(self, request: HttpRequest) -> Answer:
         from ivymux.idempotency.settings import ConversationSettingsError
-        from ivymux.idempotency.validation import read  # it takes long to import: not at the start
+        from ivymux.idempotency.validation import read  # slow to import: not at the start
 
         try:
-            terms = read(request.body)
+            settings = read(request.body)
             text = request.body.decode()
         except ConversationSettingsError as error:
             return error_answer(400, str(error))
-        told = await self.stored(PutSetting(CONVERSATIONS, terms.version, text))
-        if isinstance(told, Answer):
-            return told
-        if told.get("taken") is False:
-            why = f"version {terms.version} was taken with other settings; send these under a higher one"
+        reply = await self.store(PutSetting(CONVERSATIONS, settings.version, text))
+        if isinstance(reply, Answer):
+            return reply
+        if reply.get("taken") is False:
+            why = f"version {settings.version} was taken with other settings; send these under a higher one"
             return error_answer(409, why)
-        return Answer(200, msgspec.json.encode({"settings_version": terms.version}), JSON)
+        return Answer(200, msgspec.json.encode({"settings_version": settings.version}), JSON)
 
     @endpoint("GET", "/conversations")
     async def get_conversations(self, request: HttpRequest) -> Answer:
-        """As this machine knows them; a core machine that is cut off may know older ones."""
-        _, text = self.notes.get(CONVERSATIONS, (-1, ""))
+        """The settings that this machine knows; a partitioned core machine may know older ones."""
+        _, text = self.replicated_settings.get(CONVERSATIONS, (-1, ""))
         if not text:
             return error_answer(404, "there are no settings of conversations; the defaults are in force")
         return Answer(200, text.encode(), JSON)
 
     async def stop(self) -> None:
-        """Calls that are on their way are answered; doors learn of it by their connections' end."""
+        """Finish HTTP calls under way, then close all connections; proxies notice by that."""
         self.server.stop_listening()
-        until = time.monotonic() + 1.0
+        until = time.monotonic() + STOP_TIMEOUT_S
         while self.http_calls.tasks and time.monotonic() < until:
             await asyncio.wait(self.http_calls.tasks, timeout=0.1)
-        self.ending = True
-        if self.stirring is not None:
-            self.stirring.cancel()
+        self.is_stopping = True
+        if self.announce_timer is not None:
+            self.announce_timer.cancel()
         self.server.close()
         self.listener.close()
         self.config_store.close()
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -128,7 +128,7 @@
 
     async def watch_running(self) -> None:
         """While a trial runs: renew the reading, and end trials that are over or that the guard stops."""
-        while self.trials.running and not self.registry.ending:
+        while self.trials.running and not self.registry.is_stopping:
             await asyncio.gather(self.read_trials(), asyncio.sleep(READ_INTERVAL_S))
             now = time.time()
             trip_reason = self.guard.trip_reason(time.monotonic())
@@ -199,7 +199,7 @@
         now = time.monotonic()
         requests, injected = self.total_counts(trial.name)
         in_force_at, not_in_force_at = [], []
-        for proxy in sorted({proxy.id for proxy in self.registry.doors.values()})[:MAX_LISTED_PROXIES]:
+        for proxy in sorted({proxy.id for proxy in self.registry.proxies.values()})[:MAX_LISTED_PROXIES]:
             report = self.reports.get(proxy)
             counts = None
             if report is not None and now - report.received_at < REPORT_TTL_S:
@@ -225,7 +225,7 @@
 
     def current_plan(self) -> RoutePlan | None:
         """The plan of the configuration that this machine has; None if there is none."""
-        version, text = self.registry.version, self.registry.text
+        version, text = self.registry.config_version, self.registry.config_text
         if version < 0:
             return None
         if self.cached_plan is None or self.cached_plan.version != version:
--- a/tests/registry/test_applied.py
+++ b/tests/registry/test_applied.py
@@ -1,4 +1,4 @@
-"""A configuration's acknowledgements: what an operator's call waits for, and what it does not wait for."""
+"""What an operator's call waits for, and how proxies that join are announced to each other."""
 
 from __future__ import annotations
 
@@ -14,76 +14,78 @@
 from ..sockets import run, until
 
 
-def met(registry: Registry, number: int) -> Connection:
-    """A door's connection, as far as the registry can tell."""
-    line = Connection(registry.heard, on_disconnect=registry.lost)
-    line.is_connected = True
-    registry.hear(
-        line,
+def connect_proxy(registry: Registry, number: int) -> Connection:
+    """Connect a proxy, as far as the registry can tell."""
+    connection = Connection(registry.on_message, on_disconnect=registry.on_disconnect)
+    connection.is_connected = True
+    registry.handle_message(
+        connection,
         {"k": "door", "id": f"d{number}", "ip": "127.0.0.9", "port": 1, "zone": "hall", "run": "", "n": 0},
     )
-    return line
+    return connection
 
 
-def test_a_call_waits_until_each_connected_door_has_the_configuration(tmp_path: Path) -> None:
+def test_a_call_waits_until_each_connected_proxy_has_the_configuration(tmp_path: Path) -> None:
     async def test() -> None:
         lab = Lab(tmp_path)
         registry = Registry(load(lab.settings(lab.cores[0], True)))
-        lines = [met(registry, number) for number in range(3)]
+        connections = [connect_proxy(registry, number) for number in range(3)]
 
         async def call(version: int) -> None:
-            await registry.all_apply(version, 30.0)
+            await registry.wait_until_applied(version, 30.0)
 
         waiting = asyncio.create_task(call(7))
-        await until(lambda: registry.applied)
-        registry.hear(lines[0], {"k": "have", "v": 7})
-        registry.hear(lines[1], {"k": "have", "v": 6})
+        await until(lambda: registry.apply_waiters)
+        registry.handle_message(connections[0], {"k": "have", "v": 7})
+        registry.handle_message(connections[1], {"k": "have", "v": 6})
         await asyncio.wait([waiting], timeout=0)
         assert not waiting.done()
-        registry.hear(lines[1], {"k": "have", "v": 9})  # a later one holds what this one asks for
+        registry.handle_message(connections[1], {"k": "have", "v": 9})  # a later version includes this one
         await asyncio.wait([waiting], timeout=0)
         assert not waiting.done()
-        lines[2].abort()  # a door that is gone is waited for no more
+        connections[2].abort()  # the call no longer waits for a disconnected proxy
         await waiting
-        assert not registry.applied
-        await call(7)  # the same again: all have it
-        # A door that does not answer holds a call up for a bounded time only.
-        await registry.all_apply(10, 0.0)
-        assert not registry.applied
+        assert not registry.apply_waiters
+        await call(7)  # a repeat returns at once: all proxies have the version
+        # A proxy that does not answer delays a call for a bounded time only.
+        await registry.wait_until_applied(10, 0.0)
+        assert not registry.apply_waiters
         await registry.stop()
         await lab.close()
 
     run(test())
 
 
-class Heard(Connection):
-    """A connection that keeps what is written to it."""
+class RecordingConnection(Connection):
+    """A connection that keeps the messages written to it."""
 
-    told: list[Message]
+    written: list[Message]
 
     def write(self, data: bytes) -> None:
-        self.told.extend(FrameDecoder().feed(data))
+        self.written.extend(FrameDecoder().feed(data))
 
 
-def test_doors_that_come_together_are_told_of_together(tmp_path: Path) -> None:
-    """Of a fleet that starts at once no door gets a message for each other door."""
+def test_proxies_that_join_together_are_announced_together(tmp_path: Path) -> None:
+    """When a whole fleet starts, no proxy gets a message for each other proxy."""
 
     async def test() -> None:
         lab = Lab(tmp_path)
         registry = Registry(load(lab.settings(lab.cores[0], True)))
-        first = Heard(registry.heard, on_disconnect=registry.lost)
-        first.told = []
+        first = RecordingConnection(registry.on_message, on_disconnect=registry.on_disconnect)
+        first.written = []
         first.is_connected = True
-        registry.welcome(first, {"id": "d", "ip": "127.0.0.8", "port": 1, "zone": "hall", "run": "", "n": 0})
-        first.told.clear()
-        lines = [met(registry, number) for number in range(40)]
-        lines[7].abort()
-        await until(lambda: not registry.stirred and registry.stirring is None)
-        doors = [message for message in first.told if message["k"] == "doors"]
-        assert len(doors) <= 2
-        there = {f"d{number}" for number in range(40)} - {"d7"}
-        assert {entry[0] for message in doors for entry in message["on"]} - {"d", "d7"} == there
-        assert doors[-1]["off"] == ["d7"]
+        message = {"id": "d", "ip": "127.0.0.8", "port": 1, "zone": "hall", "run": "", "n": 0}
+        registry.add_proxy(first, message)
+        first.written.clear()
+        connections = [connect_proxy(registry, number) for number in range(40)]
+        connections[7].abort()
+        await until(lambda: not registry.unannounced and registry.announce_timer is None)
+        announcements = [message for message in first.written if message["k"] == "doors"]
+        assert len(announcements) <= 2
+        expected = {f"d{number}" for number in range(40)} - {"d7"}
+        joined = {entry[0] for message in announcements for entry in message["on"]}
+        assert joined - {"d", "d7"} == expected
+        assert announcements[-1]["off"] == ["d7"]
         await registry.stop()
         await lab.close()
 
--- a/tests/registry/test_calls.py
+++ b/tests/registry/test_calls.py
@@ -1,4 +1,4 @@
-"""Outside calls that end before they are whole."""
+"""HTTP calls of backends that are truncated change nothing."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 CALL = b"PUT /instances/i-1 HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
 
 
-def test_a_call_cut_at_any_byte_changes_nothing(tmp_path: Path) -> None:
+def test_a_call_truncated_at_any_byte_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         lab = Lab(tmp_path)
         registry = Registry(load(lab.settings(lab.cores[0], True)))
@@ -36,7 +36,7 @@
             writer.close()
         await until(lambda: not registry.server.clients)
         assert not registry.backends.records and registry.backends.last_change == 0
-        # One byte of the body short, and the connection stays: nothing is done before the call is whole.
+        # The last byte of the body is late and the connection stays open: nothing is done before it arrives.
         reader, writer = await asyncio.open_connection(listen.host, listen.port)
         writer.write(CALL[:-1])
         await until(lambda: any(client.has_headers for client in registry.server.clients))
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -103,9 +103,9 @@
         registry = Registry(load(lab.settings(lab.cores[0], True)))
         connections = []
         for number in range(3):
-            connection = RecordingConnection(registry.heard, on_disconnect=registry.lost)
+            connection = RecordingConnection(registry.on_message, on_disconnect=registry.on_disconnect)
             connection.is_connected, connection.written = True, []
-            registry.welcome(
+            registry.add_proxy(
                 connection,
                 {"id": f"d{number}", "ip": "127.0.0.8", "port": 1, "zone": "hall", "run": "", "n": 0},
             )
@@ -115,12 +115,12 @@
                     "capacity": 2, "oper_state": "in_service", "call_seq": 1}  # fmt: skip
             registry.backends.heartbeat(f"i-{number}", body, 0.0)
         for connection in connections[:2]:
-            registry.heard(connection, {"k": "doubt", "l": [["i-0", 2], ["none", 1]]})
+            registry.on_message(connection, {"k": "doubt", "l": [["i-0", 2], ["none", 1]]})
         assert [connection.written for connection in connections] == [
             [{"k": "shun", "id": "i-0", "for": FIRST_EJECTION_S}]
         ] * 3
-        registry.heard(connections[0], {"k": "doubt", "l": [["i-0", 0]]})
-        assert not connections[0].is_connected and registry.spoilt == 1
+        registry.on_message(connections[0], {"k": "doubt", "l": [["i-0", 0]]})
+        assert not connections[0].is_connected and registry.invalid_messages == 1
         await registry.stop()
         await lab.close()
 
