--- a/ivymux/proxy/lease_counts.py
+++ b/ivymux/proxy/lease_counts.py
@@ -1,13 +1,15 @@
-"""The counts that a door holds for all doors: what tenants were granted lately.  Pure.
-
-What a tenant is owed is counted in any span of the rule's window: its rate times that, and its burst.  So a
-grant is bounded twice: over the span, exactly, and by a store that holds a burst and fills by a span's worth
-in a span, which keeps grants from coming all in the span's first moment.  That is kept here, where calls have
-one order: doors that each put right by themselves what they saw flow over corrected one another's
-corrections, and with 75 of them totals swung without bound (docs/design/quotas.md).
-
-Doors reckon with a total on the name of a tenant's window: its store, full when the window begins, fills by
-its rate and lacks the total.  They are told the total at which that store holds what may be granted now.
+"""Counts that one proxy holds on behalf of all proxies: recent grants to tenants.  Pure.
+
+A quota allows, in any span of the rule's window, the tenant's rate times the span plus its burst.  A grant is
+therefore bounded twice: exactly over the span, and by a token bucket that holds a burst and refills by a
+span's allowance per span, which keeps grants from all falling into the span's first moment.  Both are kept
+here, where calls have one order: when each proxy corrected for the overflow that it saw itself, proxies
+corrected one another's corrections, and with 75 proxies the totals oscillated without bound
+(docs/design/quotas.md).
+
+Proxies compute with a total for the name of a tenant's window: the window's bucket is full at its beginning,
+refills by the tenant's rate, and lacks the total.  The holder answers with the total at which that bucket
+contains what may be granted now.
 """
 
 from __future__ import annotations
@@ -20,195 +22,210 @@
 from orchidhill.interface import Count
 
 MAX_NAMES = 100_000
-MAX_IDLE = 60.0  # seconds after which what was granted to a tenant is of no matter any more
-SURE = 1e18  # of a name that began by the worst case: nothing that its store lacked can come on top
-LUMP = 0.5  # of a burst, what a tenant that is taken over is granted less to begin with
-STEP = 0.1  # seconds: how finely it is kept when something was granted
-KEPT = 30.0  # seconds for which it is kept when a store flowed over
+MAX_IDLE_S = 60.0  # after which earlier grants to a tenant no longer matter
+# Of a name that began by the worst case: no shortfall reported later can exceed it.
+WORST_CASE_SHORTFALL = 1e18
+TAKEOVER_BURST_PART = 0.5  # of a burst, withheld at first from a tenant that is taken over
+STEP_S = 0.1  # resolution at which grants are recorded
+OVERFLOW_RETENTION_S = 30.0  # for which a bucket's overflow is recorded
+ALL_STEPS = 1 << 30
 
 
-class Steps:
-    """Amounts by the step of time in which they were."""
+class StepAmounts:
+    """Amounts by step of time."""
 
     __slots__ = ("amounts", "first", "total")
 
     def __init__(self) -> None:
         self.amounts: dict[int, float] = {}
-        self.first, self.total = -(1 << 62), 0.0
+        self.first, self.total = -(1 << 62), 0.0  # `first`: the oldest step that is kept
 
-    def put(self, step: int, amount: float) -> None:
+    def add(self, step: int, amount: float) -> None:
         if step >= self.first:
             self.amounts[step] = self.amounts.get(step, 0.0) + amount
             self.total += amount
 
-    def spread(self, amount: float, start: float, end: float) -> None:
-        """An amount that was taken evenly over a span of time."""
-        for step, part in parts(start, end):
-            self.put(step, part * amount)
-
-    def take(self, amount: float, step: int, back: int = 1 << 30) -> float:
-        """Take an amount out, from a step on backwards: how much of it was there."""
-        rest = amount
-        while rest > 0 and back and self.amounts and step >= self.first:
-            there = min(rest, self.amounts.get(step, 0.0))
-            if there > 0:
-                self.amounts[step] -= there
-                self.total -= there
-                rest -= there
-            step, back = step - 1, back - 1
+    def add_evenly(self, amount: float, start: float, end: float) -> None:
+        """Spread an amount evenly over a span of time."""
+        for step, part in split_over_steps(start, end):
+            self.add(step, part * amount)
+
+    def remove(self, amount: float, step: int, max_steps: int = ALL_STEPS) -> float:
+        """Remove an amount, from a step backwards; returns how much of it was present."""
+        remaining = amount
+        while remaining > 0 and max_steps and self.amounts and step >= self.first:
+            present = min(remaining, self.amounts.get(step, 0.0))
+            if present > 0:
+                self.amounts[step] -= present
+                self.total -= present
+                remaining -= present
+            step, max_steps = step - 1, max_steps - 1
             if step < min(self.amounts):
                 break
-        return amount - rest
+        return amount - remaining
 
-    def forget(self, before: int) -> None:
-        """Drop what was before a step."""
-        if before <= self.first:
+    def drop_before(self, first: int) -> None:
+        if first <= self.first:
             return
-        for step in [s for s in self.amounts if s < before]:
+        for step in [step for step in self.amounts if step < first]:
             self.total -= self.amounts.pop(step)
-        self.first = before
+        self.first = first
         if not self.amounts:
             self.total = 0.0
 
 
-def parts(start: float, end: float) -> list[tuple[int, float]]:
+def split_over_steps(start: float, end: float) -> list[tuple[int, float]]:
     """The steps of a span of time, each with its part of the span."""
-    first, last = math.floor(start / STEP), math.floor(end / STEP)
-    if end <= start or first == last or last - first > KEPT / STEP:
+    first, last = math.floor(start / STEP_S), math.floor(end / STEP_S)
+    if end <= start or first == last or last - first > OVERFLOW_RETENTION_S / STEP_S:
         return [(last, 1.0)]
     return [
-        (step, (min(end, (step + 1) * STEP) - max(start, step * STEP)) / (end - start))
+        (step, (min(end, (step + 1) * STEP_S) - max(start, step * STEP_S)) / (end - start))
         for step in range(first, last + 1)
     ]
 
 
 @dataclass(slots=True)
 class TenantUsage:
-    """What one tenant was granted lately, and what its store holds."""
+    """Recent grants to one tenant, and the level of its token bucket."""
 
     level: float
-    at: float  # up to when the store has filled
-    name: int  # of its newest window, and when that began, steady seconds
-    began: float
-    seeded: float = 0.0  # what the store lacked when it was opened, the most that any door knew of
-    granted: Steps = field(default_factory=Steps)  # over the span
-    over: Steps = field(default_factory=Steps)  # what the store flowed over by
-    kept: Steps = field(default_factory=Steps)  # what was kept for doors that may be cut off
+    refilled_at: float
+    window: int  # the name of its newest window
+    window_began: float  # steady seconds
+    # The largest shortfall, reported by any proxy, of the bucket at the window's beginning.
+    reported_shortfall: float = 0.0
+    granted: StepAmounts = field(default_factory=StepAmounts)  # over the span
+    overflow: StepAmounts = field(default_factory=StepAmounts)  # of the bucket
+    reserved: StepAmounts = field(default_factory=StepAmounts)  # for proxies that may be partitioned
 
 
 class LeaseCounts:
     def __init__(self, holders: CounterHolders, incarnation: int) -> None:
         self.store = Store(MAX_NAMES)
         self.holders, self.incarnation = holders, incarnation
-        self.books: dict[int, TenantUsage] = {}
+        self.usages: dict[int, TenantUsage] = {}  # by customer
 
     def add(self, count: Count, caller: str, now: float) -> float:
-        """The total after an amount was added.  Raises TallyFull.
+        """Add an amount and return the total.  Raises TallyFull.
 
-        A name that another door may have held before begins as if its store had been emptied: what was
-        granted there is not known, and its quota must hold all the same.
+        A name that another proxy may have held begins as if its bucket had been emptied: what was granted
+        there is unknown, and the quota must be kept all the same.
         """
         key, life = b"%d" % count.name, count.expires
         self.store.expire(now)
-        new = key not in self.store.totals
+        is_new = key not in self.store.totals
         before = self.store.add(key, 0.0, life, now)
-        book = self.books.get(count.customer)
-        if book is None or (new and not self.continues(book, count, now)):
-            book = self.open(count, now)
-        if now - count.since >= book.began:
-            book.name, book.began = count.name, now - count.since
-        self.fill(book, count, now)
-        self.heed(book, count, now)
+        usage = self.usages.get(count.customer)
+        if usage is None or (is_new and not self.is_complete(usage, count, now)):
+            usage = self.start_usage(count, now)
+        if now - count.since >= usage.window_began:
+            usage.window, usage.window_began = count.name, now - count.since
+        self.refill(usage, count, now)
+        self.apply_reported_shortfall(usage, count, now)
         number = b"%d" % count.call if count.call else b""
         total = self.store.add_once(TallyCall(key, count.amount, life, caller.encode(), number), now)
-        if total != before:  # not one that has come before
-            self.grant(book, count, now)
-        return count.burst + count.since * count.rate - self.room(book, count)
-
-    def room(self, book: TenantUsage, count: Count) -> float:
-        """What may be granted now; less than nothing where too much was."""
-        return min(book.level, count.span * count.rate + count.burst - book.granted.total)
-
-    def continues(self, book: TenantUsage, count: Count, now: float) -> bool:
-        """Whether what is known of a tenant's earlier windows is all there was: nobody else held one."""
-        trusted = self.holders.has_full_history(count.customer, count.since, now)
-        return trusted and self.holders.find_holder(book.name, count.customer, book.began) == self.holders.me
-
-    def open(self, count: Count, now: float) -> TenantUsage:
-        """A tenant that nothing is known of: as if it had been granted its rate and what its store lacks."""
-        if len(self.books) > 2 * len(self.store.totals) + 64:
-            self.books = {c: b for c, b in self.books.items() if now - b.at < MAX_IDLE}
+        if total != before:  # otherwise a repeated call
+            self.record_grant(usage, count, now)
+        return count.burst + count.since * count.rate - self.available(usage, count)
+
+    def available(self, usage: TenantUsage, count: Count) -> float:
+        """What may be granted now; negative after too much was granted."""
+        return min(usage.level, count.span * count.rate + count.burst - usage.granted.total)
+
+    def is_complete(self, usage: TenantUsage, count: Count, now: float) -> bool:
+        """Whether the usage has all earlier grants, because no other proxy held a window since."""
+        has_history = self.holders.has_full_history(count.customer, count.since, now)
+        holder = self.holders.find_holder
+        return has_history and holder(usage.window, count.customer, usage.window_began) == self.holders.me
+
+    def start_usage(self, count: Count, now: float) -> TenantUsage:
+        """Start the usage of a tenant whose earlier grants are unknown.
+
+        Assumes that it was granted its rate over the last span, and what its bucket lacks.
+        """
+        if len(self.usages) > 2 * len(self.store.totals) + 64:
+            self.usages = {
+                customer: usage
+                for customer, usage in self.usages.items()
+                if now - usage.refilled_at < MAX_IDLE_S
+            }
         lost = count.drained > 0 and not self.holders.has_full_history(count.customer, count.since, now)
         level = count.burst
         if lost:
-            # Whoever held it may have granted a burst just now, unless all doors had to start first.
-            spent = 0.0 if self.holders.is_common_start(now) else LUMP * count.burst
+            # The previous holder may have just granted a burst, unless all proxies had to start first.
+            spent = 0.0 if self.holders.is_common_start(now) else TAKEOVER_BURST_PART * count.burst
             level += count.since * count.rate - count.drained - spent
-            level = max(min(1.0, count.burst), level)  # one request is within what the rule leaves
-        book = TenantUsage(level, now, count.name, now - count.since, SURE if lost else 0.0)
-        book.granted.spread(count.span * count.rate, now - count.span, now)
-        book.granted.put(math.floor(now / STEP), count.burst - level)
-        self.books[count.customer] = book
-        return book
-
-    def fill(self, book: TenantUsage, count: Count, now: float) -> None:
-        """The store fills up to now; what it flows over by nobody can be granted any more."""
-        pace = count.rate + count.burst / count.span if count.span else 0.0
-        span, book.at = max(0.0, now - book.at), max(now, book.at)
-        self.keep_for_missing(book, count, span, now)
-        book.level += span * pace
-        over = book.level - count.burst
-        if over > 0:
-            book.level = count.burst
-            if pace:
-                book.over.spread(over, now - min(span, over / pace), now)
-        step = math.floor(now / STEP)
-        book.granted.forget(math.floor((now - count.span) / STEP))
-        if span > STEP:
-            book.over.forget(step - int(KEPT / STEP))
-            book.kept.forget(step - int(KEPT / STEP))
-
-    def keep_for_missing(self, book: TenantUsage, count: Count, span: float, now: float) -> None:
-        """Doors that went may be cut off and let in their shares: nobody tells before they come back."""
-        part = self.holders.missing_share(now)
-        if part > 0 and span > 0:
-            amount = part * span * count.rate
-            book.level -= amount
-            book.kept.spread(amount, now - span, now)
-            book.granted.spread(amount, now - span, now)
-
-    def heed(self, book: TenantUsage, count: Count, now: float) -> None:
-        """What doors know that this one does not."""
-        step, lacks = math.floor(now / STEP), 0.0
-        # All that doors know of an edge is less than or as much as what was: the most of it counts.
-        if count.seed > book.seeded:
-            more, book.seeded = count.seed - book.seeded, count.seed
-            lacks = more - book.over.take(more, step)  # it would have flowed over by so much less since
+            level = max(min(1.0, count.burst), level)  # the rule's tolerance covers one request
+        shortfall = WORST_CASE_SHORTFALL if lost else 0.0
+        usage = TenantUsage(level, now, count.name, now - count.since, shortfall)
+        usage.granted.add_evenly(count.span * count.rate, now - count.span, now)
+        usage.granted.add(math.floor(now / STEP_S), count.burst - level)
+        self.usages[count.customer] = usage
+        return usage
+
+    def refill(self, usage: TenantUsage, count: Count, now: float) -> None:
+        """Refill the bucket up to now; overflow can no longer be granted."""
+        refill_rate = count.rate + count.burst / count.span if count.span else 0.0
+        elapsed, usage.refilled_at = max(0.0, now - usage.refilled_at), max(now, usage.refilled_at)
+        self.reserve_for_missing(usage, count, elapsed, now)
+        usage.level += elapsed * refill_rate
+        overflow = usage.level - count.burst
+        if overflow > 0:
+            usage.level = count.burst
+            if refill_rate:
+                usage.overflow.add_evenly(overflow, now - min(elapsed, overflow / refill_rate), now)
+        step = math.floor(now / STEP_S)
+        usage.granted.drop_before(math.floor((now - count.span) / STEP_S))
+        if elapsed > STEP_S:
+            usage.overflow.drop_before(step - int(OVERFLOW_RETENTION_S / STEP_S))
+            usage.reserved.drop_before(step - int(OVERFLOW_RETENTION_S / STEP_S))
+
+    def reserve_for_missing(self, usage: TenantUsage, count: Count, elapsed: float, now: float) -> None:
+        """Reserve the shares of proxies that left.
+
+        They may be partitioned and grant their shares, which they cannot report before they reconnect.
+        """
+        share = self.holders.missing_share(now)
+        if share > 0 and elapsed > 0:
+            amount = share * elapsed * count.rate
+            usage.level -= amount
+            usage.reserved.add_evenly(amount, now - elapsed, now)
+            usage.granted.add_evenly(amount, now - elapsed, now)
+
+    def apply_reported_shortfall(self, usage: TenantUsage, count: Count, now: float) -> None:
+        """Deduct what the calling proxy reports to have been granted and this holder lacks."""
+        step, shortfall = math.floor(now / STEP_S), 0.0
+        # Each proxy reports no more than the actual shortfall at the window's edge: the largest one counts.
+        if count.seed > usage.reported_shortfall:
+            more, usage.reported_shortfall = count.seed - usage.reported_shortfall, count.seed
+            # With it, the bucket would have overflowed by so much less since.
+            shortfall = more - usage.overflow.remove(more, step)
         if count.knew not in (0, self.incarnation):
             level = count.burst + count.since * count.rate - count.known
-            lacks = max(lacks, self.room(book, count) - level)
-        if lacks > 0:
-            book.level -= lacks
-            book.granted.put(step, lacks)
-
-    def grant(self, book: TenantUsage, count: Count, now: float) -> None:
-        step, late = math.floor(now / STEP), max(0.0, min(count.late, count.amount))
-        fresh = count.amount - late
-        book.level = min(count.burst, book.level - fresh)  # what is given back to a full store is lost
-        if fresh >= 0:
-            book.granted.put(step, fresh)
+            shortfall = max(shortfall, self.available(usage, count) - level)
+        if shortfall > 0:
+            usage.level -= shortfall
+            usage.granted.add(step, shortfall)
+
+    def record_grant(self, usage: TenantUsage, count: Count, now: float) -> None:
+        step, late = math.floor(now / STEP_S), max(0.0, min(count.late, count.amount))
+        current = count.amount - late
+        usage.level = min(count.burst, usage.level - current)  # a return to a full bucket is lost
+        if current >= 0:
+            usage.granted.add(step, current)
         else:
-            book.granted.take(-fresh, step)
+            usage.granted.remove(-current, step)
         if late > 0:
-            self.let_in_before(book, late, count.spread, now)
-
-    def let_in_before(self, book: TenantUsage, late: float, spread: float, now: float) -> None:
-        """An amount that was let in over the last seconds by a door that was cut off."""
-        lacks = kept = 0.0
-        for step, part in parts(now - spread, now):
-            lacks += part * late
-            taken = book.kept.take(lacks, step, 1)
-            kept += taken
-            lacks -= taken + book.over.take(lacks - taken, step, 1)
-        book.level -= lacks
-        book.granted.spread(late - kept, now - spread, now)
+            self.record_late_grant(usage, late, count.spread, now)
+
+    def record_late_grant(self, usage: TenantUsage, late: float, spread: float, now: float) -> None:
+        """Record an amount that a partitioned proxy granted, evenly over the last `spread` seconds."""
+        shortfall = from_reserve = 0.0
+        for step, part in split_over_steps(now - spread, now):
+            shortfall += part * late
+            taken = usage.reserved.remove(shortfall, step, 1)
+            from_reserve += taken
+            shortfall -= taken + usage.overflow.remove(shortfall - taken, step, 1)
+        usage.level -= shortfall
+        usage.granted.add_evenly(late - from_reserve, now - spread, now)
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -310,15 +310,15 @@
 
 
 def forgets(self: LeaseCounts, count: Any, now: float) -> TenantUsage:
-    book = self.books[count.customer] = TenantUsage(count.burst, now, count.name, now - count.since)
-    return book
+    usage = self.usages[count.customer] = TenantUsage(count.burst, now, count.name, now - count.since)
+    return usage
 
 
-def endless_room(self: LeaseCounts, book: TenantUsage, count: i.Count) -> float:
-    return book.level + count.span * count.rate
+def endless_room(self: LeaseCounts, usage: TenantUsage, count: i.Count) -> float:
+    return usage.level + count.span * count.rate
 
 
-def always(self: LeaseCounts, book: TenantUsage, count: i.Count, now: float) -> bool:
+def always(self: LeaseCounts, usage: TenantUsage, count: i.Count, now: float) -> bool:
     return True
 
 
@@ -354,8 +354,8 @@
     "a trial that needs no word of the core": lambda: swapped(Trials(), RequestMatcher, apply=unasked),
     "one door's word that shuts a backend out": lambda: swapped(Doubts(), outlier_detection, MIN_PROXIES=1),
     "no bound on what is shut out": lambda: swapped(Doubts(), outlier_detection, MAX_EJECTED_SHARE=1.0),
-    "a store that is not kept to its burst": lambda: swapped(Quotas(), LeaseCounts, room=endless_room),
-    "counts that are forgotten": lambda: swapped(Cuts(), LeaseCounts, open=forgets),
+    "a store that is not kept to its burst": lambda: swapped(Quotas(), LeaseCounts, available=endless_room),
+    "counts that are forgotten": lambda: swapped(Cuts(), LeaseCounts, start_usage=forgets),
     "nothing kept for doors that are cut off": lambda: swapped(
         Cuts(), CounterHolders, missing_share=lambda *a: 0.0
     ),
@@ -383,6 +383,6 @@
     "core: an answer before the own disk": lambda: contextlib.nullcontext(Core(Early)),
     "core: a wiped machine that votes as the old one": lambda: swapped(Core(), Cores, wipe=same_name),
     "a door that comes back and goes on with its book": lambda: swapped(
-        Cuts(), LeaseCounts, continues=always
+        Cuts(), LeaseCounts, is_complete=always
     ),
 }
