--- a/ivymux/__main__.py
+++ b/ivymux/__main__.py
@@ -1,21 +1,22 @@
-"""`python -m ivymux VERB`; without a verb, NODE_CONFIG starts the front door of the operators' platform."""
+"""`python -m ivymux VERB`; without a verb, NODE_CONFIG starts the gateway of the operators' platform."""
 
 from __future__ import annotations
 
 import signal
 import sys
 
-ROLES = ("proxy", "registry", "config_store")  # the system's programs: they import little, and start fast
+ROLES = ("proxy", "registry", "config_store")  # the system's programs: they import little, to start fast
 FORMER_ROLES = {"switchboard": "proxy", "directory": "registry", "exchange": "config_store"}
 
 if __name__ == "__main__":
     if len(sys.argv) == 1 or sys.argv[1] in ROLES:
-        # The default would end the process.  Until the loop hears it nothing has been read that could be old.
+        # SIGHUP's default action would end the process.  It can be ignored until the event loop handles it:
+        # no settings have been read before that, so there is nothing to reload.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     if len(sys.argv) > 1 and sys.argv[1] in ROLES:
         from ivymux.runtime.early_listener import open_listener
 
-        early = open_listener(sys.argv[1], sys.argv[2:])  # before the rest is loaded
+        early = open_listener(sys.argv[1], sys.argv[2:])  # before the slow imports
         from ivymux.runtime.program import main as program
 
         sys.exit(program(sys.argv[1], sys.argv[2:], early))
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -12,7 +12,7 @@
 from ivymux.fault_injection.request_matcher import LEASE_S
 from ivymux.fault_injection.trial_set import key_digest
 from ivymux.simulation.local_cluster import Lab, document, lab
-from ivymux.trial_command import line
+from ivymux.trial_command import summary_line
 from standins.backend import Backend
 
 CALLERS = {"clerks": "key-one", "clerks-hall": "key-one-more", "chairs": "key-two"}  # two begin alike
@@ -127,7 +127,7 @@
                 await asyncio.sleep(0.02)
             await end(it, "t-refuse", 1)
             await show("ended")
-            said.append(line(await report(it, "t-refuse", 2)))
+            said.append(summary_line(await report(it, "t-refuse", 2)))
 
             await start(it, "t-key", key_digest=key_digest(b"key-one-b")[:20], route="sign", does="close")
             await show(
