--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -1,6 +1,4 @@
-"""The configuration store's process: the member's wiring, its disk in a thread, held connections to the other
-configuration stores.
-"""
+"""The config store's process: hosts a replica, writes to disk in a thread, keeps connections to its peers."""
 
 from __future__ import annotations
 
@@ -23,6 +21,7 @@
     Send,
     may_overtake,
 )
+from ivymux.config_store.changes import NO_VERSION
 from ivymux.config_store.durable_store import FOLDER, DurableStore, DurableStoreError, sync_folder
 from ivymux.config_store.messages import PROTOCOL_VERSION, Greeting, ReplicaMessage
 from ivymux.config_store.records import ReplicatedSetting, address_of
@@ -34,209 +33,230 @@
 from ivymux.transport.connection import Connection, Connector, Listener, TransportError
 from ivymux.transport.frames import Message
 
-TICK = 0.05  # seconds
-ENDS_BEFORE = 1.0  # seconds before the end of `grace` at which a process that holds a copy ends all the same
-LOOK_TO_END = 0.02  # seconds between looks whether it may
-PUT_WAIT = 0.85  # seconds for which a call of the operator may wait here; a caller goes on after one
+TICK_INTERVAL_S = 0.05
+SHUTDOWN_MARGIN_S = 1.0  # before the end of `grace`, when the process ends even if it still holds a copy
+SHUTDOWN_POLL_INTERVAL_S = 0.02
+CALL_TIMEOUT_S = 0.85  # for a call that names none; callers try another machine after about 1 s
+CALL_RETRY_INTERVAL_S = 0.04
+CALL_POLL_INTERVAL_S = 0.05
+MIN_FORWARD_TIMEOUT_S = 0.02  # with less time left, a call is not forwarded
+GET_TIMEOUT_S = 0.7
 MAX_QUEUE = 5000  # actions that may wait for the disk
-MAX_CORES = 32  # core machines that are dialled
-MAX_ASKED = 4000  # calls of registries that are under way
+MAX_PEERS = 32  # core machines to connect to
+MAX_TASKS = 4000  # calls of registries and proxies in progress
+MAX_FAILED_CONNECTS = 40  # after which an unknown machine is no longer connected to
+LOGGED_INVALID_COUNTS = (1, 10, 100, 1000)
+EXIT_DISK_FAILED = 3
 
 log = Log("config_store")
 
 
 class ConfigStore:
+    """The config store of one core machine: hosts its replica and carries out the replica's actions."""
+
     def __init__(self, settings: Settings) -> None:
-        """Raises DurableStoreError."""
+        """Load the replica's state from disk.  Raises DurableStoreError."""
         self.settings = settings
         if settings.data_path is None:
             raise DurableStoreError(
                 "self_entity.data_path: a configuration store needs a disk; name its folder"
             )
-        self.store = DurableStore(settings.data_path)
+        self.durable_store = DurableStore(settings.data_path)
         seeds = tuple(dict.fromkeys(a.host for a in settings.seed_addresses))
-        durable = self.store.load(settings.ip, settings.is_initial_start, seeds)
+        durable = self.durable_store.load(settings.ip, settings.is_initial_start, seeds)
         sync_folder(settings.data_path)
         sync_folder(settings.data_path / FOLDER)
         self.replica = Replica(durable, time.monotonic())
-        self.disk = ThreadPoolExecutor(1)
-        self.waiting: deque[Action] = deque()  # what rests on a write that is not done
-        self.writing: list[Persist] = []  # what the disk is at
-        self.resting: list[Action] = []  # what goes out once it is done
-        self.peers: dict[str, Connector] = {}
-        self.listener = Listener(self.heard, on_disconnect=self.lost)
-        self.registries: set[Connection] = set()  # that listen
-        self.calls: dict[int, asyncio.Future[None]] = {}
-        self.number = 0
-        self.published: Publish | None = None
-        self.cores: list[str] = []
-        self.spoilt = 0
-        self.other_versions: set[str] = set()  # peers that speak another version of the protocol
-        self.ending = False
+        self.disk_executor = ThreadPoolExecutor(1)
+        self.queue: deque[Action] = deque()  # actions that wait for the write in progress
+        self.writing: list[Persist] = []  # the write in progress
+        self.after_write: list[Action] = []  # actions to carry out once it is done
+        self.peers: dict[str, Connector] = {}  # by address
+        self.listener = Listener(self.on_message, on_disconnect=self.on_disconnect)
+        self.registries: set[Connection] = set()  # that receive updates
+        self.calls: dict[int, asyncio.Future[None]] = {}  # waiting for both disks, by id
+        self.last_call_id = 0
+        self.published: Publish | None = None  # the configuration in force
+        self.cores: list[str] = []  # addresses, as last sent to registries
+        self.invalid_messages = 0
+        self.incompatible_peers: set[str] = set()  # addresses that use another version of the protocol
+        self.is_ending = False
         self.tasks: set[asyncio.Task[None]] = set()
         members = durable.epoch_record.members if durable.epoch_record else ()
         for address in (*seeds, *(address_of(member) for member in members)):
-            self.meet(address)
-        where = f"epoch {durable.epoch_record.number}" if durable.epoch_record else "no epoch"
+            self.connect_to(address)
+        epoch = f"epoch {durable.epoch_record.number}" if durable.epoch_record else "no epoch"
         version = durable.state.version if durable.state else "none"
-        log.info(f"starts as {durable.identity} with {where}, version {version}.")
+        log.info(f"starts as {durable.identity} with {epoch}, version {version}.")
 
     async def start(self) -> None:
+        """Listen for connections and start the replica's timer."""
         await self.listener.start(Address(self.settings.ip, self.settings.config_store_port))
         self.spawn(self.run())
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task that is kept until it is done."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run(self) -> None:
-        while not self.ending:
-            self.carry(self.replica.tick(time.monotonic()))
-            self.tell_cores()
-            await asyncio.sleep(TICK)
-
-    def meet(self, address: str) -> None:
-        """Dial another core machine's configuration store from now on."""
-        if address != self.settings.ip and address not in self.peers and len(self.peers) < MAX_CORES:
+        """Tick the replica until the process ends."""
+        while not self.is_ending:
+            self.carry_out(self.replica.tick(time.monotonic()))
+            self.update_cores()
+            await asyncio.sleep(TICK_INTERVAL_S)
+
+    def connect_to(self, address: str) -> None:
+        """Keep a connection to another core machine's config store from now on."""
+        if address != self.settings.ip and address not in self.peers and len(self.peers) < MAX_PEERS:
             self.peers[address] = Connector(
-                Address(address, self.settings.config_store_port), self.heard, on_connect=self.greet
+                Address(address, self.settings.config_store_port), self.on_message, on_connect=self.greet
             )
 
-    def greet(self, line: Connection) -> None:
+    def greet(self, connection: Connection) -> None:
+        """Send the greeting as the first message of a new connection."""
         greeting = Greeting(self.replica.identity, self.settings.ip, PROTOCOL_VERSION)
-        line.send(messages.encode(greeting))
+        connection.send(messages.encode(greeting))
         self.replica.on_peer_connected()
 
     # --- messages ------------------------------------------------------------------------------------
 
-    def heard(self, line: Connection, message: Message) -> None:
+    def on_message(self, connection: Connection, message: Message) -> None:
         if messages.TAG in message:
-            self.heard_replica(line, message)
+            self.on_replica_message(connection, message)
             return
         kind = message.get("k")
         if kind == "desk":
-            self.welcome_registry(line)
+            self.on_registry(connection)
         elif kind in calls.TAGS:
-            if len(self.tasks) > MAX_ASKED:
-                line.answer(message, ok=False)
+            if len(self.tasks) > MAX_TASKS:
+                connection.answer(message, ok=False)
             else:
-                self.spawn(self.asked(line, message))
+                self.spawn(self.on_call(connection, message))
         elif kind == "get":
-            self.get(line, message)
+            self.on_get(connection, message)
 
-    def heard_replica(self, line: Connection, message: Message) -> None:
+    def on_replica_message(self, connection: Connection, message: Message) -> None:
         try:
             typed = messages.decode(message)
             if isinstance(typed, Greeting):
-                self.greeted(line, typed)
-            elif isinstance(line.peer, str):
-                self.carry(self.replica.handle(time.monotonic(), line.peer, typed))
+                self.on_greeting(connection, typed)
+            elif isinstance(connection.peer, str):
+                self.carry_out(self.replica.handle(time.monotonic(), connection.peer, typed))
         except ValueError as error:
-            self.spoilt += 1
-            if self.spoilt in (1, 10, 100, 1000):
-                log.info(
-                    f"a message that no configuration store sends was left: {error} ({self.spoilt} so far)."
-                )
+            self.invalid_messages += 1
+            if self.invalid_messages in LOGGED_INVALID_COUNTS:
+                log.info(f"ignored an invalid message of a peer: {error} ({self.invalid_messages} so far).")
 
-    def greeted(self, line: Connection, greeting: Greeting) -> None:
+    def on_greeting(self, connection: Connection, greeting: Greeting) -> None:
         if greeting.version != PROTOCOL_VERSION:
-            if greeting.address not in self.other_versions:
-                self.other_versions.add(greeting.address)
+            if greeting.address not in self.incompatible_peers:
+                self.incompatible_peers.add(greeting.address)
                 log.info(
-                    f"{greeting.address} speaks version {greeting.version} of the protocol, this machine"
-                    f" {PROTOCOL_VERSION}: it is not heard; start the same release on both."
+                    f"{greeting.address} uses version {greeting.version} of the protocol, this machine"
+                    f" {PROTOCOL_VERSION}: its messages are ignored; start the same release on both."
                 )
             return
-        line.peer = greeting.address
-        self.meet(greeting.address)
+        connection.peer = greeting.address
+        self.connect_to(greeting.address)
 
-    def welcome_registry(self, line: Connection) -> None:
-        self.registries.add(line)
+    def on_registry(self, connection: Connection) -> None:
+        """Register a registry for updates, and send it the current state."""
+        self.registries.add(connection)
         if self.published is not None:
-            line.send(self.news(self.published))
-        for note in self.replica.record_replication.settings.values():
-            line.send(self.note(note))
-        line.send({"k": "cores", "l": self.cores})
+            connection.send(self.configuration_message(self.published))
+        for setting in self.replica.record_replication.settings.values():
+            connection.send(self.setting_message(setting))
+        connection.send({"k": "cores", "l": self.cores})
 
-    def lost(self, line: Connection) -> None:
-        self.registries.discard(line)
+    def on_disconnect(self, connection: Connection) -> None:
+        self.registries.discard(connection)
 
-    def news(self, published: Publish) -> Message:
+    def configuration_message(self, published: Publish) -> Message:
+        """Return the update that carries the configuration in force."""
         return {"k": "config", "v": published.version, "t": published.text}
 
-    def note(self, note: ReplicatedSetting) -> Message:
-        return {"k": "note", "name": note.name, "v": note.version, "t": note.text}
+    def setting_message(self, setting: ReplicatedSetting) -> Message:
+        """Return the update that carries a replicated setting."""
+        return {"k": "note", "name": setting.name, "v": setting.version, "t": setting.text}
 
-    def tell_registries(self, message: Message) -> None:
+    def notify_registries(self, message: Message) -> None:
+        """Send an update to all connected registries."""
         for registry in self.registries:
             registry.send(message)
 
-    def tell_cores(self) -> None:
-        """The core machines there are, for who asks the registries."""
-        record = self.replica.known_epoch
-        there = {address_of(m) for m in record.members} if record is not None else set()
-        there |= {a for a, p in self.peers.items() if p.is_connected} | {self.settings.ip}
-        cores = sorted(there)
+    def update_cores(self) -> None:
+        """Send registries the core machines when they have changed, and adjust the connections to them."""
+        epoch = self.replica.known_epoch
+        addresses = {address_of(member) for member in epoch.members} if epoch is not None else set()
+        connected = {address for address, peer in self.peers.items() if peer.is_connected}
+        addresses |= connected | {self.settings.ip}
+        cores = sorted(addresses)
         if cores != self.cores:
             self.cores = cores
             for core in cores:
-                self.meet(core)
-            self.tell_registries({"k": "cores", "l": cores})
+                self.connect_to(core)
+            self.notify_registries({"k": "cores", "l": cores})
         for address, peer in list(self.peers.items()):
-            gone = (
-                peer.failed_attempts > 40
+            is_gone = (
+                peer.failed_attempts > MAX_FAILED_CONNECTS
                 and address not in cores
-                and all(address != s.host for s in self.settings.seed_addresses)
+                and all(address != seed.host for seed in self.settings.seed_addresses)
             )
-            if gone:
+            if is_gone:
                 peer.close()
                 del self.peers[address]
 
     # --- actions -------------------------------------------------------------------------------------
 
-    def carry(self, actions: list[Action]) -> None:
+    def carry_out(self, actions: list[Action]) -> None:
+        """Carry out a replica's actions in order, each after the writes that it depends on.
+
+        Raises SystemExit if too many actions wait for the disk.
+        """
         for action in actions:
-            behind = self.waiting or self.writing or isinstance(action, Persist)
-            if behind and not may_overtake(action, [*self.writing, *self.waiting]):
-                self.waiting.append(action)
+            is_behind_write = self.queue or self.writing or isinstance(action, Persist)
+            if is_behind_write and not may_overtake(action, [*self.writing, *self.queue]):
+                self.queue.append(action)
             else:
-                self.act(action)
-        if len(self.waiting) > MAX_QUEUE:
+                self.carry_out_now(action)
+        if len(self.queue) > MAX_QUEUE:
             log.info("the disk does not answer; this process ends.")
-            raise SystemExit(3)
-        if self.waiting and not self.writing:
-            self.write()
-
-    def write(self) -> None:
-        """All that is to be kept goes into one commit; what rests on any of it follows in its order."""
-        while self.waiting and not isinstance(self.waiting[0], Persist):
-            self.act(self.waiting.popleft())
-        if not self.waiting:
+            raise SystemExit(EXIT_DISK_FAILED)
+        if self.queue and not self.writing:
+            self.start_write()
+
+    def start_write(self) -> None:
+        """Write all queued steps in one commit; the other queued actions follow it in order."""
+        while self.queue and not isinstance(self.queue[0], Persist):
+            self.carry_out_now(self.queue.popleft())
+        if not self.queue:
             return
-        self.writing = [a for a in self.waiting if isinstance(a, Persist)]
-        self.resting = [a for a in self.waiting if not isinstance(a, Persist)]
-        self.waiting.clear()
-        done = asyncio.get_running_loop().run_in_executor(self.disk, self.store.write, self.writing)
-        done.add_done_callback(self.written)
-
-    def written(self, done: asyncio.Future[None]) -> None:
+        self.writing = [a for a in self.queue if isinstance(a, Persist)]
+        self.after_write = [a for a in self.queue if not isinstance(a, Persist)]
+        self.queue.clear()
+        loop = asyncio.get_running_loop()
+        write = loop.run_in_executor(self.disk_executor, self.durable_store.write, self.writing)
+        write.add_done_callback(self.on_written)
+
+    def on_written(self, write: asyncio.Future[None]) -> None:
         self.writing = []
-        error = done.exception() if not done.cancelled() else None
+        error = write.exception() if not write.cancelled() else None
         if error is not None:
-            # What this machine has said so far holds; it may say nothing new that rests on this disk.
+            # Earlier messages of this machine stay valid, but none may be sent that depends on this write.
             log.info(f"the disk failed: {error}; this process ends.")
-            asyncio.get_running_loop().call_soon(self.fail)
+            asyncio.get_running_loop().call_soon(self.exit_on_disk_failure)
             return
-        resting, self.resting = self.resting, []
-        for action in resting:
-            self.act(action)
-        self.write()
+        actions, self.after_write = self.after_write, []
+        for action in actions:
+            self.carry_out_now(action)
+        self.start_write()
 
-    def fail(self) -> None:
-        raise SystemExit(3)
+    def exit_on_disk_failure(self) -> None:
+        raise SystemExit(EXIT_DISK_FAILED)
 
-    def act(self, action: Action) -> None:
+    def carry_out_now(self, action: Action) -> None:
         match action:
             case Send():
                 self.send(action)
@@ -246,113 +266,122 @@
                     call.set_result(None)
             case Publish():
                 self.published = action
-                self.tell_registries(self.news(action))
+                self.notify_registries(self.configuration_message(action))
             case PublishSetting():
-                self.tell_registries(self.note(action.setting))
+                self.notify_registries(self.setting_message(action.setting))
             case LogLine():
                 log.info(f"{action.text}.")
 
     def send(self, action: Send) -> None:
+        """Send a replica's message, to this machine itself by way of the event loop."""
         if action.to == self.settings.ip:
-            asyncio.get_running_loop().call_soon(self.hear_self, action.message)
+            asyncio.get_running_loop().call_soon(self.deliver_to_self, action.message)
             return
         message = messages.encode(action.message)
         if action.to == EVERYONE:
             for peer in self.peers.values():
                 peer.send(message)
             return
-        self.meet(action.to)
+        self.connect_to(action.to)
         known = self.peers.get(action.to)
         if known is not None:
             known.send(message)
 
-    def hear_self(self, message: ReplicaMessage) -> None:
-        self.carry(self.replica.handle(time.monotonic(), self.settings.ip, message))
+    def deliver_to_self(self, message: ReplicaMessage) -> None:
+        self.carry_out(self.replica.handle(time.monotonic(), self.settings.ip, message))
 
-    # --- calls of registries --------------------------------------------------------------------------
+    # --- calls of registries and proxies ----------------------------------------------------------------
 
-    def leader(self) -> str | None:
-        """The address of who leads, as last heard, where that is not long ago."""
+    def primary_address(self) -> str | None:
+        """Return the address of the primary; None where no primary asked for its lease recently."""
         replica = self.replica
         if replica.last_primary and time.monotonic() - replica.primary_seen_at < 2 * LEASE_S:
             return address_of(replica.last_primary)
         return None
 
-    async def asked(self, line: Connection, message: Message) -> None:
-        """A call that who leads answers: this machine, or another.  Answered within PUT_WAIT."""
-        until = time.monotonic() + float(message.get("w") or PUT_WAIT)
-        while time.monotonic() < until:
-            if (told := await self.try_call(message, until)) is not None:
-                line.answer(message, **told)
+    async def on_call(self, connection: Connection, message: Message) -> None:
+        """Answer a call by the primary, here or on another machine, within the call's timeout."""
+        deadline = time.monotonic() + float(message.get("w") or CALL_TIMEOUT_S)
+        while time.monotonic() < deadline:
+            if (answer := await self.try_call(message, deadline)) is not None:
+                connection.answer(message, **answer)
                 return
-            await asyncio.sleep(0.04)
-        line.answer(message, ok=False)
-
-    async def try_call(self, message: Message, until: float) -> Message | None:
-        """What is said of a call; None where nobody who leads can be reached, or did not answer in time."""
-        self.number += 1
-        number = self.number
-        call: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.calls[number] = call
+            await asyncio.sleep(CALL_RETRY_INTERVAL_S)
+        connection.answer(message, ok=False)
+
+    async def try_call(self, message: Message, deadline: float) -> Message | None:
+        """Try a call once; returns None where no primary is reachable, or it did not answer in time."""
+        self.last_call_id += 1
+        call_id = self.last_call_id
+        completed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.calls[call_id] = completed
         try:
-            reply = self.replica.handle_call(time.monotonic(), number, calls.decode(message))
+            reply = self.replica.handle_call(time.monotonic(), call_id, calls.decode(message))
             if reply is not None:
-                self.carry(reply.actions)
+                self.carry_out(reply.actions)
                 step_downs = self.replica.step_downs
-                while reply.wait and not call.done():
-                    if time.monotonic() >= until or self.replica.step_downs != step_downs:
+                while reply.wait and not completed.done():
+                    if time.monotonic() >= deadline or self.replica.step_downs != step_downs:
                         return None
-                    await asyncio.wait([call], timeout=0.05)
+                    await asyncio.wait([completed], timeout=CALL_POLL_INTERVAL_S)
                 return reply.answer
         except ValueError as error:
             return {"ok": False, "why": str(error)}
         finally:
-            self.calls.pop(number, None)
-        first = self.leader()
-        if first is None or message.get("passed"):
+            self.calls.pop(call_id, None)
+        return await self.forward_call(message, deadline)
+
+    async def forward_call(self, message: Message, deadline: float) -> Message | None:
+        """Forward a call to the primary on another machine, unless it was forwarded here."""
+        address = self.primary_address()
+        if address is None or message.get("passed"):
             return None
-        peer = self.peers.get(first)
-        left = until - time.monotonic()
-        if peer is None or not peer.is_connected or left <= 0.02:
+        peer = self.peers.get(address)
+        remaining_s = deadline - time.monotonic()
+        if peer is None or not peer.is_connected or remaining_s <= MIN_FORWARD_TIMEOUT_S:
             return None
-        passed = {**{k: v for k, v in message.items() if k != "n"}, "passed": True, "w": left}
+        fields = {key: value for key, value in message.items() if key != "n"}
+        forwarded = {**fields, "passed": True, "w": remaining_s}
         try:
-            told = await peer.call(passed, left)
+            answer = await peer.call(forwarded, remaining_s)
         except TransportError:
             return None
-        return {k: v for k, v in told.items() if k != "re"} if told.get("ok") is True else None
+        if answer.get("ok") is not True:
+            return None
+        return {key: value for key, value in answer.items() if key != "re"}
 
-    def get(self, line: Connection, message: Message) -> None:
+    def on_get(self, connection: Connection, message: Message) -> None:
+        """Answer with the configuration, from the primary."""
         if self.replica.may_serve(time.monotonic()):
             state = self.replica.state
-            have = state is not None and state.version >= 0
-            line.answer(
-                message, ok=True, v=state.version if state else -1, t=state.text if state and have else ""
-            )
+            version = state.version if state is not None else NO_VERSION
+            text = state.text if state is not None and state.version >= 0 else ""
+            connection.answer(message, ok=True, v=version, t=text)
             return
-        self.spawn(self.get_there(line, message))
+        self.spawn(self.forward_get(connection, message))
 
-    async def get_there(self, line: Connection, message: Message) -> None:
-        first = self.leader()
-        peer = self.peers.get(first) if first is not None and not message.get("passed") else None
+    async def forward_get(self, connection: Connection, message: Message) -> None:
+        """Answer with the configuration of the primary on another machine."""
+        address = self.primary_address()
+        peer = self.peers.get(address) if address is not None and not message.get("passed") else None
         if peer is not None and peer.is_connected:
             try:
-                told = await peer.call({"k": "get", "passed": True}, 0.7)
-                line.answer(message, ok=told.get("ok"), v=told.get("v"), t=told.get("t"))
+                answer = await peer.call({"k": "get", "passed": True}, GET_TIMEOUT_S)
+                connection.answer(message, ok=answer.get("ok"), v=answer.get("v"), t=answer.get("t"))
                 return
             except TransportError:
                 pass
-        line.answer(message, ok=False)
+        connection.answer(message, ok=False)
 
     async def stop(self) -> None:
-        """What this machine holds goes over to others before it ends, for as long as `grace` allows."""
-        until = time.monotonic() + max(0.0, self.settings.shutdown_grace_s - ENDS_BEFORE)
-        self.carry(self.replica.leave(time.monotonic()))
-        while not self.replica.may_exit() and time.monotonic() < until:
-            await asyncio.sleep(LOOK_TO_END)
+        """Hand over what this machine holds, for as long as `grace` allows, and close all connections."""
+        deadline = time.monotonic() + max(0.0, self.settings.shutdown_grace_s - SHUTDOWN_MARGIN_S)
+        self.carry_out(self.replica.leave(time.monotonic()))
+        while not self.replica.may_exit() and time.monotonic() < deadline:
+            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
         if not self.replica.may_exit():
             log.info("ends with a copy that no other machine could take over within `grace`.")
-        self.ending = True
+        self.is_ending = True
         for peer in self.peers.values():
             peer.close()
         self.listener.close()
