--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -1,4 +1,4 @@
-"""Counts of tenants' leases, held by the doors themselves: calls to a name's holder, and the own store."""
+"""The distributed counter of tenants' leases: calls to the proxy that holds a name, and calls from others."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import time
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from ivymux.data_plane.limits import Address
@@ -19,40 +20,42 @@
 from ivymux.transport.frames import Message
 from orchidhill.interface import Count, Counted, Late, Outcome
 
-MAX_UNSENT = 500  # calls that wait for a connection
-MAX_SPAN = 3600.0  # seconds, of a rule's window or of what is told late
-MAX_OUT = 2_000  # calls that wait for their answers
+MAX_UNSENT_CALLS = 500  # that wait for a connection
+MAX_UNANSWERED_CALLS = 2_000
+MAX_SPAN_S = 3600.0  # of a rule's window, and of late grants
+TIMER_TOLERANCE_S = 0.001
 
 log = Log("proxy")
 
 
-class Pending:
-    __slots__ = ("began", "count", "line", "told")
+@dataclass(slots=True, eq=False)
+class PendingCall:
+    """A call whose result has not been delivered yet."""
 
-    def __init__(self, count: Count, began: float) -> None:
-        self.count, self.began = count, began
-        self.told: Counted | None = None
-        self.line: Connection | None = None
+    count: Count
+    began: float
+    result: Counted | None = None  # delivered after the results of earlier calls of the same name
+    connection: Connection | None = None  # set once the call was sent
 
 
-def plain(value: object) -> float:
-    """A number that can be counted with.  Raises ValueError."""
-    made = float(value) if isinstance(value, int | float) else math.nan
-    if not abs(made) <= MAX_AMOUNT:
-        raise ValueError(f"no number to count with: {value!r:.40}")
-    return made
+def check_number(value: object) -> float:
+    """Check a number that can be added to a count.  Raises ValueError."""
+    checked = float(value) if isinstance(value, int | float) else math.nan
+    if not abs(checked) <= MAX_AMOUNT:
+        raise ValueError(f"not a number within the counter's range: {value!r:.40}")
+    return checked
 
 
-def least(value: object, most: float = MAX_AMOUNT) -> float:
-    """The same, of nothing below 0 and nothing above a bound.  Raises ValueError."""
-    made = plain(value)
-    if not 0 <= made <= most:
-        raise ValueError(f"no number from 0 to {most:g}: {value!r:.40}")
-    return made
+def check_non_negative(value: object, maximum: float = MAX_AMOUNT) -> float:
+    """Check a number from 0 to a maximum.  Raises ValueError."""
+    checked = check_number(value)
+    if not 0 <= checked <= maximum:
+        raise ValueError(f"not a number from 0 to {maximum:g}: {value!r:.40}")
+    return checked
 
 
 class DistributedCounter:
-    """The counter as the host calls it: each call is answered once, those of one name in their order."""
+    """The counter that the host calls: each call gets one result, those of one name in order."""
 
     def __init__(
         self,
@@ -65,169 +68,185 @@
         self.me, self.holders, self.counts = me, holders, counts
         self.timeout, self.post = timeout, post
         self.loop = asyncio.get_running_loop()
-        self.lines: dict[str, Connector] = {}
-        self.places: dict[str, Address] = {}  # of the doors there are
-        self.born: dict[Address, int] = {}  # the incarnation of the counts behind each, as last told
-        self.queues: dict[int, deque[Pending]] = {}
-        self.out: dict[int, Pending] = {}  # calls that were written, by number
-        self.unsent: deque[Pending] = deque()  # that wait until their holder is known and connected
-        self.number = 0
-        self.spoilt = 0
-        self.expiring: deque[tuple[float, Pending]] = deque()
+        self.connectors: dict[str, Connector] = {}  # by proxy
+        self.addresses: dict[str, Address] = {}  # of all proxies
+        self.incarnations: dict[Address, int] = {}  # of the counts at each address, as last received
+        self.queues: dict[int, deque[PendingCall]] = {}  # by name
+        self.unanswered: dict[int, PendingCall] = {}  # by call number
+        self.unsent: deque[PendingCall] = deque()  # that wait until the holder is known and connected
+        self.last_call_number = 0
+        self.malformed_messages = 0
+        self.deadlines: deque[tuple[float, PendingCall]] = deque()
         self.timer: asyncio.TimerHandle | None = None
 
-    def place(self, places: dict[str, Address], now: float) -> None:
-        """The doors, and where they are: who holds what begins now is dialled, others as they are asked."""
-        self.places = places
-        may = self.holders.possible_holders(now)
-        for door in [d for d in self.lines if d not in may or d not in places]:
-            gone = self.lines.pop(door)
-            gone.close()
-            self.born.pop(gone.address, None)
-        for door in self.holders.current_holders():
-            self.line(door)
-        self.flush()
-
-    def line(self, door: str | None) -> Connector | None:
-        found = self.lines.get(door) if door is not None else None
-        if found is None and door is not None and door != self.me and door in self.places:
-            found = self.lines[door] = Connector(self.places[door], self.heard, self.came_up, self.down)
-        return found
-
-    def came_up(self, line: Connection) -> None:
-        self.loop.call_soon(self.flush)
+    def update_proxies(self, addresses: dict[str, Address], now: float) -> None:
+        """Set the present proxies' addresses, and connect to the current holders.
+
+        Other proxies are connected to when a call needs them.
+        """
+        self.addresses = addresses
+        possible = self.holders.possible_holders(now)
+        unneeded = [p for p in self.connectors if p not in possible or p not in addresses]
+        for proxy in unneeded:
+            connector = self.connectors.pop(proxy)
+            connector.close()
+            self.incarnations.pop(connector.address, None)
+        for proxy in self.holders.current_holders():
+            self.connector_to(proxy)
+        self.send_waiting()
+
+    def connector_to(self, proxy: str | None) -> Connector | None:
+        connector = self.connectors.get(proxy) if proxy is not None else None
+        if connector is None and proxy is not None and proxy != self.me and proxy in self.addresses:
+            connector = self.connectors[proxy] = Connector(
+                self.addresses[proxy], self.on_holder_message, self.on_connect, self.on_disconnect
+            )
+        return connector
+
+    def on_connect(self, connection: Connection) -> None:
+        self.loop.call_soon(self.send_waiting)
 
     # --- calls ---------------------------------------------------------------------------------------
 
     def add(self, count: Count) -> None:
         now = time.monotonic()
-        pending = Pending(count, now)
-        self.queues.setdefault(count.name, deque()).append(pending)
-        if not self.send(pending):
-            self.unsent.append(pending)
-            self.expire_in(pending, now)
-
-    def expire_in(self, pending: Pending, now: float) -> None:
-        self.expiring.append((now + self.timeout, pending))
+        call = PendingCall(count, now)
+        self.queues.setdefault(count.name, deque()).append(call)
+        if not self.send(call):
+            self.unsent.append(call)
+            self.set_deadline(call, now)
+
+    def set_deadline(self, call: PendingCall, now: float) -> None:
+        self.deadlines.append((now + self.timeout, call))
         if self.timer is None:
-            self.timer = self.loop.call_later(self.timeout, self.expire)
+            self.timer = self.loop.call_later(self.timeout, self.expire_calls)
 
-    def flush(self) -> None:
-        """Calls that waited for their holder, in their order."""
+    def send_waiting(self) -> None:
+        """Send the calls that waited for their holder, in order."""
         waiting, self.unsent = self.unsent, deque()
-        for pending in waiting:
-            if pending.told is None and not self.send(pending):
-                self.unsent.append(pending)
-
-    def send(self, pending: Pending) -> bool:
-        """Make a call; False where its holder is not known or not connected yet, and may soon be."""
-        count, now = pending.count, time.monotonic()
-        holder = self.holders.find_holder(count.name, count.customer, pending.began - count.since)
+        for call in waiting:
+            if call.result is None and not self.send(call):
+                self.unsent.append(call)
+
+    def send(self, call: PendingCall) -> bool:
+        """Make a call; returns False while its holder is not yet known or not yet connected."""
+        count, now = call.count, time.monotonic()
+        holder = self.holders.find_holder(count.name, count.customer, call.began - count.since)
         if holder == self.me:
-            try:
-                total = self.counts.add(count, self.me, now)
-                told = Counted(count.name, Outcome.OK, total, 0.0, self.counts.incarnation)
-            except TallyFull:
-                told = Counted(count.name, Outcome.FULL, 0.0, 0.0)
-            self.settle(pending, told)
+            self.settle(call, self.add_locally(count, now))
             return True
-        line = self.line(holder)
-        if (
-            (line is None or not line.is_connected)
-            and (line is None or line.failed_attempts < 1)
-            and len(self.unsent) < MAX_UNSENT
-        ):
+        connector = self.connector_to(holder)
+        connected = connector is not None and connector.is_connected
+        may_connect = connector is None or connector.failed_attempts < 1
+        if not connected and may_connect and len(self.unsent) < MAX_UNSENT_CALLS:
             return False
-        if line is None or not line.is_connected or len(self.out) > MAX_OUT:
-            self.settle(pending, Counted(count.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
+        if connector is None or not connected or len(self.unanswered) > MAX_UNANSWERED_CALLS:
+            self.settle(call, Counted(count.name, Outcome.CONNECT_FAILED, 0.0, 0.0))
             return True
-        self.number += 1
-        pending.line = line.connection
-        self.out[self.number] = pending
-        # Whom it knows its last total from it needs not say again.
-        known = [round(count.known, 4), count.knew] if count.knew != self.born.get(line.address) else []
-        line.send(
-            {"k": "add", "c": self.number, "by": self.me, "a": [
+        self.last_call_number += 1
+        call.connection = connector.connection
+        self.unanswered[self.last_call_number] = call
+        connector.send(self.encode_call(count, self.last_call_number, connector.address))
+        self.set_deadline(call, now)
+        return True
+
+    def add_locally(self, count: Count, now: float) -> Counted:
+        try:
+            total = self.counts.add(count, self.me, now)
+        except TallyFull:
+            return Counted(count.name, Outcome.FULL, 0.0, 0.0)
+        return Counted(count.name, Outcome.OK, total, 0.0, self.counts.incarnation)
+
+    def encode_call(self, count: Count, call_number: int, holder: Address) -> Message:
+        # A holder need not be sent the total that it answered itself.
+        known = [round(count.known, 4), count.knew] if count.knew != self.incarnations.get(holder) else []
+        return {
+            "k": "add", "c": call_number, "by": self.me, "a": [
                 count.name, count.amount, count.expires, count.call, round(count.drained, 4),
                 round(count.since, 4), count.customer, count.rate, count.burst, count.span,
                 round(count.seed, 4), round(count.late, 4), round(count.spread, 3), *known,
-            ]}
-        )  # fmt: skip
-        self.expire_in(pending, now)
-        return True
+            ]
+        }  # fmt: skip
 
-    def expire(self) -> None:
+    def expire_calls(self) -> None:
         self.timer = None
         now = time.monotonic()
-        while self.expiring and self.expiring[0][0] <= now + 0.001:
-            _, pending = self.expiring.popleft()
-            if pending.told is None:
-                # What was never written can never be added.
-                how = Outcome.TIMEOUT if pending.line is not None else Outcome.CONNECT_FAILED
-                self.settle(pending, Counted(pending.count.name, how, 0.0, now - pending.began))
-        self.flush()
-        if self.expiring:
-            self.timer = self.loop.call_later(max(0.001, self.expiring[0][0] - now), self.expire)
-
-    def settle(self, pending: Pending, told: Counted) -> None:
-        pending.told = told
-        name = pending.count.name
+        while self.deadlines and self.deadlines[0][0] <= now + TIMER_TOLERANCE_S:
+            _, call = self.deadlines.popleft()
+            if call.result is None:
+                # A call that was never sent cannot have been added.
+                outcome = Outcome.TIMEOUT if call.connection is not None else Outcome.CONNECT_FAILED
+                self.settle(call, Counted(call.count.name, outcome, 0.0, now - call.began))
+        self.send_waiting()
+        if self.deadlines:
+            self.timer = self.loop.call_later(
+                max(TIMER_TOLERANCE_S, self.deadlines[0][0] - now), self.expire_calls
+            )
+
+    def settle(self, call: PendingCall, result: Counted) -> None:
+        """Set a call's result, and deliver the results at the head of its name's queue."""
+        call.result = result
+        name = call.count.name
         queue = self.queues.get(name)
-        while queue and queue[0].told is not None:
+        while queue and queue[0].result is not None:
             first = queue.popleft()
             if not queue:
                 self.queues.pop(name, None)
-            assert first.told is not None
-            self.post(first.told)
-
-    def down(self, line: Connection) -> None:
-        for number, pending in [(n, p) for n, p in self.out.items() if p.line is line]:
-            del self.out[number]
-            if pending.told is None:
+            assert first.result is not None
+            self.post(first.result)
+
+    def on_disconnect(self, connection: Connection) -> None:
+        lost = [(n, call) for n, call in self.unanswered.items() if call.connection is connection]
+        for call_number, call in lost:
+            del self.unanswered[call_number]
+            if call.result is None:
                 # It may have been added before the connection ended.
-                self.settle(pending, Counted(pending.count.name, Outcome.RESET, 0.0, 0.0))
+                self.settle(call, Counted(call.count.name, Outcome.RESET, 0.0, 0.0))
 
-    def heard(self, line: Connection, message: Message) -> None:
-        self.guarded(self.answered, line, message)
+    def on_holder_message(self, connection: Connection, message: Message) -> None:
+        self.handle_checked(self.on_answer, connection, message)
 
-    def guarded(
-        self, take: Callable[[Connection, Message], None], line: Connection, message: Message
+    def handle_checked(
+        self, handle: Callable[[Connection, Message], None], connection: Connection, message: Message
     ) -> None:
-        """What no door sends ends its connection, counted."""
+        """Handle a message; a malformed one is counted and ends its connection."""
         try:
-            take(line, message)
+            handle(connection, message)
         except (KeyError, IndexError, TypeError, ValueError, OverflowError) as error:
-            self.spoilt += 1
-            if self.spoilt in (1, 10, 100, 1000):
+            self.malformed_messages += 1
+            if self.malformed_messages in (1, 10, 100, 1000):
                 log.info(
-                    f"a message that no door sends ended its connection: {error} ({self.spoilt} so far)."
+                    f"closed a connection after a malformed message of a proxy: {error}"
+                    f" ({self.malformed_messages} so far)."
                 )
-            line.abort()
+            connection.abort()
 
-    def answered(self, line: Connection, message: Message) -> None:
+    def on_answer(self, connection: Connection, message: Message) -> None:
         if message.get("k") != "sum":
             return
-        pending = self.out.pop(int(message["c"]), None)
-        if pending is None:
+        call = self.unanswered.pop(int(message["c"]), None)
+        if call is None:
             return
-        if pending.told is not None:
-            self.post(Late(pending.count.name))
+        name = call.count.name
+        if call.result is not None:  # it has timed out before
+            self.post(Late(name))
             return
-        spent = time.monotonic() - pending.began
-        if message.get("t") is None:
-            self.settle(pending, Counted(pending.count.name, Outcome.CONNECT_FAILED, 0.0, spent))
+        spent = time.monotonic() - call.began
+        total = message.get("t")
+        if total is None:
+            self.settle(call, Counted(name, Outcome.CONNECT_FAILED, 0.0, spent))
         else:
-            told = Counted(pending.count.name, Outcome.OK, float(message["t"]), spent, int(message["b"]))
-            self.born[line.peer] = told.born
-            self.settle(pending, told)
+            result = Counted(name, Outcome.OK, float(total), spent, int(message["b"]))
+            self.incarnations[connection.peer] = result.born
+            self.settle(call, result)
 
-    # --- calls of other doors --------------------------------------------------------------------------
+    # --- calls of other proxies ------------------------------------------------------------------------
 
-    def asked(self, line: Connection, message: Message) -> None:
-        self.guarded(self.add_for, line, message)
+    def on_caller_message(self, connection: Connection, message: Message) -> None:
+        self.handle_checked(self.on_call, connection, message)
 
-    def add_for(self, line: Connection, message: Message) -> None:
-        """Another door's call."""
+    def on_call(self, connection: Connection, message: Message) -> None:
+        """Answer another proxy's call; without a total if this proxy does not hold the name."""
         if message.get("k") != "add":
             return
         answer: dict[str, Any] = {"k": "sum", "c": message["c"], "t": None, "b": 0}
@@ -235,20 +254,31 @@
             message["a"]
         )
         now = time.monotonic()
-        if self.holders.find_holder(int(name), int(customer), now - plain(since)) == self.me:
+        if self.holders.find_holder(int(name), int(customer), now - check_number(since)) == self.me:
             count = Count(
-                int(name), plain(amount), plain(life), int(call), plain(drained), plain(since), int(customer),
-                least(rate), least(burst), least(span, MAX_SPAN), least(seed),
-                plain(known[0]) if known else 0.0, int(known[1]) if known else 0,
-                least(late), least(spread, MAX_SPAN),
-            )  # fmt: skip
+                name=int(name),
+                amount=check_number(amount),
+                expires=check_number(life),
+                call=int(call),
+                drained=check_number(drained),
+                since=check_number(since),
+                customer=int(customer),
+                rate=check_non_negative(rate),
+                burst=check_non_negative(burst),
+                span=check_non_negative(span, MAX_SPAN_S),
+                seed=check_non_negative(seed),
+                known=check_number(known[0]) if known else 0.0,
+                knew=int(known[1]) if known else 0,
+                late=check_non_negative(late),
+                spread=check_non_negative(spread, MAX_SPAN_S),
+            )
             with contextlib.suppress(TallyFull):
                 answer["t"] = self.counts.add(count, str(message["by"]), now)
                 answer["b"] = self.counts.incarnation
-        line.send(answer)
+        connection.send(answer)
 
     def close(self) -> None:
-        for line in self.lines.values():
-            line.close()
+        for connector in self.connectors.values():
+            connector.close()
         if self.timer is not None:
             self.timer.cancel()
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -118,7 +118,7 @@
             self.metrics_server = Server(
                 StatusPagesFrontend({METRICS: self.metrics}), address, own_bounds, None
             )
-        self.listener = Listener(self.counter.asked)
+        self.listener = Listener(self.counter.on_caller_message)
         self.cores: dict[str, CoreConnection] = {}
         self.version, self.applied_at = -1, 0.0
         self.asked_at, self.asked_version = 0.0, -1
@@ -257,7 +257,7 @@
             else:
                 self.known_doors = doors
             self.holders.update_proxies({id: door.joined_at for id, door in doors.items()}, now)
-            self.counter.place({id: Address(d.address, d.port) for id, d in doors.items()}, now)
+            self.counter.update_proxies({id: Address(d.address, d.port) for id, d in doors.items()}, now)
             if doors:
                 self.host.post(i.Doors(len(set(doors) | {self.id})))
         if self.membership.is_connected() != self.touch:
--- a/tests/proxy/test_distributed_counter.py
+++ b/tests/proxy/test_distributed_counter.py
@@ -1,4 +1,4 @@
-"""Calls between doors for counts: made once the holder is reached, answered once and in their order."""
+"""Calls to a count's holder: sent once it is connected, and answered once each, in order."""
 
 from __future__ import annotations
 
@@ -18,75 +18,75 @@
 from ..sockets import run, until
 
 
-class Proxy:
-    """The counting part of a door."""
+class CountingProxy:
+    """The counter of a proxy, and the listener for other proxies' calls."""
 
     def __init__(self, me: str, others: set[str]) -> None:
-        self.me, self.told = me, list[Counted]()
+        self.me, self.results = me, list[Counted]()
         self.holders = CounterHolders(me, time.monotonic(), first_start=True)
-        self.holders.update_proxies(there(me, *others), time.monotonic())
+        self.holders.update_proxies(established(me, *others), time.monotonic())
         self.counter = DistributedCounter(
             me, self.holders, LeaseCounts(self.holders, hash(me) | 1), 0.25, self.post
         )
-        self.listener = Listener(self.counter.asked)
+        self.listener = Listener(self.counter.on_caller_message)
 
-    def post(self, told: Counted | Late) -> None:
-        if isinstance(told, Counted):
-            self.told.append(told)
+    def post(self, result: Counted | Late) -> None:
+        if isinstance(result, Counted):
+            self.results.append(result)
 
 
-def there(*doors: str) -> dict[str, float]:
-    """Doors that have been there for long."""
-    return dict.fromkeys(doors, time.monotonic() - 100.0)
+def established(*proxies: str) -> dict[str, float]:
+    """Join times of proxies that have been present for long."""
+    return dict.fromkeys(proxies, time.monotonic() - 100.0)
 
 
-def names(door: Proxy, holder: str, count: int) -> list[int]:
-    return [n for n in range(10_000) if door.holders.find_holder(n, n, time.monotonic()) == holder][:count]
+def names_held_by(proxy: CountingProxy, holder: str, count: int) -> list[int]:
+    return [n for n in range(10_000) if proxy.holders.find_holder(n, n, time.monotonic()) == holder][:count]
 
 
-def test_calls_reach_their_holder_and_end_with_it() -> None:
+def test_calls_wait_for_their_holder_and_fail_once_it_is_gone() -> None:
     async def test() -> None:
-        one, two = Proxy("one", {"two"}), Proxy("two", {"one"})
+        one, two = CountingProxy("one", {"two"}), CountingProxy("two", {"one"})
         port = await two.listener.start(Address("127.0.0.1", 0))
-        at = {"two": Address("127.0.0.1", port), "one": Address("127.0.0.1", 1)}
-        mine, theirs = names(one, "one", 1)[0], names(one, "two", 2)
-        # Called before the line to the holder is there: they wait for it.
+        addresses = {"two": Address("127.0.0.1", port), "one": Address("127.0.0.1", 1)}
+        mine, theirs = names_held_by(one, "one", 1)[0], names_held_by(one, "two", 2)
+        # Called before the holder is connected: the calls wait for the connection.
         for amount in (1.0, 2.0, 4.0):
             one.counter.add(Count(theirs[0], amount, 60.0, customer=theirs[0]))
         one.counter.add(Count(mine, 8.0, 60.0, customer=mine))
-        assert [t.total for t in one.told] == [8.0]
-        one.counter.place(at, time.monotonic())
-        await until(lambda: len(one.told) == 4)
-        assert [t.total for t in one.told[1:]] == [1.0, 3.0, 7.0]
-        assert len({t.born for t in one.told}) == 2
-        # The holder goes with a call on its way: it may have been added, and is told once.
-        two.counter.holders.update_proxies(there("two"), time.monotonic())
+        assert [result.total for result in one.results] == [8.0]
+        one.counter.update_proxies(addresses, time.monotonic())
+        await until(lambda: len(one.results) == 4)
+        assert [result.total for result in one.results[1:]] == [1.0, 3.0, 7.0]
+        assert len({result.born for result in one.results}) == 2
+        # The holder ends while a call is unanswered: it may have been added, and gets one result.
+        two.counter.holders.update_proxies(established("two"), time.monotonic())
         one.counter.add(Count(theirs[1], 1.0, 60.0, customer=theirs[1]))
-        for line in list(two.listener.connections):
-            line.abort()
+        for connection in list(two.listener.connections):
+            connection.abort()
         two.listener.close()
-        await until(lambda: len(one.told) == 5)
-        assert one.told[4].outcome in (Outcome.RESET, Outcome.OK)
+        await until(lambda: len(one.results) == 5)
+        assert one.results[4].outcome in (Outcome.RESET, Outcome.OK)
         one.counter.add(Count(theirs[1], 1.0, 60.0, customer=theirs[1]))
-        await until(lambda: len(one.told) == 6)
-        assert one.told[5].outcome is Outcome.CONNECT_FAILED  # never written
+        await until(lambda: len(one.results) == 6)
+        assert one.results[5].outcome is Outcome.CONNECT_FAILED  # never sent
         one.counter.close()
         two.counter.close()
 
     run(test())
 
 
-def test_a_door_that_is_not_the_holder_adds_nothing() -> None:
+def test_a_proxy_that_is_not_the_holder_adds_nothing() -> None:
     async def test() -> None:
-        one, two = Proxy("one", {"two"}), Proxy("two", {"one"})
+        one, two = CountingProxy("one", {"two"}), CountingProxy("two", {"one"})
         port = await two.listener.start(Address("127.0.0.1", 0))
-        one.counter.place({"two": Address("127.0.0.1", port)}, time.monotonic())
-        name = names(one, "two", 1)[0]
+        one.counter.update_proxies({"two": Address("127.0.0.1", port)}, time.monotonic())
+        name = names_held_by(one, "two", 1)[0]
         # The holder has lost its core machines and no longer counts itself as present.
-        two.holders.update_proxies(there("one"), time.monotonic())
+        two.holders.update_proxies(established("one"), time.monotonic())
         one.counter.add(Count(name, 1.0, 60.0, customer=name))
-        await until(lambda: one.told)
-        assert one.told[0].outcome is Outcome.CONNECT_FAILED
+        await until(lambda: one.results)
+        assert one.results[0].outcome is Outcome.CONNECT_FAILED
         assert not two.counter.counts.store.totals
         one.counter.close()
         two.listener.close()
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "message",
     [
         {"k": "add"},
         {"k": "add", "c": 1, "by": "x", "a": [1, 2.0]},
@@ -118,13 +118,17 @@
         },
     ],
 )
-def test_what_no_door_sends_ends_its_connection_and_counts_nothing(spoilt: dict[str, Any]) -> None:
+def test_a_malformed_call_ends_its_connection_and_adds_nothing(message: dict[str, Any]) -> None:
     async def test() -> None:
-        one = Proxy("one", set())
-        line = Connection(lambda line, message: None)
-        line.is_connected = True
-        one.counter.asked(line, spoilt)
-        assert line.is_aborted and one.counter.spoilt == 1 and not one.counter.counts.store.totals
+        one = CountingProxy("one", set())
+        connection = Connection(lambda connection, message: None)
+        connection.is_connected = True
+        one.counter.on_caller_message(connection, message)
+        assert (
+            connection.is_aborted
+            and one.counter.malformed_messages == 1
+            and not one.counter.counts.store.totals
+        )
         one.counter.close()
 
     run(test())
--- a/tests/proxy/test_lease_counts.py
+++ b/tests/proxy/test_lease_counts.py
@@ -159,44 +159,44 @@
 def partitioned_and_reconnected(seed: int, part: float) -> HeldByDoors:
     """Eight tenants at eight proxies, two of which are partitioned at 3 s + 1.1 s per seed, for 8 s."""
     tenants = [Tenant(plan(f"t{n}", 33.0, 33.0), lambda s: part * 33.0) for n in range(8)]
-    made = HeldByDoors(8, tenants, seed)
+    simulation = HeldByDoors(8, tenants, seed)
     at = START + 3.0 + 1.1 * seed
     for proxy in (2 * seed % 8, (2 * seed + 1) % 8):
-        made.at(at, lambda proxy=proxy: made.cut(proxy))  # type: ignore[misc]
-        made.at(at + 8.0, lambda proxy=proxy: made.back(proxy))  # type: ignore[misc]
-    made.run(3.0 + 1.1 * seed + 12.0)
-    return made
+        simulation.at(at, lambda proxy=proxy: simulation.cut(proxy))  # type: ignore[misc]
+        simulation.at(at + 8.0, lambda proxy=proxy: simulation.back(proxy))  # type: ignore[misc]
+    simulation.run(3.0 + 1.1 * seed + 12.0)
+    return simulation
 
 
 @pytest.mark.parametrize("seed", [3, 11, 20])
 def test_tenants_within_their_quotas_are_served_when_proxies_reconnect(seed: int) -> None:
     """Late grants used to drain full buckets: 0.08 to 0.16 of requests were refused, 0.24 of one tenant's."""
-    made, back = partitioned_and_reconnected(seed, 0.8), 3.0 + 1.1 * seed + 8.0
-    assert max(t.refused_part(back, back + 3.0) for t in made.tenants) < 1 / 20
+    simulation, back = partitioned_and_reconnected(seed, 0.8), 3.0 + 1.1 * seed + 8.0
+    assert max(t.refused_part(back, back + 3.0) for t in simulation.tenants) < 1 / 20
 
 
 @pytest.mark.parametrize("seed", [0, 1])
 def test_a_quota_holds_while_partitioned_proxies_grant_their_shares(seed: int) -> None:
     """Three of eight grant theirs; with nothing reserved for them, 51 more were sent than the rule allows."""
     tenant = Tenant(plan("hot", 99.0, 99.0), lambda s: 99.0 * HOT(s))
-    made = HeldByDoors(8, [tenant], seed)
+    simulation = HeldByDoors(8, [tenant], seed)
     for proxy in range(seed, seed + 3):
-        made.at(START + 3.5, lambda proxy=proxy: made.cut(proxy))  # type: ignore[misc]
-        made.at(START + 10.5, lambda proxy=proxy: made.back(proxy))  # type: ignore[misc]
-    made.run(11.5)
+        simulation.at(START + 3.5, lambda proxy=proxy: simulation.cut(proxy))  # type: ignore[misc]
+        simulation.at(START + 10.5, lambda proxy=proxy: simulation.back(proxy))  # type: ignore[misc]
+    simulation.run(11.5)
     assert tenant.most(5.0) <= tenant.allowed()
 
 
 HOT: Callable[[float], float] = lambda s: 9.0 if 3.0 <= s < 9.0 else 0.6  # noqa: E731  # times its rate
 
 
-@pytest.mark.parametrize(("doors", "rate", "burst"), [(11, 33.0, 33.0), (75, 198.0, 198.0), (85, 8.0, 8.0)])
+@pytest.mark.parametrize(("proxies", "rate", "burst"), [(11, 33.0, 33.0), (75, 198.0, 198.0), (85, 8.0, 8.0)])
 def test_no_span_exceeds_the_quota_however_many_proxies_grant_it(
-    doors: int, rate: float, burst: float
+    proxies: int, rate: float, burst: float
 ) -> None:
     """When each proxy corrected for overflow on its own, 75 proxies sent 4.1 times the quota."""
     tenant = Tenant(plan("hot", rate, burst), lambda s: rate * HOT(s))
-    Doors(doors, [tenant], 1).run(10.0)
+    Doors(proxies, [tenant], 1).run(10.0)
     whole = 5 * rate + burst
     assert 0.95 * whole < tenant.most(5.0) <= whole + 0.2 * (tenant.allowed() - whole)
 
@@ -205,20 +205,24 @@
 def test_a_quota_holds_when_its_counts_are_lost(times: int) -> None:
     for trouble in ("counts", "doors"):
         tenant = Tenant(plan("hot", 33.0, 33.0), lambda s: 33.0 * HOT(s))
-        made = Doors(11, [tenant], 2)
-        lose = made.lose_counts if trouble == "counts" else lambda made=made: made.lose_all(0.6)
+        simulation = Doors(11, [tenant], 2)
+        lose = (
+            simulation.lose_counts
+            if trouble == "counts"
+            else lambda simulation=simulation: simulation.lose_all(0.6)
+        )
         for loss in range(times):
-            made.at(START + 6.0 + 1.2 * loss, lose)
-        made.run(10.0)
+            simulation.at(START + 6.0 + 1.2 * loss, lose)
+        simulation.run(10.0)
         assert tenant.most(5.0) <= tenant.allowed(), trouble
         assert len([at for at in tenant.sent if at > START + 8.0]) > 2 * 33.0 * 0.8, trouble
 
 
 def test_a_quota_that_changes_within_a_window_holds_with_its_new_value() -> None:
     tenant = Tenant(plan("hot", 260.0, 260.0), lambda s: 150.0 * HOT(s))
-    made = Doors(40, [tenant], 3)
-    made.at(START + 1.0, lambda: made.change(tenant, plan("hot", 150.0, 150.0)))
-    made.run(10.0)
+    simulation = Doors(40, [tenant], 3)
+    simulation.at(START + 1.0, lambda: simulation.change(tenant, plan("hot", 150.0, 150.0)))
+    simulation.run(10.0)
     assert tenant.most(5.0) <= tenant.allowed()
 
 
