--- a/ivymux/config_store/durable_store.py
+++ b/ivymux/config_store/durable_store.py
@@ -1,5 +1,6 @@
-"""What one core machine keeps on its disk, by lmdb.  A commit waits for the disk: never in the loop's
-thread.
+"""The durable state of one core machine, in lmdb.
+
+A commit waits for the disk, so it must not run in the event loop's thread.
 """
 
 from __future__ import annotations
@@ -19,24 +20,24 @@
 from ivymux.data_plane.limits import ConfigError
 from ivymux.idempotency.record_store import IdempotencyRecord
 
-MAP_SIZE = 96 << 20  # bytes of the file at most
-FOLDER = "exchange"  # within the disk's folder; stores of earlier releases have it
-TICKET = b"ticket/"  # before the key of each
-HISTORY = b"history/"  # before each version that was taken
-FIRST = "first"  # the token of a machine that was there at the first start
+MAP_SIZE = 96 << 20  # bytes; limit of the file's size
+FOLDER = "exchange"  # within the data folder; the name that stores of earlier releases have
+RECORD_PREFIX = b"ticket/"  # before the key of an idempotency record
+HISTORY_PREFIX = b"history/"  # before each stored version
+FOUNDER_TOKEN = "first"  # of a machine that took part in the first start
 
 _pack = msgspec.json.encode
 
 
 class DurableStoreError(ConfigError):
-    """The disk's folder cannot be used; the text is one plain line."""
+    """The data folder cannot be used; the text is one line."""
 
 
 class DurableStore:
-    """The disk of one replica."""
+    """The durable state of one replica."""
 
     def __init__(self, folder: Path) -> None:
-        """Raises DurableStoreError."""
+        """Open the store, creating the folder if it is missing.  Raises DurableStoreError."""
         self.folder = folder
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -45,12 +46,12 @@
             raise DurableStoreError(f"{folder}: the store cannot be opened: {error}") from None
 
     def load(self, address: str, initial: bool, seeds: tuple[str, ...]) -> DurableState:
-        """What is kept; a machine with an empty folder gets its identity, and keeps that.
+        """Return the stored state; a machine with an empty folder first gets an identity.
 
-        `initial`: the system starts for the first time, and `seeds` found it.  Raises DurableStoreError.
+        `initial`: this is the system's first start, with `seeds` as the members.  Raises DurableStoreError.
         """
         try:
-            token = self.get(b"token") or self.found(address, initial, seeds)
+            token = self.get(b"token") or self.create_identity(address, initial, seeds)
             record, promised, state = self.get(b"record"), self.get(b"promised"), self.get(b"state")
             return DurableState(
                 f"{address}/{token}",
@@ -65,44 +66,54 @@
             why = f"{self.folder}: the store cannot be read: {error}; clear the folder"
             raise DurableStoreError(why) from None
 
-    def found(self, address: str, initial: bool, seeds: tuple[str, ...]) -> str:
-        """Keep an identity, before anything is said under it.
+    def create_identity(self, address: str, initial: bool, seeds: tuple[str, ...]) -> str:
+        """Store and return a new identity's token, before any message is sent under it.
 
-        Only a first start may found: else this machine has lost its disk, and is a new one.
+        At the system's first start the token is the same for every seed.  Later, an empty folder means that
+        this machine has lost its disk: it gets a random token, and so counts as a new machine.
         """
-        token = FIRST if initial else secrets.token_hex(6)
-        record = EpochRecord(0, "", "", tuple(sorted(f"{seed}/{FIRST}" for seed in seeds)))
-        with self.env.begin(write=True) as change:
-            change.put(b"token", _pack(token))
+        token = FOUNDER_TOKEN if initial else secrets.token_hex(6)
+        record = EpochRecord(0, "", "", tuple(sorted(f"{seed}/{FOUNDER_TOKEN}" for seed in seeds)))
+        with self.env.begin(write=True) as transaction:
+            transaction.put(b"token", _pack(token))
             if initial and address in seeds:
-                change.put(b"record", _pack(record))
+                transaction.put(b"record", _pack(record))
         return token
 
     def get(self, name: bytes) -> Any:
-        with self.env.begin() as look:
-            found = look.get(name)
-        return None if found is None else msgspec.json.decode(found)
+        """Return the decoded value under a key, None where there is none."""
+        with self.env.begin() as transaction:
+            value = transaction.get(name)
+        return None if value is None else msgspec.json.decode(value)
 
     def history(self, state: Any) -> tuple[tuple[int, str], ...]:
-        """Versions that were taken with the digests of their texts; of a store without, of what it holds."""
-        with self.env.begin() as look:
-            found = tuple((int(key[len(HISTORY) :]), value.decode()) for key, value in _rows(look, HISTORY))
-        if not found and state is not None and int(state[1]) >= 0:
+        """Return the stored versions with the digests of their texts.
+
+        A store of an earlier release has no history; its configuration is then the only entry.
+        """
+        with self.env.begin() as transaction:
+            history = tuple(
+                (int(key[len(HISTORY_PREFIX) :]), value.decode())
+                for key, value in _rows(transaction, HISTORY_PREFIX)
+            )
+        if not history and state is not None and int(state[1]) >= 0:
             return ((int(state[1]), digest_of(str(state[2]))),)
-        return found
+        return history
 
     def idempotency_records(self) -> list[IdempotencyRecord]:
-        with self.env.begin() as look:
+        """Return all idempotency records."""
+        with self.env.begin() as transaction:
             return [
-                IdempotencyRecord.from_wire(msgspec.json.decode(value)) for _, value in _rows(look, TICKET)
+                IdempotencyRecord.from_wire(msgspec.json.decode(value))
+                for _, value in _rows(transaction, RECORD_PREFIX)
             ]
 
     def write(self, steps: list[Persist]) -> None:
-        """Write all of it in one commit.  Raises DurableStoreError."""
+        """Write steps in one commit.  Raises DurableStoreError."""
         try:
-            with self.env.begin(write=True) as change:
+            with self.env.begin(write=True) as transaction:
                 for step in steps:
-                    _write_step(change, step)
+                    _write_step(transaction, step)
         except (lmdb.Error, OSError) as error:
             raise DurableStoreError(f"{self.folder}: cannot be written: {error}") from None
 
@@ -110,54 +121,54 @@
         self.env.close()
 
 
-def _write_step(change: lmdb.Transaction, step: Persist) -> None:
+def _write_step(transaction: lmdb.Transaction, step: Persist) -> None:
     for name, value in ((b"record", step.epoch_record), (b"promised", step.promised), (b"state", step.state)):
         if value is not None:
-            change.put(name, _pack(value))
+            transaction.put(name, _pack(value))
     if step.history is not None:
-        _delete(change, [key for key, _ in _rows(change, HISTORY)])
+        _delete(transaction, [key for key, _ in _rows(transaction, HISTORY_PREFIX)])
         for version, digest in step.history:
-            change.put(_history_key(version), digest.encode())
+            transaction.put(_history_key(version), digest.encode())
     if step.change is not None:
         version, digest = step.change
-        change.put(_history_key(version), digest.encode())
-        _delete(change, [key for key, _ in _rows(change, HISTORY)][:-MAX_CHANGES])
+        transaction.put(_history_key(version), digest.encode())
+        _delete(transaction, [key for key, _ in _rows(transaction, HISTORY_PREFIX)][:-MAX_CHANGES])
     for key, record in step.idempotency_records:
-        name = TICKET + key.encode()
+        name = RECORD_PREFIX + key.encode()
         if record is None:
-            change.delete(name)
+            transaction.delete(name)
         else:
-            change.put(name, _pack(record))
+            transaction.put(name, _pack(record))
 
 
 def _history_key(version: int) -> bytes:
-    """Keys of one width: they are in rising order of versions."""
-    return HISTORY + b"%020d" % version
+    """Return a version's key; keys have one width, so that they are in order of versions."""
+    return HISTORY_PREFIX + b"%020d" % version
 
 
 def _rows(transaction: lmdb.Transaction, prefix: bytes) -> Iterator[tuple[bytes, bytes]]:
-    """The keys that begin so, in order, with their values."""
+    """Yield the keys with a prefix, in order, with their values."""
     with transaction.cursor() as cursor:
-        there = cursor.set_range(prefix)
-        while there and (key := bytes(cursor.key())).startswith(prefix):
+        found = cursor.set_range(prefix)
+        while found and (key := bytes(cursor.key())).startswith(prefix):
             yield key, bytes(cursor.value())
-            there = cursor.next()
+            found = cursor.next()
 
 
-def _delete(change: lmdb.Transaction, keys: list[bytes]) -> None:
+def _delete(transaction: lmdb.Transaction, keys: list[bytes]) -> None:
     for key in keys:
-        change.delete(key)
+        transaction.delete(key)
 
 
 def sync_folder(folder: Path) -> None:
-    """A new name endures once its folder is synced."""
+    """Sync a folder, which makes new files in it durable; a folder that cannot be synced is ignored."""
     try:
-        handle = os.open(folder, os.O_RDONLY)
+        descriptor = os.open(folder, os.O_RDONLY)
     except OSError:
         return
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     except OSError:
         pass
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/ivymux/config_store/membership.py
+++ b/ivymux/config_store/membership.py
@@ -1,4 +1,4 @@
-"""Who the members of the next epoch are, and who its backup.  Pure."""
+"""Choice of the members and the backup of the next epoch.  Pure."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
 
 def next_members(
-    record: EpochRecord, me: str, joining: Iterable[str], going: Sequence[str]
+    record: EpochRecord, identity: str, joining: Iterable[str], going: Sequence[str]
 ) -> tuple[str, ...]:
-    """One machine in, out, or in the place of another at a time.
+    """Return the next epoch's members, which differ from `record`'s by at most one machine.
 
-    A machine that has lost its disk takes the place of what it was; another that joins takes that of a
-    member that is `going`, which has been silent for long or leaves.  Below LEAST_MEMBERS nobody is let out.
+    A joining machine replaces the member at its own address, whose disk was lost; else it replaces a
+    member in `going`, which is silent or leaves; else it is added.  Without a joining machine, a member in
+    `going` is removed while more than MIN_MEMBERS are left.
     """
     members = list(record.members)
-    joiner = next((identity for identity in joining if identity not in members), None)
-    replaced = _former_self(members, joiner)
-    if replaced == me:  # two machines at one address: the one that leads stays
+    joiner = next((machine for machine in joining if machine not in members), None)
+    replaced = _member_at_address(members, joiner)
+    if replaced == identity:  # another machine at the primary's address: the primary stays
         joiner = None
-    if replaced is None or replaced == me:
+    if replaced is None or replaced == identity:
         replaced = next(iter(going), None)
     if joiner is not None and replaced is not None:
         members[members.index(replaced)] = joiner
@@ -32,20 +33,23 @@
     return tuple(members)
 
 
-def _former_self(members: list[str], joiner: str | None) -> str | None:
-    """The member at a joiner's address."""
+def _member_at_address(members: list[str], joiner: str | None) -> str | None:
+    """Return the member at a joining machine's address."""
     if joiner is None:
         return None
     return next((member for member in members if address_of(member) == address_of(joiner)), None)
 
 
 def choose_backup(
-    record: EpochRecord, me: str, able: Iterable[str], unfit: Iterable[str], partner: str
+    record: EpochRecord, identity: str, able: Iterable[str], unfit: Iterable[str], partner: str
 ) -> str | None:
-    """Who keeps the second copy: the one that has it, then a member, then a joiner; the unfit last."""
-    last = set(unfit)
+    """Return the backup: preferably the partner, which has the state, then a member, then a joining machine.
+
+    A machine in `unfit` comes after every other one.  Returns None where no machine is `able`.
+    """
+    avoided = set(unfit)
     return min(
-        (member for member in able if member != me),
-        key=lambda m: (m in last, m != partner, m not in record.members, address_of(m)),
+        (member for member in able if member != identity),
+        key=lambda m: (m in avoided, m != partner, m not in record.members, address_of(m)),
         default=None,
     )
--- a/ivymux/idempotency/affinity.py
+++ b/ivymux/idempotency/affinity.py
@@ -1,9 +1,9 @@
-"""Which backend a conversation goes to: rendezvous hashing with bounded load.  Pure.
+"""Home backends of conversations: rendezvous hashing with bounded loads.  Pure.
 
-Conversations fall into buckets.  Each bucket has an order of all backends that a hash gives (Thaler and
-Ravishankar 1998), and takes the first with room; room is in proportion to capacity, a quarter above the mean
-(Mirrokni, Thorup, Zadimoghaddam 2018).  Every door that has the same list of backends makes the same table,
-with no word between them; doors that come and go change nothing.
+Conversations are hashed into buckets.  Each bucket ranks all backends by a hash (rendezvous hashing, Thaler
+and Ravishankar 1998) and is assigned to the first that has capacity left.  A backend's limit is its share by
+capacity plus a quarter (bounded loads; Mirrokni, Thorup, Zadimoghaddam 2018).  Proxies that know the same
+backends compute the same table without exchanging messages; proxies that start or stop change nothing.
 """
 
 from __future__ import annotations
@@ -13,66 +13,76 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-BUCKETS = 1024
-ROOM = 1.25  # times its part that a backend may have of the buckets
-EACH = 8  # weights that one digest gives
-_weights = struct.Struct(f">{EACH}Q").unpack
+BUCKET_COUNT = 1024
+MAX_LOAD_FACTOR = 1.25  # limit of a backend's buckets, as a multiple of its share by capacity
+WEIGHTS_PER_DIGEST = 8
+_unpack_weights = struct.Struct(f">{WEIGHTS_PER_DIGEST}Q").unpack
 
 
-def bucket(tenant: str, name: str) -> int:
-    """The bucket of a conversation."""
+def bucket_of(tenant: str, name: str) -> int:
+    """Return the bucket of a tenant's conversation."""
     digest = blake2b(f"{tenant}\0{name}".encode(), digest_size=8).digest()
-    return int.from_bytes(digest, "big") % BUCKETS
+    return int.from_bytes(digest, "big") % BUCKET_COUNT
 
 
-def scores(backend: str, capacity: int) -> list[float]:
-    """How much each bucket prefers a backend; more for who has more capacity (Schindelhauer 2005)."""
-    found: list[float] = []
-    for part in range(BUCKETS // EACH):
-        for weight in _weights(blake2b(f"{part}\0{backend}".encode(), digest_size=8 * EACH).digest()):
-            draw = ((weight >> 12) + 0.5) / 2**52  # between 0 and 1, neither of them
-            found.append(-capacity / math.log(draw))
-    return found
+def bucket_scores(backend: str, capacity: int) -> list[float]:
+    """Return a backend's score in each bucket, weighted by its capacity (Schindelhauer 2005)."""
+    scores: list[float] = []
+    for part in range(BUCKET_COUNT // WEIGHTS_PER_DIGEST):
+        digest = blake2b(f"{part}\0{backend}".encode(), digest_size=8 * WEIGHTS_PER_DIGEST).digest()
+        for weight in _unpack_weights(digest):
+            uniform = ((weight >> 12) + 0.5) / 2**52  # strictly between 0 and 1
+            scores.append(-capacity / math.log(uniform))
+    return scores
 
 
 @dataclass(slots=True)
-class Homes:
-    """The tables of one door's services, made when they are asked for."""
+class HomeBackends:
+    """The home backends of each service's buckets; a table is computed when it is first needed."""
 
-    backends: dict[str, dict[str, int]] = field(default_factory=dict)  # capacities by id, by service
-    tables: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    known: dict[tuple[str, int], list[float]] = field(default_factory=dict)
+    backends: dict[str, dict[str, int]] = field(default_factory=dict)  # capacity by backend, by service
+    tables: dict[str, tuple[str, ...]] = field(default_factory=dict)  # backend by bucket, by service
+    scores: dict[tuple[str, int], list[float]] = field(default_factory=dict)  # by backend and capacity
 
-    def set(self, service: str, backends: dict[str, int]) -> None:
-        """The backends in service, with their capacities."""
+    def set_backends(self, service: str, backends: dict[str, int]) -> None:
+        """Set a service's backends with their capacities."""
         if self.backends.get(service) != backends:
             self.backends[service] = backends
             self.tables.pop(service, None)
 
-    def home(self, service: str, at: int) -> str:
-        """The backend of a bucket; empty where the service has none."""
+    def home_backend(self, service: str, bucket: int) -> str:
+        """Return the home backend of a bucket; empty where the service has no backends."""
         table = self.tables.get(service)
         if table is None:
-            table = self.tables[service] = self.table(service)
-        return table[at] if table else ""
+            table = self.tables[service] = self.compute_table(service)
+        return table[bucket] if table else ""
 
-    def table(self, service: str) -> tuple[str, ...]:
+    def compute_table(self, service: str) -> tuple[str, ...]:
+        """Return the backend of each bucket."""
         backends = self.backends.get(service) or {}
         if not backends:
             return ()
-        used = {(b, c) for there in self.backends.values() for b, c in there.items()}
-        self.known = {pair: found for pair, found in self.known.items() if pair in used}
-        whole = sum(max(1, c) for c in backends.values())
-        columns, room = [], {}
+        self.drop_unused_scores()
+        total_capacity = sum(max(1, capacity) for capacity in backends.values())
+        columns, free = [], {}
         for backend, capacity in sorted(backends.items()):
-            pair = (backend, max(1, capacity))
-            if pair not in self.known:
-                self.known[pair] = scores(*pair)
-            columns.append((backend, self.known[pair]))
-            room[backend] = math.ceil(ROOM * BUCKETS * pair[1] / whole)
-        found = []
-        for at in range(BUCKETS):
-            _, best = max((column[at], backend) for backend, column in columns if room[backend])
-            room[best] -= 1
-            found.append(best)
-        return tuple(found)
+            key = (backend, max(1, capacity))
+            if key not in self.scores:
+                self.scores[key] = bucket_scores(*key)
+            columns.append((backend, self.scores[key]))
+            free[backend] = math.ceil(MAX_LOAD_FACTOR * BUCKET_COUNT * key[1] / total_capacity)
+        table = []
+        for bucket in range(BUCKET_COUNT):
+            _, best = max((scores[bucket], backend) for backend, scores in columns if free[backend])
+            free[best] -= 1
+            table.append(best)
+        return tuple(table)
+
+    def drop_unused_scores(self) -> None:
+        """Forget the scores of backends that no service has any longer."""
+        used = {
+            (backend, capacity)
+            for backends in self.backends.values()
+            for backend, capacity in backends.items()
+        }
+        self.scores = {key: scores for key, scores in self.scores.items() if key in used}
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ivymux.data_plane.frontend import Headers
-from ivymux.idempotency.affinity import BUCKETS, Homes, bucket
+from ivymux.idempotency.affinity import BUCKET_COUNT, HomeBackends, bucket_of
 from ivymux.idempotency.settings import ConversationSettingsError, read
 from ivymux.proxy.action_claims import ActionClaim, ActionClaims
 from ivymux.proxy.keyed_actions import make_action
@@ -35,7 +35,7 @@
         self, lines: Callable[[], list[Connector]], backends: Callable[[], Iterable[Backend]]
     ) -> None:
         """`lines`: to the core, the nearest first; `backends`: all that the door knows."""
-        self.claims, self.homes = ActionClaims(lines), Homes()
+        self.claims, self.homes = ActionClaims(lines), HomeBackends()
         self.backends = backends
         self.stale = True  # whether backends have come or gone since homes were made
 
@@ -46,9 +46,9 @@
         """Raises BadRequest for what is no key."""
         header = self.claims.terms.header
         made = make_action(headers, tenant, auth, header, method, host, target, body)
-        at = bucket(tenant, made.name)
+        at = bucket_of(tenant, made.name)
         service = route.choose_service(
-            (at + 0.5) / BUCKETS
+            (at + 0.5) / BUCKET_COUNT
         )  # a conversation stays with one service of a split too
         return Taken(self.claims.make(made, end, name), service, self.home(service, at))
 
@@ -61,8 +61,8 @@
                 if backend.state == UP:
                     there.setdefault(backend.service, {})[backend.id] = backend.capacity
             for name, backends in there.items():
-                self.homes.set(name, backends)
-        return self.homes.home(service, at)
+                self.homes.set_backends(name, backends)
+        return self.homes.home_backend(service, at)
 
     def use(self, text: str) -> None:
         """Settings of conversations, as the core tells them; older ones change nothing."""
