--- a/ivymux/transport/http_calls.py
+++ b/ivymux/transport/http_calls.py
@@ -81,8 +81,9 @@
     closes_after_refusal = False
     max_unread_clients = 1000
 
-    def __init__(self, owner: object, most_body: int) -> None:
-        self.owner, self.max_body_bytes = owner, most_body
+    def __init__(self, owner: object, max_body_bytes: int) -> None:
+        """Serve the endpoints that the owner's class declares."""
+        self.owner, self.max_body_bytes = owner, max_body_bytes
         self.endpoints = endpoints_of(owner)
 
     def answer_locally(self, target: bytes) -> Answer | None:
@@ -147,15 +148,17 @@
     def as_host(self) -> Host:
         return cast("Host", self)
 
-    def submit(self, call: Call, reply: Callable[[Answer], None], over: Callable[[], None]) -> Any:
-        """Start the call's handler in a task; `reply` takes its answer, `over` is called after that."""
+    def submit(self, call: Call, reply: Callable[[Answer], None], release: Callable[[], None]) -> Any:
+        """Start the call's handler in a task; `reply` takes its answer, `release` is called after that."""
         assert isinstance(call, HttpCall)
-        task = asyncio.get_running_loop().create_task(self.handle(call, reply, over))
+        task = asyncio.get_running_loop().create_task(self.handle(call, reply, release))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return _OpenRequest(self)
 
-    async def handle(self, call: HttpCall, reply: Callable[[Answer], None], over: Callable[[], None]) -> None:
+    async def handle(
+        self, call: HttpCall, reply: Callable[[Answer], None], release: Callable[[], None]
+    ) -> None:
         assert call.handler is not None and call.request is not None
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
@@ -165,7 +168,7 @@
             text = f"the call could not be carried: {type(error).__name__}; repeat it"
             answer = error_answer(503, text)
         reply(answer)
-        over()
+        release()
 
     def on_client_left(self, request: object) -> None:
         """Ignore that the client disconnected: a handler that has started runs to its end."""
