--- a/ivymux/registry/__init__.py
+++ b/ivymux/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: which backends, doors and core machines there are; takes the outside calls of the core."""
+"""The registry: which backends, proxies and core machines there are; serves HTTP calls from outside."""
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -23,6 +23,7 @@
 from ivymux.data_plane.server import Server
 from ivymux.fault_injection import TRIALS
 from ivymux.idempotency import CONVERSATIONS
+from ivymux.registry import message_kinds as kinds
 from ivymux.registry.backend_records import QUIESCING, UP, BackendRecords, CallError
 from ivymux.registry.outlier_detection import OutlierDetector
 from ivymux.registry.proxy_reachability import ProxyReachability
@@ -82,7 +83,7 @@
 
 def setting_message(name: str, version: int, text: str) -> Message:
     """The message that carries a replicated setting."""
-    return {"k": "note", "name": name, "v": version, "t": text}
+    return {"k": kinds.SETTING, "name": name, "v": version, "t": text}
 
 
 @dataclass(slots=True, eq=False)
@@ -120,7 +121,7 @@
         self.config_store = Connector(
             Address(settings.ip, settings.config_store_port),
             self.on_config_store_message,
-            on_connect=lambda connection: connection.send({"k": "desk"}),
+            on_connect=lambda connection: connection.send({"k": kinds.SUBSCRIPTION}),
         )
         self.config_version = -1
         self.config_text = ""
@@ -179,26 +180,26 @@
     def handle_message(self, connection: Connection, message: Message) -> None:
         """Raises KeyError, TypeError or ValueError if the message is invalid."""
         kind = message["k"]
-        if kind == "door":
+        if kind == kinds.HELLO:
             self.add_proxy(connection, message)
             return
         proxy = self.proxies.get(connection)
         if proxy is None:
             return
-        if kind == "ack":
+        if kind == kinds.CHANGE_ACK:
             proxy.acked_change = max(proxy.acked_change, int(message["n"]))
             self.release_ack_waiters(proxy)
-        elif kind == "have":
+        elif kind == kinds.CONFIG_APPLIED:
             proxy.config_version = max(proxy.config_version, int(message["v"]))
             self.release_apply_waiters()
-        elif kind == "want" and self.config_version >= 0:
+        elif kind == kinds.CONFIG_REQUEST and self.config_version >= 0:
             connection.write(self.encoded_config)
-        elif kind == "doubt":
+        elif kind == kinds.FAILURE_REPORT:
             for id, failures in message["l"]:
                 self.on_failure_report(proxy, str(id), int(failures))
-        elif kind == "trial":
+        elif kind == kinds.TRIAL_REPORT:
             self.trial_service().on_proxy_message(connection, message, proxy.id, proxy.zone)
-        elif kind in ("claim", "end"):
+        elif kind in kinds.FORWARDED:
             if len(self.forwarded_calls) >= MAX_FORWARDED_CALLS:
                 connection.answer(message, ok=False)
             else:
@@ -221,7 +222,7 @@
     def on_failure_report(self, proxy: ConnectedProxy, id: str, failures: int) -> None:
         """Take a proxy's report of failures of a backend.  Raises ValueError if it is invalid."""
         if not 0 < failures < MAX_REPORTED_FAILURES:
-            raise ValueError("a doubt")
+            raise ValueError(f"{failures} failures of one backend in a report")
         record = self.backends.records.get(id)
         if record is None or record.state != UP:
             return
@@ -235,7 +236,7 @@
             self.ejections += 1
             if self.ejections in LOGGED_COUNTS:
                 log.info(f"backend {id} is ejected for {ejection_s:g} s ({self.ejections} ejections so far).")
-            self.broadcast(encode_frame({"k": "shun", "id": id, "for": ejection_s}))
+            self.broadcast(encode_frame({"k": kinds.EJECTION, "id": id, "for": ejection_s}))
 
     # --- proxies that join and leave -----------------------------------------------------------------------
 
@@ -254,7 +255,7 @@
         self.reachability.on_connect(proxy.address)
         connection.send(
             {
-                "k": "here", "run": self.incarnation_id, "n": self.backends.last_change,
+                "k": kinds.SNAPSHOT, "run": self.incarnation_id, "n": self.backends.last_change,
                 "whole": changes is None,
                 "i": self.backends.encode_all(now) if changes is None else changes,
                 "doors": [p.encode(now) for p in self.proxies.values()],
@@ -298,7 +299,7 @@
         announced, self.unannounced = self.unannounced, {}
         joined = [proxy.encode(self.announced_at) for proxy, has_joined in announced.values() if has_joined]
         left = [id for id, (_, has_joined) in announced.items() if not has_joined]
-        data = encode_frame({"k": "doors", "on": joined, "off": left})
+        data = encode_frame({"k": kinds.PROXY_CHANGES, "on": joined, "off": left})
         for proxy in self.proxies.values():
             # A proxy that is announced alone knows of itself already.
             if len(announced) > 1 or proxy.id not in announced:
@@ -314,7 +315,11 @@
     def broadcast_changes(self, since: int) -> None:
         """Send the changes of backends after the change number `since` to all proxies."""
         changes = self.backends.changes_since(since, time.monotonic()) or []
-        self.broadcast(encode_frame({"k": "news", "f": since, "n": self.backends.last_change, "i": changes}))
+        self.broadcast(
+            encode_frame(
+                {"k": kinds.BACKEND_CHANGES, "f": since, "n": self.backends.last_change, "i": changes}
+            )
+        )
 
     async def wait_until_acknowledged(self, change: int) -> bool:
         """Wait until all connected proxies have acknowledged a change, at most ACK_TIMEOUT_S.
@@ -357,13 +362,13 @@
 
     def on_config_store_message(self, connection: Connection, message: Message) -> None:
         kind = message.get("k")
-        if kind == "config":
+        if kind == kinds.CONFIG:
             version, text = int(message["v"]), str(message["t"])
             if version > self.config_version:
                 self.config_version, self.config_text = version, text
-                self.encoded_config = encode_frame({"k": "text", "v": version, "t": text})
-                self.broadcast(encode_frame({"k": "config", "v": version}))
-        elif kind == "note":
+                self.encoded_config = encode_frame({"k": kinds.CONFIG_TEXT, "v": version, "t": text})
+                self.broadcast(encode_frame({"k": kinds.CONFIG, "v": version}))
+        elif kind == kinds.SETTING:
             name, version, text = str(message["name"]), int(message["v"]), str(message["t"])
             known_version, _ = self.replicated_settings.get(name, (-1, ""))
             if version > known_version:
@@ -371,11 +376,11 @@
                 self.broadcast(encode_frame(setting_message(name, version, text)))
                 if name == TRIALS:
                     self.trial_service().apply(text)
-        elif kind == "cores":
+        elif kind == kinds.CORES:
             cores = [str(address) for address in message["l"]]
             if cores != self.cores:
                 self.cores = cores
-                self.broadcast(encode_frame({"k": "cores", "l": cores}))
+                self.broadcast(encode_frame({"k": kinds.CORES, "l": cores}))
 
     # --- HTTP calls of backends ----------------------------------------------------------------------------
 
@@ -453,7 +458,7 @@
     @endpoint("GET", "/configuration")
     async def get_configuration(self, request: HttpRequest) -> Answer:
         try:
-            reply = await self.config_store.call({"k": "get"}, CONFIG_READ_TIMEOUT_S)
+            reply = await self.config_store.call({"k": kinds.CONFIG_READ}, CONFIG_READ_TIMEOUT_S)
         except TransportError as error:
             return error_answer(503, f"the store of configuration does not answer: {error}; repeat the call")
         if not reply.get("ok"):
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -80,6 +80,7 @@
     "ivymux.config_store.timing",
     "ivymux.registry.proxy_reachability",
     "ivymux.registry.backend_records",
+    "ivymux.registry.message_kinds",
     "ivymux.proxy.membership_view",
     "ivymux.proxy.keyed_actions",
     "ivymux.proxy.lease_counts",
