--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -1,4 +1,4 @@
-"""Claims of actions at the core, before they go to a backend; how they ended, behind it."""
+"""Claims of keyed actions: acquired at the core before an action goes to a backend, and ended after it."""
 
 from __future__ import annotations
 
@@ -17,126 +17,139 @@
 from ivymux.transport.connection import Connector, TransportError
 from ivymux.transport.frames import Message
 
-ASK = 1.5  # seconds for which a claim is tried; a lost leader is replaced within one
-PART = 0.5  # of the time that the client has left, at the most
-END = 8.0  # and for which its end is told
-CALL = 0.9  # seconds of one call
-PAUSE = 0.05
-LIFE = 2.0  # seconds behind its client's time after which an action that was not ended counts as unknown
-MOST = 2000  # claims and ends under way
-AGAIN = 0.5  # seconds after which a caller comes back whose action could not be claimed
+ACQUIRE_TIMEOUT_S = 1.5  # a leader that is lost is replaced within one second
+ACQUIRE_TIME_PART = 0.5  # of the time that the client has left, the most spent on acquiring
+END_TIMEOUT_S = 8.0
+CALL_TIMEOUT_S = 0.9
+CALL_RETRY_PAUSE_S = 0.05
+# Beyond its client's deadline, after which an action that was not ended counts as unknown.
+LIFETIME_MARGIN_S = 2.0
+MAX_TASKS = 2000  # claims and ends in progress
+NOT_CLAIMED_RETRY_AFTER_S = 0.5
 
 Go = Callable[[Answer | None], None]
 
 
 class ActionClaims:
-    """All claims of one door; `cores` gives the lines to the core, the nearest first."""
+    """All claims of one proxy."""
 
     def __init__(self, cores: Callable[[], list[Connector]]) -> None:
+        """`cores`: returns the open connections to core machines, the nearest first."""
         self.cores = cores
-        self.life = secrets.token_hex(8)  # of this process: what it claimed before is not its own any more
+        self.incarnation_id = secrets.token_hex(8)  # a restarted process does not own its earlier claims
         self.numbers = itertools.count(1)
-        self.terms = ConversationSettings()
+        self.settings = ConversationSettings()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.asked = self.went = self.unclaimed = 0  # since the start
-        self.told = 0  # of `asked`, as last logged
+        self.acquired = self.proceeded = self.failed = 0  # since the start; `acquired` counts attempts
+        self.logged = 0  # of `acquired`, as last logged
 
-    def make(self, action: Action, end: float, name: bytes) -> ActionClaim:
-        return ActionClaim(self, action, f"{self.life}/{next(self.numbers)}", end, name)
+    def make_claim(self, action: Action, deadline: float, try_id: bytes) -> ActionClaim:
+        return ActionClaim(self, action, f"{self.incarnation_id}/{next(self.numbers)}", deadline, try_id)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def call(self, message: Message, until: float) -> Message | None:
-        """What the core says; None where nobody there could by then."""
-        while (now := time.monotonic()) < until:
+    async def call(self, message: Message, deadline: float) -> Message | None:
+        """Call the core, at one machine after another; None if none accepts the call by the deadline."""
+        while (now := time.monotonic()) < deadline:
             for core in self.cores():
-                left = until - time.monotonic()
+                left = deadline - time.monotonic()
                 if left <= 0:
                     return None
                 try:
-                    told = await core.call(message, min(CALL, left))
+                    reply = await core.call(message, min(CALL_TIMEOUT_S, left))
                 except TransportError:
                     continue
-                if told.get("ok") is True:
-                    return told
-                if "why" in told:
+                if reply.get("ok") is True:
+                    return reply
+                if "why" in reply:
                     return None
-            await asyncio.sleep(max(0.0, min(PAUSE, until - now)))
+            await asyncio.sleep(max(0.0, min(CALL_RETRY_PAUSE_S, deadline - now)))
         return None
 
-    def line(self) -> str:
-        """For the log, where any came since the last line."""
-        if self.asked == self.told:
+    def log_line(self) -> str:
+        """A summary for the log; empty if there were no claims since the last one."""
+        if self.acquired == self.logged:
             return ""
-        self.told = self.asked
-        answered = self.asked - self.went - self.unclaimed
+        self.logged = self.acquired
+        answered = self.acquired - self.proceeded - self.failed
         return (
-            f"actions with keys: {self.asked} claimed, {self.went} sent, {answered} answered without,"
-            f" {self.unclaimed} could not be claimed"
+            f"actions with keys: {self.acquired} claimed, {self.proceeded} sent, {answered} answered without,"
+            f" {self.failed} could not be claimed"
         )
 
-    async def finish(self, most: float) -> None:
-        """Before the process ends: what is being told is told, for so many seconds."""
+    async def finish(self, timeout: float) -> None:
+        """Wait for calls in progress before the process ends, then cancel those that remain."""
         if self.tasks:
-            await asyncio.wait(set(self.tasks), timeout=most)
+            await asyncio.wait(set(self.tasks), timeout=timeout)
         for task in self.tasks:
             task.cancel()
 
 
 class ActionClaim:
-    """One try of an action."""
+    """One client's try of an action: it acquires the exclusive right to run the action, and ends it."""
 
-    def __init__(self, claims: ActionClaims, action: Action, id: str, end: float, name: bytes) -> None:
-        self.claims, self.action, self.id, self.until, self.name = claims, action, id, end, name
-        self.open = False  # whether the core may hold this claim
+    def __init__(self, claims: ActionClaims, action: Action, id: str, deadline: float, try_id: bytes) -> None:
+        self.claims, self.action, self.id = claims, action, id
+        self.deadline, self.try_id = deadline, try_id
+        self.is_open = False  # whether the core may hold this claim
 
     def acquire(self, go: Go) -> None:
-        """`go` hears None where the action may be sent, else its answer."""
-        if len(self.claims.tasks) >= MOST:
-            self.claims.unclaimed += 1
-            go(Answer(503, retry_after=AGAIN))
+        """Acquire the claim; calls `go` with None if the action may be sent, otherwise with its answer."""
+        if len(self.claims.tasks) >= MAX_TASKS:
+            self.claims.failed += 1
+            go(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
             return
-        self.open = True
-        self.claims.asked += 1
-        self.claims.spawn(self.asking(go))
+        self.is_open = True
+        self.claims.acquired += 1
+        self.claims.spawn(self.acquire_at_core(go))
 
-    async def asking(self, go: Go) -> None:
+    async def acquire_at_core(self, go: Go) -> None:
         now = time.monotonic()
-        left = self.until - now
-        a = self.action
-        claim = ClaimAction(a.key, a.tenant, self.id, a.place, a.body, round(left + LIFE, 3))
-        told = await self.claims.call(encode(claim), now + min(ASK, PART * left))
+        left = self.deadline - now
+        action = self.action
+        call = ClaimAction(
+            action.key,
+            action.tenant,
+            self.id,
+            action.request_digest,
+            action.body_digest,
+            round(left + LIFETIME_MARGIN_S, 3),
+        )
+        timeout = min(ACQUIRE_TIMEOUT_S, ACQUIRE_TIME_PART * left)
+        reply = await self.claims.call(encode(call), now + timeout)
         try:
-            verdict = str(told["verdict"]) if told is not None else ""
-            if told is not None and verdict != PROCEED:
+            verdict = str(reply["verdict"]) if reply is not None else ""
+            if reply is not None and verdict != PROCEED:
                 answer = answer_for_verdict(
-                    verdict, float(told["after"]), str(told["answer"]), str(told["what"]), self.name
+                    verdict, float(reply["after"]), str(reply["answer"]), str(reply["what"]), self.try_id
                 )
-        except (KeyError, TypeError, ValueError):  # no core machine of this build says that
+        except (KeyError, TypeError, ValueError):  # malformed reply
             verdict = ""
         if verdict == PROCEED:
-            self.claims.went += 1
+            self.claims.proceeded += 1
             go(None)
         elif not verdict:
-            self.claims.unclaimed += 1
-            go(Answer(503, retry_after=AGAIN))  # what may have been claimed is ended as not run
+            # The claim stays open: the core may hold it, and it is then ended as not run.
+            self.claims.failed += 1
+            go(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
         else:
-            self.open = False
+            self.is_open = False
             go(answer)
 
     def finish(self, answer: Answer | None, ran: bool) -> None:
-        """How it ended: with a backend's answer, without one, or without having been sent."""
-        if not self.open:
+        """End the claim: with a backend's answer, without one, or (not `ran`) as never sent."""
+        if not self.is_open:
             return
-        self.open = False
+        self.is_open = False
         state = DONE if answer is not None else LOST if ran else FREE
-        text = encode_answer(answer, self.claims.terms.limits.max_answer_chars) if answer is not None else ""
+        max_chars = self.claims.settings.limits.max_answer_chars
+        text = encode_answer(answer, max_chars) if answer is not None else ""
         message = encode(EndAction(self.action.key, self.id, state, text))
-        if len(self.claims.tasks) < 2 * MOST:
-            self.claims.spawn(self.ending(message))
+        if len(self.claims.tasks) < 2 * MAX_TASKS:
+            self.claims.spawn(self.end_at_core(message))
 
-    async def ending(self, message: Message) -> None:
-        await self.claims.call(message, time.monotonic() + END)
+    async def end_at_core(self, message: Message) -> None:
+        await self.claims.call(message, time.monotonic() + END_TIMEOUT_S)
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -111,8 +111,10 @@
         content = b"".join(body)
         claim, home, name_of = None, 0, ""
         if keyed and tenant and not route.is_idempotent and self.keys is not None:
-            taken = self.keys().take(route, headers, tenant, auth, method, host, target, content, end, name)
-            claim, name_of, home = taken.claim, taken.service, self.number(taken.home)
+            taken = self.keys().prepare(
+                route, headers, tenant, auth, method, host, target, content, end, name
+            )
+            claim, name_of, home = taken.claim, taken.service, self.number(taken.home_backend)
         service_name = name_of or route.choose_service(draw)
         hold, lose = 0.0, False
         if self.catcher is not None and tenant:
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -1,6 +1,6 @@
-"""Actions with keys at a door: their claims, their conversations' homes, and the settings of both.
+"""Requests that carry an idempotency key: their claims, conversation affinity, and the settings of both.
 
-Imported with the first such action: a door that sees none starts without it.
+Imported with the first such request, so that a proxy starts without the cost of this module.
 """
 
 from __future__ import annotations
@@ -22,55 +22,55 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """What an action's key makes of its request."""
+class KeyedRequest:
+    """A request with a key: its claim, and where its conversation goes."""
 
     claim: ActionClaim
     service: str
-    home: str  # the backend of its conversation, by its id; empty where there is none
+    home_backend: str  # id of the conversation's backend; empty if there is none
 
 
 class KeyedRequests:
     def __init__(
-        self, lines: Callable[[], list[Connector]], backends: Callable[[], Iterable[Backend]]
+        self, connectors: Callable[[], list[Connector]], backends: Callable[[], Iterable[Backend]]
     ) -> None:
-        """`lines`: to the core, the nearest first; `backends`: all that the door knows."""
-        self.claims, self.homes = ActionClaims(lines), HomeBackends()
+        """`connectors`: to the core, the nearest first; `backends`: all in the membership view."""
+        self.claims, self.homes = ActionClaims(connectors), HomeBackends()
         self.backends = backends
-        self.stale = True  # whether backends have come or gone since homes were made
+        self.is_stale = True  # whether backends have changed since the homes were computed
 
-    def take(
-        self, route: Route, headers: Headers, tenant: str, auth: bytes, method: bytes, host: bytes,
-        target: bytes, body: bytes, end: float, name: bytes,
-    ) -> Taken:  # fmt: skip
-        """Raises BadRequest for what is no key."""
-        header = self.claims.terms.header
-        made = make_action(headers, tenant, auth, header, method, host, target, body)
-        at = bucket_of(tenant, made.name)
-        service = route.choose_service(
-            (at + 0.5) / BUCKET_COUNT
-        )  # a conversation stays with one service of a split too
-        return Taken(self.claims.make(made, end, name), service, self.home(service, at))
+    def prepare(
+        self, route: Route, headers: Headers, tenant: str, authorization: bytes, method: bytes, host: bytes,
+        target: bytes, body: bytes, deadline: float, try_id: bytes,
+    ) -> KeyedRequest:  # fmt: skip
+        """Prepare a request's claim.  Raises BadRequest if its key is malformed."""
+        header = self.claims.settings.header
+        action = make_action(headers, tenant, authorization, header, method, host, target, body)
+        conversation_bucket = bucket_of(tenant, action.conversation)
+        # A conversation stays with one service where a route is split among several.
+        service = route.choose_service((conversation_bucket + 0.5) / BUCKET_COUNT)
+        claim = self.claims.make_claim(action, deadline, try_id)
+        return KeyedRequest(claim, service, self.home_backend(service, conversation_bucket))
 
-    def home(self, service: str, at: int) -> str:
+    def home_backend(self, service: str, conversation_bucket: int) -> str:
         """The backend that a bucket of conversations goes to."""
-        if self.stale:
-            self.stale = False
-            there: dict[str, dict[str, int]] = {name: {} for name in self.homes.backends}
+        if self.is_stale:
+            self.is_stale = False
+            capacities: dict[str, dict[str, int]] = {name: {} for name in self.homes.backends}
             for backend in self.backends():
                 if backend.state == UP:
-                    there.setdefault(backend.service, {})[backend.id] = backend.capacity
-            for name, backends in there.items():
+                    capacities.setdefault(backend.service, {})[backend.id] = backend.capacity
+            for name, backends in capacities.items():
                 self.homes.set_backends(name, backends)
-        return self.homes.home_backend(service, at)
+        return self.homes.home_backend(service, conversation_bucket)
 
-    def use(self, text: str) -> None:
-        """Settings of conversations, as the core tells them; older ones change nothing."""
+    def update_settings(self, text: str) -> None:
+        """Apply the conversation settings that the core sent; an older version is ignored."""
         try:
-            terms = read(text.encode())
+            settings = read(text.encode())
         except ConversationSettingsError as error:
-            log.info(f"settings of conversations that cannot be used here: {error}.")
+            log.info(f"ignored invalid conversation settings: {error}.")
             return
-        if terms.version > self.claims.terms.version:
-            self.claims.terms = terms
-            log.info(f"settings {terms.version} of conversations are in force.")
+        if settings.version > self.claims.settings.version:
+            self.claims.settings = settings
+            log.info(f"settings {settings.version} of conversations are in force.")
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -160,7 +160,7 @@
 
             self.keyed = KeyedRequests(self.lines, self.membership.backends.values)
             if self.terms:
-                self.keyed.use(self.terms)
+                self.keyed.update_settings(self.terms)
         return self.keyed
 
     def number(self, backend: str) -> int:
@@ -188,7 +188,7 @@
             return
         self.terms = text
         if self.keyed is not None:
-            self.keyed.use(text)
+            self.keyed.update_settings(text)
         else:  # not while the door starts
             self.loop.call_later(LATER, self.keys)
 
@@ -272,7 +272,7 @@
 
     def members(self, backends: list[Backend]) -> None:
         if self.keyed is not None:
-            self.keyed.stale = True
+            self.keyed.is_stale = True
         entries, addresses = [], {}
         clock, now = self.host.current_time(), time.monotonic()
         for backend in backends:
@@ -344,7 +344,11 @@
             self.departed_told_at = time.monotonic()
             log.info(f"{line}.")
         claims = self.keyed.claims if self.keyed is not None else None
-        if claims is not None and time.monotonic() - self.claims_told_at > TELL and (line := claims.line()):
+        if (
+            claims is not None
+            and time.monotonic() - self.claims_told_at > TELL
+            and (line := claims.log_line())
+        ):
             self.claims_told_at = time.monotonic()
             log.info(f"{line}.")
         self.sweeper = self.loop.call_later(SWEEP, self.sweep)
--- a/tests/proxy/test_keyed_actions.py
+++ b/tests/proxy/test_keyed_actions.py
@@ -1,4 +1,4 @@
-"""An action's key, ticket and answers at a door; claims that hear of nobody or of nonsense."""
+"""Keyed actions at a proxy: keys, digests, stored answers, and claims whose calls to the core fail."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ivymux.data_plane.frontend import Answer, BadRequest
 from ivymux.proxy.action_claims import ActionClaims
 from ivymux.proxy.keyed_actions import (
-    FIELD,
+    HEADER,
     answer_for_verdict,
     encode_answer,
     make_action,
@@ -25,31 +25,39 @@
     [(b'"a"', b"a"), (b"a-b_c", b"a-b_c"), (b'"with a space"', b"with a space"), (b'"a\\"b"', b'a\\"b'),
      (b"x" * 255, b"x" * 255)],
 )  # fmt: skip
-def test_a_key_is_a_text_in_quotes_or_a_bare_word(value: bytes, key: bytes) -> None:
-    assert parse_key([(FIELD, value)]) == key
+def test_a_key_is_a_quoted_string_or_a_bare_token(value: bytes, key: bytes) -> None:
+    assert parse_key([(HEADER, value)]) == key
 
 
 @pytest.mark.parametrize("values", [[b'""'], [b'"a'], [b"a b"], [b""], [b"x" * 256], [b"\xff"], [b"a", b"b"]])
-def test_what_is_no_key_is_refused(values: list[bytes]) -> None:
+def test_a_malformed_key_is_rejected(values: list[bytes]) -> None:
     with pytest.raises(BadRequest, match="Idempotency-Key"):
-        parse_key([(FIELD, value) for value in values])
+        parse_key([(HEADER, value) for value in values])
 
 
-def made(tenant: str = "t", key: bytes = b"k", body: bytes = b"b", target: bytes = b"/x", **more: Any) -> Any:
-    headers = [(FIELD, key), *more.get("headers", [])]
+def action(
+    tenant: str = "t", key: bytes = b"k", body: bytes = b"b", target: bytes = b"/x", **more: Any
+) -> Any:
+    headers = [(HEADER, key), *more.get("headers", [])]
     return make_action(headers, tenant, b"Bearer 1", b"x-matter", b"POST", b"h", target, body)
 
 
-def test_keys_are_a_tenants_own_and_parts_do_not_run_together() -> None:
-    assert made().key != made(tenant="u").key
-    assert made(tenant="t", key=b"uk").key != made(tenant="tu", key=b"k").key
-    assert (made().place, made().body) == (made(key=b"l").place, made(key=b"l").body)
-    assert made().body != made(body=b"c").body and made().place != made(target=b"/y").place
-    named = made(headers=[(b"x-matter", b"7")])
-    assert named.key == made().key and named.name != made().name
+def test_keys_are_scoped_to_a_tenant_and_digested_parts_do_not_run_together() -> None:
+    assert action().key != action(tenant="u").key
+    assert action(tenant="t", key=b"uk").key != action(tenant="tu", key=b"k").key
+    assert (action().request_digest, action().body_digest) == (
+        action(key=b"l").request_digest,
+        action(key=b"l").body_digest,
+    )
+    assert (
+        action().body_digest != action(body=b"c").body_digest
+        and action().request_digest != action(target=b"/y").request_digest
+    )
+    named = action(headers=[(b"x-matter", b"7")])
+    assert named.key == action().key and named.conversation != action().conversation
 
 
-def test_a_kept_answer_comes_back_for_another_try() -> None:
+def test_a_stored_answer_is_replayed_to_a_retry() -> None:
     first = Answer(201, b"\x00body", headers=[(b"server-seal", b"s"), (b"try-id", b"one"), (b"x", b"\xe9")])
     answer = replay_answer(encode_answer(first, 1000), b"two")
     assert (answer.status, answer.body) == (201, b"\x00body")
@@ -57,26 +65,26 @@
         b"server-seal": b"s", b"x": b"\xe9", b"try-id": b"two", b"idempotent-replayed": b"true",
     }  # fmt: skip
     assert encode_answer(Answer(200, b"x" * 50), 40) == "" and encode_answer(Answer(200, b"x" * 38), 40) == ""
-    told = answer_for_verdict("answered", 0.0, "", "", b"")
-    assert told.status == 409 and told.retry_after == 0
+    not_stored = answer_for_verdict("answered", 0.0, "", "", b"")
+    assert not_stored.status == 409 and not_stored.retry_after == 0
 
 
 class Core:
-    """A line to the core that says one thing."""
+    """A connection to the core that gives the same replies, the last one again and again."""
 
-    def __init__(self, *says: Any) -> None:
-        self.says, self.heard = list(says), list[dict[str, Any]]()
+    def __init__(self, *replies: Any) -> None:
+        self.replies, self.received = list(replies), list[dict[str, Any]]()
 
     async def call(self, message: dict[str, Any], timeout: float) -> Any:
-        self.heard.append(message)
-        said = self.says.pop(0) if len(self.says) > 1 else self.says[0]
-        if isinstance(said, Exception):
-            raise said
-        return said
+        self.received.append(message)
+        reply = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
+        if isinstance(reply, Exception):
+            raise reply
+        return reply
 
 
 @pytest.mark.parametrize(
-    ("says", "status", "ends"),
+    ("replies", "status", "ends"),
     [
         ([TransportError("gone")], 503, True), ([{"ok": False}], 503, True), ([{"ok": True}], 503, True),
         ([{"ok": True, "verdict": "answered", "after": 0, "answer": "{", "what": ""}], 503, True),
@@ -87,25 +95,25 @@
         ),
     ],
 )  # fmt: skip
-def test_a_claim_that_was_not_granted_sends_nothing_and_is_ended_as_not_run(
-    says: list[Any], status: int | None, ends: bool
+def test_a_claim_without_a_usable_reply_is_answered_and_ended_as_not_run(
+    replies: list[Any], status: int | None, ends: bool
 ) -> None:
-    async def day() -> None:
-        core = Core(*says)
+    async def scenario() -> None:
+        core = Core(*replies)
         claims = ActionClaims(lambda: [cast(Connector, core)])
         loop = asyncio.get_running_loop()
-        claim = claims.make(made(), loop.time() + 0.4, b"try")
-        heard: asyncio.Future[Answer | None] = loop.create_future()
-        claim.acquire(heard.set_result)
-        answer = await asyncio.wait_for(heard, 5.0)  # else nobody is ever told
+        claim = claims.make_claim(action(), loop.time() + 0.4, b"try")
+        acquired: asyncio.Future[Answer | None] = loop.create_future()
+        claim.acquire(acquired.set_result)
+        answer = await asyncio.wait_for(acquired, 5.0)  # fails if the callback is never called
         assert (answer.status if answer is not None else None) == status
-        before = len(core.heard)
-        core.says = [{"ok": True}]
+        before = len(core.received)
+        core.replies = [{"ok": True}]
         claim.finish(None, ran=False)
-        claim.finish(None, ran=True)  # a second end is none
+        claim.finish(None, ran=True)  # a second end has no effect
         await claims.finish(1.0)
-        told = core.heard[before:]
-        assert [m["state"] for m in told] == (["free"] if ends else [])
-        assert "claimed" in claims.line() and claims.line() == ""
+        sent = core.received[before:]
+        assert [message["state"] for message in sent] == (["free"] if ends else [])
+        assert "claimed" in claims.log_line() and claims.log_line() == ""
 
-    asyncio.run(day())
+    asyncio.run(scenario())
