--- a/ivymux/hosting/tenant_counters.py
+++ b/ivymux/hosting/tenant_counters.py
@@ -52,8 +52,8 @@
     def __init__(self, address: Address, timeout: float, clock: SharedClock) -> None:
         super().__init__(address, timeout, nobody, clock)
 
-    def deliver(self, count: Count, told: Counted | Late) -> None:
-        route(count, told)
+    def deliver(self, count: Count, result: Counted | Late) -> None:
+        route(count, result)
 
 
 class TenantCounter:
--- a/ivymux/platform/counter.py
+++ b/ivymux/platform/counter.py
@@ -1,4 +1,4 @@
-"""The counter: TALLY calls on a few pipelined RESP2 connections."""
+"""Client of the counter service: TALLY calls on a few pipelined RESP2 connections."""
 
 from __future__ import annotations
 
@@ -18,59 +18,66 @@
 from ivymux.tally.clock import SharedClock
 from orchidhill.interface import Count, Counted, Late, Outcome
 
-CONNECTION_COUNT = 4  # connections; the counter holds 32 of a front door
-MAX_PENDING = 1000  # calls on one connection that wait for their answers
-PING_AFTER_S = 2.0  # seconds without a call after which a PING keeps the connection from standing idle
-DEAD_AFTER_S = 2.0  # seconds with calls out and no byte back: the machine behind it has vanished
-RETRY_MIN_S, RETRY_MAX_S = 0.05, 1.0  # seconds between attempts to connect
+CONNECTION_COUNT = 4  # the service accepts up to 32 of one gateway
+MAX_PENDING = 1000  # unanswered calls on one connection
+PING_AFTER_S = 2.0  # without traffic; a PING then keeps the connection from being closed as idle
+DEAD_AFTER_S = 2.0  # without any byte read while calls are unanswered; the connection is then closed
+RETRY_MIN_S, RETRY_MAX_S = 0.05, 1.0  # between attempts to connect
 CONNECT_TIMEOUT_S = 1.0
-MAX_ANSWER_BYTES = 64 * 1024  # bytes; a total is far shorter
+MAX_ANSWER_BYTES = 64 * 1024  # a total is far shorter
 TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")  # neither nan nor inf
 
 log = logging.getLogger(__name__)
 
 
 class CounterCall:
+    """A call for a count of the decision module, or a command of the connection itself."""
+
     __slots__ = ("command", "connection", "count", "is_settled", "started_at")
 
     def __init__(
-        self, count: Count | None, began: float, line: CounterConnection, asks: bytes = b"PING"
+        self,
+        count: Count | None,
+        started_at: float,
+        connection: CounterConnection,
+        command: bytes = b"PING",
     ) -> None:
-        self.count = count  # None for one of the line's own, which is `asks`
-        self.started_at = began
-        self.connection = line
-        self.command = asks
-        self.is_settled = count is None  # the module has had its answer
+        self.count = count  # None for a command of the connection, which is `command`
+        self.started_at = started_at
+        self.connection = connection
+        self.command = command
+        self.is_settled = count is None  # whether the decision module has its result
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection, with the calls written to it in the order in which their answers come."""
+    """One connection with its unanswered calls; answers come in the order of the calls."""
 
     def __init__(self, owner: Counter, address: Address) -> None:
         self.owner, self.address = owner, address
-        self.predecessor: CounterConnection | None = (
-            None  # whose place this one took and whose calls come first
-        )
-        self.successor: CounterConnection | None = None  # that took this one's place
+        # After a change of address: the old connection, whose calls must be settled before calls here are
+        # written, and the reverse.
+        self.predecessor: CounterConnection | None = None
+        self.successor: CounterConnection | None = None
         self.transport: asyncio.Transport | None = None
-        self.written_calls: deque[CounterCall] = deque()  # written
-        self.queued_calls: deque[CounterCall] = deque()  # to be written once the connection is up
+        self.written_calls: deque[CounterCall] = deque()
+        self.queued_calls: deque[CounterCall] = deque()  # written once `can_write`
         self.is_connecting = False
-        self.has_unsent_bytes = False  # whether written bytes still wait in this process
+        self.has_unsent_bytes = False  # whether written bytes are still in the write buffer
         self.last_received_at = 0.0
-        self.retry_delay = RETRY_MIN_S
+        self.retry_delay = RETRY_MIN_S  # seconds
         self.reader: Any = None
-        self.unread_bytes = 0  # bytes read since the last answer
-        self.incarnation = 0  # of which counts its answers are, where the counter tells
+        self.unread_bytes = 0  # read since the last complete answer
+        self.incarnation = 0  # of the service's counts, if it has one (see `incarnation_number`)
 
     # --- calls -------------------------------------------------------------------------------------
 
     def call(self, count: Count, now: float) -> None:
+        """Write a call, queue it, or settle it at once if neither is possible."""
         call = CounterCall(count, now, self)
         if len(self.written_calls) + len(self.queued_calls) >= MAX_PENDING:
             self.owner.settle(call, Outcome.FULL)
             return
-        if self.transport is None and not self.is_connecting:  # refused a moment ago; it tries again shortly
+        if self.transport is None and not self.is_connecting:  # it waits for the next attempt to connect
             self.owner.settle(call, Outcome.CONNECT_FAILED)
             return
         self.owner.expiring.append(call)
@@ -80,8 +87,10 @@
             self.queued_calls.append(call)
 
     def can_write(self) -> bool:
-        """Whether a call may be written now.  Not before those at the old counter have ended: the answers
-        for one name are told in the order of its calls.
+        """Whether a call may be written now.
+
+        After a change of address that is only after all calls at the old one are settled, as the results
+        for one name must be reported in the order of its calls.
         """
         return self.transport is not None and not self.transport.is_closing() and self.predecessor is None
 
@@ -98,37 +107,38 @@
         if count is None:
             self.transport.write(b"*1\r\n$%d\r\n%s\r\n" % (len(call.command), call.command))
             return
-        life = max(1, min(60_000, round(count.expires * 1000)))
-        command: tuple[str, ...] = ("TALLY", str(count.name), f"{count.amount:.6f}", str(life))
+        expires_ms = max(1, min(60_000, round(count.expires * 1000)))
+        command: tuple[str, ...] = ("TALLY", str(count.name), f"{count.amount:.6f}", str(expires_ms))
         if count.call and self.owner.shared_clock is not None:
             command = (*command, f"{self.owner.caller_id}:{count.call}")
         self.transport.write(hiredis.pack_command(command))  # type: ignore[arg-type]  # any length is taken
 
     def expire(self, call: CounterCall) -> None:
+        """Settle a call that has timed out."""
         if call in self.queued_calls:
-            self.queued_calls.remove(call)  # never written, so it can never be added
+            self.queued_calls.remove(call)  # never written, so it will never be counted
             self.owner.settle(call, Outcome.CONNECT_FAILED)
         else:
-            # It keeps its place in `calls`: its late answer must not be taken for the next call's.
+            # It stays in `written_calls`, so that a late answer to it is not taken for that of the next call.
             self.owner.settle(call, Outcome.TIMEOUT)
         self.close_if_drained()
 
-    def hand_over_to(self, heir: CounterConnection) -> None:
-        """Another line takes this one's place: what is out here ends here, what was not written moves."""
-        self.successor, heir.predecessor = heir, self
-        heir.queued_calls, self.queued_calls = self.queued_calls, deque()
-        for call in heir.queued_calls:
-            call.connection = heir
+    def hand_over_to(self, successor: CounterConnection) -> None:
+        """Let another connection replace this one: queued calls move, written ones are settled here."""
+        self.successor, successor.predecessor = successor, self
+        successor.queued_calls, self.queued_calls = self.queued_calls, deque()
+        for call in successor.queued_calls:
+            call.connection = successor
         self.close_if_drained()
 
     def close_if_drained(self) -> None:
-        """Once its calls have ended, a line that gave way lets its heir write, and ends."""
+        """Close a replaced connection once its calls are settled; its successor may then write."""
         if self.successor is not None and all(call.is_settled for call in self.written_calls):
-            heir, self.successor = self.successor, None
-            heir.predecessor = None
+            successor, self.successor = self.successor, None
+            successor.predecessor = None
             if self.transport is not None:
                 self.transport.abort()
-            heir.flush()
+            successor.flush()
 
     def is_current(self) -> bool:
         return self in self.owner.connections or self in self.owner.next_connections
@@ -155,8 +165,8 @@
         except (OSError, TimeoutError):
             self.is_connecting = False
             if self.transport is not None:
-                # It came up in the very moment in which the wait ended: the loop has closed it and calls no
-                # `connection_lost`.  Kept, it would fail every call from then on.
+                # The connection was established just as the timeout expired.  The event loop has closed it
+                # without a call of `connection_lost`; kept, it would fail every further call.
                 self.transport.abort()
                 self.connection_lost(None)
                 return
@@ -165,14 +175,12 @@
             self.retry_delay = min(RETRY_MAX_S, 2 * self.retry_delay)
             self.owner.set_ready()
         else:
-            if (
-                self.owner.shared_clock is None
-            ):  # else the time comes first: it counts from the first event on
+            if self.owner.shared_clock is None:  # else the answer to TIME has to arrive first
                 self.owner.set_ready()
 
     def fail_queued(self) -> None:
-        held, self.queued_calls = self.queued_calls, deque()
-        for call in held:
+        queued, self.queued_calls = self.queued_calls, deque()
+        for call in queued:
             self.owner.settle(call, Outcome.CONNECT_FAILED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -181,12 +189,12 @@
         self.transport, self.is_connecting, self.has_unsent_bytes = transport, False, False
         self.reader, self.unread_bytes = hiredis.Reader(), 0
         self.last_received_at = time.monotonic()
-        if not self.is_current():  # moved on while it connected
+        if not self.is_current():  # the address changed again while it connected
             transport.abort()
             return
         self.owner.on_connected(self)
         if self.owner.shared_clock is not None:
-            # Before any call: each answer is then known to belong to these counts.
+            # Before any call, so that the incarnation of every total is known.
             self.write(CounterCall(None, self.last_received_at, self, b"INCARNATION"))
             self.write(CounterCall(None, self.last_received_at, self, b"TIME"))
         self.flush()
@@ -201,9 +209,9 @@
         self.transport = None
         calls, self.written_calls = self.written_calls, deque()
         for call in calls:
-            # Which of several calls the unsent bytes belong to is not known; only one alone is certain.
-            alone = self.has_unsent_bytes and len(calls) == 1
-            self.owner.settle(call, Outcome.CONNECT_FAILED if alone else Outcome.TIMEOUT)
+            # Unsent bytes belong to an unknown one of several calls; only a single call is surely incomplete.
+            is_unsent = self.has_unsent_bytes and len(calls) == 1
+            self.owner.settle(call, Outcome.CONNECT_FAILED if is_unsent else Outcome.TIMEOUT)
         self.close_if_drained()
         self.connect()
 
@@ -215,39 +223,43 @@
             while (reply := self.reader.gets()) is not False:
                 self.unread_bytes = 0
                 if not self.written_calls:
-                    raise hiredis.ProtocolError("an answer that no call waits for")
+                    raise hiredis.ProtocolError("an answer without a call")
                 self.on_answer(self.written_calls.popleft(), reply)
             if self.unread_bytes > MAX_ANSWER_BYTES:
-                raise hiredis.ProtocolError("an answer without end")
-        except hiredis.ProtocolError as error:  # framing is lost: nothing behind it can be matched
+                raise hiredis.ProtocolError(f"an answer longer than {MAX_ANSWER_BYTES} bytes")
+        except hiredis.ProtocolError as error:  # later answers can't be assigned to their calls
             log.warning("counter: %s", error)
             if self.transport is not None:
                 self.transport.abort()
         self.close_if_drained()
 
     def on_answer(self, call: CounterCall, reply: Any) -> None:
-        """Settle one call.  An answer that is none raises: it is not known what the next ones belong to."""
+        """Handle the answer to the oldest call.
+
+        Raises hiredis.ProtocolError for an invalid one, as later answers can't be assigned to their calls.
+        """
         if call.is_settled and call.count is not None:
             self.owner.on_late_answer(call)
         if call.command == b"INCARNATION":
-            # A tally that does not know the call tells nothing of its counts.
+            # A service that does not know the command answers with an error.
             self.incarnation = incarnation_number(reply) if isinstance(reply, bytes) else 0
         elif call.command == b"TIME":
             self.owner.on_time(call.started_at, reply)
         elif isinstance(reply, hiredis.ReplyError):
             if not str(reply).startswith("BUSY"):
                 log.warning("counter: %.80s", reply)
-            self.owner.settle(call, Outcome.FULL)  # nothing was added
+            self.owner.settle(call, Outcome.FULL)  # nothing was counted
         elif call.count is None:
             if reply != b"PONG":
                 raise hiredis.ProtocolError(f"not an answer to PING: {reply!r:.40}")
         elif isinstance(reply, bytes) and TOTAL.fullmatch(reply):
             self.owner.settle(call, Outcome.OK, float(reply))
         else:
-            self.owner.settle(call, Outcome.TIMEOUT)  # it may have been added
+            self.owner.settle(call, Outcome.TIMEOUT)  # it may have been counted
             raise hiredis.ProtocolError(f"not a total: {reply!r:.40}")
 
     def check_liveness(self, now: float) -> None:
+        """Close a connection that does not answer; send PING or TIME on one that does."""
         if self.transport is None:
             return
         if self.written_calls and now - self.last_received_at > DEAD_AFTER_S:
@@ -258,35 +270,40 @@
             self.write(CounterCall(None, now, self, b"TIME"))
 
 
-def incarnation_number(told: bytes) -> int:
-    """A number for the counts that a tally says its totals continue; never 0."""
-    return int.from_bytes(blake2b(told, digest_size=7).digest(), "big") + 1
+def incarnation_number(name: bytes) -> int:
+    """Return a number, never 0, for the name of a service's incarnation.
+
+    Totals of one incarnation continue the same counts.
+    """
+    return int.from_bytes(blake2b(name, digest_size=7).digest(), "big") + 1
 
 
 class Counter:
-    """Calls by name: those of one name share a connection, so their answers come in their order."""
+    """A pool of connections; calls for one name share a connection, so that their order is kept."""
 
     def __init__(
-        self, address: Address, timeout: float, done: Callable[[Counted | Late], None],
-        shared: SharedClock | None = None,
+        self, address: Address, timeout: float, on_result: Callable[[Counted | Late], None],
+        shared_clock: SharedClock | None = None,
     ) -> None:  # fmt: skip
-        """`shared`: at `ivymux tally`, which tells of its counts and its time, as the operators' counter does
-        not: the clock that is set by it.
+        """`timeout`: of a call, in seconds; `on_result` gets the results, in call order for each name.
+
+        `shared_clock`: is set by the service's time.  It is given for an `ivymux tally`, which supports
+        INCARNATION and TIME; the operators' counter does not.
         """
-        self.timeout, self.on_result, self.shared_clock = timeout, done, shared
-        self.caller_id = secrets.token_hex(6)  # whose calls these are, where they may come again
+        self.timeout, self.on_result, self.shared_clock = timeout, on_result, shared_clock
+        self.caller_id = secrets.token_hex(6)  # identifies repeated calls together with their number
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.expiring: deque[CounterCall] = deque()  # all wait equally long: oldest first
+        self.expiring: deque[CounterCall] = deque()  # oldest first, as all have the same timeout
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.is_closed = False
-        self.ready = self.loop.create_future()  # done once a first connection is up, with its time, or failed
+        # Done once a first connection has failed or is established and, with a shared clock, has the time.
+        self.ready = self.loop.create_future()
         self.connections = [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)]
-        self.next_connections: list[
-            CounterConnection
-        ] = []  # to another address: each takes over once it is up
-        for line in self.connections:
-            line.connect()
+        # To a new address; each replaces an old one once it is established.
+        self.next_connections: list[CounterConnection] = []
+        for connection in self.connections:
+            connection.connect()
         self.check_timer = self.loop.call_later(PING_AFTER_S / 2, self.check_connections)
 
     def set_ready(self) -> None:
@@ -294,28 +311,28 @@
             self.ready.set_result(None)
 
     def change_address(self, address: Address) -> None:
-        """Call at another address.  The old lines go on until the new ones are up, one by one."""
+        """Use another address; each old connection serves until its successor is established."""
         if address == (self.next_connections or self.connections)[-1].address:
             return
-        dropped, self.next_connections = (
-            self.next_connections,
-            [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)],
-        )
-        for line in dropped:
-            if line.transport is not None and line not in self.connections:
-                line.transport.abort()
-        for line in self.next_connections:
-            line.connect()
-
-    def on_connected(self, line: CounterConnection) -> None:
-        if line in self.next_connections:
-            place = self.next_connections.index(line)
-            old, self.connections[place] = self.connections[place], line
-            old.hand_over_to(line)
-            if all(up.address == line.address for up in self.connections):
+        dropped = self.next_connections
+        self.next_connections = [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)]
+        for connection in dropped:
+            if connection.transport is not None and connection not in self.connections:
+                connection.transport.abort()
+        for connection in self.next_connections:
+            connection.connect()
+
+    def on_connected(self, connection: CounterConnection) -> None:
+        """Let a new connection replace the old one at its index."""
+        if connection in self.next_connections:
+            index = self.next_connections.index(connection)
+            old, self.connections[index] = self.connections[index], connection
+            old.hand_over_to(connection)
+            if all(current.address == connection.address for current in self.connections):
                 self.next_connections = []
 
     def add(self, count: Count) -> None:
+        """Send a count to the service."""
         self.connections[count.name % CONNECTION_COUNT].call(count, time.monotonic())
         if self.expiry_timer is None and self.expiring:
             self.expiry_timer = self.loop.call_later(self.timeout, self.expire)
@@ -325,37 +342,39 @@
         while self.expiring:
             call = self.expiring[0]
             if not call.is_settled:
-                if (left := call.started_at + self.timeout - now) > 0:
-                    self.expiry_timer = self.loop.call_later(left, self.expire)
+                if (time_left := call.started_at + self.timeout - now) > 0:
+                    self.expiry_timer = self.loop.call_later(time_left, self.expire)
                     return
                 call.connection.expire(call)
             self.expiring.popleft()
         self.expiry_timer = None
 
     def settle(self, call: CounterCall, outcome: Outcome, total: float = 0.0) -> None:
+        """Report the result of a call, once."""
         if not call.is_settled and call.count is not None:
             call.is_settled = True
-            told = Counted(call.count.name, outcome, total, self.elapsed(call), call.connection.incarnation)
-            self.deliver(call.count, told)
+            incarnation = call.connection.incarnation
+            result = Counted(call.count.name, outcome, total, self.elapsed(call), incarnation)
+            self.deliver(call.count, result)
 
-    def on_time(self, sent: float, reply: Any) -> None:
-        """Seconds and microseconds of Unix time, or an error from a tally that does not tell."""
+    def on_time(self, sent_at: float, reply: Any) -> None:
+        """Handle the answer to TIME: seconds and microseconds of Unix time, or an error if unsupported."""
         self.set_ready()
         if self.shared_clock is not None and isinstance(reply, list) and len(reply) == 2:
             try:
-                told = int(reply[0]) + int(reply[1]) / 1e6
+                unix_time = int(reply[0]) + int(reply[1]) / 1e6
             except (TypeError, ValueError):
                 raise hiredis.ProtocolError(f"not a time: {reply!r:.40}") from None
-            self.shared_clock.heard(sent, time.monotonic(), told)
+            self.shared_clock.heard(sent_at, time.monotonic(), unix_time)
 
     def on_late_answer(self, call: CounterCall) -> None:
-        """Hear that a call was answered after it was told as timed out."""
+        """Report that a call was answered after its timeout."""
         assert call.count is not None
         self.deliver(call.count, Late(call.count.name))
 
-    def deliver(self, count: Count, told: Counted | Late) -> None:
-        """Hand an answer to whom it is for."""
-        self.on_result(told)
+    def deliver(self, count: Count, result: Counted | Late) -> None:
+        """Pass a result on; subclasses choose the receiver by `count`."""
+        self.on_result(result)
 
     def elapsed(self, call: CounterCall) -> float:
         return time.monotonic() - call.started_at
@@ -363,8 +382,8 @@
     def check_connections(self) -> None:
         self.check_timer = self.loop.call_later(PING_AFTER_S / 2, self.check_connections)
         now = time.monotonic()
-        for line in self.connections:
-            line.check_liveness(now)
+        for connection in self.connections:
+            connection.check_liveness(now)
 
     def close(self) -> None:
         self.is_closed = True
@@ -373,6 +392,6 @@
             self.expiry_timer.cancel()
         for task in self.tasks:
             task.cancel()
-        for line in [*self.connections, *self.next_connections]:
-            if line.transport is not None:
-                line.transport.abort()
+        for connection in [*self.connections, *self.next_connections]:
+            if connection.transport is not None:
+                connection.transport.abort()
