--- a/ivymux/platform/__init__.py
+++ b/ivymux/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The front door of the operators' platform: NODE_CONFIG, its terms, discovery and counter."""
+"""The gateway of the operators' platform: NODE_CONFIG, its request protocol, discovery and counter."""
--- a/ivymux/platform/config.py
+++ b/ivymux/platform/config.py
@@ -1,4 +1,4 @@
-"""NODE_CONFIG as typed configuration."""
+"""Reads the platform's configuration file, which NODE_CONFIG names, into typed settings."""
 
 from __future__ import annotations
 
@@ -14,28 +14,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The configuration of one gateway."""
+
     name: str
     listen: Address
     discovery: Address
     counter: Address | None
     seed: int
     bounds: Bounds
-    most_units: float  # of one request
-    known: dict[str, Any]  # the list of backends as this front door last had it, in discovery's form
+    most_units: float  # maximum of one request
+    known: dict[str, Any]  # the last list of backends that the gateway received, in discovery's format
     settings: i.Settings
-    kinds: tuple[str, ...]
+    kinds: tuple[str, ...]  # names of the kinds of backends; the decision module uses their indices
     conn_idle: float  # seconds after which a backend closes an idle connection
 
 
-def plain(value: object) -> str:
-    """A value as the settings text writes it."""
+def settings_text(value: object) -> str:
+    """Return a value in the notation of the settings text."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
 def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the path=value lines that the inherited parser reads."""
+    """Yield nested settings as the path=value lines that `orchidhill.wire.parse_settings` reads."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
@@ -44,14 +46,15 @@
         for number, inner in enumerate(value):
             yield from flatten(inner, f"{path}.{number}")
     elif isinstance(value, list):
-        yield f"{path}=" + ",".join(map(plain, value))
+        yield f"{path}=" + ",".join(map(settings_text, value))
     elif value is not None:
-        yield f"{path}={plain(value)}"
+        yield f"{path}={settings_text(value)}"
+
 
+def parse(text: str, env: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Parse the file's text; environment variables take precedence over it.  Raises ConfigError.
 
-def parse(text: str, env: Mapping[str, str], again: bool = False) -> Config:
-    """The configuration.  The environment's own variables win over the file; not so NODE_DISCOVERY when the
-    file is read `again`: it tells where discovery was at the start.
+    On a reload the file takes precedence over NODE_DISCOVERY, which holds the address at the start.
     """
     try:
         raw = json.loads(text)
@@ -65,8 +68,8 @@
         settings = parse_settings("\n".join(flatten(nested)))
         kinds = nested.get("host_types", [])
         known = raw.get("known") or {}
-        told = env.get("NODE_DISCOVERY")
-        discovery = raw.get("discovery", told) if again else told or raw["discovery"]
+        initial = env.get("NODE_DISCOVERY")
+        discovery = raw.get("discovery", initial) if is_reload else initial or raw["discovery"]
         config = Config(
             name=env.get("NODE_NAME") or str(raw["name"]),
             listen=parse_address(env.get("NODE_LISTEN") or raw["listen"]),
@@ -77,7 +80,7 @@
             most_units=float(nested["extra"].get("most_units", "inf")),
             known=known,
             settings=settings,
-            kinds=tuple(map(plain, kinds if isinstance(kinds, list) else [kinds])),
+            kinds=tuple(map(settings_text, kinds if isinstance(kinds, list) else [kinds])),
             conn_idle=float(nested["caps"]["conn_idle_s"]),
         )
     except KeyError as error:
@@ -93,12 +96,13 @@
     return config
 
 
-def load(env: Mapping[str, str], again: bool = False) -> Config:
+def load(env: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Read and parse the file that NODE_CONFIG names.  Raises ConfigError."""
     path = env.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as source:
-            return parse(source.read(), env, again)
+            return parse(source.read(), env, is_reload)
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"cannot read the configuration: {error}") from None
--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -14,7 +14,7 @@
 import httptools
 
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
-from ivymux.platform.config import plain
+from ivymux.platform.config import settings_text
 from orchidhill.interface import Entry, Listing, Members, State
 
 MAX_LINE_BYTES = 4 << 20  # bytes of one line; a longer one ends the watch
@@ -52,10 +52,10 @@
             raise ValueError(f"{name} has the id of {self.hosts[number]}")
         return Entry(
             backend=number,
-            zone=self.zones[plain(raw["site"])],
+            zone=self.zones[settings_text(raw["site"])],
             started=float(raw["born_ms"]) / 1000,
             state=state,
-            kind=self.kinds[plain(raw["class"])],
+            kind=self.kinds[settings_text(raw["class"])],
             cell=int(raw["block"]),
             weight=float(raw["share"]),
         ), parse_address(raw["dial"])
--- a/ivymux/platform/program.py
+++ b/ivymux/platform/program.py
@@ -1,4 +1,7 @@
-"""Start, wiring and signals: SIGTERM drains, SIGHUP reads the configuration again."""
+"""The platform gateway's process: start, wiring and signals.
+
+SIGTERM and SIGINT drain and end it; SIGHUP reloads the configuration.
+"""
 
 from __future__ import annotations
 
@@ -24,32 +27,31 @@
 from ivymux.platform.protocol_settings import TermsReader
 from orchidhill.gateway import Gateway
 
-COUNTER_WAIT_S = 0.3  # seconds that the start waits for the counter's connections
-LINGER_S = 0.6  # seconds after SIGTERM in which new connections go on coming
-
+COUNTER_WAIT_S = 0.3  # for a connection to the counter before connections are accepted
+LINGER_S = 0.6  # after SIGTERM, while clients may still open connections
 
 log = logging.getLogger("ivymux")
 
 
 class LogRateLimit(logging.Filter):
-    """Bounds what is logged in a second: an error that comes with every request must not fill the log."""
+    """Limits the log records per second, as an error in every request would flood the log."""
 
     MAX_PER_SECOND = 50
 
     def __init__(self) -> None:
         super().__init__()
-        self.second, self.seen = 0, 0
+        self.second, self.record_count = 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         second = int(time.monotonic())
         if second != self.second:
-            self.second, self.seen = second, 0
-        self.seen += 1
-        return self.seen <= self.MAX_PER_SECOND
+            self.second, self.record_count = second, 0
+        self.record_count += 1
+        return self.record_count <= self.MAX_PER_SECOND
 
 
 class PlatformGateway:
-    """The parts of one front door, wired together."""
+    """One gateway for the operators' platform: creates and connects its parts."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -72,23 +74,25 @@
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
             host.update_members(members, addresses)
         self.discovery = Discovery(config.discovery, names, host.update_members)
-        front = PlatformFrontend(TermsReader(settings, config.most_units), self.ready)
-        self.server = Server(front, config.listen, config.bounds, host)
-        # SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
-        self.drain_time = min(3.0, max((c.deadline for c in settings.classes), default=3.0)) + 0.4
+        frontend = PlatformFrontend(TermsReader(settings, config.most_units), self.is_ready)
+        self.server = Server(frontend, config.listen, config.bounds, host)
+        # After SIGTERM, SIGKILL follows no earlier than the longest deadline (at most 3 s) plus 0.7 s.
+        longest_deadline = max((cls.deadline for cls in settings.classes), default=3.0)
+        self.drain_timeout = min(3.0, longest_deadline) + 0.4
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         return not self.server.is_stopping and bool(self.host.upstream.pools)
 
     async def start(self) -> None:
+        """Accept connections, once the counter is connected or `COUNTER_WAIT_S` is over.  Raises OSError."""
         if self.counter is not None:
             await asyncio.wait([self.counter.ready], timeout=COUNTER_WAIT_S)
         await self.server.start()
 
     def reload(self, env: Mapping[str, str]) -> None:
-        """Go over to the addresses that the file names now; a file that cannot be served changes nothing."""
+        """Change to the addresses of discovery and counter in the file; ignore an invalid file."""
         try:
-            config = load(env, again=True)
+            config = load(env, is_reload=True)
             if config.settings.has_counter != self.config.settings.has_counter:
                 raise ConfigError("whether there is a counter changes only with a restart")
         except ConfigError as error:
@@ -101,18 +105,18 @@
             self.counter.change_address(config.counter)
 
     async def drain(self) -> None:
-        """Serve on while clients still come, then finish what is held, in time for all of it."""
-        began = time.monotonic()
+        """Serve new connections for `LINGER_S`, finish open requests within `drain_timeout`, then close."""
+        started_at = time.monotonic()
         await asyncio.sleep(LINGER_S)
         self.server.stop_listening()
-        while self.host.unanswered_count and time.monotonic() - began < self.drain_time:
+        while self.host.unanswered_count and time.monotonic() - started_at < self.drain_timeout:
             await asyncio.sleep(0.01)
         self.host.finish_all()
         await self.close()
 
     async def close(self) -> None:
         self.server.close()
-        await asyncio.sleep(0.05)  # the last answers leave
+        await asyncio.sleep(0.05)  # while the last answers are written
         self.discovery.close()
         if self.counter is not None:
             self.counter.close()
@@ -120,31 +124,33 @@
 
 
 async def serve(env: Mapping[str, str]) -> None:
+    """Run a gateway until a signal ends it.  Raises ConfigError."""
     loop = asyncio.get_running_loop()
     terminated = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, terminated.set)
-    doors: list[PlatformGateway] = []
+    gateways: list[PlatformGateway] = []  # empty until the gateway has been created
 
     def reload() -> None:
-        for door in doors:
-            door.reload(env)
+        for gateway in gateways:
+            gateway.reload(env)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     config = load(env)
-    door = PlatformGateway(config)
-    doors.append(door)
+    gateway = PlatformGateway(config)
+    gateways.append(gateway)
     try:
-        await door.start()
+        await gateway.start()
     except OSError as error:
         raise ConfigError(f"cannot listen on {config.listen.host}:{config.listen.port}: {error}") from None
     gc.collect()
-    gc.freeze()  # what lives as long as the process need not be looked at again
+    gc.freeze()  # objects that live as long as the process need not be collected
     await terminated.wait()
-    await door.drain()
+    await gateway.drain()
 
 
 def main() -> int:
+    """Run the gateway; return the exit code, 2 for an invalid configuration."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     for handler in logging.getLogger().handlers:
         handler.addFilter(LogRateLimit())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -36,8 +36,8 @@
 def test_the_file_wins_for_discovery_when_it_is_read_again() -> None:
     env = {"NODE_DISCOVERY": "127.0.0.1:7"}
     assert parse(config_text([], discovery="127.0.0.1:8"), env).discovery == Address("127.0.0.1", 7)
-    assert parse(config_text([], discovery="127.0.0.1:8"), env, again=True).discovery.port == 8
-    assert parse(without("discovery"), env, again=True).discovery.port == 7
+    assert parse(config_text([], discovery="127.0.0.1:8"), env, is_reload=True).discovery.port == 8
+    assert parse(without("discovery"), env, is_reload=True).discovery.port == 7
 
 
 def without(key: str) -> str:
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -772,7 +772,7 @@
         ):
             waiting = asyncio.create_task(client.ask(2, 60_000))
             await until(lambda: backend.seen)
-            door.drain_time = 0.7
+            door.drain_timeout = 0.7
             await door.drain()
             assert (await waiting).status == 504
 
