--- a/ivymux/transport/connection.py
+++ b/ivymux/transport/connection.py
@@ -203,7 +203,10 @@
                     self.on_disconnect(connection)
 
             connection = self.connection_class(self.on_message, self.on_connect, handle_disconnect)
-            protocol_factory = (lambda protocol: lambda: protocol)(connection)
+
+            def protocol_factory(protocol: Connection = connection) -> Connection:
+                return protocol
+
             connection.peer = self.address
             # Set before connecting: the on_connect callback may send through this connector at once.
             self.connection = connection
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -72,18 +72,18 @@
 
 def test_a_proxy_at_which_most_requests_fail_reports_nothing() -> None:
     async def test() -> None:
-        well, said = [0], list[Message]()
-        doubts = FailureReporter(lambda: well[0], lambda backend: f"b{backend}", said.append)
-        doubts.sample()
+        succeeded, sent = [0], list[Message]()
+        reporter = FailureReporter(lambda: succeeded[0], lambda backend: f"b{backend}", sent.append)
+        reporter.sample()
         for _ in range(3):
-            doubts.doubt(1)
-        await until(lambda: doubts.timer is None)
-        assert not said
-        well[0] = 5
-        doubts.doubt(1)
-        doubts.doubt(1)
-        await until(lambda: doubts.timer is None)
-        assert said == [{"k": "doubt", "l": [["b1", 2]]}]
+            reporter.doubt(1)
+        await until(lambda: reporter.timer is None)
+        assert not sent
+        succeeded[0] = 5
+        reporter.doubt(1)
+        reporter.doubt(1)
+        await until(lambda: reporter.timer is None)
+        assert sent == [{"k": "doubt", "l": [["b1", 2]]}]
 
     asyncio.run(test())
 
