--- a/ivymux/platform/protocol_settings.py
+++ b/ivymux/platform/protocol_settings.py
@@ -1,4 +1,4 @@
-"""A request's terms: what the protocol and the settings allow, and nothing else, reaches the module."""
+"""Reads and validates a request's terms by the platform's protocol and the settings."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from orchidhill import interface as i
 from orchidhill.interface import Effect
 
-CUSTOMERS = 1 << 33
-MAX_TERMS_BYTES = 96  # bytes of X-Call-Terms; longer ones would also fill the cache
+CUSTOMERS = 1 << 33  # customer numbers are below this
+MAX_TERMS_BYTES = 96  # of X-Call-Terms; longer ones would also fill the cache
 SINGLE_HEADERS = frozenset(
     b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
     b" client-retry".split()
@@ -28,6 +28,8 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestTerms:
+    """The validated terms of a request; `cls` and `plan` are indices into the settings."""
+
     request_id: bytes
     cls: int
     plan: int
@@ -39,9 +41,9 @@
     is_retry: bool
 
 
-@functools.lru_cache(maxsize=256)  # few distinct ones come
+@functools.lru_cache(maxsize=256)  # there are few distinct values
 def parse_call_terms(text: bytes) -> tuple[float, int, int]:
-    """Units, spread and first of X-Call-Terms."""
+    """Return units, spread and first of X-Call-Terms.  Raises BadRequest."""
     try:
         pairs = [part.split("=", 1) for part in text.decode("ascii").replace(" ", "").split(",")]
         values = {key: value for key, value in pairs}  # noqa: C416  # a part without "=" is a ValueError
@@ -56,7 +58,7 @@
 
 
 def parse_timeout(text: bytes) -> float:
-    """Request-Timeout in seconds."""
+    """Return Request-Timeout in seconds.  Raises BadRequest."""
     found = TIMEOUT.fullmatch(text)
     if found is None:
         raise BadRequest("malformed Request-Timeout")
@@ -65,7 +67,8 @@
 
 
 def parse_customer(query: bytes) -> int:
-    # A second one, also one with an escaped name, could be read differently here and at a backend.
+    """Return the customer's number in a query.  Raises BadRequest."""
+    # A repeated parameter, even with an escaped name, could be read differently here and at a backend.
     try:
         found = [v for k, v in parse_qsl(query.decode("ascii"), True, max_num_fields=32) if k == "customer"]
     except ValueError:
@@ -76,17 +79,18 @@
 
 
 class TermsReader:
-    """Reads terms by one site's settings."""
+    """Reads the terms of requests by the settings of one gateway."""
 
     def __init__(self, settings: i.Settings, most_units: float) -> None:
         self.most_units, self.peers = most_units, settings.peers
-        self.classes = {c.name.encode(): (n, c) for n, c in enumerate(settings.classes)}
-        self.plans = {p.name.encode(): n for n, p in enumerate(settings.plans)}
+        self.classes = {cls.name.encode(): (number, cls) for number, cls in enumerate(settings.classes)}
+        self.plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
 
     def read(self, method: bytes, target: bytes, fields: list[tuple[bytes, bytes]]) -> RequestTerms:
+        """Return the terms of a request.  Raises BadRequest."""
         headers = dict(fields)
         if len(headers) != len(fields):
-            self.no_repeats(fields)
+            self.check_single_headers(fields)
         found = TARGET.fullmatch(target)
         if found is None or (b"/." in found[1] and {b".", b".."} & set(found[1].split(b"/"))):
             raise BadRequest("malformed target")
@@ -110,7 +114,7 @@
         request_id = headers.get(b"request-id", b"")
         if not REQUEST_ID.fullmatch(request_id):
             raise BadRequest("malformed Request-Id")
-        # A client waits for all its tries no longer than its class's deadline, so none is held longer.
+        # The client waits for all its attempts no longer than the deadline of the request's class.
         timeout = min(cls.deadline, parse_timeout(headers.get(b"request-timeout", b"")))
         terms = headers.get(b"x-call-terms", b"")
         if len(terms) > MAX_TERMS_BYTES:
@@ -122,8 +126,11 @@
         is_retry = headers.get(b"client-retry") == b"1"
         return RequestTerms(request_id, number, plan, customer, timeout, units, spread, first, is_retry)
 
-    def no_repeats(self, fields: list[tuple[bytes, bytes]]) -> None:
-        """A header that counts and stands twice could be read differently here and at a backend."""
+    def check_single_headers(self, fields: list[tuple[bytes, bytes]]) -> None:
+        """Raise BadRequest if a header of the protocol is repeated.
+
+        A repeated header could be read differently here and at a backend.
+        """
         seen = set()
         for name, _ in fields:
             if name in seen and name in SINGLE_HEADERS:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -125,7 +125,7 @@
     names.members({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
     with pytest.raises(ValueError, match="no entry"):
         names.members({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
-    assert names.hosts == {7: "s-00000007"}
+    assert names.name_by_id == {7: "s-00000007"}
 
 
 # Guards against growth: backends are replaced all day by ones of ever new names.
@@ -135,7 +135,7 @@
         line = host_line(f"s-{number:08x}", "127.0.0.1:81")
         names.members({"seq": 2 * number, "whole": False, "hosts": [line]})
         names.members({"seq": 2 * number + 1, "whole": False, "hosts": [line | {"health": "Gone"}]})
-    assert names.hosts == {}
+    assert names.name_by_id == {}
 
 
 def test_a_silent_watch_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
