--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""What the project promises of its own files."""
+"""Checks on the project's own files: size, imports, purity, the README example and the deploy file."""
 
 from __future__ import annotations
 
@@ -9,28 +9,30 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MODULE = ROOT / "orchidhill" / "gateway.py"
+GATEWAY = ROOT / "orchidhill" / "gateway.py"
 ADMISSION = ROOT / "orchidhill" / "admission.py"
 DEGRADED_MODE = ROOT / "orchidhill" / "degraded_mode.py"
-NAMES = ("admission.py", "degraded_mode.py", "call_rate.py", "state.py", "bucket_overflow.py")
-BESIDE = [ROOT / "orchidhill" / name for name in NAMES]
-DECIDE = tuple(f"orchidhill.{f.stem}" for f in (MODULE, *BESIDE))
+POLICY_NAMES = ("admission.py", "degraded_mode.py", "call_rate.py", "state.py", "bucket_overflow.py")
+OTHER_POLICY_FILES = [ROOT / "orchidhill" / name for name in POLICY_NAMES]
+POLICY_MODULES = tuple(f"orchidhill.{f.stem}" for f in (GATEWAY, *OTHER_POLICY_FILES))
 
 
-def test_the_module_can_be_read_in_one_sitting() -> None:
-    lines = MODULE.read_text().splitlines()
-    # With what it does without a tally, in a file of its own.  The platform's bound is 1,200, for all.
+def test_policy_files_are_short() -> None:
+    lines = GATEWAY.read_text().splitlines()
+    # The platform's limit for all policy files is 1,200 lines, see below.
     assert sum(1 for line in [*lines, *DEGRADED_MODE.read_text().splitlines()] if line.strip()) <= 1000
     assert max(map(len, lines)) <= 110
-    assert all(sum(map(bool, map(str.strip, f.read_text().splitlines()))) <= 620 for f in (MODULE, ADMISSION))
+    assert all(
+        sum(map(bool, map(str.strip, f.read_text().splitlines()))) <= 620 for f in (GATEWAY, ADMISSION)
+    )
     assert "orchidhill/interface.py" in lines[0]
 
 
-def test_the_module_imports_the_standard_library_and_the_interface_only() -> None:
-    names = {name for path in (MODULE, *BESIDE) for name in imports(path)}
+def test_policy_files_import_only_the_standard_library_and_the_interface() -> None:
+    names = {name for path in (GATEWAY, *OTHER_POLICY_FILES) for name in imported_names(path)}
     tops = {name.split(".")[0] for name in names}
     outside = [n for n in names if n.split(".")[0] not in sys.stdlib_module_names]
-    assert all(name.startswith(("orchidhill.interface", *DECIDE)) for name in outside)
+    assert all(name.startswith(("orchidhill.interface", *POLICY_MODULES)) for name in outside)
     assert not tops & {"time", "datetime", "os", "socket", "threading", "asyncio"}
 
 
@@ -101,7 +103,7 @@
     "ivymux.simulation.trial_model",
     "orchidhill.proxy_gateway",
 )
-# Each may import itself and what stands before it; the pure ones are held to more below.
+# Each layer may import itself and the layers before it; pure modules are restricted further.
 LAYERS = (
     ("orchidhill",),
     ("ivymux.text",),
@@ -129,8 +131,8 @@
 )
 
 
-def imports(path: Path) -> set[str]:
-    """The modules that a file imports, wherever it does so."""
+def imported_names(path: Path) -> set[str]:
+    """Return all names that a file imports, at any level."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -140,46 +142,46 @@
     return found
 
 
-def modules() -> dict[str, Path]:
+def source_modules() -> dict[str, Path]:
     files = [p for top in ("orchidhill", "ivymux", "standins") for p in (ROOT / top).rglob("*.py")]
     return {".".join(p.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): p for p in files}
 
 
-def layer(name: str) -> int:
+def layer_of(name: str) -> int:
     found = [
         (len(prefix), number)
         for number, prefixes in enumerate(LAYERS)
         for prefix in prefixes
         if name == prefix or name.startswith(prefix + ".")
     ]
-    return max(found)[1] if found else -1  # the longest prefix tells
+    return max(found)[1] if found else -1  # by the longest prefix
 
 
-def test_imports_point_one_way() -> None:
-    seen = 0
-    for name, path in modules().items():
-        assert layer(name) >= 0 or name == "ivymux", f"{name} has no layer: name its package in LAYERS"
-        for imported in imports(path):
-            if imported.split(".")[0] in ("ivymux", "orchidhill", "standins") and layer(imported) >= 0:
-                seen += 1
-                assert layer(imported) <= layer(name), f"{name} imports {imported}"
-    assert seen > 100
+def test_imports_respect_the_layers() -> None:
+    import_count = 0
+    for name, path in source_modules().items():
+        assert layer_of(name) >= 0 or name == "ivymux", f"{name} has no layer: name its package in LAYERS"
+        for imported in imported_names(path):
+            if imported.split(".")[0] in ("ivymux", "orchidhill", "standins") and layer_of(imported) >= 0:
+                import_count += 1
+                assert layer_of(imported) <= layer_of(name), f"{name} imports {imported}"
+    assert import_count > 100
 
 
-def test_what_decides_does_no_input_or_output() -> None:
+def test_pure_modules_do_no_input_or_output() -> None:
     outside = {"asyncio", "socket", "os", "time", "threading", "subprocess", "pathlib", "datetime", "uvloop"}
-    checked = 0
-    for name, path in modules().items():
-        if name.startswith((*PURE, *DECIDE)):
-            checked += 1
-            assert not {i.split(".")[0] for i in imports(path)} & outside, name
+    module_count = 0
+    for name, path in source_modules().items():
+        if name.startswith((*PURE, *POLICY_MODULES)):
+            module_count += 1
+            assert not {i.split(".")[0] for i in imported_names(path)} & outside, name
             calls = [n.func for n in ast.walk(ast.parse(path.read_text())) if isinstance(n, ast.Call)]
             named = {func.id for func in calls if isinstance(func, ast.Name)}
             assert not named & {"open", "print", "input"}, name
-    assert checked > 15
+    assert module_count > 15
 
 
-def test_the_policy_files_stay_within_their_lines() -> None:
+def test_policy_files_stay_within_1200_lines() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     files = [ROOT / f for f in deploy["policy"]]
     lines = [line for f in files for line in f.read_text().splitlines()]
@@ -199,7 +201,7 @@
     assert i.Send(1, 7, 0.0) in drive(settings_text())
 
 
-def test_the_deploy_file_names_the_module() -> None:
+def test_the_deploy_file_names_the_policy_files() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert {ROOT / name for name in deploy["policy"]} == {MODULE, *BESIDE}
+    assert {ROOT / name for name in deploy["policy"]} == {GATEWAY, *OTHER_POLICY_FILES}
     assert "orchidhill.benchlink" in deploy["sim"]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec: the wire's published examples, round trips, and what bad input does."""
+"""Tests of the simulator's codec: published examples, malformed frames and malformed settings."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 CLOCK = struct.unpack("<d", bytes.fromhex("508d976e12d32040"))[0]
 
 
-def batch(hexed: str) -> wire.Batch:
+def decode_hex(hexed: str) -> wire.Batch:
     data = bytes.fromhex(hexed)
     return wire.decode_batch(data[: wire.HEADER.size], data[wire.HEADER.size :])
 
 
-def one(record: str) -> i.Event | wire.Configure | wire.Crash:
+def decode_record(record: str) -> i.Event | wire.Configure | wire.Crash:
     body = bytes.fromhex("0c03000000" + record)
     head = wire.HEADER.pack(2, len(body) + 12, 1.0, 1)
     (found,) = wire.decode_batch(head, body).records
@@ -31,18 +31,18 @@
 
 
 def test_empty_batch_and_reply() -> None:
-    got = batch("000000000c000000508d976e12d3204001000000")
-    assert (got.now, got.number, got.records) == (CLOCK, 1, [])
+    batch = decode_hex("000000000c000000508d976e12d3204001000000")
+    assert (batch.now, batch.number, batch.records) == (CLOCK, 1, [])
     assert wire.encode_reply(1, []).hex() == "080000000000000001000000"
 
 
 def test_published_batch_of_two_instances() -> None:
-    got = batch(
+    batch = decode_hex(
         "0500000054000000508d976e12d320400c000000" "0c03000000"
         "03c4913a5db2930800000000000000640ad2557c3bf091b81e85eb51b8ce3f00000040000040400000803f01"
         "074d000000000000000c0500000006192b6f0ea8d80100"
     )  # fmt: skip
-    (at3, demand), (_, fired), (at5, left) = got.records
+    (at3, demand), (_, fired), (at5, left) = batch.records
     assert (at3, at5, fired) == (3, 5, i.Fired(77))
     assert isinstance(demand, i.Request)
     assert (demand.request, demand.units, demand.width, demand.first) == (0x893B25D3A91C4, 2.0, 3, 1)
@@ -77,20 +77,20 @@
     ],
 )
 def test_published_records(record: str, event: object) -> None:
-    assert one(record) == event
+    assert decode_record(record) == event
 
 
 def test_published_finished_checked_sum_and_view() -> None:
-    finished = one("05c4913a5db293080003 0001074a1203008b6ce7fba9f1923f5600000000")
+    finished = decode_record("05c4913a5db293080003 0001074a1203008b6ce7fba9f1923f5600000000")
     assert isinstance(finished, i.Finished)
     assert (finished.charged, finished.closed, finished.outcome) == (3, True, i.Outcome.OK)
     assert (finished.metered, finished.attempt, finished.report) == (0x56, 0, ())
-    checked = one("08f211902c00c7bab88d06f0563f030000404052b81e3f0000e040")
+    checked = decode_record("08f211902c00c7bab88d06f0563f030000404052b81e3f0000e040")
     assert isinstance(checked, i.Probed)
     assert checked.report == pytest.approx((3.0, 0.62, 7.0))
-    counted = one("0b0090f68900000000000000184222fdf675e09c613f")
+    counted = decode_record("0b0090f68900000000000000184222fdf675e09c613f")
     assert isinstance(counted, i.Counted) and (counted.name, counted.total) == (0x89F690, 38.0)
-    view = one(
+    view = decode_record(
         "0201290000000000000002000000" "000000000000000000000100000000 00803f074a1203"
         "00006666666666661840010000000000c03ff211902c"
     )  # fmt: skip
@@ -127,10 +127,10 @@
         "010000000d000000508d976e12d32040010000000a",  # a record before any AT
         "0200000012000000508d976e12d32040010000000c0300000063",  # an unknown code
         "0200000014000000508d976e12d32040010000000c03000000070101",  # truncated
-        "010000000c000000508d976e12d3204001000000",  # fewer records than told
+        "010000000c000000508d976e12d3204001000000",  # fewer records than announced
     ],
 )
-def test_impossible_frames_end_the_adapter_with_one_line(hexed: str) -> None:
+def test_malformed_frames_end_the_adapter_with_one_error_line(hexed: str) -> None:
     run = subprocess.run(
         [sys.executable, "-m", "orchidhill.benchlink"],
         input=bytes.fromhex(hexed),
@@ -167,6 +167,6 @@
     assert wire.parse_settings(settings_text() + "\nnew.key=7\nnonsense").plans[2].parallel == 2
 
 
-def test_a_failing_module_is_reported_as_fault() -> None:
+def test_an_exception_is_reported_as_a_fault() -> None:
     reply = benchlink.answer({}, wire.Batch(1.0, 9, [(3, wire.Configure(1, "me=0"))]))
     assert b"SettingsError: missing setting" in reply and reply[17] == 10
