--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -338,11 +338,12 @@
 
     def backup_to_repair(self, epoch: int) -> str:
         """Return the backup of an epoch, before the epoch is in force or while it is; empty if neither."""
-        attempt, leading = self.replica.attempt, self.replica.led_epoch
+        attempt, led_epoch = self.replica.attempt, self.replica.led_epoch
         if attempt is not None and attempt.epoch_record is not None and attempt.number == epoch:
             return attempt.epoch_record.backup
-        in_force = leading is not None and leading.number == epoch and self.replica.is_writable()
-        return leading.backup if in_force and leading is not None and not self.pending else ""
+        if led_epoch is None or led_epoch.number != epoch or not self.replica.is_writable():
+            return ""
+        return led_epoch.backup if not self.pending else ""
 
     def send_repair(self, ranges: list[tuple[int, tuple[IdempotencyRecord, ...]]], last: bool) -> None:
         epoch, backup = self.epoch_and_backup()
--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -1,4 +1,7 @@
-"""Epochs and leases over losses, kills, wipes, cuts, slow disks: nothing acknowledged is gone or read old."""
+"""Epochs and leases under message loss, restarts, lost disks, network partitions and slow disks.
+
+An acknowledged change is never lost, and no read returns an older one.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
     return cores
 
 
-def test_a_first_start_founds_once_in_any_order(snapshot: SnapshotAssertion) -> None:
+def test_the_seeds_make_one_first_epoch_in_any_order_of_starts(snapshot: SnapshotAssertion) -> None:
     for order in itertools.permutations(range(3)):
         cores = Cores(7)
         for place, number in enumerate(order):
@@ -42,11 +45,12 @@
         cores.run(9.0)
         assert len(cores.leaders()) == 1
         founded = {line.split(" is in force")[0] for line in cores.log if "is in force" in line}
-        assert len({line.split("epoch ")[1] for line in founded}) == len(founded)  # no number twice
+        # No epoch number is used twice.
+        assert len({line.split("epoch ")[1] for line in founded}) == len(founded)
     assert started(3).log == snapshot
 
 
-def test_a_fourth_machine_is_taken_in_and_a_gone_one_let_out() -> None:
+def test_a_fourth_machine_joins_and_a_lost_one_is_removed() -> None:
     cores = started(5, 4)
     assert cores.until(lambda: members(cores) == {"m0", "m1", "m2", "m3"}, 3.0)
     cores.kill("m3")
@@ -55,7 +59,7 @@
     assert cores.until(lambda: members(cores) == {"m0", "m1", "m2", "m3"}, 5.0)
 
 
-def test_all_three_seeds_are_replaced() -> None:
+def test_all_three_seeds_can_be_replaced() -> None:
     cores = Cores(11, 6)
     for ip in ("m0", "m1", "m2"):
         cores.start(ip)
@@ -81,7 +85,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 4])
-def test_a_lost_leader_is_replaced_soon(count: int) -> None:
+def test_a_lost_primary_is_replaced_within_three_seconds(count: int) -> None:
     waits = []
     for seed in range(50):
         cores = started(seed, count)
@@ -97,8 +101,8 @@
 
 
 @pytest.mark.parametrize("count", [3, 4])
-def test_the_aimed_loss(count: int) -> None:
-    """The primary without its disk while every other machine loses power, right after an acknowledgement."""
+def test_an_acknowledged_change_survives_a_lost_disk_and_a_power_failure(count: int) -> None:
+    """The primary loses its disk and every other machine its power, right after an acknowledgement."""
     for seed in range(40):
         cores = started(seed, count)
         cores.run(1.5)
@@ -113,7 +117,7 @@
         assert cores.read(cores.settle()) == 9
 
 
-def test_a_backup_lost_with_its_disk_then_the_primary() -> None:
+def test_a_change_survives_the_loss_of_the_backups_disk_and_then_of_the_primarys() -> None:
     for seed in range(30):
         cores = started(seed)
         cores.run(1.0)
@@ -126,13 +130,13 @@
         cores.wipe(backup)
         cores.run(1.2)
         cores.start(backup)
-        cores.run(4.0)  # what the operators give a machine to catch up
+        cores.run(4.0)  # the time that operators allow a machine to catch up
         cores.wipe(cores.leaders()[0])
         assert cores.read(cores.settle()) == 4
 
 
 @pytest.mark.parametrize("one_way", [False, True])
-def test_a_leader_that_is_cut_off_reads_nothing_old(one_way: bool) -> None:
+def test_a_primary_that_is_cut_off_serves_no_stale_reads(one_way: bool) -> None:
     for seed in range(30):
         cores = started(seed, 3 + seed % 2)
         cores.run(1.0)
@@ -151,10 +155,11 @@
         assert cores.read(cores.settle()) == 6
 
 
-def apart(seed: int, make: Make = Replica) -> Cores:
-    """Primary and backup do not hear one another, the witness hears both; changes and reads go on.
+def run_partitioned_pair(seed: int, make: Make = Replica) -> Cores:
+    """Cut the connection between primary and backup while the witness reaches both, with changes and reads.
 
-    Just before the backup may try, the primary hears the witness no more: nobody tells it of another epoch.
+    Just before the backup may start an election, the primary no longer receives the witness's messages, so it
+    does not learn of a new epoch.
     """
     cores = started(seed, 3, make)
     cores.run(1.0)
@@ -173,16 +178,16 @@
     return cores
 
 
-def test_a_primary_that_its_backup_does_not_hear_reads_nothing_old() -> None:
+def test_a_primary_that_is_cut_off_from_its_backup_serves_no_stale_reads() -> None:
     taken = 0
     for seed in range(20):
-        cores = apart(seed)
-        taken += cores.highest > 0  # the two may go on meeting for longer than this lasts
+        cores = run_partitioned_pair(seed)
+        taken += cores.highest > 0  # the candidates may keep colliding for longer than the run
         assert cores.read(cores.settle()) is not None
     assert taken > 15
 
 
-def test_a_disk_that_hangs_does_not_stop_the_core() -> None:
+def test_changes_are_acknowledged_again_after_a_disk_hung() -> None:
     for seed in range(20):
         cores = started(seed)
         leader = cores.leaders()[0]
@@ -196,7 +201,7 @@
         assert cores.acknowledged(5, 4.0)
 
 
-def test_random_schedules_keep_what_was_acknowledged() -> None:
+def test_random_fault_schedules_lose_no_acknowledged_change() -> None:
     changes = 0
     for seed in range(SCHEDULES):
         try:
@@ -206,8 +211,8 @@
     assert changes > 3 * SCHEDULES
 
 
-def test_every_fault_at_every_step_of_two_changes() -> None:
-    """Pairs of them: `python -m bench.epochs`."""
+def test_one_fault_at_every_step_of_two_changes() -> None:
+    """`python -m bench.epochs` runs pairs of faults."""
     steps = two_changes(())
     assert steps >= 10
     for step in range(steps):
@@ -215,34 +220,34 @@
             two_changes((fault,))
 
 
-def test_a_vote_waits_for_the_disk_that_it_rests_on() -> None:
-    """A disk hangs with the record of an epoch in force; the vote for its primary must not overtake that."""
-    lease = Send("b", LeaseGrant("c/1", 3, 0.0))
+def test_a_lease_grant_waits_for_the_write_of_its_epochs_record() -> None:
+    """While the write of an epoch's record hangs, no lease grant to its primary may overtake it."""
+    grant = Send("b", LeaseGrant("c/1", 3, 0.0))
     record = Persist(epoch_record=EpochRecord(3, "b/1", "a/1", ("a/1", "b/1", "c/1")))
     same_primary = Persist(epoch_record=record.epoch_record, same_primary=True)
-    assert may_overtake(lease, [Persist(promised=(3, "b/1")), same_primary])
-    assert not may_overtake(lease, [record])
+    assert may_overtake(grant, [Persist(promised=(3, "b/1")), same_primary])
+    assert not may_overtake(grant, [record])
     write = Send("b", WriteRequest("c/1", 3, 0, 1, "one"))
     assert may_overtake(write, [record]) and not may_overtake(Send("b", Accepted("c/1", 3)), [])
 
 
-def test_a_fault_at_some_step_shows_an_answer_after_one_disk() -> None:
+def test_a_fault_at_some_step_reveals_an_acknowledgement_after_one_disk() -> None:
     with pytest.raises(Broken):
-        for step in range(two_changes((), Lonely)):
+        for step in range(two_changes((), AcknowledgesAfterOneDisk)):
             for fault in placed(step):
-                two_changes((fault,), Lonely)
+                two_changes((fault,), AcknowledgesAfterOneDisk)
 
 
-class Hasty(Replica):
-    """Does not wait until a lease it stands by has ended."""
+class IgnoresGrantedLeases(Replica):
+    """A member that promises to a candidate before the lease that it granted has expired."""
 
     def on_promise_request(self, source: str, message: PromiseRequest) -> None:
         self.leased_until = self.restart_lease_until = 0.0
         super().on_promise_request(source, message)
 
 
-class Lonely(Replica):
-    """Answers once its own disk has a change."""
+class AcknowledgesAfterOneDisk(Replica):
+    """A primary that acknowledges a change once its own disk holds it."""
 
     def on_write_stored(self, source: str, message: WriteStored) -> None:
         for change in self.pending:
@@ -250,24 +255,24 @@
         super().on_write_stored(source, message)
 
 
-@pytest.mark.parametrize("broken", [Hasty, Lonely])
-def test_the_checker_finds_seeded_faults(broken: type[Replica]) -> None:
+@pytest.mark.parametrize("broken", [IgnoresGrantedLeases, AcknowledgesAfterOneDisk])
+def test_the_checker_detects_seeded_faults(broken: type[Replica]) -> None:
     with pytest.raises(Broken):
         for seed in range(60):
-            apart(seed, broken)
+            run_partitioned_pair(seed, broken)
             play(seed, broken)
 
 
-def test_no_vote_for_an_epoch_that_may_not_be_on_disk_yet() -> None:
-    """Who first hears of an epoch by a lease might forget it with its process, and then vote for another."""
+def test_no_lease_grant_for_an_epoch_that_may_not_be_on_disk_yet() -> None:
+    """A member that loses an epoch learned from a lease request in a restart could grant another's lease."""
     old = EpochRecord(2, "a/1", "b/1", ("a/1", "b/1", "c/1"))
     replica = Replica(DurableState("c/1", old, 2, "a/1", None), 100.0)
     new = EpochRecord(3, "b/1", "a/1", old.members)
-    lease = LeaseRequest("b/1", 3, 5.0, -1, new)
+    request = LeaseRequest("b/1", 3, 5.0, -1, new)
 
-    def votes(now: float) -> list[str]:
-        actions = replica.handle(now, "b", lease)
+    def sent_messages(now: float) -> list[str]:
+        actions = replica.handle(now, "b", request)
         return [type(a.message).__name__ for a in actions if isinstance(a, Send) and a.to != "c"]
 
-    assert votes(101.0) == [] and replica.known_epoch == new
-    assert votes(101.3) == [] and votes(102.3) == ["LeaseGrant"]
+    assert sent_messages(101.0) == [] and replica.known_epoch == new
+    assert sent_messages(101.3) == [] and sent_messages(102.3) == ["LeaseGrant"]
--- /dev/null
+++ b/tests/config_store/test_idempotency_records.py
@@ -0,0 +1,223 @@
+"""Replication of idempotency records and settings: two disks before an answer, repair by ranges."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from ivymux.config_store.actions import Reply
+from ivymux.config_store.calls import Call, CallError, ClaimAction, EndAction, PutSetting, ReadSetting, decode
+from ivymux.config_store.idempotency import RecordReplication
+from ivymux.config_store.messages import (
+    RecordDigest,
+    RecordRangeDigests,
+    RecordRepair,
+    RecordStored,
+    RecordWrite,
+    ReplicaMessage,
+    StateStored,
+)
+from ivymux.config_store.replica import Replica
+from ivymux.idempotency.record_store import RecordStore
+from ivymux.simulation.core_cluster import Answer, Broken, Cores
+from ivymux.simulation.fault_schedules import play
+
+from .test_epochs import started
+
+
+def claim(key: int, number: int = 1) -> ClaimAction:
+    return ClaimAction(f"{key:032x}", "tenant", f"door/{number}", "place", "body", 4.0)
+
+
+def call_primary(cores: Cores, call: Call, most: float = 5.0) -> Answer:
+    """Return the primary's answer to a call."""
+    answers: list[Answer] = []
+    for _ in range(int(most / 0.05)):
+        for ip in cores.machines:
+            if not answers:
+                cores.ask(ip, call, answers.append)
+        cores.run(0.05)
+        if answers:
+            return answers[0]
+    raise AssertionError("no primary answered")
+
+
+def record_store(cores: Cores, ip: str) -> RecordStore:
+    member = cores.machines[ip].replica
+    assert member is not None
+    return member.record_replication.store
+
+
+def primary_and_backup(cores: Cores) -> tuple[str, str]:
+    member = cores.machines[cores.leaders()[0]].replica
+    assert member is not None and member.led_epoch is not None
+    return member.led_epoch.primary.partition("/")[0], member.led_epoch.backup.partition("/")[0]
+
+
+def record_message_types(cores: Cores) -> list[type[ReplicaMessage]]:
+    """Return a list to which the type of each later message between machines is added."""
+    seen: list[type[ReplicaMessage]] = []
+    send = cores.send
+
+    def recording_send(source: str, target: str, message: ReplicaMessage) -> None:
+        seen.append(type(message))
+        send(source, target, message)
+
+    cores.send = recording_send  # type: ignore[method-assign]
+    return seen
+
+
+def test_a_claim_is_on_both_disks_before_it_is_answered() -> None:
+    cores = started(3)
+    primary, backup = primary_and_backup(cores)
+    answers: list[Answer] = []
+    assert cores.ask(primary, claim(1), answers.append) and not answers
+    cores.run(0.2)
+    assert [answer["verdict"] for answer in answers] == ["go"]
+    assert all(f"{1:032x}" in cores.machines[ip].disk.kept.idempotency_records for ip in (primary, backup))
+    assert call_primary(cores, claim(1, 2))["verdict"] == "in hand"
+
+
+def test_a_new_backup_receives_only_the_ranges_that_differ() -> None:
+    cores = started(4)
+    for key in range(40):
+        call_primary(cores, claim(key << 120 | key))
+    _, backup = primary_and_backup(cores)
+    cores.kill(backup)
+    for key in range(40, 44):
+        call_primary(cores, claim(key << 120 | key))
+    repaired_ranges: list[Any] = []
+    send = cores.send
+
+    def recording_send(source: str, target: str, message: ReplicaMessage) -> None:
+        if isinstance(message, RecordRepair):
+            repaired_ranges.extend(message.ranges)
+        send(source, target, message)
+
+    cores.send = recording_send  # type: ignore[method-assign]
+    cores.start(backup)
+    cores.run(2.0)
+    if (replacement := primary_and_backup(cores)[1]) != backup:
+        cores.kill(replacement)
+        cores.run(6.0)
+    primary, new_backup = primary_and_backup(cores)
+    assert record_store(cores, primary).root_digest() == record_store(cores, new_backup).root_digest()
+    assert repaired_ranges and sum(len(records) for _, records in repaired_ranges) < 44
+
+
+def test_copies_that_differ_are_repaired_while_an_epoch_is_in_force() -> None:
+    cores = started(5)
+    for key in range(10):
+        call_primary(cores, claim(key))
+    primary, backup = primary_and_backup(cores)
+    record_store(cores, backup).remove(f"{3:032x}")
+    cores.run(6.0)
+    assert primary_and_backup(cores) == (primary, backup)
+    assert record_store(cores, primary).root_digest() == record_store(cores, backup).root_digest()
+    seen = record_message_types(cores)
+    cores.run(6.0)
+    assert RecordDigest in seen and RecordRepair not in seen
+
+
+def test_copies_are_not_compared_without_records() -> None:
+    cores = started(6)
+    seen = record_message_types(cores)
+    cores.run(8.0)
+    assert not {RecordDigest, RecordRangeDigests, RecordRepair, RecordWrite} & set(seen)
+
+
+def test_settings_reach_all_machines_and_one_that_starts_later() -> None:
+    cores = started(7)
+    cores.kill("m2")
+    cores.run(0.5)
+    setting = PutSetting("conversations", 4, '{"settings_version":4,"kept_for":"1h"}')
+    assert call_primary(cores, setting) == {"ok": True, "version": 4}
+    cores.start("m2")
+    cores.run(3.0)
+    for machine in cores.machines.values():
+        assert machine.replica is not None
+        assert machine.replica.record_replication.settings["conversations"].version == 4
+    leader = cores.machines[cores.leaders()[0]].replica
+    assert leader is not None and leader.record_replication.limits.retention_s == 3600.0
+    assert call_primary(cores, PutSetting("conversations", 3, "older"))["ok"]
+    assert leader.record_replication.settings["conversations"].version == 4
+
+
+@pytest.mark.parametrize("wrong", [{"k": "claim", "key": ["x"]}, {"k": "claim"}, {"k": "end", "key": "a"}])
+def test_a_malformed_call_is_rejected(wrong: dict[str, Any]) -> None:
+    with pytest.raises(CallError):
+        decode(wrong)
+
+
+def test_a_claim_out_of_bounds_is_rejected() -> None:
+    cores = started(8)
+    with pytest.raises(ValueError):
+        cores.ask(cores.leaders()[0], ClaimAction("no key", "tenant", "door/1", "place", "body", 4.0), print)
+
+
+class AcknowledgesAfterOneDisk(RecordReplication):
+    """A primary that acknowledges a claim once its own disk holds it."""
+
+    def on_record_stored(self, source: str, message: RecordStored) -> None:
+        pending = self.pending.get(message.change_number)
+        if pending is not None:
+            pending.on_backup = True
+        super().on_record_stored(source, message)
+
+
+class ClaimsToBeRepaired(RecordReplication):
+    """A backup that reports the state as stored without the repair."""
+
+    def send_digests(self, primary: str, epoch: int) -> None:
+        self.replica.send(primary, StateStored(self.replica.identity, epoch))
+
+
+class IgnoresTheClaimant(RecordReplication):
+    """A primary that lets any claim end a record."""
+
+    def end_action(self, call_id: int, call: EndAction) -> Reply:
+        held = self.store.records.get(call.key)
+        claim = held.claim if held is not None else ""
+        return super().end_action(call_id, EndAction(call.key, claim, call.state, call.answer))
+
+
+@pytest.mark.parametrize("broken", [AcknowledgesAfterOneDisk, ClaimsToBeRepaired, IgnoresTheClaimant])
+def test_the_checker_detects_seeded_faults(broken: type[RecordReplication]) -> None:
+    class Faulty(Replica):
+        record_replication_class = broken
+
+    with pytest.raises(Broken):
+        for seed in range(150):
+            play(seed, Faulty)
+
+
+def test_a_setting_based_on_another_version_is_not_stored() -> None:
+    """Of two operators who change the same setting at once, the later one must make the change again."""
+    cores = started(3)
+
+    def put(based_on: int, version: int, text: str) -> Answer:
+        return call_primary(cores, PutSetting("trials", version, text, based_on))
+
+    first = {"ok": True, "version": 0}
+    assert put(-1, 0, "first") == first
+    assert put(-1, 0, "another first") == {**first, "taken": False}
+    assert put(-1, 0, "first") == first  # a repeat, as if its answer was lost
+    assert put(0, 1, "second") == {"ok": True, "version": 1}
+    assert put(0, 1, "another") == {"ok": True, "version": 1, "taken": False}
+    read = ReadSetting("trials")
+    assert call_primary(cores, read) == {"ok": True, "version": 1, "text": "second"}
+    cores.kill(primary_and_backup(cores)[0])
+    assert call_primary(cores, read) == {"ok": True, "version": 1, "text": "second"}
+    assert put(1, 2, "third") == {"ok": True, "version": 2}
+
+
+def test_another_text_under_the_version_held_is_not_stored() -> None:
+    cores = started(3)
+    assert call_primary(cores, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
+    assert call_primary(cores, PutSetting("conversations", 4, "other")) == {
+        "ok": True,
+        "version": 4,
+        "taken": False,
+    }
+    assert call_primary(cores, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -1,6 +1,6 @@
-"""Planned departures, second losses, slow disks, two texts under one number: nothing acknowledged is lost.
+"""Planned departures, second losses, slow disks, two texts under one version: no acknowledged change is lost.
 
-More seeds, counts and delays: `python -m bench.control`.
+`python -m bench.control` runs more seeds, sizes and delays.
 """
 
 from __future__ import annotations
@@ -32,44 +32,46 @@
 )
 
 DELAYS = (0.0, 0.5, 1.0, 3.0)
-MAX_TRIED = 6  # epochs in 30 s
+MAX_ATTEMPTS = 6  # epochs tried in 30 s
 
 
 @pytest.mark.parametrize("count", [3, 4, 5])
 @pytest.mark.parametrize(("role", "victim"), list(itertools.permutations(ROLES, 2)))
-def test_a_departure_and_then_a_lost_disk(count: int, role: str, victim: str) -> None:
+def test_a_departure_followed_by_a_lost_disk(count: int, role: str, victim: str) -> None:
     for delay, seed in itertools.product(DELAYS, range(4)):
         departure(seed, count, role, victim, delay)
 
 
 @pytest.mark.parametrize("commit_s", [0.3, 2.0])
-def test_a_repair_on_a_slow_disk_and_then_a_second_loss(commit_s: float) -> None:
+def test_a_second_loss_after_a_repair_on_a_slow_disk(commit_s: float) -> None:
     for seed in range(15):
         slow_repair(seed, 3, commit_s)
 
 
 @pytest.mark.parametrize("count", [3, 4, 5])
 @pytest.mark.parametrize("victim", ROLES)
-def test_a_backup_whose_disk_hangs_is_replaced_and_then_a_disk_is_lost(count: int, victim: str) -> None:
+def test_a_backup_with_a_hanging_disk_is_replaced_before_another_disk_is_lost(
+    count: int, victim: str
+) -> None:
     for delay, seed in itertools.product(DELAYS, range(3)):
         hanging_backup(seed, count, delay, victim)
 
 
 @pytest.mark.parametrize("count", [3, 4])
-def test_where_all_other_disks_hang_no_epoch_after_the_other_is_tried(count: int) -> None:
+def test_few_epochs_are_tried_while_all_other_disks_hang(count: int) -> None:
     for seed in range(3):
-        assert hanging_disks(seed, count) <= MAX_TRIED
+        assert hanging_disks(seed, count) <= MAX_ATTEMPTS
 
 
 @pytest.mark.parametrize("role", ROLES)
-def test_a_planned_end_leaves_no_change_unanswered_for_half_a_second(role: str) -> None:
+def test_a_change_during_a_planned_end_is_answered_within_half_a_second(role: str) -> None:
     for seed in range(10):
         cores = started(seed, 3 + seed % 3)
         cores.leave(holding(cores, role))
         assert change(cores, 2) < 0.5
 
 
-def test_a_pair_that_is_told_to_end_at_once_hands_its_state_to_a_third() -> None:
+def test_a_primary_and_a_backup_that_end_at_once_hand_over_to_a_third_machine() -> None:
     for seed in range(10):
         cores = started(seed, 4)
         for machine in (holding(cores, PRIMARY), holding(cores, BACKUP)):
@@ -79,7 +81,7 @@
         assert cores.read(cores.settle()) == 1
 
 
-def test_a_machine_that_holds_the_only_other_copy_stays_until_its_grace_is_over() -> None:
+def test_a_machine_with_the_only_other_copy_stays_until_its_grace_is_over() -> None:
     cores = started(1, 3)
     leaving = holding(cores, BACKUP)
     cores.kill(holding(cores, WITNESS))
@@ -90,7 +92,7 @@
     assert cores.machines[leaving].replica is None
 
 
-def test_reads_go_on_while_members_change_on_a_slow_disk() -> None:
+def test_the_primary_serves_reads_while_a_member_with_a_slow_disk_joins() -> None:
     cores = started(2, 3)
     leader = holding(cores, PRIMARY)
     away = holding(cores, WITNESS)
@@ -103,11 +105,11 @@
         assert cores.leaders() == [leader]
 
 
-# --- one number, one text ---------------------------------------------------------------------------------
+# --- one version, one text --------------------------------------------------------------------------------
 
 
 class Operator:
-    """Sends a change to all machines in turn until one says what became of it."""
+    """Sends a change to all machines in turn until one answers with its outcome."""
 
     def __init__(self, cores: Cores) -> None:
         self.cores = cores
@@ -133,11 +135,11 @@
         return None
 
 
-def test_two_operators_are_not_both_confirmed_under_one_number() -> None:
+def test_two_texts_under_one_version_are_not_both_confirmed() -> None:
     for seed in range(20):
         cores = started(seed, 3)
         leader = cores.leaders()[0]
-        for text in ("seven by a", "seven by b"):  # in the same instant, at one machine and at another
+        for text in ("seven by a", "seven by b"):  # at the same instant, by two operators
             cores.put(leader, 7, text)
         assert cores.acknowledged(7, 2.0)
         operator = Operator(cores)
@@ -146,7 +148,7 @@
         assert operator.put(7, "a third") is Identity.CONFLICT
 
 
-def test_a_change_is_known_again_after_a_lost_leader_a_wipe_and_a_hundred_more() -> None:
+def test_a_repeated_change_is_recognised_after_lost_primaries_and_a_hundred_changes() -> None:
     cores = started(3, 3)
     operator = Operator(cores)
     for version in range(10, 115):
@@ -163,8 +165,8 @@
     assert operator.put(114, "v114") is Identity.TAKEN and operator.put(114, "other") is Identity.CONFLICT
 
 
-def test_a_text_that_only_a_lost_leader_had_is_not_held_against_another() -> None:
-    """The leader's disk alone has the first text; behind its loss another is taken, and stays."""
+def test_a_text_that_only_a_lost_primary_had_does_not_conflict_with_another() -> None:
+    """Only the primary's disk holds the first text; after its loss another text is stored, and stays."""
     for seed in range(20):
         cores = started(seed, 3)
         leader = holding(cores, PRIMARY)
@@ -181,7 +183,7 @@
         assert operator.put(5, "first") is Identity.CONFLICT
 
 
-def test_a_history_forgets_the_lowest_versions_first() -> None:
+def test_a_history_drops_the_lowest_versions_first() -> None:
     history = ChangeHistory()
     for version in range(MAX_CHANGES + 10):
         history.take(version, digest_of(str(version)))
@@ -203,14 +205,14 @@
     assert again.history == (*whole[1:], (9000, digest_of("newest")))
 
 
-def test_a_store_of_before_knows_what_it_holds(tmp_path: Path) -> None:
+def test_a_store_without_a_history_knows_its_configuration(tmp_path: Path) -> None:
     store = DurableStore(tmp_path)
     store.load("a", True, ("a", "b", "c"))
     store.write([Persist(state=ConfigurationState(1, 4, "four"))])
     assert store.load("a", False, ()).history == ((4, digest_of("four")),)
 
 
-def test_the_checker_sees_two_texts_confirmed_under_one_number() -> None:
+def test_the_checker_detects_two_texts_confirmed_under_one_version() -> None:
     cores = started(1, 3)
     cores.answered(7, "a", Identity.TAKEN)
     with pytest.raises(Broken):
@@ -220,7 +222,7 @@
 # --- hundreds of changes ----------------------------------------------------------------------------------
 
 
-def test_a_thousand_changes_with_machines_away_for_some_of_them_and_for_the_last() -> None:
+def test_a_thousand_changes_while_machines_are_down_in_turn() -> None:
     cores = started(5, 4)
     away: dict[str, int] = {}
     for version in range(2, 1002):
@@ -239,28 +241,28 @@
         assert operator.put(known, "other") is Identity.CONFLICT
 
 
-def test_a_new_backup_that_starts_again_in_mid_transfer_twice_catches_up() -> None:
+def test_a_new_backup_that_restarts_twice_during_its_transfer_catches_up() -> None:
     cores = started(6, 3)
     lost = holding(cores, BACKUP)
     send = cores.send
-    struck: list[str] = []
+    interrupted: list[str] = []
 
     def cut_short(source: str, target: str, message: ReplicaMessage) -> None:
         send(source, target, message)
-        if isinstance(message, StateTransfer) and len(struck) < 2:
-            struck.append(target)
-            cores.at(0.006, lambda: cores.kill(target))  # it has been heard, and is not on disk yet
+        if isinstance(message, StateTransfer) and len(interrupted) < 2:
+            interrupted.append(target)
+            cores.at(0.006, lambda: cores.kill(target))  # received, but not on disk yet
             cores.start_at(0.4, target)
 
     cores.send = cut_short  # type: ignore[method-assign]
     cores.kill(lost)
     change(cores, 2, most=8.0)
-    assert len(struck) == 2
+    assert len(interrupted) == 2
     cores.wipe(holding(cores, PRIMARY))
     assert cores.read(cores.settle()) == 2
 
 
-def test_a_map_that_is_full_ends_the_write_and_keeps_what_was_there(
+def test_a_full_map_fails_the_write_and_keeps_the_stored_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(durable_store, "MAP_SIZE", 256 << 10)
@@ -274,9 +276,7 @@
     assert again.state == ConfigurationState(1, 4, "four") and again.history == ((4, digest_of("four")),)
 
 
-def test_changes_written_over_and_over_do_not_fill_the_map(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_repeated_changes_do_not_fill_the_map(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(durable_store, "MAP_SIZE", 4 << 20)
     store = DurableStore(tmp_path)
     store.load("a", True, ("a", "b", "c"))
