--- a/orchidhill/admission.py
+++ b/orchidhill/admission.py
@@ -125,7 +125,8 @@
                 lease.waiters.append(job)
                 self.request_lease(lease)
             elif lease.waiters or self.is_worth_waiting(lease, job):
-                self.call_queue.append(lease) if not lease.waiters else None
+                if not lease.waiters:
+                    self.call_queue.append(lease)
                 lease.waiters.append(job)
             else:
                 self.admit_locally(lease, job, units)
@@ -134,6 +135,7 @@
         self.dispatch(job)
 
     def spend(self, lease: Lease, job: Job, units: float) -> None:
+        """Move credits from a lease to a job; they count against the local share too."""
         lease.credits -= units
         lease.served_units += units
         lease.local_level = max(self.refill_local_level(lease) - units, -lease.capacity)
@@ -168,21 +170,18 @@
             refilled = (window - lease.window) * lease.window_length * lease.plan.rate
             deficit = lease.total + lease.owed - (0.0 if self.counter_caps else lease.credits) - refilled
             lease.edge_deficit = min(max(0.0, deficit), lease.plan.burst)
-            lease.owed, lease.expired_credits = (
-                0.0 if self.counter_caps else lease.edge_deficit,
-                lease.credits,
-            )
+            lease.owed = 0.0 if self.counter_caps else lease.edge_deficit
+            lease.expired_credits = lease.credits
         if not lease.degraded_at:  # else the last window with an answer still counts
             edge = (lease.window + 1) * lease.window_length - lease.phase
             is_known = lease.is_synced and window == lease.window + 1
             own, total = self.confirmed_use(lease, edge) if is_known else (0.0, 0.0)
             lease.previous_confirmed, lease.previous_total = own, total
             lease.usage_share = own / total if total else 0.0
-        lease.is_synced, lease.last_total = False, 0.0
+        lease.is_synced, lease.last_total, lease.denied_until = False, 0.0, 0.0
         lease.unanswered_returns, lease.restored_for_others = 0.0, 0.0
         lease.unanswered_adds.clear()
         lease.window, lease.credits, lease.advance, lease.confirmed, lease.total = window, 0.0, 0.0, 0.0, 0.0
-        lease.denied_until = 0.0
 
     def adapt_lease_size(self, lease: Lease) -> None:
         """One AdaGrad step on ln b of orderCost*D/b + strandPenalty*b/2 (optimum sqrt(2*o*D/s))."""
@@ -217,7 +216,7 @@
         """Whether to read the total before leasing.
 
         A customer of few gateways is read once per window.  A wide one rarely comes to a gateway twice, and
-        a read doubles its calls; but a denied lease has to be taken off again, so likely denials are read.
+        a read doubles its calls; but a denied lease has to be taken off again, so a read precedes it.
         """
         if not lease.is_wide:
             return not lease.is_synced and not self.counter_caps
@@ -241,9 +240,9 @@
         """Return the level of the customer's token bucket; above the burst it has overflowed.
 
         All gateways with the same total agree on it: the bucket was full when the window began, refills at
-        the rate, and all that leaves it is in the total.  So is overflow: kept at each gateway, levels
-        drifted apart: one admitted too much, another refused with a full bucket.  If a gateway dies before it
-        takes off an excess that it added, that is missing until the edge or until `repair_total` forgives it.
+        the rate, and all that leaves it is in the total.  Overflow is too: when each gateway kept its own,
+        levels drifted apart, and one admitted too much while another refused with a full bucket.  An excess
+        that a dying gateway leaves is missing until the edge or until `repair_total` forgives it.
         """
         elapsed = self.now + lease.phase - lease.window * lease.window_length
         return lease.plan.burst + elapsed * lease.plan.rate - lease.total - lease.owed
@@ -261,7 +260,7 @@
         if self.counter_caps:
             lease.edge_deficit = 0.0
         elif is_replaced or lost > max(0.01, TOTAL_PRECISION * lease.confirmed):
-            # The counter lost this total or was replaced: restore what is known, others' part too, once.
+            # The counter lost this total or was replaced: restore it as last seen, others' part too, once.
             self.actions.append(i.Log(f"counter-lost customer={lease.customer}"))
             if is_replaced:
                 self.counter_health.replaced_at = self.now
@@ -271,7 +270,7 @@
             lease.confirmed = amount if is_replaced else total
         elif total > EPSILON:
             if total - amount > max(EPSILON, TOTAL_PRECISION * total):  # another gateway added the deficit
-                lease.owed -= lease.edge_deficit + lease.expired_credits
+                lease.owed -= lease.edge_deficit + lease.expired_credits  # it took these credits for spent
             else:
                 lease.confirmed -= lease.edge_deficit  # the others may take their part of it off again
             lease.edge_deficit = lease.expired_credits = 0.0
@@ -297,8 +296,8 @@
             if overflow := bucket_overflow.overflow(lease.plan, before):  # also while calls are short
                 self.call_counter(lease, overflow, is_adjustment=True, correction=overflow)
             return
-        # A deficit beyond leases in flight and a burst is an error: its gateway died, or got no answer before
-        # taking it off.  After long degraded mode this forgives some of what was admitted locally.
+        # A deficit of more than a burst and the leases in flight was added by mistake, by a gateway that died
+        # or got no answer before taking it off.  After a long outage this forgives some local admissions.
         if before < -lease.plan.burst - 2 * lease.width:
             lease.owed += before
         if call.amount:  # others may have added overflow first, or there was more than was known here
@@ -362,7 +361,8 @@
             lease.grant_odds += NEWEST_WEIGHT * (0 - lease.grant_odds)
             self.serve_waiters(lease, denied=True)
         elif not current or (good and not lease.requested):  # the lease expired, or was a read
-            self.request_lease(lease) if lease.waiters else None
+            if lease.waiters:
+                self.request_lease(lease)
         elif good:
             self.apply_grant(lease)
         else:
--- a/orchidhill/gateway.py
+++ b/orchidhill/gateway.py
@@ -49,7 +49,7 @@
         self.cold: list[Backend] = []  # outside the subset, in warm-up when the list last changed
         # Smoothed load of backends, latency, and load that the latency was met with.
         self.mean_load, self.mean_latency, self.mean_burden = 0.0, INITIAL_LATENCY_S, 1.0
-        self.min_target = min((c.aim for c in settings.classes), default=1.0)
+        self.min_target_latency = min((c.aim for c in settings.classes), default=1.0)
         self.class_latency = [INITIAL_LATENCY_S for _ in settings.classes]
         self.attempts_in_flight = 0  # at ready backends
         self.backend_limit = INITIAL_LIMIT / self.peers  # this gateway's attempts at an average backend
@@ -93,7 +93,7 @@
                     backend.class_answered_at.pop(number, None)
                     backend.silent_since.pop(number, None)
         self.settings = replace(self.settings, classes=classes)
-        self.min_target = min((c.aim for c in classes), default=1.0)
+        self.min_target_latency = min((c.aim for c in classes), default=1.0)
 
     def on_request(self, req: i.Request) -> None:
         job = self.create_job(req)
@@ -186,7 +186,8 @@
         """Return the latency that the reported load will cause, over the target."""
         if "inflight" not in self.settings.report_columns:
             return 0.0  # a queue alone does not determine latency
-        return self.mean_latency / self.mean_burden * (1 + self.mean_load) / (TARGET_SHARE * self.min_target)
+        target = TARGET_SHARE * self.min_target_latency
+        return self.mean_latency / self.mean_burden * (1 + self.mean_load) / target
 
     def probe_load(self) -> None:
         """Probe a random backend's load, often enough to keep FRESH_REPORTS reports fresh."""
@@ -279,32 +280,30 @@
 
     def on_finished(self, event: i.Finished) -> None:
         backend = self.backends.get(event.backend)
-        if backend and (sent := backend.in_flight.pop((event.request, event.attempt), None)) is not None:
+        if backend and (sent_at := backend.in_flight.pop((event.request, event.attempt), None)) is not None:
             self.attempts_in_flight -= backend.state is State.READY
-            self.observe(backend, event, sent)
+            self.observe(backend, event, sent_at)
             if backend.state is State.GONE and not backend.in_flight:
-                del self.backends[event.backend]  # ids are never reused
+                del self.backends[event.backend]  # ids are never reused: kept ones would pile up
         self.sent_at.pop((event.request, event.attempt), None)
         if job := self.jobs.get(event.request):
             ended = job.in_flight.pop(event.attempt, None)
             self.jobs_in_flight -= ended is not None and not job.in_flight
-            if (
-                ended
-                and not event.outcome.never_ran
-                and (job.possible_run is None or ended[1] < job.possible_run[1])
-            ):
-                job.possible_run = ended
+            if ended and not event.outcome.never_ran:
+                job.possible_run = min(job.possible_run or ended, ended, key=lambda run: run[1])
             if event.closed or event.outcome is Outcome.OK:
                 self.close(job)
-            if not job.in_flight:
-                (self.close if job.closed else self.retry_or_end)(job)
+            if not job.in_flight and job.closed:
+                self.close(job)
+            elif not job.in_flight:
+                self.retry_or_end(job)
         self.dispatch_queued()
 
-    def observe(self, backend: Backend, event: i.Finished, sent: float) -> None:
+    def observe(self, backend: Backend, event: i.Finished, sent_at: float) -> None:
         """Update latencies and the limit of all backends (additive increase, multiplicative decrease)."""
         if event.outcome in (Outcome.CANCELLED, Outcome.MOOT):
             return
-        took, backend.observed_at = self.now - sent, self.now
+        took, backend.observed_at = self.now - sent_at, self.now
         if event.report:
             self.record_load(backend, event.report)
         good, job = event.outcome is Outcome.OK, self.jobs.get(event.request)
@@ -322,7 +321,7 @@
             backend.latency = max(backend.latency, EJECT_FACTOR * self.latency)
         is_miss = not good or (job is not None and took > TARGET_SHARE * job.cls.aim)
         if backend.latency < SLOW_FACTOR * self.latency and event.outcome is not Outcome.CONNECT_FAILED:
-            self.miss_ratio += LATENCY_WEIGHT / 2 * (is_miss - self.miss_ratio)  # of backends in order only
+            self.miss_ratio += LATENCY_WEIGHT / 2 * (is_miss - self.miss_ratio)  # single bad ones don't count
         if self.miss_ratio < MAX_MISS_RATIO:
             if not is_miss and self.attempts_in_flight + 2 >= self.backend_limit * len(self.ready):
                 self.backend_limit += 1 / (self.backend_limit * max(1, len(self.ready))) / self.peers
@@ -373,8 +372,10 @@
             return
         waiting, self.queue = sorted(self.queue, key=lambda j: -j.cls.worth * j.plan.price), []
         for job in waiting:
-            # Once a few don't fit, the rest won't either, and a long queue costs CPU time.
-            self.queue.append(job) if len(self.queue) > 3 else self.dispatch(job)
+            if len(self.queue) > 3:  # the rest would not fit either, and a long queue costs CPU time
+                self.queue.append(job)
+            else:
+                self.dispatch(job)
 
     def set_timer(self) -> None:
         """Set a timer only while jobs are open or credits returnable: idle gateways cost nothing."""
