--- a/ivymux/config_store/actions.py
+++ b/ivymux/config_store/actions.py
@@ -43,7 +43,7 @@
 class Complete:
     """Answer a call: both disks hold the change that it waits for."""
 
-    call: int
+    call_id: int
 
 
 @dataclass(slots=True)
--- a/ivymux/config_store/changes.py
+++ b/ivymux/config_store/changes.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ivymux.config_store.actions import Complete, Persist, Publish, Reply
-from ivymux.config_store.history import Identity, digest_of
+from ivymux.config_store.history import ChangeOutcome, digest_of
 from ivymux.config_store.messages import (
     ConfigurationInForce,
     ConfigurationRequest,
@@ -48,7 +48,7 @@
 
     # --- calls ---------------------------------------------------------------------------------------
 
-    def put(self, call: int, version: int, text: str) -> Reply | None:
+    def put_configuration(self, call_id: int, version: int, text: str) -> Reply | None:
         """Store a validated change.
 
         Returns None where this machine is not the primary, or cannot decide yet.
@@ -60,31 +60,31 @@
         if same is not None:
             if same.digest != digest:
                 return None  # undecided until the first of the two texts is on both disks
-            same.calls.append(call)
-            return self.reply(Identity.TAKEN, version, digest, wait=True)
-        identity = self.history.identify(version, digest)
-        if identity is not Identity.NEW:
-            return self.reply(identity, version, digest)
+            same.calls.append(call_id)
+            return self.reply(ChangeOutcome.STORED, version, digest, wait=True)
+        outcome = self.history.outcome_of(version, digest)
+        if outcome is not ChangeOutcome.NEW:
+            return self.reply(outcome, version, digest)
         if self.pending and version < self.pending[-1].version:
             # Superseded once the higher version is on both disks.
-            self.pending[-1].calls.append(call)
-            return self.reply(Identity.SUPERSEDED, version, digest, wait=True)
-        change = PendingChange(version, text, digest, [call])
+            self.pending[-1].calls.append(call_id)
+            return self.reply(ChangeOutcome.SUPERSEDED, version, digest, wait=True)
+        change = PendingChange(version, text, digest, [call_id])
         self.pending.append(change)
         if self.is_writable():
             self.write_change(change)
-        return self.reply(Identity.TAKEN, version, digest, wait=True)
+        return self.reply(ChangeOutcome.STORED, version, digest, wait=True)
 
-    def reply(self, identity: Identity, version: int, digest: str, wait: bool = False) -> Reply:
+    def reply(self, outcome: ChangeOutcome, version: int, digest: str, wait: bool = False) -> Reply:
         """Return the answer for the operator: the outcome of the change, and the newest version."""
         known = {**self.history.digests, **{change.version: change.digest for change in self.pending}}
         newest = max(known, default=NO_VERSION)
         answer: dict[str, Any] = {
             "ok": True,
-            "outcome": identity.value,
+            "outcome": outcome.value,
             "digest": digest,
             "held_version": newest,
-            "known_digest": known.get(version if identity is Identity.CONFLICT else newest, ""),
+            "known_digest": known.get(version if outcome is ChangeOutcome.CONFLICT else newest, ""),
         }
         return Reply(self.actions, answer, wait)
 
@@ -151,8 +151,8 @@
         self.pending = [change for change in self.pending if change not in done]
         for change in done:
             self.state = ConfigurationState(self.led_epoch.number, change.version, change.text)
-            self.history.take(change.version, change.digest)
-            self.actions += [Complete(call) for call in change.calls]
+            self.history.add(change.version, change.digest)
+            self.actions += [Complete(call_id) for call_id in change.calls]
         self.publish()
 
     def drop_unacknowledged(self) -> None:
@@ -171,7 +171,7 @@
                 return  # a change before it was lost on the way and will be sent again
             self.state = ConfigurationState(message.epoch, message.version, message.text)
             change = (message.version, digest_of(message.text))
-            self.history.take(*change)
+            self.history.add(*change)
             self.actions.append(Persist(state=self.state, change=change))
         self.send(source, WriteStored(self.identity, message.epoch, message.version))
 
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -318,7 +318,7 @@
         self.send(source, StillWriting(self.identity, number))
         if self.state is None or self.state.epoch < number:
             self.state = ConfigurationState(number, message.version, message.text)
-            self.history = ChangeHistory.of(message.history)
+            self.history = ChangeHistory.from_changes(message.history)
             self.record_replication.last_change_number = 0  # change numbers of earlier epochs no longer count
             self.persist_epoch_step(Persist(state=self.state, history=self.history.changes()))
         if message.store_digest != self.record_replication.store.root_digest():
--- a/ivymux/config_store/history.py
+++ b/ivymux/config_store/history.py
@@ -15,11 +15,11 @@
 DIGEST_BYTES = 16
 
 
-class Identity(Enum):
+class ChangeOutcome(Enum):
     """How a version and a text relate to the stored changes."""
 
     NEW = "new"  # above every stored version
-    TAKEN = "taken"  # this change is stored
+    STORED = "taken"  # this change is stored
     CONFLICT = "conflict"  # the version is stored with another text
     SUPERSEDED = "superseded"  # a higher version is stored, and this one is not known
 
@@ -36,7 +36,7 @@
     digests: dict[int, str] = field(default_factory=dict)
 
     @staticmethod
-    def of(changes: Iterable[tuple[int, str]]) -> ChangeHistory:
+    def from_changes(changes: Iterable[tuple[int, str]]) -> ChangeHistory:
         """Return a history with these versions and digests."""
         return ChangeHistory(dict(sorted((int(version), str(digest)) for version, digest in changes)))
 
@@ -44,14 +44,14 @@
         """Return the highest stored version; -1 where there is none."""
         return next(reversed(self.digests), -1)
 
-    def identify(self, version: int, digest: str) -> Identity:
+    def outcome_of(self, version: int, digest: str) -> ChangeOutcome:
         """Return how a change relates to the stored ones."""
         known = self.digests.get(version)
         if known is not None:
-            return Identity.TAKEN if known == digest else Identity.CONFLICT
-        return Identity.NEW if version > self.newest() else Identity.SUPERSEDED
+            return ChangeOutcome.STORED if known == digest else ChangeOutcome.CONFLICT
+        return ChangeOutcome.NEW if version > self.newest() else ChangeOutcome.SUPERSEDED
 
-    def take(self, version: int, digest: str) -> None:
+    def add(self, version: int, digest: str) -> None:
         """Add a change above all stored ones, and drop the lowest versions beyond MAX_CHANGES."""
         self.digests[version] = digest
         while len(self.digests) > MAX_CHANGES:
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -261,7 +261,7 @@
             case Send():
                 self.send(action)
             case Complete():
-                call = self.calls.pop(action.call, None)
+                call = self.calls.pop(action.call_id, None)
                 if call is not None and not call.done():
                     call.set_result(None)
             case Publish():
--- a/ivymux/config_store/replica.py
+++ b/ivymux/config_store/replica.py
@@ -131,5 +131,5 @@
         """
         self.begin_step(now)
         if isinstance(call, PutConfiguration):
-            return self.put(call_id, call.version, call.text)
+            return self.put_configuration(call_id, call.version, call.text)
         return self.record_replication.handle_call(call_id, call)
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -50,7 +50,7 @@
         # What is on disk, or being written.
         self.known_epoch, self.state = durable.epoch_record, durable.state
         self.promised, self.promised_to = durable.promised, durable.promised_to
-        self.history = ChangeHistory.of(durable.history)
+        self.history = ChangeHistory.from_changes(durable.history)
         self.epoch_steps = 0  # promises, records and states that were given to the disk
         self.unsynced_step = 0  # the last of them while it is not on disk yet, else 0
         # As a candidate or a primary.
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -17,7 +17,7 @@
 
 from ivymux.config_store.calls import Call as StoreCall
 from ivymux.config_store.calls import PutConfiguration, PutSetting, encode
-from ivymux.config_store.history import Identity
+from ivymux.config_store.history import ChangeOutcome
 from ivymux.data_plane.frontend import Answer
 from ivymux.data_plane.limits import Address, Bounds
 from ivymux.data_plane.server import Server
@@ -70,7 +70,7 @@
 
 def rejection_answer(version: int, reply: Message) -> Answer:
     """The answer to an operator whose change was not accepted, from the config store's reply."""
-    if reply["outcome"] == Identity.CONFLICT.value:
+    if reply["outcome"] == ChangeOutcome.CONFLICT.value:
         digests = f"digest {reply['known_digest']}, this one {reply['digest']}"
         why = f"version {version} was taken with other content ({digests})"
         return error_answer(409, f"{why}; read the configuration, and send the change under a higher version")
@@ -437,7 +437,7 @@
         reply = await self.store(PutConfiguration(plan.version, text))
         if isinstance(reply, Answer):
             return reply
-        if reply["outcome"] != Identity.TAKEN.value:
+        if reply["outcome"] != ChangeOutcome.STORED.value:
             return rejection_answer(plan.version, reply)
         # The change is final whatever the proxies do, but connected ones apply it before this call's answer.
         left_s = STORE_CALL_TIMEOUT_S - (time.monotonic() - began)
--- a/ivymux/simulation/control_plane.py
+++ b/ivymux/simulation/control_plane.py
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass
 
-from ivymux.config_store.history import Identity
+from ivymux.config_store.history import ChangeOutcome
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
 from ivymux.simulation.core_cluster import GRACE, Broken, Cores
@@ -109,10 +109,10 @@
         self.cores, self.chance = cores, chance
         self.version = 0
         self.open: dict[tuple[int, str], int] = {}  # changes without a clear answer, and how often sent
-        self.settled: list[tuple[int, str, Identity]] = []
+        self.settled: list[tuple[int, str, ChangeOutcome]] = []
         checked = cores.answered
 
-        def answered(version: int, text: str, outcome: Identity, known: str = "") -> None:
+        def answered(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
             checked(version, text, outcome, known)
             if chance.random() < 0.7 and self.open.pop((version, text), None) is not None:
                 self.settled.append((version, text, outcome))
--- a/ivymux/simulation/core_cluster.py
+++ b/ivymux/simulation/core_cluster.py
@@ -23,7 +23,7 @@
     may_overtake,
 )
 from ivymux.config_store.calls import Call, PutConfiguration
-from ivymux.config_store.history import Identity, digest_of
+from ivymux.config_store.history import ChangeOutcome, digest_of
 from ivymux.config_store.messages import ReplicaMessage
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord
 from ivymux.config_store.replica import Replica
@@ -58,7 +58,7 @@
     commit_ends: float = 0.0
     known: int = -1
     thawed: list[Callable[[], None]] | None = None  # while frozen: what comes behind it
-    calls: dict[int, tuple[int, str, Identity]] = field(default_factory=dict)
+    calls: dict[int, tuple[int, str, ChangeOutcome]] = field(default_factory=dict)
     asked: dict[int, tuple[Answer, Callable[[Answer], None]]] = field(default_factory=dict)
 
 
@@ -331,7 +331,7 @@
         told = machine.replica.handle_call(self.now, call, PutConfiguration(version, text))
         if told is None:
             return False
-        outcome = Identity(told.answer["outcome"])
+        outcome = ChangeOutcome(told.answer["outcome"])
         if told.answer["held_version"] < self.highest:
             raise Broken(
                 f"{told.answer['held_version']} is held at {ip}, and {self.highest} was acknowledged"
@@ -343,16 +343,16 @@
         self.carry(machine, told.actions)
         return True
 
-    def answered(self, version: int, text: str, outcome: Identity, known: str = "") -> None:
+    def answered(self, version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
         """What an operator was told of a change: one number has one text, whatever it is asked and when."""
-        if outcome is Identity.TAKEN:
+        if outcome is ChangeOutcome.STORED:
             if self.held.setdefault(version, text) != text:
                 raise Broken(f"version {version} was acknowledged with two texts")
             if (version, text) in self.unchanged:
                 raise Broken(f"version {version} was said to have changed nothing, and to be taken")
             self.highest = max(self.highest, version)
             self.acked.add(version)
-        elif outcome is Identity.CONFLICT:
+        elif outcome is ChangeOutcome.CONFLICT:
             taken = next((t for t in self.sent[version] if digest_of(t) == known), None)
             if taken is None or taken == text or self.held.setdefault(version, taken) != taken:
                 raise Broken(f"version {version} is said to be taken with another text than {text}")
@@ -379,11 +379,11 @@
 
     def done(self, machine: Machine, action: Complete) -> None:
         """An answer that waited for both disks."""
-        answer = machine.asked.pop(action.call, None)
+        answer = machine.asked.pop(action.call_id, None)
         if answer is not None:
             answer[1](answer[0])
             return
-        change = machine.calls.pop(action.call, None)
+        change = machine.calls.pop(action.call_id, None)
         if change is not None:
             self.answered(*change)
         assert machine.replica is not None and machine.replica.state is not None
--- a/ivymux/simulation/loss_scenarios.py
+++ b/ivymux/simulation/loss_scenarios.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ivymux.config_store.history import Identity
+from ivymux.config_store.history import ChangeOutcome
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
 from ivymux.simulation.core_cluster import Broken, Cores
@@ -152,10 +152,10 @@
 def send_until_clear(cores: Cores, version: int, texts: tuple[str, ...], most: float = 15.0) -> None:
     """Until one of the texts is told to be taken, and all others to conflict with it.  Raises Broken."""
     until = cores.now + most
-    told: dict[str, Identity] = {}
+    told: dict[str, ChangeOutcome] = {}
     checked = cores.answered
 
-    def noted(version_told: int, text: str, outcome: Identity, known: str = "") -> None:
+    def noted(version_told: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
         checked(version_told, text, outcome, known)
         if version_told == version:
             told[text] = outcome
@@ -169,7 +169,7 @@
         cores.run(0.02)
     cores.answered = checked  # type: ignore[method-assign]
     outcomes = sorted(outcome.value for outcome in told.values())
-    if outcomes != sorted([Identity.TAKEN.value, *[Identity.CONFLICT.value] * (len(texts) - 1)]):
+    if outcomes != sorted([ChangeOutcome.STORED.value, *[ChangeOutcome.CONFLICT.value] * (len(texts) - 1)]):
         raise Broken(f"version {version} with {len(texts)} texts: {outcomes}")
 
 
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -13,7 +13,7 @@
 
 from ivymux.config_store import elections, leadership, messages, replica_state
 from ivymux.config_store.actions import Action, Persist, Reply, Send
-from ivymux.config_store.history import ChangeHistory, Identity
+from ivymux.config_store.history import ChangeHistory, ChangeOutcome
 from ivymux.config_store.idempotency import RecordReplication
 from ivymux.config_store.messages import PromiseRequest, ReplicaMessage, WriteStored
 from ivymux.config_store.records import ConfigurationState, DurableState, EpochRecord, is_majority
@@ -121,8 +121,8 @@
 class Early(Replica):
     """Answers before its own disk has a change."""
 
-    def put(self, call: int, version: int, text: str) -> Reply | None:
-        reply = super().put(call, version, text)
+    def put_configuration(self, call: int, version: int, text: str) -> Reply | None:
+        reply = super().put_configuration(call, version, text)
         for change in self.pending:
             change.on_own_disk = True
         return reply
@@ -169,18 +169,18 @@
 class NumbersOnly(Replica):
     """Knows a change by its number alone."""
 
-    def put(self, call: int, version: int, text: str) -> Reply | None:
+    def put_configuration(self, call: int, version: int, text: str) -> Reply | None:
         known = self.history.digests.get(version)
         if known is not None and self.may_serve(self.now):
-            return self.reply(Identity.TAKEN, version, known)
-        return super().put(call, version, text)
+            return self.reply(ChangeOutcome.STORED, version, known)
+        return super().put_configuration(call, version, text)
 
 
 class NewestOnly(Replica):
     """Gives a new backup the newest change's digest, and no other."""
 
     def transfer_state(self, attempt: ElectionAttempt) -> None:
-        self.history = ChangeHistory.of(self.history.changes()[-1:])
+        self.history = ChangeHistory.from_changes(self.history.changes()[-1:])
         super().transfer_state(attempt)
 
 
--- a/tests/config_store/test_fencing.py
+++ b/tests/config_store/test_fencing.py
@@ -84,4 +84,8 @@
     replica.lease_grants = {"b/1": 100.0, "c/1": 100.0}
     assert replica.may_serve(1.0)
     replica.handle(1.0, "c", Refusal("c/1", 6, NEW))
-    assert replica.led_epoch is None and not replica.may_serve(1.0) and replica.put(1, 9, "nine") is None
+    assert (
+        replica.led_epoch is None
+        and not replica.may_serve(1.0)
+        and replica.put_configuration(1, 9, "nine") is None
+    )
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -13,7 +13,7 @@
 from ivymux.config_store import durable_store
 from ivymux.config_store.actions import Persist
 from ivymux.config_store.durable_store import DurableStore, DurableStoreError
-from ivymux.config_store.history import MAX_CHANGES, ChangeHistory, Identity, digest_of
+from ivymux.config_store.history import MAX_CHANGES, ChangeHistory, ChangeOutcome, digest_of
 from ivymux.config_store.messages import ReplicaMessage, StateTransfer
 from ivymux.config_store.records import ConfigurationState
 from ivymux.simulation.core_cluster import Broken, Cores
@@ -113,16 +113,16 @@
 
     def __init__(self, cores: Cores) -> None:
         self.cores = cores
-        self.told: list[tuple[int, str, Identity]] = []
+        self.told: list[tuple[int, str, ChangeOutcome]] = []
         checked = cores.answered
 
-        def answered(version: int, text: str, outcome: Identity, known: str = "") -> None:
+        def answered(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
             checked(version, text, outcome, known)
             self.told.append((version, text, outcome))
 
         cores.answered = answered  # type: ignore[method-assign]
 
-    def put(self, version: int, text: str, most: float = 6.0) -> Identity | None:
+    def put(self, version: int, text: str, most: float = 6.0) -> ChangeOutcome | None:
         self.told.clear()
         until = self.cores.now + most
         while self.cores.now < until:
@@ -144,25 +144,31 @@
         assert cores.acknowledged(7, 2.0)
         operator = Operator(cores)
         outcomes = {operator.put(7, text) for text in ("seven by a", "seven by b")}
-        assert outcomes == {Identity.TAKEN, Identity.CONFLICT}
-        assert operator.put(7, "a third") is Identity.CONFLICT
+        assert outcomes == {ChangeOutcome.STORED, ChangeOutcome.CONFLICT}
+        assert operator.put(7, "a third") is ChangeOutcome.CONFLICT
 
 
 def test_a_repeated_change_is_recognised_after_lost_primaries_and_a_hundred_changes() -> None:
     cores = started(3, 3)
     operator = Operator(cores)
     for version in range(10, 115):
-        assert operator.put(version, f"v{version}") is Identity.TAKEN
+        assert operator.put(version, f"v{version}") is ChangeOutcome.STORED
     cores.wipe(holding(cores, PRIMARY))
     cores.run(1.0)
     cores.settle()
-    assert operator.put(10, "v10") is Identity.TAKEN and operator.put(60, "other") is Identity.CONFLICT
-    assert operator.put(9, "never taken") is Identity.SUPERSEDED
+    assert (
+        operator.put(10, "v10") is ChangeOutcome.STORED
+        and operator.put(60, "other") is ChangeOutcome.CONFLICT
+    )
+    assert operator.put(9, "never taken") is ChangeOutcome.SUPERSEDED
     cores.run(4.0)
     cores.wipe(holding(cores, PRIMARY))
     cores.run(1.0)
     cores.settle()
-    assert operator.put(114, "v114") is Identity.TAKEN and operator.put(114, "other") is Identity.CONFLICT
+    assert (
+        operator.put(114, "v114") is ChangeOutcome.STORED
+        and operator.put(114, "other") is ChangeOutcome.CONFLICT
+    )
 
 
 def test_a_text_that_only_a_lost_primary_had_does_not_conflict_with_another() -> None:
@@ -177,21 +183,21 @@
         cores.kill(leader)
         cores.cut.clear()
         operator = Operator(cores)
-        assert operator.put(5, "second") is Identity.TAKEN
+        assert operator.put(5, "second") is ChangeOutcome.STORED
         cores.settle()
         cores.run(1.0)
-        assert operator.put(5, "first") is Identity.CONFLICT
+        assert operator.put(5, "first") is ChangeOutcome.CONFLICT
 
 
 def test_a_history_drops_the_lowest_versions_first() -> None:
     history = ChangeHistory()
     for version in range(MAX_CHANGES + 10):
-        history.take(version, digest_of(str(version)))
+        history.add(version, digest_of(str(version)))
     assert len(history.digests) == MAX_CHANGES and history.newest() == MAX_CHANGES + 9
-    assert history.identify(9, digest_of("9")) is Identity.SUPERSEDED
-    assert history.identify(10, digest_of("10")) is Identity.TAKEN
-    assert history.identify(10, digest_of("x")) is Identity.CONFLICT
-    assert history.identify(MAX_CHANGES + 10, digest_of("x")) is Identity.NEW
+    assert history.outcome_of(9, digest_of("9")) is ChangeOutcome.SUPERSEDED
+    assert history.outcome_of(10, digest_of("10")) is ChangeOutcome.STORED
+    assert history.outcome_of(10, digest_of("x")) is ChangeOutcome.CONFLICT
+    assert history.outcome_of(MAX_CHANGES + 10, digest_of("x")) is ChangeOutcome.NEW
 
 
 def test_a_store_keeps_the_history_within_its_bound(tmp_path: Path) -> None:
@@ -214,9 +220,9 @@
 
 def test_the_checker_detects_two_texts_confirmed_under_one_version() -> None:
     cores = started(1, 3)
-    cores.answered(7, "a", Identity.TAKEN)
+    cores.answered(7, "a", ChangeOutcome.STORED)
     with pytest.raises(Broken):
-        cores.answered(7, "b", Identity.TAKEN)
+        cores.answered(7, "b", ChangeOutcome.STORED)
 
 
 # --- hundreds of changes ----------------------------------------------------------------------------------
@@ -237,8 +243,8 @@
     assert away and cores.read(cores.settle()) == 1001
     operator = Operator(cores)
     for known in (2, 500, 1001):
-        assert operator.put(known, f"v{known}") is Identity.TAKEN
-        assert operator.put(known, "other") is Identity.CONFLICT
+        assert operator.put(known, f"v{known}") is ChangeOutcome.STORED
+        assert operator.put(known, "other") is ChangeOutcome.CONFLICT
 
 
 def test_a_new_backup_that_restarts_twice_during_its_transfer_catches_up() -> None:
