--- a/orchidhill/call_rate.py
+++ b/orchidhill/call_rate.py
@@ -6,7 +6,7 @@
 rises with time, faster the longer ago its last cut is, lest all gateways rush in behind each cut.
 
 A broken connection fails its calls at once and says nothing about the counter's capacity until most calls
-fail: then the counter is away.  Slowing down for each would leave everything to the local shares in a network
+fail: then it is an outage.  Slowing down for each would leave everything to the local shares in a network
 where one call in twelve fails at random.  The rule does harm if a counter signals overload by resets.
 """
 
@@ -51,8 +51,8 @@
     def record_call(self, now: float) -> None:
         self.tokens, self.tokens_at = self.budget(now) - 1, now
 
-    def record_answer(self, now: float, outcome: Outcome, spent: float, away: bool) -> None:
-        """Adapt the rate to a call that ended after `spent` seconds; `away`: most calls fail."""
+    def record_answer(self, now: float, outcome: Outcome, spent: float, is_outage: bool) -> None:
+        """Adapt the rate to a call that ended after `spent` seconds; `is_outage`: whether most calls fail."""
         good, slow = outcome is Outcome.OK, spent >= self.timeout / 2
         elapsed, self.answered_at = min(1.0, now - self.answered_at), now
         if good and not slow:
@@ -62,6 +62,6 @@
                 rises_per_s = min(self.max_rises, RISES_PER_S * (now - self.cut_at))
                 self.rate *= RISE ** (elapsed * rises_per_s if self.is_large_fleet else 1.0)
                 self.steady_rate = max(self.steady_rate, self.rate)
-        elif (away or slow or outcome is Outcome.FULL) and now - self.cut_at > 2 * self.timeout:
-            self.rate = max(self.min_rate, self.rate * CUT ** (1 + away))
-            self.steady_rate, self.cut_at = self.steady_rate if away else self.rate, now
+        elif (is_outage or slow or outcome is Outcome.FULL) and now - self.cut_at > 2 * self.timeout:
+            self.rate = max(self.min_rate, self.rate * CUT ** (1 + is_outage))
+            self.steady_rate, self.cut_at = self.steady_rate if is_outage else self.rate, now
--- a/orchidhill/degraded_mode.py
+++ b/orchidhill/degraded_mode.py
@@ -12,7 +12,7 @@
 
 EVEN_SHARE = 0.5  # part of a quota that is split evenly; the rest follows the use in the last window
 HOLD_S = 60.0  # seconds in degraded mode during which a local share stays whole
-MIN_FADE = 0.5  # of a share that is never faded away: customers that use half of their quota stay served
+MIN_FADE = 0.5  # lower bound of the fade factor: customers that use half of their quota stay served
 MIN_EXCESS = 0.5  # of a quota that may be admitted beside a counter that grants the other side all of it
 HIGH_OVER_COST = 2.0  # `over_cost` from which the local shares add up to 1 for a plan without a ceiling too
 SETTLE_S = 2.0  # seconds after a replacement in which the other gateways restore what they had added
@@ -112,7 +112,7 @@
         return CounterStatus.SLOW if is_slow else kind
 
     def record_split(self, now: float) -> bool:
-        """Record that totals moved while no answer came here; return whether to log it (once per HOLD_S)."""
+        """Record that totals moved during an outage of this gateway; return whether to log it again."""
         before, self.split_at = self.split_at, now
         return now - before >= HOLD_S
 
--- a/orchidhill/gateway.py
+++ b/orchidhill/gateway.py
@@ -113,7 +113,7 @@
                 found.rank = stable_hash(entry.backend, self.settings.me)
             if entry.started > found.entry.started or not found.cold_at:
                 found.latency, found.answered_at = self.latency, self.now
-                found.cold_level, found.cold_at = self.random.random(), self.now  # decides who sends first
+                found.cold_level, found.cold_at = self.random.random(), self.now  # decides which sends first
             found.entry, found.state = entry, entry.state
         if changed:  # costs time in proportion to the fleet
             for gone in [b for b in self.backends.values() if b.state is State.GONE and not b.in_flight]:
--- a/orchidhill/proxy_gateway.py
+++ b/orchidhill/proxy_gateway.py
@@ -31,7 +31,7 @@
 MIN_SILENCE_S = 0.4  # lower bound of the silence that counts
 RETRY_AFTER_SHARE = 0.25  # of the target latency, the retry-after of a refusal for want of backends
 # Parts of what the quota rule allows beyond quotas (`excess_allowance`):
-LOSS_ALLOWANCE = 0.7  # granted anew after a loss of counts
+LOSS_ALLOWANCE = 0.7  # granted again after a loss of totals
 LOCAL_ALLOWANCE = 0.45  # admitted by all proxies together in degraded mode
 UNSPENT_ALLOWANCE = 0.4  # held unspent by all proxies together
 RETRY_RATE_SHARE = 0.5  # of a tenant's rate, over which the retries of refused requests are spread
@@ -274,7 +274,7 @@
             count.spread = min(self.now - since, count.since)
 
     def admit_locally(self, lease: Lease, job: Job, units: float) -> None:
-        """As in Admission; also record since when, as the counter is told late of what was admitted."""
+        """As in Admission; also record since when, as the counter learns of these admissions late."""
         before = lease.owed
         super().admit_locally(lease, job, units)
         if before < EPSILON < lease.owed and not lease.for_slots:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -28,35 +28,29 @@
 
 def used_backends(gateway: Gateway, count: int) -> set[int]:
     """Return the backends that get one of `count` requests sent in turn."""
-    counter, actions = FakeCounter(), set()
+    counter, backends = FakeCounter(), set()
     for rid in range(count):
         for send in sends(handle_event(gateway, counter, START + rid, make_request(rid, customer=rid))):
-            actions.add(send.backend)
-            handle_event(
-                gateway, counter, START + rid + 0.1, make_finished(rid, send, i.Outcome.OK, closed=True)
-            )
-    return actions
+            backends.add(send.backend)
+            finished = make_finished(rid, send, i.Outcome.OK, closed=True)
+            handle_event(gateway, counter, START + rid + 0.1, finished)
+    return backends
 
 
 def test_a_gateway_of_a_large_fleet_uses_its_own_subset() -> None:
     one, other = (used_backends(make_gateway(FLEET, me=str(n), peers_total="200"), 300) for n in (0, 1))
-    assert (
-        8 <= len(one) <= SUBSET_SIZE
-        and 8 <= len(other) <= SUBSET_SIZE
-        and len(one & other) < SUBSET_SIZE // 2
-    )
+    assert 8 <= len(one) <= SUBSET_SIZE and 8 <= len(other) <= SUBSET_SIZE
+    assert len(one & other) < SUBSET_SIZE // 2
 
 
 def test_the_subset_changes_only_by_backends_that_join_or_leave() -> None:
     gateway = make_gateway(FLEET, peers_total="200")
     before = {b.entry.backend for b in gateway.subset}
     gone = random.Random(1).sample(sorted(before), 4)
-    gateway.handle(
-        START, i.Members(i.Listing.DELTA, 2, tuple(make_entry(n, state=i.State.GONE) for n in gone))
-    )
-    assert len(gateway.subset) == SUBSET_SIZE and before - {b.entry.backend for b in gateway.subset} == set(
-        gone
-    )
+    entries = tuple(make_entry(n, state=i.State.GONE) for n in gone)
+    gateway.handle(START, i.Members(i.Listing.DELTA, 2, entries))
+    after = {b.entry.backend for b in gateway.subset}
+    assert len(gateway.subset) == SUBSET_SIZE and before - after == set(gone)
 
 
 def test_backends_outside_the_subset_are_used_where_none_inside_is_allowed() -> None:
@@ -92,7 +86,7 @@
     calls = [(gateway, gateway.handle(now, event)) for gateway, event in zip(gateways, events, strict=True)]
     while any(isinstance(a, i.Count) for _, actions in calls for a in actions):
         all_actions += [a for _, actions in calls for a in actions]
-        answers = [(m, counter.answer(a)) for m, actions in calls for a in actions if isinstance(a, i.Count)]
+        answers = [(g, counter.answer(a)) for g, actions in calls for a in actions if isinstance(a, i.Count)]
         calls = [(gateway, gateway.handle(now, answer)) for gateway, answer in answers]
     return all_actions + [a for _, actions in calls for a in actions]
 
@@ -152,7 +146,7 @@
 
 
 def call_at_full_rate(call_rate: CallRate, seconds: float, now: float) -> float:
-    """As many calls as the call_rate allows, each answered well at once.  The time at the end."""
+    """Make all calls that the rate allows, each answered at once; return the time at the end."""
     for _ in range(round(seconds / 0.01)):
         now += 0.01
         while call_rate.budget(now) >= 1:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -61,16 +61,16 @@
     for count, least in ((1, -8.0), (3, -16.0)):
         counter = FakeCounter()
         gateways = [make_gateway(me=str(n)) for n in range(count)]
-        now, store, at = START, 8.0, START
-        for rid, (gap, who) in enumerate(steps):
+        now, level, at = START, 8.0, START
+        for rid, (gap, index) in enumerate(steps):
             now += gap
-            gateway = gateways[who % count]
+            gateway = gateways[index % count]
             for lease in gateway.leases.values():
-                lease.log_size = sizes[who]
+                lease.log_size = sizes[index]
             if serve_request(gateway, counter, now, rid):
-                store = min(8.0, store + 4.0 * (now - at)) - 1.0
+                level = min(8.0, level + 4.0 * (now - at)) - 1.0
                 at = now
-                assert store >= least - 1e-3
+                assert level >= least - 1e-3
 
 
 def test_a_whole_burst_is_usable_after_an_idle_window() -> None:
@@ -98,9 +98,9 @@
 
 def test_requests_wait_for_the_lease_call_in_flight() -> None:
     gateway = make_gateway()
-    (look,) = (a for a in gateway.handle(START, make_request(0)) if isinstance(a, i.Count))
-    actions = handle_event(gateway, FakeCounter(), START, i.Counted(look.name, i.Outcome.OK, 0.0, 0.001))
-    assert look.amount == 0.0 and {s.request for s in sends(actions)} == {0}
+    (read,) = (a for a in gateway.handle(START, make_request(0)) if isinstance(a, i.Count))
+    actions = handle_event(gateway, FakeCounter(), START, i.Counted(read.name, i.Outcome.OK, 0.0, 0.001))
+    assert read.amount == 0.0 and {s.request for s in sends(actions)} == {0}
     lease = only_lease(gateway)
     lease.credits = 0.0
     first = gateway.handle(START, make_request(1))
@@ -317,8 +317,8 @@
     gateways = [make_gateway(me=str(n), tariffs__0__over_cost="2.0") for n in range(3)]
     order = [n for n, part in enumerate(parts) for _ in range(part)]
     for rid in range(int(before * 4)):
-        who, turn = order[turn % len(order)], turn + 1
-        serve_request(gateways[who], counter, START + rid / 4, rid, plan=kind)
+        index, turn = order[turn % len(order)], turn + 1
+        serve_request(gateways[index], counter, START + rid / 4, rid, plan=kind)
     counter.outcome, now = i.Outcome.CONNECT_FAILED, START + before
     admitted = [
         sum(serve_request(one, counter, now + k / 16, 1000 * (n + 1) + k, plan=kind) for k in range(480))
@@ -373,8 +373,8 @@
     """A counter that adds exactly and answers with seven digits, as many stores' text formats do."""
 
     def answer(self, call: i.Count) -> i.Counted:
-        told = super().answer(call)
-        return replace(told, total=float(f"{told.total:.7g}"))
+        answer = super().answer(call)
+        return replace(answer, total=float(f"{answer.total:.7g}"))
 
 
 def run_large_plan(counter: FakeCounter, count: int, seconds: float = 25.0) -> tuple[float, int, int]:
@@ -425,15 +425,15 @@
 def test_the_ceiling_holds_while_the_counter_fails_and_returns_empty(steps: list[Step], lost: int) -> None:
     counter = FakeCounter()
     gateways = [make_gateway(me=str(n)) for n in range(3)]
-    now, store, at = START, 16.0, START
-    for rid, (gap, who) in enumerate(steps):
+    now, level, at = START, 16.0, START
+    for rid, (gap, index) in enumerate(steps):
         if rid == lost:
             counter.lose_totals()
         counter.outcome = i.Outcome.TIMEOUT if lost / 2 <= rid < lost else i.Outcome.OK
         now += gap
-        if serve_request(gateways[who], counter, now, rid, plan=1):
-            store, at = min(16.0, store + 8.0 * (now - at)) - 1.0, now
-            assert store >= -1.6
+        if serve_request(gateways[index], counter, now, rid, plan=1):
+            level, at = min(16.0, level + 8.0 * (now - at)) - 1.0, now
+            assert level >= -1.6
 
 
 # --- attempts and answers ---
