--- a/ivymux/config_store/__init__.py
+++ b/ivymux/config_store/__init__.py
@@ -1,1 +1,1 @@
-"""The store of configuration: a primary and a backup that keep it, witnesses that keep only epochs."""
+"""The config store: a primary and a backup that hold the configuration, and witnesses that vote on epochs."""
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -32,13 +32,20 @@
 from ivymux.config_store.replica_state import NEVER, ElectionAttempt
 from ivymux.config_store.timing import (
     BACKUP_TIMEOUT_S,
+    FIRST_START_DELAY_S,
+    FIRST_START_RANK_DELAY_S,
     JOIN_INTERVAL_S,
     MAX_DEFERRAL_S,
     MAX_DISK_DEFERRAL_S,
+    MAX_REFUSAL_FACTOR,
+    MAX_STALL_FACTOR,
     MEMBER_TIMEOUT_S,
     MIN_DEFERRAL_S,
     PROGRESS_TIMEOUT_S,
+    REFUSAL_PAUSE_S,
+    REFUSAL_RANK_PAUSE_S,
     RETRY_INTERVAL_S,
+    STALL_PAUSE_S,
     TRANSFER_RETRY_INTERVAL_S,
 )
 
@@ -54,7 +61,7 @@
         self.deferred_since = now  # when the latest of them was first received
         self.defer_until = 0.0  # how long that attempt may keep this member from its own
         if self.is_founder():
-            self.next_attempt_at = now + 0.05 + 0.3 * self.attempt_rank()
+            self.next_attempt_at = now + FIRST_START_DELAY_S + FIRST_START_RANK_DELAY_S * self.attempt_rank()
 
     def on_became_primary(self) -> None:
         """Called when an epoch of this machine comes into force."""
@@ -112,7 +119,7 @@
                 self.abandon_attempt(0.0)
                 return
         elif self.is_stalled(attempt, attempt.epoch_record.backup):
-            self.abandon_attempt(0.05 * min(8, self.failed_attempts))
+            self.abandon_attempt(STALL_PAUSE_S * min(MAX_STALL_FACTOR, self.failed_attempts))
             return
         if self.now < attempt.next_request_at:
             return
@@ -212,7 +219,8 @@
             if is_majority(self.known_epoch.members, remaining):
                 return  # this member promised the number to another candidate, but the others suffice
         # The pause grows with the rank, so that two candidates do not keep colliding.
-        self.abandon_attempt((0.03 + 0.15 * self.attempt_rank()) * min(4, self.failed_attempts))
+        pause_s = REFUSAL_PAUSE_S + REFUSAL_RANK_PAUSE_S * self.attempt_rank()
+        self.abandon_attempt(pause_s * min(MAX_REFUSAL_FACTOR, self.failed_attempts))
 
     def on_still_writing(self, source: str, message: StillWriting) -> None:
         self.last_received_at[message.sender] = self.now
--- a/ivymux/config_store/timing.py
+++ b/ivymux/config_store/timing.py
@@ -18,13 +18,14 @@
 
 # Elections.
 RETRY_INTERVAL_S = 0.35  # after which an unanswered request for a new epoch or to the backup is repeated
-TRANSFER_RETRY_INTERVAL_S = (
-    0.45  # the same for a whole state, which may be large; twice fits BACKUP_TIMEOUT_S
-)
+TRANSFER_RETRY_INTERVAL_S = 0.45  # the same for a whole state; two of them fit into BACKUP_TIMEOUT_S
 PROGRESS_TIMEOUT_S = 10.0  # without progress, after which an attempt that waits for a disk is abandoned
 MIN_DEFERRAL_S = 2 * RETRY_INTERVAL_S  # for which a member defers to another's first attempt
 MAX_DEFERRAL_S = 8.0  # the deferral doubles with each failed attempt, up to this
 MAX_DISK_DEFERRAL_S = 20.0  # for which a member defers to an attempt that waits for a disk
+FIRST_START_DELAY_S, FIRST_START_RANK_DELAY_S = 0.05, 0.3  # before a seed's first attempt, by its rank
+STALL_PAUSE_S, MAX_STALL_FACTOR = 0.05, 8  # after a stalled attempt, times the number of failed attempts
+REFUSAL_PAUSE_S, REFUSAL_RANK_PAUSE_S, MAX_REFUSAL_FACTOR = 0.03, 0.15, 4  # the same after a refusal
 
 # A primary whose process ends.
 DRAIN_S = 0.3  # for which it lets pending changes complete before it hands over
--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -40,13 +40,13 @@
 def test_the_seeds_make_one_first_epoch_in_any_order_of_starts(snapshot: SnapshotAssertion) -> None:
     for order in itertools.permutations(range(3)):
         cores = Cores(7)
-        for place, number in enumerate(order):
-            cores.start_at(place * 1.7, f"m{number}")
+        for position, number in enumerate(order):
+            cores.start_at(position * 1.7, f"m{number}")
         cores.run(9.0)
         assert len(cores.leaders()) == 1
-        founded = {line.split(" is in force")[0] for line in cores.log if "is in force" in line}
+        epochs = {line.split(" is in force")[0] for line in cores.log if "is in force" in line}
         # No epoch number is used twice.
-        assert len({line.split("epoch ")[1] for line in founded}) == len(founded)
+        assert len({line.split("epoch ")[1] for line in epochs}) == len(epochs)
     assert started(3).log == snapshot
 
 
@@ -79,9 +79,9 @@
 def members(cores: Cores) -> set[str]:
     leaders = cores.leaders()
     replica = cores.machines[leaders[0]].replica if leaders else None
-    return (
-        {m.partition("/")[0] for m in replica.led_epoch.members} if replica and replica.led_epoch else set()
-    )
+    if replica is None or replica.led_epoch is None:
+        return set()
+    return {member.partition("/")[0] for member in replica.led_epoch.members}
 
 
 @pytest.mark.parametrize("count", [3, 4])
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -113,23 +113,23 @@
 
     def __init__(self, cores: Cores) -> None:
         self.cores = cores
-        self.told: list[tuple[int, str, ChangeOutcome]] = []
+        self.outcomes: list[tuple[int, str, ChangeOutcome]] = []
         checked = cores.answered
 
         def answered(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
             checked(version, text, outcome, known)
-            self.told.append((version, text, outcome))
+            self.outcomes.append((version, text, outcome))
 
         cores.answered = answered  # type: ignore[method-assign]
 
     def put(self, version: int, text: str, most: float = 6.0) -> ChangeOutcome | None:
-        self.told.clear()
+        self.outcomes.clear()
         until = self.cores.now + most
         while self.cores.now < until:
             for machine in self.cores.machines:
                 self.cores.put(machine, version, text)
             self.cores.run(0.02)
-            outcomes = [outcome for *change, outcome in self.told if change == [version, text]]
+            outcomes = [outcome for *change, outcome in self.outcomes if change == [version, text]]
             if outcomes:
                 return outcomes[0]
         return None
@@ -156,19 +156,15 @@
     cores.wipe(holding(cores, PRIMARY))
     cores.run(1.0)
     cores.settle()
-    assert (
-        operator.put(10, "v10") is ChangeOutcome.STORED
-        and operator.put(60, "other") is ChangeOutcome.CONFLICT
-    )
+    assert operator.put(10, "v10") is ChangeOutcome.STORED
+    assert operator.put(60, "other") is ChangeOutcome.CONFLICT
     assert operator.put(9, "never taken") is ChangeOutcome.SUPERSEDED
     cores.run(4.0)
     cores.wipe(holding(cores, PRIMARY))
     cores.run(1.0)
     cores.settle()
-    assert (
-        operator.put(114, "v114") is ChangeOutcome.STORED
-        and operator.put(114, "other") is ChangeOutcome.CONFLICT
-    )
+    assert operator.put(114, "v114") is ChangeOutcome.STORED
+    assert operator.put(114, "other") is ChangeOutcome.CONFLICT
 
 
 def test_a_text_that_only_a_lost_primary_had_does_not_conflict_with_another() -> None:
