--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -42,7 +42,7 @@
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
-        self.name_by_id: dict[int, str] = {}  # by id, to detect two names with the same id
+        self.name_by_id: dict[int, str] = {}  # to detect two names with the same id
 
     def entry(self, raw: Any) -> tuple[Entry, Address]:
         """Convert one backend.  Raises ConfigError, KeyError, TypeError or ValueError."""
