--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -44,7 +44,7 @@
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.name_by_id: dict[int, str] = {}  # to detect two names with the same id
 
-    def entry(self, raw: Any) -> tuple[Entry, Address]:
+    def parse_entry(self, raw: Any) -> tuple[Entry, Address]:
         """Convert one backend.  Raises ConfigError, KeyError, TypeError or ValueError."""
         state = STATES[raw["health"]]
         name = str(raw["host"])
@@ -61,7 +61,7 @@
             weight=float(raw["share"]),
         ), parse_address(raw["dial"])
 
-    def members(self, raw: Any, cached: bool = False) -> tuple[Members, dict[int, Address]]:
+    def parse_members(self, raw: Any, cached: bool = False) -> tuple[Members, dict[int, Address]]:
         """Convert a whole list or a change of it; invalid entries are logged and skipped.
 
         `cached`: the list comes from the configuration.  Raises KeyError, TypeError or ValueError.
@@ -76,7 +76,7 @@
         entries, addresses = [], {}
         for item in raw["hosts"]:
             try:
-                entry, address = self.entry(item)
+                entry, address = self.parse_entry(item)
             except (ConfigError, KeyError, TypeError, ValueError) as error:
                 log.warning("discovery: entry skipped: %s: %s", type(error).__name__, error)
                 continue
@@ -202,7 +202,7 @@
     def handle_line(self, line: bytes) -> bool:
         """Pass on a whole list or a change that follows one; return False for anything else."""
         try:
-            members, addresses = self.owner.names.members(json.loads(line))
+            members, addresses = self.owner.names.parse_members(json.loads(line))
         except (KeyError, TypeError, ValueError) as error:
             log.warning("discovery: line skipped: %s: %s", type(error).__name__, error)
             return False
--- a/ivymux/platform/program.py
+++ b/ivymux/platform/program.py
@@ -69,7 +69,7 @@
         names = BackendNames(settings.zones, config.kinds)
         if config.known:
             try:
-                members, addresses = names.members(config.known, cached=True)
+                members, addresses = names.parse_members(config.known, cached=True)
             except (KeyError, TypeError, ValueError) as error:
                 raise ConfigError(f"known: {type(error).__name__}: {error}") from None
             host.update_members(members, addresses)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Property tests' profile, and tests that are known to fail."""
+"""Configures pytest: the profile of property tests, and tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from .known_red import load
 
-# How fast a machine draws says nothing of what is tested.
+# The time that a machine takes to generate examples is no property of the code under test.
 settings.register_profile("any machine", deadline=None, suppress_health_check=[HealthCheck.too_slow])
 settings.load_profile("any machine")
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Tests of KNOWN-RED.txt run and may fail; one that passes fails the run, as it is to be taken off."""
+    """Let tests in KNOWN-RED.txt fail; one that passes fails the run, as it has to be taken off the list."""
     for known in load():
         for item in items:
-            if known.names(item.nodeid):
-                item.add_marker(pytest.mark.xfail(reason=f"known: {known.cause}", strict=known.always))
+            if known.matches(item.nodeid):
+                item.add_marker(pytest.mark.xfail(reason=f"known: {known.cause}", strict=known.fails_always))
 
 
 @pytest.hookimpl(wrapper=True)
--- a/tests/pauses.py
+++ b/tests/pauses.py
@@ -1,7 +1,8 @@
-"""What a machine kept from a test: stretches in which it gave the process no time.
+"""Detects pauses of the machine during a test: periods in which the process got no CPU time.
 
-A bound on the time of an answer speaks of the door. A machine that stands still for half a second, or runs
-something else, is no fault of it; a door that computes or waits for too long is, and is not made up for.
+A bound on the time of an answer is about the gateway.  A machine that stands still for half a second, or runs
+other processes, would break it without a fault of the gateway; a gateway that computes or waits for too long
+is not excused.
 """
 
 from __future__ import annotations
@@ -10,37 +11,37 @@
 import time
 from typing import Self
 
-STEP = 0.01  # seconds between two looks
-LEAST = 0.01  # seconds that the process was not given, between two looks, to count
+CHECK_INTERVAL_S = 0.01
+MIN_PAUSE_S = 0.01  # beyond the interval between two checks, to count as a pause
 
 
 class Pauses:
-    """A thread that looks at the clock; while it was held up and the process used no CPU, the machine stood.
+    """A thread that checks the clock and notes when it ran late while the process used no CPU.
 
-    A loop that computes uses CPU, one that blocks lets the thread run on: neither is taken for a pause.
+    An event loop that computes uses CPU, and one that blocks lets this thread run: neither is a pause.
     """
 
     def __init__(self) -> None:
-        self.found: list[tuple[float, float]] = []  # when one began and how long it lasted, monotonic seconds
-        self.over = threading.Event()
-        self.thread = threading.Thread(target=self.look, daemon=True)
+        self.pauses: list[tuple[float, float]] = []  # start in monotonic seconds, duration
+        self.stopped = threading.Event()
+        self.thread = threading.Thread(target=self.watch_clock, daemon=True)
 
-    def look(self) -> None:
-        was, used = time.monotonic(), time.process_time()
-        while not self.over.wait(STEP):
+    def watch_clock(self) -> None:
+        last_time, last_cpu = time.monotonic(), time.process_time()
+        while not self.stopped.wait(CHECK_INTERVAL_S):
             now, cpu = time.monotonic(), time.process_time()
-            if (lost := now - was - STEP - (cpu - used)) > LEAST:
-                self.found.append((was, lost))
-            was, used = now, cpu
+            if (lost := now - last_time - CHECK_INTERVAL_S - (cpu - last_cpu)) > MIN_PAUSE_S:
+                self.pauses.append((last_time, lost))
+            last_time, last_cpu = now, cpu
 
-    def within(self, began: float, ended: float) -> float:
-        """Seconds that the process was not given between two times."""
-        return sum(lost for at, lost in self.found if at + lost > began and at < ended)
+    def total_within(self, start: float, end: float) -> float:
+        """Return the seconds of all pauses that overlap a period."""
+        return sum(lost for at, lost in self.pauses if at + lost > start and at < end)
 
     def __enter__(self) -> Self:
         self.thread.start()
         return self
 
     def __exit__(self, *error: object) -> None:
-        self.over.set()
+        self.stopped.set()
         self.thread.join()
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -158,7 +158,7 @@
     fleet, door = place.fleet, place.door
     assert len(storm.answers) == REQUESTS and set(storm.answers.values()) == {1}
     assert set(storm.statuses) <= {200, 500, 502, 503, 504}
-    assert max(end - began - pauses.within(began, end) for began, end in storm.asked) < DEADLINE + 0.5
+    assert max(end - began - pauses.total_within(began, end) for began, end in storm.asked) < DEADLINE + 0.5
     assert storm.statuses[200] > 0.7 * REQUESTS
     assert door.host.gateway.settings.classes == tuple(door.classes.listed)
     repeated = 0
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Small fakes of a backend, the counter, discovery and a client on loopback sockets."""
+"""Fakes of a backend, the counter, the discovery agent, a client and the decision module for socket tests."""
 
 from __future__ import annotations
 
@@ -23,23 +23,24 @@
 
 
 def run(test: Awaitable[None]) -> None:
-    """Run one test on the loop that serves, bounded in time."""
+    """Run a test on the event loop that the programs use, with a timeout."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(60):  # for one that hangs; a busy machine takes thrice its usual time
+        async with asyncio.timeout(60):  # ends a test that hangs; a busy machine may take three times as long
             await test
 
     uvloop.run(bounded())
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for a condition; the test's own time-out ends one that never comes."""
+    """Wait until a condition is true; the timeout of `run` ends the test if it never is."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
 @contextlib.asynccontextmanager
 async def listening(handler: Handler) -> AsyncIterator[str]:
+    """Serve connections on a free loopback port; yield its address as HOST:PORT."""
     tasks: set[asyncio.Task[Any]] = set()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -66,21 +67,23 @@
 
 
 @dataclass
-class Message:
-    start: str
+class HttpMessage:
+    """A request or an answer; header names are in lower case."""
+
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
     @property
     def status(self) -> int:
-        return int(self.start.split()[1])
+        return int(self.start_line.split()[1])
 
 
-async def read_message(reader: asyncio.StreamReader) -> Message:
+async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Message(head[0], headers, body)
+    return HttpMessage(head[0], headers, body)
 
 
 def http_answer(status: int = 200, body: bytes = b"", **headers: str) -> bytes:
@@ -90,46 +93,46 @@
 
 
 @dataclass
-class Backend:
-    """Answers each request with what `answer` makes of it; None keeps silent."""
+class FakeBackend:
+    """Answers each request with the bytes from `make_answer`; None gives no answer."""
 
-    answer: Callable[[Message], bytes | None] = lambda message: http_answer(body=b"done")
-    seen: list[Message] = field(default_factory=list)
-    opened: int = 0
-    open: int = 0
+    make_answer: Callable[[HttpMessage], bytes | None] = lambda message: http_answer(body=b"done")
+    requests: list[HttpMessage] = field(default_factory=list)
+    total_connections: int = 0
+    open_connections: int = 0
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
-        self.open += 1
+        self.total_connections += 1
+        self.open_connections += 1
         try:
             while True:
                 message = await read_message(reader)
-                self.seen.append(message)
-                if (reply := self.answer(message)) is not None:
+                self.requests.append(message)
+                if (reply := self.make_answer(message)) is not None:
                     writer.write(reply)
                     if b"Connection: close" in reply or reply == b"":
                         return
         finally:
-            self.open -= 1
+            self.open_connections -= 1
 
 
 @dataclass
-class Tally:
-    """A counter; `reply` may stand in for the answer to the call with that number."""
+class FakeCounter:
+    """A counter service; `override_reply` may replace the answer to a call, given its index."""
 
-    reply: Callable[[int, list[bytes]], bytes | None] | None = None
+    override_reply: Callable[[int, list[bytes]], bytes | None] | None = None
     totals: dict[bytes, float] = field(default_factory=dict)
     calls: list[list[bytes]] = field(default_factory=list)
-    opened: int = 0
-    open: int = 0
+    total_connections: int = 0
+    open_connections: int = 0
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
-        self.open += 1
+        self.total_connections += 1
+        self.open_connections += 1
         try:
             await self.serve(reader, writer)
         finally:
-            self.open -= 1
+            self.open_connections -= 1
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -141,58 +144,58 @@
                 writer.write(b"+PONG\r\n")
                 continue
             self.calls.append(parts)
-            special = self.reply(len(self.calls) - 1, parts) if self.reply else None
+            override = self.override_reply(len(self.calls) - 1, parts) if self.override_reply else None
             self.totals[parts[1]] = self.totals.get(parts[1], 0.0) + float(parts[2])
             total = f"{self.totals[parts[1]]:g}".encode()
-            writer.write(b"$%d\r\n%s\r\n" % (len(total), total) if special is None else special)
+            writer.write(b"$%d\r\n%s\r\n" % (len(total), total) if override is None else override)
 
 
 @dataclass
-class Agent:
-    """Discovery: the whole list, then a watch that gets the lines put into `lines`, one chunk a line."""
+class FakeAgent:
+    """A discovery agent: sends the whole list, then each of `watch_lines` as a chunk of the watch."""
 
-    lines: list[bytes] = field(default_factory=list)
+    watch_lines: list[bytes] = field(default_factory=list)
     targets: list[str] = field(default_factory=list)
-    whole: bytes = b'{"seq":41,"whole":true,"hosts":[]}'
-    open: int = 0
+    whole_list: bytes = b'{"seq":41,"whole":true,"hosts":[]}'
+    open_connections: int = 0
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open += 1
+        self.open_connections += 1
         try:
-            self.targets.append((await read_message(reader)).start.split()[1])
-            writer.write(http_answer(body=self.whole))
-            self.targets.append((await read_message(reader)).start.split()[1])
+            self.targets.append((await read_message(reader)).start_line.split()[1])
+            writer.write(http_answer(body=self.whole_list))
+            self.targets.append((await read_message(reader)).start_line.split()[1])
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             ended = asyncio.ensure_future(reader.read())
             sent = 0
             while not ended.done():
-                for line in self.lines[sent:]:
+                for line in self.watch_lines[sent:]:
                     if line == b"<end>":
-                        self.lines.remove(line)
+                        self.watch_lines.remove(line)
                         return
                     writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
-                sent = len(self.lines)
+                sent = len(self.watch_lines)
                 await asyncio.sleep(0.002)
         finally:
-            self.open -= 1
+            self.open_connections -= 1
 
 
-def host_line(name: str, dial: str, health: str = "Ready", block: int = 0) -> dict[str, Any]:
+def host_line(name: str, endpoint: str, health: str = "Ready", block: int = 0) -> dict[str, Any]:
     return {
-        "host": name, "dial": dial, "site": "a", "class": "m2", "block": block,
+        "host": name, "dial": endpoint, "site": "a", "class": "m2", "block": block,
         "health": health, "share": 1.0, "born_ms": 0,
     }  # fmt: skip
 
 
 def nest(flat: dict[str, str]) -> dict[str, Any]:
-    """The helpers' settings as a front door finds them: nested, with typed values."""
+    """Return the helpers' settings in the nested form of a configuration file."""
     root: dict[str, Any] = {}
     for path, value in flat.items():
-        at = root
+        node = root
         *parents, leaf = path.split(".")
         for part in parents:
-            at = at.setdefault(part, {})
-        at[leaf] = value.split(",") if leaf in ("zones", "columns") else value
+            node = node.setdefault(part, {})
+        node[leaf] = value.split(",") if leaf in ("zones", "columns") else value
     for name in ("classes", "tariffs"):
         root[name] = [root[name][str(n)] for n in range(int(root[name].pop("count")))]
     return root
@@ -217,28 +220,31 @@
     return parse(config_text(known, counter, discovery, **changes), {})
 
 
-class Client:
-    """A client's connection to a front door."""
+class GatewayClient:
+    """A client connection to a gateway."""
 
     def __init__(self, server: Server, customer: int = 5) -> None:
         self.customer = customer
         assert server.asyncio_server is not None
         self.port = server.asyncio_server.sockets[0].getsockname()[1]
-        self.count = 0
+        self.request_count = 0
 
-    async def __aenter__(self) -> Client:
+    async def __aenter__(self) -> GatewayClient:
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
 
-    def request(self, cls: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str) -> bytes:
-        """The bytes of a request of one of the helpers' classes: safe, keyed, unsafe."""
-        self.count += 1
+    def make_request(self, cls: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str) -> bytes:
+        """Return a request as bytes; `cls` is one of the helpers' classes: 0 safe, 1 keyed, 2 unsafe.
+
+        An empty header removes it; underscores in header names stand for hyphens.
+        """
+        self.request_count += 1
         base = {
             "Host": "origin.svc",
-            "Request-Id": f"{id(self):08x}{self.count:08x}",
+            "Request-Id": f"{id(self):08x}{self.request_count:08x}",
             "Request-Class": f"class-{cls}",
             "X-Tier": "plan-0",
             "Request-Timeout": f"{timeout_ms}m",
@@ -253,19 +259,21 @@
         lines += [f"{k}: {v}" for k, v in base.items() if v]
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
-    async def send(self, data: bytes) -> Message:
+    async def send_bytes(self, data: bytes) -> HttpMessage:
         self.writer.write(data)
         return await read_message(self.reader)
 
-    async def ask(self, cls: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str) -> Message:
-        return await self.send(self.request(cls, timeout_ms, body, **headers))
+    async def send_request(
+        self, cls: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str
+    ) -> HttpMessage:
+        return await self.send_bytes(self.make_request(cls, timeout_ms, body, **headers))
 
 
-FIRST = 0x00000001
+FIRST = 0x00000001  # the id of the first backend
 
 
-class Script:
-    """Stands in for the module: `react` gives the actions for each event."""
+class FakeDecisionModule:
+    """A decision module for tests: `react` returns the actions for each event."""
 
     def __init__(self, react: Callable[[Any], list[i.Action]]) -> None:
         self.react = react
@@ -282,28 +290,28 @@
     def outcomes(self) -> list[Outcome]:
         return [e.outcome for e in self.events if isinstance(e, i.Finished)]
 
-    def of(self, kind: type) -> list[Any]:
+    def events_of(self, kind: type) -> list[Any]:
         return [e for e in self.events if isinstance(e, kind)]
 
 
 @contextlib.asynccontextmanager
-async def front_door(
-    *dials: str, react: Callable[[Any], list[i.Action]] | None = None, counter: str = "", **changes: str
-) -> AsyncIterator[tuple[PlatformGateway, Script]]:
-    known = [host_line(f"s-{n:08x}", dial) for n, dial in enumerate(dials, 1)]
-    door = PlatformGateway(config(known, counter, **changes))
-    script = Script(react or (lambda event: []))
+async def platform_gateway(
+    *endpoints: str, react: Callable[[Any], list[i.Action]] | None = None, counter: str = "", **changes: str
+) -> AsyncIterator[tuple[PlatformGateway, FakeDecisionModule]]:
+    known = [host_line(f"s-{n:08x}", endpoint) for n, endpoint in enumerate(endpoints, 1)]
+    gateway = PlatformGateway(config(known, counter, **changes))
+    module = FakeDecisionModule(react or (lambda event: []))
     if react is not None:
-        door.host.gateway = script  # type: ignore[assignment]
-    await door.start()
+        gateway.host.gateway = module  # type: ignore[assignment]
+    await gateway.start()
     try:
-        yield door, script
+        yield gateway, module
     finally:
-        await door.close()
+        await gateway.close()
 
 
-def send_on(event: Any) -> list[i.Action]:
-    """Sends each request to the first backend and fails it when that did not serve."""
+def send_to_first(event: Any) -> list[i.Action]:
+    """Send each request to the first backend, once; fail it if the attempt does."""
     if isinstance(event, i.Request):
         return [i.Send(event.request, FIRST, 0.0)]
     if isinstance(event, i.Finished) and event.outcome is not Outcome.OK:
--- a/tests/tally/test_four_doors.py
+++ b/tests/tally/test_four_doors.py
@@ -14,7 +14,7 @@
 
 from standins.tally import Counts
 from tests.tally.four import BURST, GATEWAY_COUNT, RATE, FourGateways, run_four_gateways, start_gateway
-from tests.warp import warped
+from tests.warp import run_in_virtual_time
 
 OUTAGE_BEGIN_S, OUTAGE_END_S, LOAD_END_S = 22.0, 82.0, 88.0  # from the start
 FLOODING, EVEN, ONE, FEW = "flood", "even", "one", "few"
@@ -146,7 +146,7 @@
         for quiet in (EVEN, ONE, FEW):
             assert cluster.served_share(quiet) >= min_served_share, (quiet, cluster.outage_answers[quiet])
 
-    warped(test, monkeypatch)
+    run_in_virtual_time(test, monkeypatch)
 
 
 @pytest.mark.parametrize("how", ["refused", "lost", "late", "silent"])
@@ -189,7 +189,7 @@
             load.cancel()
             await asyncio.gather(load, return_exceptions=True)
 
-    warped(test, monkeypatch)
+    run_in_virtual_time(test, monkeypatch)
 
 
 def test_gateways_with_differing_clocks_keep_one_quota(
@@ -212,4 +212,4 @@
             assert cluster.overshoot(FLOODING, RATE, BURST) <= BURST
             assert all(cluster.served_share(quiet) >= 0.99 for quiet in (EVEN, ONE, FEW))
 
-    warped(test, monkeypatch)
+    run_in_virtual_time(test, monkeypatch)
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The platform's build: done once, again when a pin has changed, and never taken for done when it failed."""
+"""The platform's build command: installs once, again after a changed pin, and again after a failure."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from pathlib import Path
 
 DEPLOY = Path(__file__).parent.parent / "deploy" / "balancer.toml"
-# Stands in for an interpreter that makes an environment whose pip notes what it is asked for.
-PYTHON = """#!/bin/sh
+# A fake interpreter: it creates an environment whose pip logs its arguments to the file `asked`.
+FAKE_PYTHON = """#!/bin/sh
 mkdir -p .venv/bin
 printf '#!/bin/sh\\necho "$@" >> asked\\n! test -e broken\\n' > .venv/bin/pip
 chmod +x .venv/bin/pip
 """
 
 
-def test_a_changed_pin_is_installed_and_a_failed_build_is_made_again(tmp_path: Path) -> None:
+def test_a_changed_pin_is_installed_and_a_failed_build_is_repeated(tmp_path: Path) -> None:
     tools = tmp_path / "tools"
     tools.mkdir()
-    (tools / "python3").write_text(PYTHON)
+    (tools / "python3").write_text(FAKE_PYTHON)
     (tools / "python3").chmod(0o755)
     root = tmp_path / "root"
     root.mkdir()
-    pins, asked = root / "pyproject.toml", root / "asked"
+    pins, pip_log = root / "pyproject.toml", root / "asked"
     pins.write_text("one")
 
     def build() -> tuple[int, int]:
-        """Its exit code, and how often something was installed so far."""
+        """Run the build command; return its exit code and the number of installations so far."""
         command = tomllib.loads(DEPLOY.read_text())["build"]
-        done = subprocess.run(
+        process = subprocess.run(
             ["/bin/sh", "-c", command], cwd=root, env={"PATH": f"{tools}:/usr/bin:/bin"}, timeout=20
         )
-        return done.returncode, len(asked.read_text().splitlines())
+        return process.returncode, len(pip_log.read_text().splitlines())
 
     assert [build(), build()] == [(0, 1), (0, 1)]
     pins.write_text("two")
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -1,4 +1,4 @@
-"""What a door tells of requests whose clients have left."""
+"""Requests whose clients disconnect: counts, the log line, metrics, and which attempts are cancelled."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ivymux.proxy.status_pages import METRICS, StatusPagesFrontend
 
 
-def test_what_is_left_and_how_its_attempts_end_is_told_once() -> None:
+def test_disconnects_and_the_ends_of_attempts_are_logged_once() -> None:
     departures = DepartureCounts()
     assert departures.log_line() == ""
     departures.record_departure(attempts=2, unwritten=1)
@@ -24,26 +24,26 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "unwritten", "written"),
+    ("rule", "unwritten", "written"),
     [
         (OnDeparture.RUN_ON, False, False),
         (OnDeparture.for_request(False), True, False),
         (OnDeparture.for_request(True), True, True),
     ],
 )
-def test_what_may_not_be_repeated_ends_with_its_client_only_before_it_is_written(
-    what: OnDeparture, unwritten: bool, written: bool
+def test_an_unrepeatable_request_is_cancelled_only_before_it_is_written(
+    rule: OnDeparture, unwritten: bool, written: bool
 ) -> None:
-    assert (what.cancels_attempt(written=False), what.cancels_attempt(written=True)) == (unwritten, written)
+    assert (rule.cancels_attempt(written=False), rule.cancels_attempt(written=True)) == (unwritten, written)
 
 
-def test_metrics_are_one_figure_a_line_and_other_paths_are_not_found() -> None:
-    front = StatusPagesFrontend(
+def test_metrics_are_one_value_per_line_and_other_paths_are_not_found() -> None:
+    frontend = StatusPagesFrontend(
         {METRICS: lambda: Answer(200, format_metrics({"clients": 3, "longest_seconds": 0.25}))}
     )
-    page = front.answer_locally(METRICS + b"?x=1")
+    page = frontend.answer_locally(METRICS + b"?x=1")
     assert page is not None
     assert page.body == b"ivymux_proxy_clients 3\nivymux_proxy_longest_seconds 0.25\n"
-    assert front.encode(page, True, None).endswith(b"connection: close\r\n\r\n" + page.body)
-    missing = front.answer_locally(b"/other")
+    assert frontend.encode(page, True, None).endswith(b"connection: close\r\n\r\n" + page.body)
+    missing = frontend.answer_locally(b"/other")
     assert missing is not None and missing.status == 404
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what cannot be served, or too much, or nothing, over loopback sockets."""
+"""Clients that send invalid requests, too many bytes or nothing, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -12,10 +12,20 @@
 from ivymux.data_plane.server import MAX_DISCARD_BYTES
 from orchidhill import interface as i
 
-from .sockets import Backend, Client, front_door, http_answer, listening, read_message, run, send_on, until
+from .sockets import (
+    FakeBackend,
+    GatewayClient,
+    http_answer,
+    listening,
+    platform_gateway,
+    read_message,
+    run,
+    send_to_first,
+    until,
+)
 
 
-# Guards the module and customers' quotas against terms that the protocol or the settings do not allow.
+# Invalid terms must not reach the decision module or change a customer's quota.
 @pytest.mark.parametrize(
     "terms",
     [
@@ -30,12 +40,12 @@
 def test_terms_out_of_range_are_refused(terms: str) -> None:
     async def test() -> None:
         async with (
-            front_door("127.0.0.1:1", react=send_on, extra__most_units="2") as (door, script),
-            Client(door.server) as client,
+            platform_gateway("127.0.0.1:1", react=send_to_first, extra__most_units="2") as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask(X_Call_Terms=terms)).status == 400
-            assert await client.reader.read() == b""  # and a close: its descriptor is of use to others
-            assert not script.events and not door.server.open_keys
+            assert (await client.send_request(X_Call_Terms=terms)).status == 400
+            assert await client.reader.read() == b""  # closed, which frees its descriptor
+            assert not module.events and not gateway.server.open_keys
 
     run(test())
 
@@ -52,182 +62,204 @@
     ],
     ids=range(10),
 )  # fmt: skip
-def test_targets_that_could_be_read_in_two_ways_are_refused(target: bytes) -> None:
+def test_ambiguous_targets_are_refused(target: bytes) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            good = client.request()
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            good = client.make_request()
             bad = good.replace(b"/class-0?customer=0000000000000005", target)
             assert bad != good
-            assert (await client.send(bad)).status in (400, 404)
-            assert not script.events
+            assert (await client.send_bytes(bad)).status in (400, 404)
+            assert not module.events
 
     run(test())
 
 
-# Guards against a request that hides in another's body.
+# Guards against request smuggling in the body of another request.
 @pytest.mark.parametrize("length_first", [True, False])
 @pytest.mark.parametrize("coding", [b"chunked", b"Chunked", b"gzip, chunked", b"identity"])
-def test_a_length_beside_a_transfer_coding_is_refused(length_first: bool, coding: bytes) -> None:
+def test_a_content_length_with_a_transfer_coding_is_refused(length_first: bool, coding: bytes) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            head = client.request(2, Content_Length="").removesuffix(b"\r\n")
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            head = client.make_request(2, Content_Length="").removesuffix(b"\r\n")
             pair = [b"Content-Length: 5\r\n", b"Transfer-Encoding: " + coding + b"\r\n"]
             lines = b"".join(pair if length_first else reversed(pair))
-            answer = await client.send(head + lines + b"\r\n0\r\n\r\n" + client.request())
+            answer = await client.send_bytes(head + lines + b"\r\n0\r\n\r\n" + client.make_request())
             assert answer.status == 400
             assert await client.reader.read() == b""
-            assert not script.events
+            assert not module.events
 
     run(test())
 
 
-# Guards against two requests of one id at the backends, and against an answer for the wrong client.
-def test_an_id_that_is_open_is_refused() -> None:
+# Two open requests with one id could get each other's answers at the backends or here.
+def test_the_id_of_an_open_request_is_refused() -> None:
     async def test() -> None:
-        held: list[i.Request] = []
+        accepted: list[i.Request] = []
 
         def react(event: Any) -> list[i.Action]:
-            held.extend([event] if isinstance(event, i.Request) else [])
-            return [i.Refuse(held[0].request, 0.5)] if len(held) == 2 else []
+            accepted.extend([event] if isinstance(event, i.Request) else [])
+            return [i.Refuse(accepted[0].request, 0.5)] if len(accepted) == 2 else []
 
         async with (
-            front_door("127.0.0.1:1", react=react) as (door, _),
-            Client(door.server) as one,
-            Client(door.server) as two,
-            Client(door.server) as three,
+            platform_gateway("127.0.0.1:1", react=react) as (gateway, _),
+            GatewayClient(gateway.server) as one,
+            GatewayClient(gateway.server) as two,
+            GatewayClient(gateway.server) as three,
         ):
-            one.writer.write(one.request(Request_Id="taken"))
-            await until(lambda: held)
-            assert (await two.ask(Request_Id="taken")).status == 409
-            assert len(held) == 1
-            three.writer.write(three.request(Request_Id="other"))
+            one.writer.write(one.make_request(Request_Id="taken"))
+            await until(lambda: accepted)
+            assert (await two.send_request(Request_Id="taken")).status == 409
+            assert len(accepted) == 1
+            three.writer.write(three.make_request(Request_Id="other"))
             assert (await read_message(one.reader)).status == 503
-            assert door.server.open_keys == {b"other"}
+            assert gateway.server.open_keys == {b"other"}
 
     run(test())
 
 
-# Guards against connections that say nothing or drip: each is a descriptor.
+# Silent or slow clients must not hold descriptors.
 @pytest.mark.parametrize("sent", [b"", b"GET /class-0?customer=00", b"\r\n"])
-def test_who_does_not_ask_in_time_gets_an_error_or_a_close(
+def test_an_incomplete_request_is_answered_or_closed_after_the_read_timeout(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "READ_TIMEOUT_S", 0.1)
     monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            began = time.monotonic()
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            started_at = time.monotonic()
             if sent:
                 client.writer.write(sent)
                 assert (await read_message(client.reader)).status == 408
             assert await client.reader.read() == b""
-            assert 0.1 <= time.monotonic() - began < 2
+            assert 0.1 <= time.monotonic() - started_at < 2
             client.writer.close()
-            await until(lambda: not door.server.clients)
-            assert not script.events
+            await until(lambda: not gateway.server.clients)
+            assert not module.events
 
     run(test())
 
 
-# Guards the error answer against the reset that follows when a connection is closed on unread bytes.
-def test_a_flood_behind_an_error_does_not_swallow_it() -> None:
+# Closing a connection with unread bytes sends a reset, which could overtake the error answer.
+def test_an_error_answer_arrives_in_spite_of_many_bytes_after_the_request() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            client.writer.write(client.request(2, Content_Length=str(20 * MAX_DISCARD_BYTES)))
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            client.writer.write(client.make_request(2, Content_Length=str(20 * MAX_DISCARD_BYTES)))
             for _ in range(20):
                 client.writer.write(b"x" * MAX_DISCARD_BYTES)
                 await client.writer.drain()
             assert (await read_message(client.reader)).status == 413
             assert await client.reader.read() == b""
-            assert not script.events and door.server.held_bytes == 0
+            assert not module.events and gateway.server.held_bytes == 0
 
     run(test())
 
 
-def test_who_does_not_close_behind_an_error_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_does_not_close_after_an_error_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "LINGER_S", 0.1)
     monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, _), Client(door.server) as client:
-            assert (await client.send(b"nonsense\r\n\r\n")).status == 400
-            await until(lambda: not door.server.clients)
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as client,
+        ):
+            assert (await client.send_bytes(b"nonsense\r\n\r\n")).status == 400
+            await until(lambda: not gateway.server.clients)
 
     run(test())
 
 
-# Guards usual clients against hundreds of connections that say nothing.
-def test_silent_connections_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
+# Hundreds of connections without a request must not keep other clients from being served.
+def test_silent_connections_are_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "EVICTABLE_SILENT_S", 0.0)
 
     async def test() -> None:
-        backend = Backend(lambda message: http_answer())
+        backend = FakeBackend(lambda message: http_answer())
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as usual,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as active,
         ):
-            door.server.max_clients = 5
-            assert (await usual.ask()).status == 200
-            silent = [await asyncio.open_connection("127.0.0.1", usual.port) for _ in range(30)]
-            await until(lambda: len(door.server.clients) == 5)
-            async with Client(door.server) as new:
-                assert (await new.ask()).status == 200
-            assert (await usual.ask()).status == 200  # it asked a moment ago: others gave way
+            gateway.server.max_clients = 5
+            assert (await active.send_request()).status == 200
+            silent = [await asyncio.open_connection("127.0.0.1", active.port) for _ in range(30)]
+            await until(lambda: len(gateway.server.clients) == 5)
+            async with GatewayClient(gateway.server) as new:
+                assert (await new.send_request()).status == 200
+            assert (
+                await active.send_request()
+            ).status == 200  # it was active a moment ago, so others were evicted
             for _, writer in silent:
                 writer.close()
 
     run(test())
 
 
-# Guards against memory held for bodies that never come whole.
-def test_half_bodies_are_bounded_together() -> None:
+# Incomplete bodies must not fill the memory.
+def test_the_bytes_of_all_incomplete_bodies_are_bounded() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=lambda event: []) as (door, script):
-            door.server.max_held_bytes = 1500
-            async with Client(door.server) as one, Client(door.server) as two:
-                half = one.request(2, Content_Length="2000") + b"x" * 1000
+        async with platform_gateway("127.0.0.1:1", react=lambda event: []) as (gateway, module):
+            gateway.server.max_held_bytes = 1500
+            async with GatewayClient(gateway.server) as one, GatewayClient(gateway.server) as two:
+                half = one.make_request(2, Content_Length="2000") + b"x" * 1000
                 one.writer.write(half)
-                await until(lambda: door.server.held_bytes == 1000)
-                answer = await two.send(half)
+                await until(lambda: gateway.server.held_bytes == 1000)
+                answer = await two.send_bytes(half)
                 assert (answer.status, "retry-after" in answer.headers) == (503, True)
-            await until(lambda: door.server.held_bytes == 0)
-            assert not script.events
+            await until(lambda: gateway.server.held_bytes == 0)
+            assert not module.events
 
     run(test())
 
 
-# Guards against taking a request whose answer can no longer be sent: it would be lost.
-def test_what_stands_behind_a_last_answer_is_not_taken(caplog: pytest.LogCaptureFixture) -> None:
+# A request that is accepted after the last answer on its connection would be lost.
+def test_a_request_after_a_last_answer_is_not_accepted(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            door.server.max_clients = 0
-            client.writer.write(client.request() + client.request())
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            gateway.server.max_clients = 0
+            client.writer.write(client.make_request() + client.make_request())
             assert (await read_message(client.reader)).status == 503
             assert await client.reader.read() == b""
-            assert not script.events
+            assert not module.events
 
     run(test())
     assert not caplog.records
 
 
-# Guards new usual clients against a table full of connections that asked once and stay: the incident r76ab84.
-def test_idle_connections_end_early_once_the_table_is_half_full(monkeypatch: pytest.MonkeyPatch) -> None:
+# Idle connections must not keep new clients from being served, as in incident r76ab84.
+def test_idle_connections_are_closed_early_once_half_of_all_are_in_use(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(server, "EVICTABLE_IDLE_S", 0.1)
     monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        backend = Backend(lambda message: http_answer())
+        backend = FakeBackend(lambda message: http_answer())
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as one,
-            Client(door.server) as two,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as one,
+            GatewayClient(gateway.server) as two,
         ):
             for client in (one, two):
-                assert (await client.ask()).status == 200
-            door.server.max_clients = 4
-            await until(lambda: not door.server.clients)
+                assert (await client.send_request()).status == 200
+            gateway.server.max_clients = 4
+            await until(lambda: not gateway.server.clients)
 
     run(test())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration, and a start that cannot succeed."""
+"""The platform's configuration, its limits, and starts with an invalid configuration."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     assert config.counter == Address("127.0.0.1", 6400)
 
 
-def test_the_environment_wins() -> None:
+def test_environment_variables_take_precedence() -> None:
     config = parse(config_text([]), {"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.7:9"})
     assert (config.name, config.listen) == ("n7", Address("127.0.0.7", 9))
 
 
-# Guards against a front door that stays with the old agent: where it was at the start stands in the variable.
-def test_the_file_wins_for_discovery_when_it_is_read_again() -> None:
+# The variable holds discovery's address at the start; after a reload it must not keep the gateway there.
+def test_on_a_reload_the_file_takes_precedence_for_discovery() -> None:
     env = {"NODE_DISCOVERY": "127.0.0.1:7"}
     assert parse(config_text([], discovery="127.0.0.1:8"), env).discovery == Address("127.0.0.1", 7)
     assert parse(config_text([], discovery="127.0.0.1:8"), env, is_reload=True).discovery.port == 8
@@ -60,20 +60,20 @@
 
 
 @pytest.mark.parametrize("content", [None, "{", without("listen"), '{"settings": {}}'])
-def test_a_bad_start_ends_with_one_line(content: str | None, tmp_path: Path) -> None:
+def test_a_start_with_a_bad_configuration_prints_one_line(content: str | None, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if content is not None:
         path.write_text(content)
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")} | {"NODE_CONFIG": str(path)}
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "ivymux"], env=env, capture_output=True, text=True, timeout=20, check=False
     )
-    assert done.returncode == 2 and not done.stdout
-    assert done.stderr.startswith("ivymux: ") and done.stderr.count("\n") == 1
+    assert process.returncode == 2 and not process.stdout
+    assert process.stderr.startswith("ivymux: ") and process.stderr.count("\n") == 1
 
 
-# Guards against bounds that leave too little of a small machine: clients hold a third of the descriptors for
-# requests, each of which may need a connection to a backend.
+# Clients and backends must each get a third of the descriptors even on a small machine, as each request may
+# need a connection to a backend.
 @pytest.mark.parametrize(("sockets", "memory_mb"), [(256, 32), (1024, 192)])
 def test_bounds_follow_the_limits(sockets: int, memory_mb: int) -> None:
     bounds = Bounds.from_limits(sockets, memory_mb)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery, and names as ids."""
+"""The discovery client: its watch, and the ids of backends."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from ivymux.platform.discovery import BackendNames, Discovery, backend_id
 from orchidhill.interface import Listing, Members, State
 
-from .sockets import Agent, host_line, listening, run, until
+from .sockets import FakeAgent, host_line, listening, run, until
 
-Heard = list[tuple[Members, dict[int, Address]]]
+Received = list[tuple[Members, dict[int, Address]]]
 
 
 def change(seq: int, *hosts: Any, whole: bool = False) -> bytes:
     return json.dumps({"seq": seq, "whole": whole, "hosts": hosts}).encode()
 
 
-def start(dial: str) -> tuple[Discovery, Heard]:
-    heard: Heard = []
+def start(endpoint: str) -> tuple[Discovery, Received]:
+    received: Received = []
     names = BackendNames(("a", "b"), ("m1", "m2"))
-    return Discovery(parse_address(dial), names, lambda *told: heard.append(told)), heard
+    return Discovery(parse_address(endpoint), names, lambda *update: received.append(update)), received
 
 
 def test_names_map_to_the_same_ids_everywhere() -> None:
@@ -34,22 +34,22 @@
     assert 0 <= backend_id("s-5BE2A07C") < 1 << 32
 
 
-def test_lists_and_changes_reach_the_module() -> None:
+def test_lists_and_changes_are_passed_on() -> None:
     async def test() -> None:
         line = host_line("s-00000007", "127.0.0.1:81", block=3) | {"site": "b", "born_ms": 1764300000250}
-        agent = Agent([change(42, line, whole=True), b"", change(43, line | {"health": "Gone"})])
-        async with listening(agent.handle) as dial:
-            watch, heard = start(dial)
-            await until(lambda: len(heard) == 3)
+        agent = FakeAgent([change(42, line, whole=True), b"", change(43, line | {"health": "Gone"})])
+        async with listening(agent.handle) as endpoint:
+            client, received = start(endpoint)
+            await until(lambda: len(received) == 3)
             assert agent.targets == ["/api/targets", "/api/targets?watch=1&from=41"]
-            del heard[0]
-            assert [m.listing for m, _ in heard] == [Listing.FULL, Listing.DELTA]
-            (entry,) = heard[0][0].entries
+            del received[0]
+            assert [m.listing for m, _ in received] == [Listing.FULL, Listing.DELTA]
+            (entry,) = received[0][0].entries
             assert (entry.backend, entry.zone, entry.kind, entry.cell) == (7, 1, 1, 3)
             assert (entry.started, entry.state) == (1764300000.25, State.READY)
-            assert heard[0][1] == {7: Address("127.0.0.1", 81)}
-            assert heard[1][0].entries[0].state is State.GONE
-            watch.close()
+            assert received[0][1] == {7: Address("127.0.0.1", 81)}
+            assert received[1][0].entries[0].state is State.GONE
+            client.close()
 
     run(test())
 
@@ -60,120 +60,120 @@
 )
 def test_bad_lines_are_skipped(bad: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        agent = Agent([bad, change(43, host_line("s-00000007", "127.0.0.1:81"))])
-        async with listening(agent.handle) as dial:
-            watch, heard = start(dial)
-            await until(lambda: heard and heard[-1][0].version == 43)
-            assert [e.backend for m, _ in heard for e in m.entries] == [7]
+        agent = FakeAgent([bad, change(43, host_line("s-00000007", "127.0.0.1:81"))])
+        async with listening(agent.handle) as endpoint:
+            client, received = start(endpoint)
+            await until(lambda: received and received[-1][0].version == 43)
+            assert [e.backend for m, _ in received for e in m.entries] == [7]
             assert len(agent.targets) == 2
-            watch.close()
+            client.close()
 
     run(test())
     assert "skipped" in caplog.text
 
 
-# Guards against a change that is lost with an ended watch, and against an agent that starts again and
-# counts from a lower number: its changes must not be taken for known ones.
-def test_an_ended_watch_begins_again_with_the_whole_list() -> None:
+# A change must not be lost when a watch ends.  A restarted agent may number its versions from a lower number;
+# its changes must not be taken for old ones.
+def test_a_new_watch_begins_with_the_whole_list() -> None:
     async def test() -> None:
-        agent = Agent([change(44), b"<end>"])
-        async with listening(agent.handle) as dial:
-            watch, heard = start(dial)
+        agent = FakeAgent([change(44), b"<end>"])
+        async with listening(agent.handle) as endpoint:
+            client, received = start(endpoint)
             await until(lambda: len(agent.targets) == 2)
-            agent.lines.clear()
-            agent.whole = change(7, host_line("s-00000007", "127.0.0.1:81"), whole=True)
+            agent.watch_lines.clear()
+            agent.whole_list = change(7, host_line("s-00000007", "127.0.0.1:81"), whole=True)
             await until(lambda: len(agent.targets) == 4)
             assert agent.targets[3] == "/api/targets?watch=1&from=7"
-            agent.lines += [change(7), change(8)]  # the first of these is known already
-            await until(lambda: heard[-1][0].version == 8)
-            assert [m.version for m, _ in heard] == [41, 44, 7, 8]
-            watch.close()
+            agent.watch_lines += [change(7), change(8)]  # the first of these is an old change
+            await until(lambda: received[-1][0].version == 8)
+            assert [m.version for m, _ in received] == [41, 44, 7, 8]
+            client.close()
 
     run(test())
 
 
-# Guards against a gap when the configuration names another agent: the old list and its changes count until
-# the new agent's whole list is there, whatever its numbers, and the old agent is left alone then.
-def test_a_new_agent_takes_over_with_its_whole_list() -> None:
+# When the configuration names another agent, the old agent's list and changes are used until the new agent's
+# whole list has been received, whatever its version.
+def test_a_new_agent_replaces_the_old_one_with_its_whole_list() -> None:
     async def test() -> None:
-        old = Agent(whole=change(90, host_line("s-00000007", "127.0.0.1:81"), whole=True))
-        new = Agent(whole=change(3, host_line("s-00000008", "127.0.0.1:82"), whole=True))
+        old = FakeAgent(whole_list=change(90, host_line("s-00000007", "127.0.0.1:81"), whole=True))
+        new = FakeAgent(whole_list=change(3, host_line("s-00000008", "127.0.0.1:82"), whole=True))
         gate = asyncio.Event()
 
         async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
             await new.handle(reader, writer)
 
-        async with listening(old.handle) as dial, listening(late) as other:
-            watch, heard = start(dial)
+        async with listening(old.handle) as endpoint, listening(late) as other:
+            client, received = start(endpoint)
             await until(lambda: len(old.targets) == 2)
-            watch.change_address(parse_address(other))
-            old.lines.append(change(91))
-            await until(lambda: heard[-1][0].version == 91)
+            client.change_address(parse_address(other))
+            old.watch_lines.append(change(91))
+            await until(lambda: received[-1][0].version == 91)
             gate.set()
-            new.lines.append(change(4))
-            await until(lambda: heard[-1][0].version == 4 and not old.open)
-            assert [m.version for m, _ in heard] == [90, 91, 3, 4]
-            assert len(old.targets) == 2 and len(watch.sources) == 1
-            watch.close()
+            new.watch_lines.append(change(4))
+            await until(lambda: received[-1][0].version == 4 and not old.open_connections)
+            assert [m.version for m, _ in received] == [90, 91, 3, 4]
+            assert len(old.targets) == 2 and len(client.sources) == 1
+            client.close()
 
     run(test())
 
 
-def test_a_whole_list_that_cannot_be_read_does_not_empty_the_fleet() -> None:
+def test_a_whole_list_without_a_valid_entry_does_not_remove_all_backends() -> None:
     names = BackendNames(("a",), ("m2",))
-    names.members({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
+    names.parse_members({"seq": 1, "whole": True, "hosts": [host_line("s-00000007", "127.0.0.1:81")]})
     with pytest.raises(ValueError, match="no entry"):
-        names.members({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
+        names.parse_members({"seq": 2, "whole": True, "hosts": [{"host": "s-00000007"}]})
     assert names.name_by_id == {7: "s-00000007"}
 
 
-# Guards against growth: backends are replaced all day by ones of ever new names.
-def test_names_of_backends_that_are_gone_are_let_go() -> None:
+# Backends are replaced all day by others with new names, so kept names would fill the memory.
+def test_names_of_removed_backends_are_forgotten() -> None:
     names = BackendNames(("a",), ("m2",))
     for number in range(50):
         line = host_line(f"s-{number:08x}", "127.0.0.1:81")
-        names.members({"seq": 2 * number, "whole": False, "hosts": [line]})
-        names.members({"seq": 2 * number + 1, "whole": False, "hosts": [line | {"health": "Gone"}]})
+        names.parse_members({"seq": 2 * number, "whole": False, "hosts": [line]})
+        names.parse_members({"seq": 2 * number + 1, "whole": False, "hosts": [line | {"health": "Gone"}]})
     assert names.name_by_id == {}
 
 
 def test_a_silent_watch_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that vanished leaves its connections open; the watch must not hang on one for ever."""
+    """A failed machine leaves its connections open; the watch must not wait for it forever."""
     monkeypatch.setattr(discovery, "WATCH_SILENCE_S", 0.1)
 
     async def test() -> None:
-        agent = Agent()
-        async with listening(agent.handle) as dial:
-            watch, _ = start(dial)
+        agent = FakeAgent()
+        async with listening(agent.handle) as endpoint:
+            client, _ = start(endpoint)
             await until(lambda: len(agent.targets) == 4)
-            watch.close()
+            client.close()
 
     run(test())
 
 
-def test_an_agent_that_was_asked_while_discovery_was_down_is_asked_anew_soon() -> None:
-    """It never answers that call, and what it has from then on counts as told: seven seconds are too long."""
+def test_an_agent_that_does_not_answer_is_soon_asked_again() -> None:
+    """An agent that is asked while discovery is down never answers; `WATCH_SILENCE_S` would be too long."""
 
     async def test() -> None:
-        agent, calls = Agent(), 0
+        agent, calls = FakeAgent(), 0
 
         async def down_at_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal calls
             calls += 1
             await (reader.read() if calls == 1 else agent.handle(reader, writer))
 
-        async with listening(down_at_first) as dial:
-            began = asyncio.get_running_loop().time()
-            watch, heard = start(dial)
-            await until(lambda: bool(heard))
-            assert calls == 2 and asyncio.get_running_loop().time() - began < 2.0
-            watch.close()
+        async with listening(down_at_first) as endpoint:
+            started_at = asyncio.get_running_loop().time()
+            client, received = start(endpoint)
+            await until(lambda: bool(received))
+            assert calls == 2 and asyncio.get_running_loop().time() - started_at < 2.0
+            client.close()
 
     run(test())
 
 
-def test_a_line_without_end_ends_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_line_that_is_too_long_ends_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "MAX_LINE_BYTES", 1000)
 
     async def test() -> None:
@@ -185,12 +185,12 @@
             )
             await reader.read()
 
-        agent = Agent()
-        async with listening(endless) as dial:
-            watch, heard = start(dial)
+        agent = FakeAgent()
+        async with listening(endless) as endpoint:
+            client, received = start(endpoint)
             await until(lambda: len(agent.targets) == 2)
-            assert not heard
-            watch.close()
+            assert not received
+            client.close()
 
     run(test())
 
@@ -198,5 +198,7 @@
 def test_two_names_with_one_id_are_not_taken_for_one_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "backend_id", lambda name: 7)
     hosts = [host_line("one", "127.0.0.1:81"), host_line("two", "127.0.0.1:82")]
-    members, addresses = BackendNames(("a",), ("m2",)).members({"seq": 1, "whole": True, "hosts": hosts})
+    members, addresses = BackendNames(("a",), ("m2",)).parse_members(
+        {"seq": 1, "whole": True, "hosts": hosts}
+    )
     assert len(members.entries) == 1 and addresses == {7: Address("127.0.0.1", 81)}
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -20,16 +20,16 @@
 from .pauses import Pauses
 from .sockets import (
     FIRST,
-    Backend,
-    Client,
-    Message,
-    Tally,
-    front_door,
+    FakeBackend,
+    FakeCounter,
+    GatewayClient,
+    HttpMessage,
     http_answer,
     listening,
+    platform_gateway,
     read_message,
     run,
-    send_on,
+    send_to_first,
     until,
 )
 
@@ -42,18 +42,18 @@
 
 def test_a_request_is_served_with_its_headers_and_body_unchanged() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"got " + message.body))
+        backend = FakeBackend(lambda message: http_answer(body=b"got " + message.body))
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
-            ready = await client.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            ready = await client.send_bytes(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert ready.status == 200
-            answer = await client.ask(1, body=b"a recording", Request_Id="9b1f03aa5c7e2d41")
+            answer = await client.send_request(1, body=b"a recording", Request_Id="9b1f03aa5c7e2d41")
             assert (answer.status, answer.body) == (200, b"got a recording")
-            (seen,) = backend.seen
-            assert seen.start == "POST /class-1?customer=0000000000000005 HTTP/1.1"
+            (seen,) = backend.requests
+            assert seen.start_line == "POST /class-1?customer=0000000000000005 HTTP/1.1"
             assert seen.headers["request-id"] == "9b1f03aa5c7e2d41"
             assert seen.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
             assert seen.body == b"a recording"
@@ -68,13 +68,16 @@
         def react(event: Any) -> list[i.Action]:
             return [i.Refuse(event.request, 0.25)] if isinstance(event, i.Request) else []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, script), Client(door.server) as client:
-            answer = await client.ask(
+        async with (
+            platform_gateway("127.0.0.1:1", react=react) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            answer = await client.send_request(
                 2, 900, X_Tier="plan-1", X_Call_Terms="units=2,spread=2,first=1", Client_Retry="1"
             )
             # What the module has given up on is answered at once, with the time to come back.
             assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
-            (event,) = script.of(i.Request)
+            (event,) = module.events_of(i.Request)
             assert (event.cls, event.plan, event.customer) == (2, 1, 5)
             assert (event.units, event.width, event.first, event.is_retry) == (2.0, 2, 1, True)
             assert 0.8 < event.left <= 0.9
@@ -102,25 +105,28 @@
     cls: int, header: str, value: str, status: int
 ) -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            bad = client.request(cls, 4000, b"", **{header: value})
-            assert (await client.send(bad)).status == status
-            assert not script.events and not backend.opened
+            bad = client.make_request(cls, 4000, b"", **{header: value})
+            assert (await client.send_bytes(bad)).status == status
+            assert not module.events and not backend.total_connections
 
     run(test())
 
 
 def test_bytes_that_are_no_request_are_answered_and_end_the_connection() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            assert (await client.send(b"\x00\x01 nonsense\r\n\r\n")).status == 400
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            assert (await client.send_bytes(b"\x00\x01 nonsense\r\n\r\n")).status == 400
             assert await client.reader.read() == b""
-            assert not script.events
+            assert not module.events
 
     run(test())
 
@@ -128,9 +134,12 @@
 @pytest.mark.parametrize("target", [b"http://[::", b"/\xff?customer=0000000000000005", b"*"])
 def test_a_malformed_target_is_the_clients_fault(target: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            answer = await client.send(b"GET " + target + b" HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert answer.status in (400, 404) and not script.events
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            answer = await client.send_bytes(b"GET " + target + b" HTTP/1.1\r\nHost: x\r\n\r\n")
+            assert answer.status in (400, 404) and not module.events
 
     run(test())
     assert not caplog.records  # nothing is logged per request
@@ -138,50 +147,53 @@
 
 def test_a_trailer_does_not_stand_in_for_a_header() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=send_on) as (door, script), Client(door.server) as client:
-            head = client.request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
-            answer = await client.send(head + b"3\r\nabc\r\n0\r\nRequest-Id: 9b1f\r\n\r\n")
-            assert answer.status == 400 and not script.events
+        async with (
+            platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            head = client.make_request(2, Request_Id="", Content_Length="", Transfer_Encoding="chunked")
+            answer = await client.send_bytes(head + b"3\r\nabc\r\n0\r\nRequest-Id: 9b1f\r\n\r\n")
+            assert answer.status == 400 and not module.events
 
     run(test())
 
 
 def test_pipelined_requests_are_bounded() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
+        backend = FakeBackend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            client.writer.write(b"".join(client.request() for _ in range(100)))
+            client.writer.write(b"".join(client.make_request() for _ in range(100)))
             answers = [await read_message(client.reader) for _ in range(MAX_PIPELINED + 1)]
             assert [a.status for a in answers] == [200] * MAX_PIPELINED + [503]
             assert "retry-after" in answers[-1].headers
             assert await client.reader.read() == b""  # the rest is not read as requests
-            assert len(script.of(i.Request)) == MAX_PIPELINED
+            assert len(module.events_of(i.Request)) == MAX_PIPELINED
 
     run(test())
 
 
 def test_a_client_that_does_not_read_its_answers_is_not_read_either() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
+        backend = FakeBackend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
-            (served,) = door.server.clients
+            (served,) = gateway.server.clients
             transport = served.transport
             assert transport is not None
             asked = 0
             while transport.is_reading():  # until the sockets' buffers are full of answers
                 asked += 1
-                seen = len(backend.seen)
-                client.writer.write(client.request())
-                await until(lambda seen=seen: len(backend.seen) > seen and not served.exchanges)  # type: ignore[misc]
-            client.writer.write(client.request())
+                seen = len(backend.requests)
+                client.writer.write(client.make_request())
+                await until(lambda seen=seen: len(backend.requests) > seen and not served.exchanges)  # type: ignore[misc]
+            client.writer.write(client.make_request())
             for _ in range(asked + 1):  # once it reads, all of it comes
                 answer = await read_message(client.reader)
                 assert (answer.status, len(answer.body)) == (200, MAX_BODY_BYTES)
@@ -191,21 +203,21 @@
 
 def test_a_client_that_never_reads_does_not_keep_its_connection() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
+        backend = FakeBackend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
-            (served,) = door.server.clients
+            (served,) = gateway.server.clients
             transport = served.transport
             assert transport is not None
             while transport.is_reading():
-                seen = len(backend.seen)
-                client.writer.write(client.request())
-                await until(lambda seen=seen: len(backend.seen) > seen and not served.exchanges)  # type: ignore[misc]
+                seen = len(backend.requests)
+                client.writer.write(client.make_request())
+                await until(lambda seen=seen: len(backend.requests) > seen and not served.exchanges)  # type: ignore[misc]
             served.queued_at -= IDLE_TIMEOUT_S
-            await until(lambda: not door.server.clients)
+            await until(lambda: not gateway.server.clients)
 
     run(test())
 
@@ -221,8 +233,11 @@
                     return [i.Refuse(held[1].request, 0.0), i.Fail(held[0].request)]
             return []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
-            first = await client.send(client.request() + client.request())
+        async with (
+            platform_gateway("127.0.0.1:1", react=react) as (gateway, _),
+            GatewayClient(gateway.server) as client,
+        ):
+            first = await client.send_bytes(client.make_request() + client.make_request())
             assert MAX_PIPELINED >= 2
             assert [first.status, int((await client.reader.readline()).split()[1])] == [502, 503]
 
@@ -231,13 +246,16 @@
 
 def test_a_client_that_goes_away_is_told_to_the_module_and_its_attempt_runs_on() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: None)
-        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (door, script):
-            async with Client(door.server) as client:
-                client.writer.write(client.request())
-                await until(lambda: backend.seen)
-            await until(lambda: script.of(i.Left))
-            assert backend.open == 1 and not script.outcomes() and door.host.requests
+        backend = FakeBackend(lambda message: None)
+        async with (
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+        ):
+            async with GatewayClient(gateway.server) as client:
+                client.writer.write(client.make_request())
+                await until(lambda: backend.requests)
+            await until(lambda: module.events_of(i.Left))
+            assert backend.open_connections == 1 and not module.outcomes() and gateway.host.requests
 
     run(test())
 
@@ -255,15 +273,15 @@
 
     async def test() -> None:
         for reply, expected in replies:
-            backend = Backend(lambda message, reply=reply: reply)  # type: ignore[misc]
+            backend = FakeBackend(lambda message, reply=reply: reply)  # type: ignore[misc]
             async with (
-                listening(backend.handle) as dial,
-                front_door(dial, react=send_on) as (door, script),
-                Client(door.server) as client,
+                listening(backend.handle) as endpoint,
+                platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+                GatewayClient(gateway.server) as client,
             ):
-                assert (await client.ask(2)).status == 502
+                assert (await client.send_request(2)).status == 502
                 # One attempt each: nothing is sent again silently.
-                assert (script.outcomes(), len(backend.seen)) == ([expected], 1)
+                assert (module.outcomes(), len(backend.requests)) == ([expected], 1)
 
     run(test())
 
@@ -275,31 +293,34 @@
     """
 
     async def test() -> None:
-        backend = Backend(lambda message: None)
+        backend = FakeBackend(lambda message: None)
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            waiting = asyncio.create_task(client.ask(2))
-            await until(lambda: backend.seen)
-            (link,) = door.host.upstream.pools[FIRST].connections
+            waiting = asyncio.create_task(client.send_request(2))
+            await until(lambda: backend.requests)
+            (connection,) = gateway.host.upstream.pools[FIRST].connections
             if unsent:
-                link.pause_writing()
-            link.abort()
+                connection.pause_writing()
+            connection.abort()
             assert (await waiting).status == 502
-            assert script.outcomes() == [Outcome.CONNECT_FAILED if unsent else Outcome.RESET]
+            assert module.outcomes() == [Outcome.CONNECT_FAILED if unsent else Outcome.RESET]
 
     run(test())
 
 
 def test_a_refused_connection_never_ran() -> None:
     async def test() -> None:
-        async with listening(Backend().handle) as dial:
+        async with listening(FakeBackend().handle) as endpoint:
             pass
-        async with front_door(dial, react=send_on) as (door, script), Client(door.server) as client:
-            assert (await client.ask(2)).status == 502
-            assert script.outcomes() == [Outcome.CONNECT_FAILED]
+        async with (
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+        ):
+            assert (await client.send_request(2)).status == 502
+            assert module.outcomes() == [Outcome.CONNECT_FAILED]
 
     run(test())
 
@@ -316,11 +337,14 @@
                 filler.setblocking(False)
                 with contextlib.suppress(BlockingIOError):
                     filler.connect(silent.getsockname())
-            dial = f"127.0.0.1:{silent.getsockname()[1]}"
-            async with front_door(dial, react=send_on) as (door, script), Client(door.server) as client:
+            endpoint = f"127.0.0.1:{silent.getsockname()[1]}"
+            async with (
+                platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+                GatewayClient(gateway.server) as client,
+            ):
                 began = time.monotonic()
-                assert (await client.ask(2)).status == 502
-                assert script.outcomes() == [Outcome.CONNECT_FAILED]
+                assert (await client.send_request(2)).status == 502
+                assert module.outcomes() == [Outcome.CONNECT_FAILED]
                 assert 0.2 < time.monotonic() - began < 2.0  # caps.connect_timeout_s is 0.25
 
     run(test())
@@ -328,16 +352,16 @@
 
 def test_a_stale_pooled_connection_ends_as_reset_and_is_not_sent_again() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: http_answer(body=b"x") if len(backend.seen) < 2 else b"")
+        backend = FakeBackend(lambda message: http_answer(body=b"x") if len(backend.requests) < 2 else b"")
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask(2)).status == 200
-            assert (await client.ask(2)).status == 502
-            assert script.outcomes() == [Outcome.OK, Outcome.RESET]
-            assert (backend.opened, len(backend.seen)) == (1, 2)
+            assert (await client.send_request(2)).status == 200
+            assert (await client.send_request(2)).status == 502
+            assert module.outcomes() == [Outcome.OK, Outcome.RESET]
+            assert (backend.total_connections, len(backend.requests)) == (1, 2)
 
     run(test())
 
@@ -345,56 +369,56 @@
 def test_connections_are_kept_and_connection_close_is_honoured() -> None:
     async def test() -> None:
         answers = [http_answer(), http_answer(Connection="close"), http_answer()]
-        backend = Backend(lambda message: answers[len(backend.seen) - 1])
+        backend = FakeBackend(lambda message: answers[len(backend.requests) - 1])
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
             for opened in (1, 1, 2):
-                assert (await client.ask()).status == 200
-                assert backend.opened == opened
+                assert (await client.send_request()).status == 200
+                assert backend.total_connections == opened
 
     run(test())
 
 
 def test_idle_connections_are_retired_before_the_backend_closes_them() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask()).status == 200
-            assert backend.open == 1
-            pool = door.host.upstream.pools[FIRST]
+            assert (await client.send_request()).status == 200
+            assert backend.open_connections == 1
+            pool = gateway.host.upstream.pools[FIRST]
             pool.idle[0].idle_since -= 16.0  # the backends' idle time is 30 s
-            timer = door.host.upstream.sweep_timer
+            timer = gateway.host.upstream.sweep_timer
             assert timer is not None
             timer.cancel()
-            door.host.upstream.close_expired()
-            await until(lambda: backend.open == 0)
-            assert not pool.connections and door.host.upstream.connection_count == 0
+            gateway.host.upstream.close_expired()
+            await until(lambda: backend.open_connections == 0)
+            assert not pool.connections and gateway.host.upstream.connection_count == 0
 
     run(test())
 
 
 def test_a_restarted_backend_gets_new_connections() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask()).status == 200
-            (address,) = [pool.address for pool in door.host.upstream.pools.values()]
+            assert (await client.send_request()).status == 200
+            (address,) = [pool.address for pool in gateway.host.upstream.pools.values()]
             entry = i.Entry(FIRST, 0, time.time(), i.State.READY, 0, 0, 1.0)
-            door.host.update_members(i.Members(i.Listing.DELTA, 42, (entry,)), {FIRST: address})
-            await until(lambda: backend.open == 0)
-            assert (await client.ask()).status == 200
-            assert backend.opened == 2
+            gateway.host.update_members(i.Members(i.Listing.DELTA, 42, (entry,)), {FIRST: address})
+            await until(lambda: backend.open_connections == 0)
+            assert (await client.send_request()).status == 200
+            assert backend.total_connections == 2
 
     run(test())
 
@@ -402,15 +426,15 @@
 def test_load_reports_come_in_the_order_of_the_settings() -> None:
     async def test() -> None:
         loads = ["TEXT queue=2, latency_ms=180.5, util=0.61", "TEXT queue=2", "TEXT queue=x, util=1", ""]
-        backend = Backend(lambda message: http_answer(Server_Load=loads[len(backend.seen) - 1]))
+        backend = FakeBackend(lambda message: http_answer(Server_Load=loads[len(backend.requests) - 1]))
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
             for _ in loads:
-                assert (await client.ask()).status == 200
-            reports = [event.report for event in script.of(i.Finished)]
+                assert (await client.send_request()).status == 200
+            reports = [event.report for event in module.events_of(i.Finished)]
             assert reports == [(180.5, 0.61, 2.0), (), (), ()]
 
     run(test())
@@ -421,17 +445,17 @@
         def react(event: Any) -> list[i.Action]:
             return [i.Probe(FIRST), i.Refuse(event.request, 0.0)] if isinstance(event, i.Request) else []
 
-        backend = Backend(lambda message: http_answer(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
+        backend = FakeBackend(lambda message: http_answer(body=b"TEXT latency_ms=9, util=0.5, queue=1"))
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=react) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask()).status == 503
-            await until(lambda: script.of(i.Probed))
-            (probed,) = script.of(i.Probed)
+            assert (await client.send_request()).status == 503
+            await until(lambda: module.events_of(i.Probed))
+            (probed,) = module.events_of(i.Probed)
             assert (probed.backend, probed.outcome, probed.report) == (FIRST, Outcome.OK, (9.0, 0.5, 1.0))
-            assert backend.seen[0].start == "GET /-/load HTTP/1.1"
+            assert backend.requests[0].start_line == "GET /-/load HTTP/1.1"
 
     run(test())
 
@@ -446,28 +470,28 @@
                 return [i.Send(event.request, FIRST, 0.1 if how == "time-out" else 0.0), i.SetTimer(0.0, 1)]
             if isinstance(event, i.Fired) and how == "cancel":
                 # Not before the backend has the request whole, or it would never have been out.
-                return [i.Cancel(1, 0)] if silent.seen else [i.SetTimer(0.0, 1)]
+                return [i.Cancel(1, 0)] if silent.requests else [i.SetTimer(0.0, 1)]
             if isinstance(event, i.Finished) and event.attempt == 0:
                 return [i.Send(event.request, 2, 0.0)]
             return []
 
-        silent = Backend(lambda message: None)
+        silent = FakeBackend(lambda message: None)
         open_then: list[int] = []
 
-        def serve(message: Message) -> bytes:
-            open_then.append(silent.open)
+        def serve(message: HttpMessage) -> bytes:
+            open_then.append(silent.open_connections)
             return http_answer(body=b"second")
 
         async with (
             listening(silent.handle) as first,
-            listening(Backend(serve).handle) as second,
-            front_door(first, second, react=react, caps__second_copies="false") as (door, script),
-            Client(door.server) as client,
+            listening(FakeBackend(serve).handle) as second,
+            platform_gateway(first, second, react=react, caps__second_copies="false") as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            answer = await client.ask()
+            answer = await client.send_request()
             assert (answer.status, answer.body, open_then) == (200, b"second", [0])
             expected = Outcome.CANCELLED if how == "cancel" else Outcome.TIMEOUT
-            assert script.outcomes() == [expected, Outcome.OK]
+            assert module.outcomes() == [expected, Outcome.OK]
 
     run(test())
 
@@ -478,18 +502,18 @@
     async def test() -> None:
         customer = in_mid_window()
         async with (
-            listening(Backend().handle) as dial,
-            listening(Tally().handle) as counter,
-            front_door(dial, counter=counter) as (one, _),
-            front_door(dial, counter=counter) as (other, _),
-            Client(one.server, customer) as first,
-            Client(other.server, customer) as second,
+            listening(FakeBackend().handle) as endpoint,
+            listening(FakeCounter().handle) as counter,
+            platform_gateway(endpoint, counter=counter) as (one, _),
+            platform_gateway(endpoint, counter=counter) as (other, _),
+            GatewayClient(one.server, customer) as first,
+            GatewayClient(other.server, customer) as second,
         ):
             began = time.monotonic()
             served = 0
             for client in (first, second):
                 for _ in range(16):
-                    served += (await client.ask()).status == 200
+                    served += (await client.send_request()).status == 200
             # The store holds 8 and gets 4 a second; one more may be kept for what comes next.
             assert 8 <= served <= 9 + 4 * (time.monotonic() - began)
 
@@ -500,7 +524,7 @@
 def test_a_request_that_takes_five_times_the_usual_is_left_alone() -> None:
     async def test() -> None:
         release = asyncio.Event()
-        costly: list[Message] = []
+        costly: list[HttpMessage] = []
 
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -513,23 +537,23 @@
         async with (
             listening(handle) as first,
             listening(handle) as second,
-            front_door(
+            platform_gateway(
                 first,
                 second,
                 tariffs__0__quota_rate="0",
                 caps__second_copies="false",
                 classes__1__dedup_scope="all",
-            ) as (door, _),
-            Client(door.server) as client,
-            Client(door.server) as other,
+            ) as (gateway, _),
+            GatewayClient(gateway.server) as client,
+            GatewayClient(gateway.server) as other,
         ):
-            gateway = door.host.gateway
-            asked = asyncio.ensure_future(client.ask(1, Idempotency_Key="costly"))
+            decision_module = gateway.host.gateway
+            asked = asyncio.ensure_future(client.send_request(1, Idempotency_Key="costly"))
             await until(lambda: costly)
             sent = time.monotonic()
             while time.monotonic() - sent < 0.5:
-                gateway.class_latency[1] = gateway.latency = 0.1
-                assert (await other.ask(1)).status == 200
+                decision_module.class_latency[1] = decision_module.latency = 0.1
+                assert (await other.send_request(1)).status == 200
             release.set()
             assert (await asked).status == 200
             assert len(costly) == 1
@@ -540,20 +564,23 @@
 # Guards against a handful of attempts in the last millisecond of a request, each at the cost of a connection.
 def test_an_attempt_that_ran_into_the_deadline_is_not_followed_by_others() -> None:
     async def test() -> None:
-        silent = Backend(lambda message: None)
+        silent = FakeBackend(lambda message: None)
         async with (
             listening(silent.handle) as first,
             listening(silent.handle) as second,
-            front_door(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (door, _),
+            platform_gateway(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (
+                gateway,
+                _,
+            ),
         ):
 
             async def ask(customer: int) -> int:
-                async with Client(door.server, customer) as client:
-                    return (await client.ask(timeout_ms=150 + customer)).status
+                async with GatewayClient(gateway.server, customer) as client:
+                    return (await client.send_request(timeout_ms=150 + customer)).status
 
             statuses = await asyncio.gather(*(ask(customer) for customer in range(8)))
             assert all(status != 200 for status in statuses)
-            assert len(silent.seen) == silent.opened == 8
+            assert len(silent.requests) == silent.total_connections == 8
 
     run(test())
 
@@ -561,26 +588,29 @@
 # Guards against backends that take requests and answer none.
 def test_what_a_silent_backend_holds_is_sent_again_once_its_connection_has_ended() -> None:
     async def test() -> None:
-        seen: list[Backend] = []
+        seen: list[FakeBackend] = []
 
-        def serve(at: int) -> Callable[[Message], bytes | None]:
-            def answer(message: Message) -> bytes | None:
+        def serve(at: int) -> Callable[[HttpMessage], bytes | None]:
+            def answer(message: HttpMessage) -> bytes | None:
                 seen.append(backends[at])
                 return None if seen[0] is backends[at] else http_answer(body=b"done")
 
             return answer
 
-        backends = [Backend(serve(0)), Backend(serve(1))]
+        backends = [FakeBackend(serve(0)), FakeBackend(serve(1))]
         async with (
             listening(backends[0].handle) as first,
             listening(backends[1].handle) as second,
-            front_door(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (door, _),
-            Client(door.server) as client,
+            platform_gateway(first, second, tariffs__0__quota_rate="0", caps__second_copies="false") as (
+                gateway,
+                _,
+            ),
+            GatewayClient(gateway.server) as client,
         ):
-            door.host.gateway.class_latency[0] = door.host.gateway.latency = 0.02
-            answer = await client.ask()
+            gateway.host.gateway.class_latency[0] = gateway.host.gateway.latency = 0.02
+            answer = await client.send_request()
             assert (answer.status, answer.body) == (200, b"done")
-            assert len(seen) == 2 and seen[0] is not seen[1] and seen[0].open == 0
+            assert len(seen) == 2 and seen[0] is not seen[1] and seen[0].open_connections == 0
 
     run(test())
 
@@ -592,14 +622,14 @@
                 return [i.Send(event.request, FIRST, 0.0), i.Send(event.request, FIRST, 0.0)]
             return []
 
-        backend = Backend()
+        backend = FakeBackend()
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=react, caps__second_copies="false") as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=react, caps__second_copies="false") as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask()).status == 200
-            assert script.outcomes() == [Outcome.MOOT, Outcome.OK] and len(backend.seen) == 1
+            assert (await client.send_request()).status == 200
+            assert module.outcomes() == [Outcome.MOOT, Outcome.OK] and len(backend.requests) == 1
 
     run(test())
 
@@ -610,20 +640,20 @@
         def react(event: Any) -> list[i.Action]:
             return [i.Send(event.request, FIRST, 0.0)] if isinstance(event, i.Request) else []
 
-        backend = Backend(lambda message: None)
+        backend = FakeBackend(lambda message: None)
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=react) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
             began = time.monotonic()
-            assert (await client.ask(2, 300)).status == 504
+            assert (await client.send_request(2, 300)).status == 504
             ended = time.monotonic()
-            took = ended - began - pauses.within(began, ended)
+            took = ended - began - pauses.total_within(began, ended)
             assert took < 0.35  # its deadline, and the 50 ms that the rule allows beyond
             # The attempt was given up before the deadline, and nothing is left behind.
-            assert script.outcomes() == [Outcome.TIMEOUT] and len(script.of(i.Left)) == 1
-            assert not door.host.requests and door.host.unanswered_count == 0
+            assert module.outcomes() == [Outcome.TIMEOUT] and len(module.events_of(i.Left)) == 1
+            assert not gateway.host.requests and gateway.host.unanswered_count == 0
 
     with Pauses() as pauses:
         run(test(pauses))
@@ -636,18 +666,18 @@
                 raise RuntimeError("a bug")
             if isinstance(event, i.Finished) and event.outcome is not Outcome.OK:
                 raise RuntimeError("another")
-            return send_on(event)
+            return send_to_first(event)
 
-        backend = Backend(lambda message: http_answer(500 if len(backend.seen) == 1 else 200))
+        backend = FakeBackend(lambda message: http_answer(500 if len(backend.requests) == 1 else 200))
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=react) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=react) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask(0)).status == 503  # it never ran, so this is true
-            assert (await client.ask(2)).status == 502  # it may have run
-            assert (await client.ask(2)).status == 200
-            assert not door.host.requests
+            assert (await client.send_request(0)).status == 503  # it never ran, so this is true
+            assert (await client.send_request(2)).status == 502  # it may have run
+            assert (await client.send_request(2)).status == 200
+            assert not gateway.host.requests
 
     run(test())
     assert (
@@ -665,14 +695,17 @@
 
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
-                due.update({n: door.host.last_time + n * 0.0017 for n in range(40)})
+                due.update({n: gateway.host.last_time + n * 0.0017 for n in range(40)})
                 return [i.SetTimer(at, n) for n, at in due.items()]
             if isinstance(event, i.Fired):
-                fired.append((event.token, door.host.last_time))
+                fired.append((event.token, gateway.host.last_time))
             return []
 
-        async with front_door("127.0.0.1:1", react=react) as (door, _), Client(door.server) as client:
-            client.writer.write(client.request())
+        async with (
+            platform_gateway("127.0.0.1:1", react=react) as (gateway, _),
+            GatewayClient(gateway.server) as client,
+        ):
+            client.writer.write(client.make_request())
             await until(lambda: len(fired) == 40)
             assert all(at >= due[n] for n, at in fired)
 
@@ -681,16 +714,16 @@
 
 def test_descriptors_are_bounded_and_surplus_clients_are_refused() -> None:
     async def test() -> None:
-        async with front_door("127.0.0.1:1", react=lambda event: []) as (door, script):
-            door.server.max_clients = 2
-            async with Client(door.server) as one, Client(door.server) as two:
+        async with platform_gateway("127.0.0.1:1", react=lambda event: []) as (gateway, module):
+            gateway.server.max_clients = 2
+            async with GatewayClient(gateway.server) as one, GatewayClient(gateway.server) as two:
                 for busy in (one, two):
-                    busy.writer.write(busy.request())
-                await until(lambda: len(script.of(i.Request)) == 2)
-                async with Client(door.server) as three:
-                    answer = await three.ask()
+                    busy.writer.write(busy.make_request())
+                await until(lambda: len(module.events_of(i.Request)) == 2)
+                async with GatewayClient(gateway.server) as three:
+                    answer = await three.send_request()
                 assert (answer.status, "retry-after" in answer.headers) == (503, True)
-                assert len(script.of(i.Request)) == 2
+                assert len(module.events_of(i.Request)) == 2
 
     run(test())
 
@@ -700,24 +733,24 @@
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
                 return [i.Send(event.request, event.cls + 1, 0.0)]
-            return send_on(event)
+            return send_to_first(event)
 
-        one, two = Backend(), Backend(lambda message: None)
+        one, two = FakeBackend(), FakeBackend(lambda message: None)
         async with (
             listening(one.handle) as first,
             listening(two.handle) as second,
             listening(two.handle) as third,
-            front_door(first, second, third, react=react) as (door, script),
-            Client(door.server) as client,
-            Client(door.server) as other,
+            platform_gateway(first, second, third, react=react) as (gateway, module),
+            GatewayClient(gateway.server) as client,
+            GatewayClient(gateway.server) as other,
         ):
-            door.host.upstream.max_connections = 1
-            assert (await client.ask(0)).status == 200
-            client.writer.write(client.request(1))  # the idle connection to the first makes room
-            await until(lambda: two.seen)
-            await until(lambda: one.open == 0)
-            assert (await other.ask(2)).status == 502  # no room left: it never ran
-            assert script.outcomes() == [Outcome.OK, Outcome.FULL]
+            gateway.host.upstream.max_connections = 1
+            assert (await client.send_request(0)).status == 200
+            client.writer.write(client.make_request(1))  # the idle connection to the first makes room
+            await until(lambda: two.requests)
+            await until(lambda: one.open_connections == 0)
+            assert (await other.send_request(2)).status == 502  # no room left: it never ran
+            assert module.outcomes() == [Outcome.OK, Outcome.FULL]
 
     run(test())
 
@@ -732,7 +765,7 @@
             writer.write(http_answer(body=b"late"))
             await asyncio.sleep(5)
 
-        backend = Backend()
+        backend = FakeBackend()
 
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
@@ -742,17 +775,17 @@
         async with (
             listening(backend.handle) as first,
             listening(slow) as second,
-            front_door(first, second, react=react) as (door, script),
-            Client(door.server) as held,
-            Client(door.server) as client,
+            platform_gateway(first, second, react=react) as (gateway, module),
+            GatewayClient(gateway.server) as held,
+            GatewayClient(gateway.server) as client,
         ):
-            waiting = asyncio.create_task(held.ask(2))
-            await until(lambda: script.of(i.Request))
-            drained = asyncio.create_task(door.drain())
+            waiting = asyncio.create_task(held.send_request(2))
+            await until(lambda: module.events_of(i.Request))
+            drained = asyncio.create_task(gateway.drain())
             await asyncio.sleep(0)
-            async with Client(door.server) as late:  # connections go on coming for a while
-                assert (await late.ask()).status == 200
-            assert (await client.ask()).status == 200
+            async with GatewayClient(gateway.server) as late:  # connections go on coming for a while
+                assert (await late.send_request()).status == 200
+            assert (await client.send_request()).status == 200
             assert await client.reader.read() == b""  # closed between requests
             go.set()
             answer = await waiting
@@ -764,16 +797,18 @@
 
 def test_what_cannot_finish_before_sigkill_gets_a_truthful_answer() -> None:
     async def test() -> None:
-        backend = Backend(lambda message: None)
+        backend = FakeBackend(lambda message: None)
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=lambda e: send_on(e) if isinstance(e, i.Request) else []) as (door, _),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(
+                endpoint, react=lambda e: send_to_first(e) if isinstance(e, i.Request) else []
+            ) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
-            waiting = asyncio.create_task(client.ask(2, 60_000))
-            await until(lambda: backend.seen)
-            door.drain_timeout = 0.7
-            await door.drain()
+            waiting = asyncio.create_task(client.send_request(2, 60_000))
+            await until(lambda: backend.requests)
+            gateway.drain_timeout = 0.7
+            await gateway.drain()
             assert (await waiting).status == 504
 
     run(test())
@@ -782,19 +817,19 @@
 def test_a_door_that_ends_gives_back_what_it_has_not_spent() -> None:
     async def test() -> None:
         customer = in_mid_window()
-        tally, backend = Tally(), Backend()
+        tally, backend = FakeCounter(), FakeBackend()
         async with (
             listening(tally.handle) as counter,
-            listening(backend.handle) as dial,
-            front_door(dial, counter=counter) as (door, _),
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, counter=counter) as (gateway, _),
         ):
-            async with Client(door.server, customer) as client:
+            async with GatewayClient(gateway.server, customer) as client:
                 for _ in range(4):  # a lease is for three: it keeps some of the second
-                    assert (await client.ask()).status == 200
-            (lease,) = door.host.gateway.leases.values()
+                    assert (await client.send_request()).status == 200
+            (lease,) = gateway.host.gateway.leases.values()
             kept, before = lease.credits, sum(tally.totals.values())
             assert kept >= 1
-            door.host.finish_all()  # as at the end of a drain; credit that stands idle goes back anyway
+            gateway.host.finish_all()  # as at the end of a drain; credit that stands idle goes back anyway
             await until(lambda: sum(tally.totals.values()) < before)
             assert sum(tally.totals.values()) == pytest.approx(before - kept, abs=0.1)
 
@@ -804,19 +839,19 @@
 # Guards the leases against connections that break: what fails at once does not tell of a crowded counter.
 def test_calls_to_a_counter_go_on_at_their_pace_while_its_connections_break() -> None:
     async def test() -> None:
-        tally = Tally(lambda number, call: b"?\r\n" if number % 4 == 3 else None)
+        tally = FakeCounter(lambda number, call: b"?\r\n" if number % 4 == 3 else None)
         async with (
             listening(tally.handle) as counter,
-            listening(Backend().handle) as dial,
-            front_door(dial, counter=counter) as (door, _),
+            listening(FakeBackend().handle) as endpoint,
+            platform_gateway(endpoint, counter=counter) as (gateway, _),
         ):
-            gateway = door.host.gateway
-            pace = gateway.call_rate.rate
+            decision_module = gateway.host.gateway
+            pace = decision_module.call_rate.rate
             for customer in range(1, 80):
-                async with Client(door.server, customer) as client:
-                    assert (await client.ask()).status == 200
-            assert tally.opened > 6 and gateway.counter_health.failing > 0
-            assert gateway.call_rate.rate >= pace
+                async with GatewayClient(gateway.server, customer) as client:
+                    assert (await client.send_request()).status == 200
+            assert tally.total_connections > 6 and decision_module.counter_health.failing > 0
+            assert decision_module.call_rate.rate >= pace
 
     run(test())
 
@@ -826,18 +861,18 @@
 
     async def test() -> None:
         customer = in_mid_window()
-        tally, backend = Tally(), Backend()
+        tally, backend = FakeCounter(), FakeBackend()
         async with (
             listening(tally.handle) as counter,
-            listening(backend.handle) as dial,
-            front_door(dial, counter=counter) as (door, _),
-            front_door(dial, counter=counter) as (other, _),
-            Client(door.server, customer) as client,
-            Client(other.server, customer) as second,
-        ):
-            assert (await client.ask()).status == 200
-            assert (await second.ask()).status == 200
-            assert abs(door.host.last_time - time.time()) < 5
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, counter=counter) as (gateway, _),
+            platform_gateway(endpoint, counter=counter) as (other, _),
+            GatewayClient(gateway.server, customer) as client,
+            GatewayClient(other.server, customer) as second,
+        ):
+            assert (await client.send_request()).status == 200
+            assert (await second.send_request()).status == 200
+            assert abs(gateway.host.last_time - time.time()) < 5
             names = [name for _, name, *_ in tally.calls]
             assert len(names) >= 4 and len(set(names)) == 1  # each looks first, then leases
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The program itself: a start, readiness and SIGTERM."""
+"""The platform gateway as a process: start, readiness, SIGHUP and SIGTERM."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from ivymux.platform.counter import CONNECTION_COUNT
 
 from .sockets import (
-    Agent,
-    Backend,
-    Tally,
+    FakeAgent,
+    FakeBackend,
+    FakeCounter,
     config_text,
     host_line,
     http_answer,
@@ -37,7 +37,7 @@
 
 @contextlib.asynccontextmanager
 async def running(path: Path) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """The program, once it listens, and its port."""
+    """Start the program; yield it and its port once it listens."""
     port = free_port()
     env = dict(os.environ) | {"NODE_CONFIG": str(path), "NODE_LISTEN": f"127.0.0.1:{port}"}
     process = await asyncio.create_subprocess_exec(
@@ -58,7 +58,7 @@
             await process.wait()
 
 
-async def ready(port: int) -> int:
+async def readiness_status(port: int) -> int:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     status = (await read_message(reader)).status
@@ -66,16 +66,16 @@
     return status
 
 
-def test_it_starts_becomes_ready_and_ends_on_sigterm(tmp_path: Path) -> None:
+def test_the_program_starts_becomes_ready_and_ends_on_sigterm(tmp_path: Path) -> None:
     async def test() -> None:
-        backend, agent = Backend(lambda message: http_answer()), Agent()
-        async with listening(backend.handle) as dial, listening(agent.handle) as discovery:
-            host = host_line("s-00000001", dial)
-            agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": [host]}).encode()
+        backend, agent = FakeBackend(lambda message: http_answer()), FakeAgent()
+        async with listening(backend.handle) as endpoint, listening(agent.handle) as discovery:
+            host = host_line("s-00000001", endpoint)
+            agent.whole_list = json.dumps({"seq": 1, "whole": True, "hosts": [host]}).encode()
             path = tmp_path / "config.json"
             path.write_text(config_text([host], discovery=discovery))
             async with running(path) as (process, port):
-                assert await ready(port) == 200
+                assert await readiness_status(port) == 200
                 process.send_signal(signal.SIGTERM)
                 assert await process.wait() == 0
                 assert process.stderr is not None and await process.stderr.read() == b""
@@ -83,32 +83,35 @@
     run(test())
 
 
-# Guards against a front door that ends on SIGHUP, that stays with the old addresses, and that a bad file
-# ends or leaves without any.
-def test_sighup_moves_discovery_and_counter_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+# On SIGHUP the program must neither end nor keep the old addresses; with a bad file it must keep them.
+def test_sighup_changes_the_addresses_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        agents, tallies = [Agent(), Agent()], [Tally(), Tally()]
-        backend = Backend(lambda message: http_answer())
+        agents, counters = [FakeAgent(), FakeAgent()], [FakeCounter(), FakeCounter()]
+        backend = FakeBackend(lambda message: http_answer())
         async with contextlib.AsyncExitStack() as stack:
             host = host_line("s-00000001", await stack.enter_async_context(listening(backend.handle)))
             discovery = [await stack.enter_async_context(listening(a.handle)) for a in agents]
-            counter = [await stack.enter_async_context(listening(t.handle)) for t in tallies]
+            counter = [await stack.enter_async_context(listening(c.handle)) for c in counters]
             for agent in agents:
-                agent.whole = json.dumps({"seq": 1, "whole": True, "hosts": [host]}).encode()
+                agent.whole_list = json.dumps({"seq": 1, "whole": True, "hosts": [host]}).encode()
             path = tmp_path / "config.json"
             path.write_text(config_text([host], counter[0], discovery[0]))
             process, port = await stack.enter_async_context(running(path))
-            await until(lambda: agents[0].open and tallies[0].opened == CONNECTION_COUNT)
+            await until(
+                lambda: agents[0].open_connections and counters[0].total_connections == CONNECTION_COUNT
+            )
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
             assert b"stays as it was" in await process.stderr.readline()
-            assert agents[0].open and await ready(port) == 200
+            assert agents[0].open_connections and await readiness_status(port) == 200
             path.write_text(config_text([host], counter[1], discovery[1]))
             process.send_signal(signal.SIGHUP)
-            await until(lambda: len(agents[1].targets) == 2 and not agents[0].open)
-            await until(lambda: tallies[1].opened == CONNECTION_COUNT and not tallies[0].open)
-            assert await ready(port) == 200 and process.returncode is None
+            await until(lambda: len(agents[1].targets) == 2 and not agents[0].open_connections)
+            await until(
+                lambda: counters[1].total_connections == CONNECTION_COUNT and not counters[0].open_connections
+            )
+            assert await readiness_status(port) == 200 and process.returncode is None
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Answers that come spoilt, or with more than belongs to them, over loopback sockets."""
+"""Invalid answers of backends, and answers followed by further bytes, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 from .sockets import (
     FIRST,
-    Backend,
-    Client,
-    Message,
-    front_door,
+    FakeBackend,
+    GatewayClient,
+    HttpMessage,
     http_answer,
     listening,
+    platform_gateway,
     read_message,
     run,
-    send_on,
+    send_to_first,
     until,
 )
 
 
-def echo(message: Message) -> bytes:
+def echo(message: HttpMessage) -> bytes:
     return http_answer(body=message.headers["request-id"].encode())
 
 
 def in_turn() -> Callable[[Any], list[i.Action]]:
-    """Sends one request at a time: the next goes out with the news of the last one's end."""
+    """Return a `react` that sends one request at a time: the next once the last attempt has finished."""
     waiting: list[int] = []
 
     def react(event: Any) -> list[i.Action]:
@@ -47,33 +47,32 @@
     return react
 
 
-# Guards against passing on what stands behind an answer as the answer to the next request: that one is
-# started by the news of the first, on a connection that still brings a second copy or noise.
+# Bytes after an answer must not be taken for the answer to the next request, which may be started as soon as
+# the first answer is complete.
 @pytest.mark.parametrize(
-    "behind", [http_answer(body=b"a second copy"), b"\x00\x01 noise", b"HTTP/1.1 2"], ids=range(3)
+    "extra", [http_answer(body=b"a second copy"), b"\x00\x01 noise", b"HTTP/1.1 2"], ids=range(3)
 )
-def test_what_stands_behind_an_answer_is_not_the_next_ones(behind: bytes) -> None:
+def test_bytes_after_an_answer_are_not_taken_for_the_next_answer(extra: bytes) -> None:
     async def test() -> None:
-        backend = Backend(lambda message: echo(message) + behind)
+        backend = FakeBackend(lambda message: echo(message) + extra)
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=in_turn()) as (door, script),
-            Client(door.server) as one,
-            Client(door.server) as two,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=in_turn()) as (gateway, module),
+            GatewayClient(gateway.server) as one,
+            GatewayClient(gateway.server) as two,
         ):
-            one.writer.write(one.request(Request_Id="one"))
-            two.writer.write(two.request(Request_Id="two"))
+            one.writer.write(one.make_request(Request_Id="one"))
+            two.writer.write(two.make_request(Request_Id="two"))
             answers = [await read_message(c.reader) for c in (one, two)]
             assert [(a.status, a.body) for a in answers] == [(200, b"one"), (200, b"two")]
-            assert script.outcomes() == [Outcome.OK, Outcome.OK]
-            assert backend.opened == 2  # such a connection is of no further use
+            assert module.outcomes() == [Outcome.OK, Outcome.OK]
+            assert backend.total_connections == 2  # such a connection is not reused
 
     run(test())
 
 
-# Guards against the same where the bytes come when the connection is idle, and the loop has not read them
-# when the next attempt wants a connection.
-def test_an_idle_connection_with_bytes_to_read_carries_no_attempt() -> None:
+# The same for bytes that arrive on an idle connection and have not been read when the next attempt starts.
+def test_an_idle_connection_with_bytes_to_read_is_not_used() -> None:
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
 
@@ -83,20 +82,20 @@
                 writer.write(echo(await read_message(reader)))
 
         async with (
-            listening(handle) as dial,
-            front_door(dial, react=send_on) as (door, _),
-            Client(door.server) as client,
+            listening(handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask(Request_Id="one")).body == b"one"
-            (pool,) = door.host.upstream.pools.values()
-            (link,) = pool.idle
-            assert link.is_usable()
-            # No step of the loop lies between these: the bytes are in the socket, not yet read.
+            assert (await client.send_request(Request_Id="one")).body == b"one"
+            (pool,) = gateway.host.upstream.pools.values()
+            (connection,) = pool.idle
+            assert connection.is_usable()
+            # The event loop does not run in between, so the bytes are in the socket but not read.
             writers[0].write(http_answer(body=b"a late second copy"))
-            assert not link.is_usable()
+            assert not connection.is_usable()
             results: list[Any] = []
             payload = b"GET / HTTP/1.1\r\nRequest-Id: two\r\n\r\n"
-            door.host.upstream.start_attempt(FIRST, payload, 1.0, results.append)
+            gateway.host.upstream.start_attempt(FIRST, payload, 1.0, results.append)
             await until(lambda: results)
             assert results[0].body == b"two"
 
@@ -104,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
         b"\x16\x03\x01 noise\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
@@ -119,20 +118,20 @@
     ],
     ids=range(10),
 )
-def test_a_spoilt_answer_ends_its_attempt_at_once_and_may_have_run(spoilt: bytes) -> None:
+def test_an_invalid_answer_ends_its_attempt_at_once_as_possibly_executed(invalid: bytes) -> None:
     async def test() -> None:
-        backend = Backend(lambda message: spoilt)
+        backend = FakeBackend(lambda message: invalid)
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask()).status == 502
-            # Not RESET, which keeps the module off a backend: spoilt answers come from well ones.
-            assert script.outcomes() == [Outcome.ERROR] and not Outcome.ERROR.never_ran
-            (finished,) = script.of(i.Finished)
-            assert finished.spent < 2  # it does not hang until the client's time is nearly up
-            await until(lambda: not backend.open)
+            assert (await client.send_request()).status == 502
+            # Not RESET, after which the decision module avoids a backend: this one is reachable.
+            assert module.outcomes() == [Outcome.ERROR] and not Outcome.ERROR.never_ran
+            (finished,) = module.events_of(i.Finished)
+            assert finished.spent < 2  # not only just before the client's deadline
+            await until(lambda: not backend.open_connections)
 
     run(test())
 
@@ -142,63 +141,68 @@
     ["TEXT util=none", "TEXT queue=1_0, util=0.5, latency_ms=3", "=,=,", "TEXT \xff\xfe", "nan"],
     ids=range(5),
 )
-def test_an_unreadable_report_does_not_spoil_a_good_answer(load: str) -> None:
+def test_an_invalid_load_report_does_not_invalidate_its_answer(load: str) -> None:
     async def test() -> None:
-        def answer(message: Message) -> bytes:
+        def answer(message: HttpMessage) -> bytes:
             early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
             head = f"HTTP/1.1 200 OK\r\nServer-Load: {load}\r\nContent-Length: 4\r\n\r\n"
             return early + head.encode("latin-1") + b"done"
 
-        backend = Backend(answer)
+        backend = FakeBackend(answer)
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
             for _ in range(2):
-                served = await client.ask()
+                served = await client.send_request()
                 assert (served.status, served.body) == (200, b"done")
-            assert [e.report for e in script.of(i.Finished)] == [(), ()]
-            assert backend.opened == 1  # the connection goes on being used
+            assert [e.report for e in module.events_of(i.Finished)] == [(), ()]
+            assert backend.total_connections == 1  # the connection is reused
 
     run(test())
 
 
-# Guards against sending on an old backend's connections, or what is meant for it, to a new one that listens
-# where it did: the new one is cold, and its kept answers are its own.
+# A new backend at the address of an old one must get neither its connections nor its requests: its caches are
+# cold, and it does not know the old one's idempotency records.
 def test_a_new_backend_at_an_old_address_does_not_get_the_old_ones_attempts() -> None:
     async def test() -> None:
-        backend = Backend(echo)
+        backend = FakeBackend(echo)
         async with (
-            listening(backend.handle) as dial,
-            front_door(dial, react=send_on) as (door, script),
-            Client(door.server) as client,
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, module),
+            GatewayClient(gateway.server) as client,
         ):
-            assert (await client.ask()).status == 200
-            upstream = door.host.upstream
+            assert (await client.send_request()).status == 200
+            upstream = gateway.host.upstream
             upstream.update_backend(9, upstream.pools[FIRST].address, 0.0)
-            await until(lambda: not backend.open)
-            assert (await client.ask()).status == 502  # still meant for the old one
-            assert script.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
-            assert len(backend.seen) == 1 and list(upstream.pools) == [9]
+            await until(lambda: not backend.open_connections)
+            assert (
+                await client.send_request()
+            ).status == 502  # the decision module still sends to the old one
+            assert module.outcomes() == [Outcome.OK, Outcome.CONNECT_FAILED]
+            assert len(backend.requests) == 1 and list(upstream.pools) == [9]
 
     run(test())
 
 
-def test_an_attempt_given_up_while_its_connection_is_made_is_never_written() -> None:
+def test_an_attempt_given_up_while_connecting_is_never_written() -> None:
     async def test() -> None:
-        backend = Backend(echo)
-        async with listening(backend.handle) as dial, front_door(dial, react=send_on) as (door, _):
-            upstream = door.host.upstream
+        backend = FakeBackend(echo)
+        async with (
+            listening(backend.handle) as endpoint,
+            platform_gateway(endpoint, react=send_to_first) as (gateway, _),
+        ):
+            upstream = gateway.host.upstream
             await until(lambda: FIRST in upstream.pools)
-            ended: list[Outcome] = []
+            outcomes: list[Outcome] = []
             attempt = upstream.start_attempt(
-                FIRST, b"GET / HTTP/1.1\r\n\r\n", 5.0, lambda r: ended.append(r.outcome)
+                FIRST, b"GET / HTTP/1.1\r\n\r\n", 5.0, lambda r: outcomes.append(r.outcome)
             )
             assert not attempt.is_written
             attempt.give_up(Outcome.CANCELLED)
-            assert ended == [Outcome.MOOT]  # which proves that it never ran
-            await until(lambda: upstream.pools[FIRST].idle)  # the connection is there for another
-            assert not backend.seen and ended == [Outcome.MOOT]
+            assert outcomes == [Outcome.MOOT]  # proves that it was not executed
+            await until(lambda: upstream.pools[FIRST].idle)  # the connection is kept for another attempt
+            assert not backend.requests and outcomes == [Outcome.MOOT]
 
     run(test())
--- a/tests/warp.py
+++ b/tests/warp.py
@@ -1,6 +1,6 @@
-"""A loop whose clock stands still while anything is to be done, and leaps to the next timer when nothing is.
+"""An event loop with virtual time: its clock advances to the next timer only when no work is left.
 
-Real sockets over loopback, and a minute passes in the time that its work takes; every run has the same times.
+It serves real sockets over loopback; a minute takes no longer than its work, and every run is timed alike.
 """
 
 from __future__ import annotations
@@ -14,58 +14,58 @@
 
 import pytest
 
-LOOKS = 12  # at the sockets before a leap, while the kernel delivers what is on its way over loopback
+MAX_POLLS = 12  # of the sockets before time advances, while the kernel delivers bytes over loopback
 
 
-class Leaping(selectors.BaseSelector):
-    """Waits for sockets only; for a timer it leaps."""
+class VirtualTimeSelector(selectors.BaseSelector):
+    """Polls sockets; instead of waiting for a timer it advances the virtual time."""
 
     def __init__(self) -> None:
-        self.inner = selectors.DefaultSelector()
+        self.selector = selectors.DefaultSelector()
         self.now = 1_000_000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        if found := self.inner.select(0):
+        if found := self.selector.select(0):
             return found
         if timeout is not None and timeout <= 0:
             return []
-        for _ in range(LOOKS):
-            os.sched_yield()  # a wait would take a millisecond, the least that epoll knows
-            if found := self.inner.select(0):
+        for _ in range(MAX_POLLS):
+            os.sched_yield()  # a wait would take at least a millisecond, the resolution of epoll
+            if found := self.selector.select(0):
                 return found
         if timeout is None:
-            raise AssertionError("nothing is to be waited for: the test would hang")
+            raise AssertionError("no socket and no timer to wait for: the test would hang")
         self.now += timeout
         return []
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        return self.inner.register(fileobj, events, data)
+        return self.selector.register(fileobj, events, data)
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        return self.inner.unregister(fileobj)
+        return self.selector.unregister(fileobj)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        return self.inner.modify(fileobj, events, data)
+        return self.selector.modify(fileobj, events, data)
 
     def close(self) -> None:
-        self.inner.close()
+        self.selector.close()
 
     def get_map(self) -> Mapping[Any, selectors.SelectorKey]:
-        return self.inner.get_map()
+        return self.selector.get_map()
 
 
-class WarpLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.leaping = Leaping()
-        super().__init__(self.leaping)
+        self.virtual_selector = VirtualTimeSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        return self.leaping.now
+        return self.virtual_selector.now
 
 
-def warped(test: Callable[[], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
-    """Run a test on such a loop, with the program's clocks led to it."""
-    loop = WarpLoop()
+def run_in_virtual_time(test: Callable[[], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
+    """Run a test on a `VirtualTimeLoop`, with the clocks of module `time` patched to its time."""
+    loop = VirtualTimeLoop()
     with monkeypatch.context() as patch:
         patch.setattr(time, "monotonic", loop.time)
         patch.setattr(time, "time", loop.time)
