--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -1,4 +1,4 @@
-"""The front door over loopback sockets, with fakes of everything around it."""
+"""The platform gateway over loopback sockets, with fakes of its clients, backends and counter."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 
 
 def in_mid_window() -> int:
-    """A customer whose lease window began 8 to 10 s ago."""
-    edges = ((c, (time.time() + stable_hash(c) / 2**64 * WINDOW_S) % WINDOW_S) for c in range(1, 1000))
-    return next(customer for customer, since in edges if 8 < since < 10)
+    """Return a customer whose lease window began 8 to 10 s ago."""
+    ages = ((c, (time.time() + stable_hash(c) / 2**64 * WINDOW_S) % WINDOW_S) for c in range(1, 1000))
+    return next(customer for customer, age in ages if 8 < age < 10)
 
 
 def test_a_request_is_served_with_its_headers_and_body_unchanged() -> None:
@@ -57,13 +57,13 @@
             assert seen.headers["request-id"] == "9b1f03aa5c7e2d41"
             assert seen.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
             assert seen.body == b"a recording"
-            # It tells how long the front door will wait, which is less than the client will.
+            # The backend gets the gateway's timeout, which is shorter than the client's.
             assert 3000 < int(seen.headers["request-timeout"].removesuffix("m")) < 4000
 
     run(test())
 
 
-def test_the_module_hears_the_terms_of_a_request() -> None:
+def test_the_decision_module_gets_the_terms_of_a_request() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             return [i.Refuse(event.request, 0.25)] if isinstance(event, i.Request) else []
@@ -75,7 +75,7 @@
             answer = await client.send_request(
                 2, 900, X_Tier="plan-1", X_Call_Terms="units=2,spread=2,first=1", Client_Retry="1"
             )
-            # What the module has given up on is answered at once, with the time to come back.
+            # A refused request is answered at once, with Retry-After.
             assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
             (event,) = module.events_of(i.Request)
             assert (event.cls, event.plan, event.customer) == (2, 1, 5)
@@ -94,14 +94,14 @@
         (0, "Request-Timeout", "4", 400),
         (0, "X-Call-Terms", "units=none,spread=1,first=0", 400),
         (0, "X-Call-Terms", "units=nan,spread=1,first=0", 400),
-        (1, "Idempotency-Key", "", 400),  # keyed, but with no key to drop a repeat by
+        (1, "Idempotency-Key", "", 400),  # a keyed class needs a key to detect a repeat
         (2, "Idempotency-Key", "5c0f", 400),
         (0, "X-Pad", "x" * MAX_HEAD_BYTES, 400),
         (2, "Content-Length", str(MAX_BODY_BYTES + 1), 413),
         (2, "Content-Length", "x", 400),
     ],
 )
-def test_bad_input_reaches_neither_the_module_nor_a_backend(
+def test_an_invalid_request_reaches_neither_the_decision_module_nor_a_backend(
     cls: int, header: str, value: str, status: int
 ) -> None:
     async def test() -> None:
@@ -118,7 +118,7 @@
     run(test())
 
 
-def test_bytes_that_are_no_request_are_answered_and_end_the_connection() -> None:
+def test_bytes_that_are_not_a_request_are_answered_and_end_the_connection() -> None:
     async def test() -> None:
         async with (
             platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
@@ -132,7 +132,9 @@
 
 
 @pytest.mark.parametrize("target", [b"http://[::", b"/\xff?customer=0000000000000005", b"*"])
-def test_a_malformed_target_is_the_clients_fault(target: bytes, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_malformed_target_is_answered_as_a_client_error(
+    target: bytes, caplog: pytest.LogCaptureFixture
+) -> None:
     async def test() -> None:
         async with (
             platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
@@ -145,7 +147,7 @@
     assert not caplog.records  # nothing is logged per request
 
 
-def test_a_trailer_does_not_stand_in_for_a_header() -> None:
+def test_a_trailer_does_not_replace_a_header() -> None:
     async def test() -> None:
         async with (
             platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, module),
@@ -176,7 +178,7 @@
     run(test())
 
 
-def test_a_client_that_does_not_read_its_answers_is_not_read_either() -> None:
+def test_requests_of_a_client_that_does_not_read_its_answers_are_not_read() -> None:
     async def test() -> None:
         backend = FakeBackend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
         async with (
@@ -187,21 +189,21 @@
             (served,) = gateway.server.clients
             transport = served.transport
             assert transport is not None
-            asked = 0
+            request_count = 0
             while transport.is_reading():  # until the sockets' buffers are full of answers
-                asked += 1
+                request_count += 1
                 seen = len(backend.requests)
                 client.writer.write(client.make_request())
                 await until(lambda seen=seen: len(backend.requests) > seen and not served.exchanges)  # type: ignore[misc]
             client.writer.write(client.make_request())
-            for _ in range(asked + 1):  # once it reads, all of it comes
+            for _ in range(request_count + 1):  # all answers arrive once it reads
                 answer = await read_message(client.reader)
                 assert (answer.status, len(answer.body)) == (200, MAX_BODY_BYTES)
 
     run(test())
 
 
-def test_a_client_that_never_reads_does_not_keep_its_connection() -> None:
+def test_a_client_that_never_reads_is_closed() -> None:
     async def test() -> None:
         backend = FakeBackend(lambda message: http_answer(body=b"x" * MAX_BODY_BYTES))
         async with (
@@ -224,13 +226,13 @@
 
 def test_pipelined_requests_are_answered_in_their_order() -> None:
     async def test() -> None:
-        held: list[i.Request] = []
+        accepted: list[i.Request] = []
 
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
-                held.append(event)
-                if len(held) == 2:  # the second is answered first
-                    return [i.Refuse(held[1].request, 0.0), i.Fail(held[0].request)]
+                accepted.append(event)
+                if len(accepted) == 2:  # the second is answered first
+                    return [i.Refuse(accepted[1].request, 0.0), i.Fail(accepted[0].request)]
             return []
 
         async with (
@@ -244,7 +246,7 @@
     run(test())
 
 
-def test_a_client_that_goes_away_is_told_to_the_module_and_its_attempt_runs_on() -> None:
+def test_a_disconnect_is_reported_to_the_decision_module_and_the_attempt_runs_on() -> None:
     async def test() -> None:
         backend = FakeBackend(lambda message: None)
         async with (
@@ -260,15 +262,15 @@
     run(test())
 
 
-def test_outcomes_tell_what_never_ran() -> None:
+def test_outcomes_say_whether_a_request_may_have_been_executed() -> None:
     replies: list[tuple[bytes, Outcome]] = [
         (http_answer(500), Outcome.ERROR),
         (http_answer(503, Not_Started="1"), Outcome.FULL),
         (http_answer(504, Not_Started="1"), Outcome.FULL),
-        (http_answer(503), Outcome.ERROR),  # no proof that it never ran
+        (http_answer(503), Outcome.ERROR),  # does not prove that it was not executed
         (b"", Outcome.RESET),  # closed after the whole request was written
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf", Outcome.RESET),
-        (b"what?\r\n\r\n", Outcome.ERROR),  # framing is lost, and it may have run
+        (b"what?\r\n\r\n", Outcome.ERROR),  # invalid, and the request may have been executed
     ]
 
     async def test() -> None:
@@ -280,16 +282,17 @@
                 GatewayClient(gateway.server) as client,
             ):
                 assert (await client.send_request(2)).status == 502
-                # One attempt each: nothing is sent again silently.
+                # One attempt each: the gateway does not retry by itself.
                 assert (module.outcomes(), len(backend.requests)) == ([expected], 1)
 
     run(test())
 
 
 @pytest.mark.parametrize("unsent", [True, False])
-def test_a_request_that_was_not_written_whole_never_ran(unsent: bool) -> None:
-    """The transport tells by pausing its protocol that bytes are left; 64 KiB always fit on loopback, so
-    the test stands in for it.
+def test_a_request_that_was_not_completely_written_was_not_executed(unsent: bool) -> None:
+    """The transport calls `pause_writing` while bytes are buffered.
+
+    On loopback 64 KiB are always written at once, so the test makes this call itself.
     """
 
     async def test() -> None:
@@ -311,7 +314,7 @@
     run(test())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_request_on_a_refused_connection_was_not_executed() -> None:
     async def test() -> None:
         async with listening(FakeBackend().handle) as endpoint:
             pass
@@ -325,9 +328,9 @@
     run(test())
 
 
-def test_a_connection_that_never_comes_up_ends_with_the_connect_timeout() -> None:
+def test_a_connection_that_is_not_established_ends_with_the_connect_timeout() -> None:
     async def test() -> None:
-        # A listener that accepts nothing, its backlog full: further connections hang.
+        # A listener that accepts no connections and has a full backlog: further ones hang.
         with contextlib.ExitStack() as stack:
             silent = stack.enter_context(socket.socket())
             silent.bind(("127.0.0.1", 0))
@@ -342,15 +345,15 @@
                 platform_gateway(endpoint, react=send_to_first) as (gateway, module),
                 GatewayClient(gateway.server) as client,
             ):
-                began = time.monotonic()
+                started_at = time.monotonic()
                 assert (await client.send_request(2)).status == 502
                 assert module.outcomes() == [Outcome.CONNECT_FAILED]
-                assert 0.2 < time.monotonic() - began < 2.0  # caps.connect_timeout_s is 0.25
+                assert 0.2 < time.monotonic() - started_at < 2.0  # caps.connect_timeout_s is 0.25
 
     run(test())
 
 
-def test_a_stale_pooled_connection_ends_as_reset_and_is_not_sent_again() -> None:
+def test_an_attempt_on_a_stale_connection_ends_as_reset_without_a_silent_retry() -> None:
     async def test() -> None:
         backend = FakeBackend(lambda message: http_answer(body=b"x") if len(backend.requests) < 2 else b"")
         async with (
@@ -366,7 +369,7 @@
     run(test())
 
 
-def test_connections_are_kept_and_connection_close_is_honoured() -> None:
+def test_connections_are_reused_and_connection_close_is_honoured() -> None:
     async def test() -> None:
         answers = [http_answer(), http_answer(Connection="close"), http_answer()]
         backend = FakeBackend(lambda message: answers[len(backend.requests) - 1])
@@ -382,7 +385,7 @@
     run(test())
 
 
-def test_idle_connections_are_retired_before_the_backend_closes_them() -> None:
+def test_idle_connections_are_closed_before_the_backend_closes_them() -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with (
@@ -393,7 +396,7 @@
             assert (await client.send_request()).status == 200
             assert backend.open_connections == 1
             pool = gateway.host.upstream.pools[FIRST]
-            pool.idle[0].idle_since -= 16.0  # the backends' idle time is 30 s
+            pool.idle[0].idle_since -= 16.0  # the backends' idle timeout is 30 s
             timer = gateway.host.upstream.sweep_timer
             assert timer is not None
             timer.cancel()
@@ -423,7 +426,7 @@
     run(test())
 
 
-def test_load_reports_come_in_the_order_of_the_settings() -> None:
+def test_load_reports_are_in_the_order_of_the_settings() -> None:
     async def test() -> None:
         loads = ["TEXT queue=2, latency_ms=180.5, util=0.61", "TEXT queue=2", "TEXT queue=x, util=1", ""]
         backend = FakeBackend(lambda message: http_answer(Server_Load=loads[len(backend.requests) - 1]))
@@ -440,7 +443,7 @@
     run(test())
 
 
-def test_a_probe_brings_the_load_report() -> None:
+def test_a_probe_returns_the_load_report() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             return [i.Probe(FIRST), i.Refuse(event.request, 0.0)] if isinstance(event, i.Request) else []
@@ -462,14 +465,14 @@
 
 @pytest.mark.parametrize("how", ["cancel", "time-out"])
 def test_a_given_up_attempt_has_ended_before_the_next_is_sent(how: str) -> None:
-    """Two attempts must never be out at once: the first one's connection ends, then the module goes on."""
+    """Two attempts must never be in flight at once: the next may start once the connection has ended."""
 
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
                 return [i.Send(event.request, FIRST, 0.1 if how == "time-out" else 0.0), i.SetTimer(0.0, 1)]
             if isinstance(event, i.Fired) and how == "cancel":
-                # Not before the backend has the request whole, or it would never have been out.
+                # Cancel only after the backend has received the request, so that it is in flight.
                 return [i.Cancel(1, 0)] if silent.requests else [i.SetTimer(0.0, 1)]
             if isinstance(event, i.Finished) and event.attempt == 0:
                 return [i.Send(event.request, 2, 0.0)]
@@ -496,9 +499,9 @@
     run(test())
 
 
-# Guards a quota against front doors that disagree on what is left of it: whoever meets a customer in the
-# middle of a window must not take its store for full, nor another's for emptier than it is.
-def test_a_quota_holds_over_two_front_doors_that_meet_a_customer_in_mid_window() -> None:
+# Gateways must agree on the rest of a quota: one that gets a customer's first request in the middle of a
+# window must take the token bucket neither for full nor for emptier than it is.
+def test_a_quota_holds_over_two_gateways_that_see_a_customer_first_in_mid_window() -> None:
     async def test() -> None:
         customer = in_mid_window()
         async with (
@@ -509,19 +512,19 @@
             GatewayClient(one.server, customer) as first,
             GatewayClient(other.server, customer) as second,
         ):
-            began = time.monotonic()
+            started_at = time.monotonic()
             served = 0
             for client in (first, second):
                 for _ in range(16):
                     served += (await client.send_request()).status == 200
-            # The store holds 8 and gets 4 a second; one more may be kept for what comes next.
-            assert 8 <= served <= 9 + 4 * (time.monotonic() - began)
+            # The bucket holds 8 tokens and gets 4 per second; a gateway may keep one more.
+            assert 8 <= served <= 9 + 4 * (time.monotonic() - started_at)
 
     run(test())
 
 
-# Guards against giving up on work that merely costs more: begun again it would cost as much.
-def test_a_request_that_takes_five_times_the_usual_is_left_alone() -> None:
+# A request that merely takes longer must not be given up, as a retry would take as long.
+def test_a_request_that_takes_five_times_the_usual_is_not_given_up() -> None:
     async def test() -> None:
         release = asyncio.Event()
         costly: list[HttpMessage] = []
@@ -561,8 +564,8 @@
     run(test())
 
 
-# Guards against a handful of attempts in the last millisecond of a request, each at the cost of a connection.
-def test_an_attempt_that_ran_into_the_deadline_is_not_followed_by_others() -> None:
+# There must be no retries in the last millisecond before a deadline; each would cost a connection.
+def test_an_attempt_that_ends_at_the_deadline_is_not_retried() -> None:
     async def test() -> None:
         silent = FakeBackend(lambda message: None)
         async with (
@@ -585,8 +588,8 @@
     run(test())
 
 
-# Guards against backends that take requests and answer none.
-def test_what_a_silent_backend_holds_is_sent_again_once_its_connection_has_ended() -> None:
+# A backend may accept requests without answering any.
+def test_a_request_at_a_silent_backend_is_retried_once_its_connection_has_ended() -> None:
     async def test() -> None:
         seen: list[FakeBackend] = []
 
@@ -615,7 +618,7 @@
     run(test())
 
 
-def test_a_second_copy_is_not_sent_where_the_settings_forbid_it() -> None:
+def test_no_second_copy_is_sent_if_the_settings_forbid_it() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
@@ -635,7 +638,7 @@
 
 
 @pytest.mark.alone
-def test_a_request_is_answered_in_time_whatever_the_module_does() -> None:
+def test_a_request_is_answered_in_time_even_if_the_decision_module_does_not_answer_it() -> None:
     async def test(pauses: Pauses) -> None:
         def react(event: Any) -> list[i.Action]:
             return [i.Send(event.request, FIRST, 0.0)] if isinstance(event, i.Request) else []
@@ -646,11 +649,11 @@
             platform_gateway(endpoint, react=react) as (gateway, module),
             GatewayClient(gateway.server) as client,
         ):
-            began = time.monotonic()
+            started_at = time.monotonic()
             assert (await client.send_request(2, 300)).status == 504
-            ended = time.monotonic()
-            took = ended - began - pauses.total_within(began, ended)
-            assert took < 0.35  # its deadline, and the 50 ms that the rule allows beyond
+            ended_at = time.monotonic()
+            took = ended_at - started_at - pauses.total_within(started_at, ended_at)
+            assert took < 0.35  # its deadline and the 50 ms that the protocol allows beyond it
             # The attempt was given up before the deadline, and nothing is left behind.
             assert module.outcomes() == [Outcome.TIMEOUT] and len(module.events_of(i.Left)) == 1
             assert not gateway.host.requests and gateway.host.unanswered_count == 0
@@ -659,7 +662,7 @@
         run(test(pauses))
 
 
-def test_an_error_in_the_module_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_error_in_the_decision_module_loses_no_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request) and event.cls == 0:
@@ -674,8 +677,8 @@
             platform_gateway(endpoint, react=react) as (gateway, _),
             GatewayClient(gateway.server) as client,
         ):
-            assert (await client.send_request(0)).status == 503  # it never ran, so this is true
-            assert (await client.send_request(2)).status == 502  # it may have run
+            assert (await client.send_request(0)).status == 503  # it was not executed
+            assert (await client.send_request(2)).status == 502  # it may have been executed
             assert (await client.send_request(2)).status == 200
             assert not gateway.host.requests
 
@@ -687,7 +690,7 @@
 
 
 def test_timers_never_fire_early() -> None:
-    """The module forgets a timer that fires early, and would then stand still until its next event."""
+    """The decision module drops a timer that fires early and would then wait for its next event."""
 
     async def test() -> None:
         due: dict[int, float] = {}
@@ -712,7 +715,7 @@
     run(test())
 
 
-def test_descriptors_are_bounded_and_surplus_clients_are_refused() -> None:
+def test_client_connections_are_bounded_and_surplus_clients_are_refused() -> None:
     async def test() -> None:
         async with platform_gateway("127.0.0.1:1", react=lambda event: []) as (gateway, module):
             gateway.server.max_clients = 2
@@ -728,7 +731,7 @@
     run(test())
 
 
-def test_backend_connections_are_bounded_and_idle_ones_make_room() -> None:
+def test_backend_connections_are_bounded_and_idle_ones_are_replaced() -> None:
     async def test() -> None:
         def react(event: Any) -> list[i.Action]:
             if isinstance(event, i.Request):
@@ -746,16 +749,20 @@
         ):
             gateway.host.upstream.max_connections = 1
             assert (await client.send_request(0)).status == 200
-            client.writer.write(client.make_request(1))  # the idle connection to the first makes room
+            client.writer.write(
+                client.make_request(1)
+            )  # the idle connection to the first backend is closed for it
             await until(lambda: two.requests)
             await until(lambda: one.open_connections == 0)
-            assert (await other.send_request(2)).status == 502  # no room left: it never ran
+            assert (
+                await other.send_request(2)
+            ).status == 502  # no connection is free, so it was not executed
             assert module.outcomes() == [Outcome.OK, Outcome.FULL]
 
     run(test())
 
 
-def test_after_sigterm_it_serves_on_and_finishes_what_it_holds() -> None:
+def test_a_drain_serves_new_clients_for_a_while_and_finishes_open_requests() -> None:
     async def test() -> None:
         go = asyncio.Event()
 
@@ -776,14 +783,14 @@
             listening(backend.handle) as first,
             listening(slow) as second,
             platform_gateway(first, second, react=react) as (gateway, module),
-            GatewayClient(gateway.server) as held,
+            GatewayClient(gateway.server) as slow_client,
             GatewayClient(gateway.server) as client,
         ):
-            waiting = asyncio.create_task(held.send_request(2))
+            waiting = asyncio.create_task(slow_client.send_request(2))
             await until(lambda: module.events_of(i.Request))
             drained = asyncio.create_task(gateway.drain())
             await asyncio.sleep(0)
-            async with GatewayClient(gateway.server) as late:  # connections go on coming for a while
+            async with GatewayClient(gateway.server) as late:  # new connections are accepted for a while
                 assert (await late.send_request()).status == 200
             assert (await client.send_request()).status == 200
             assert await client.reader.read() == b""  # closed between requests
@@ -795,7 +802,7 @@
     run(test())
 
 
-def test_what_cannot_finish_before_sigkill_gets_a_truthful_answer() -> None:
+def test_a_request_that_cannot_finish_before_sigkill_is_answered_with_504() -> None:
     async def test() -> None:
         backend = FakeBackend(lambda message: None)
         async with (
@@ -814,7 +821,7 @@
     run(test())
 
 
-def test_a_door_that_ends_gives_back_what_it_has_not_spent() -> None:
+def test_a_gateway_that_ends_returns_its_unspent_credit_to_the_counter() -> None:
     async def test() -> None:
         customer = in_mid_window()
         tally, backend = FakeCounter(), FakeBackend()
@@ -824,20 +831,20 @@
             platform_gateway(endpoint, counter=counter) as (gateway, _),
         ):
             async with GatewayClient(gateway.server, customer) as client:
-                for _ in range(4):  # a lease is for three: it keeps some of the second
+                for _ in range(4):  # a lease is for three requests, so some of the second is left
                     assert (await client.send_request()).status == 200
             (lease,) = gateway.host.gateway.leases.values()
             kept, before = lease.credits, sum(tally.totals.values())
             assert kept >= 1
-            gateway.host.finish_all()  # as at the end of a drain; credit that stands idle goes back anyway
+            gateway.host.finish_all()  # as at the end of a drain; unused credit is also returned without it
             await until(lambda: sum(tally.totals.values()) < before)
             assert sum(tally.totals.values()) == pytest.approx(before - kept, abs=0.1)
 
     run(test())
 
 
-# Guards the leases against connections that break: what fails at once does not tell of a crowded counter.
-def test_calls_to_a_counter_go_on_at_their_pace_while_its_connections_break() -> None:
+# Broken connections must not slow down leasing: a call that fails at once is no sign of overload.
+def test_the_call_rate_to_a_counter_is_kept_while_its_connections_break() -> None:
     async def test() -> None:
         tally = FakeCounter(lambda number, call: b"?\r\n" if number % 4 == 3 else None)
         async with (
@@ -846,18 +853,18 @@
             platform_gateway(endpoint, counter=counter) as (gateway, _),
         ):
             decision_module = gateway.host.gateway
-            pace = decision_module.call_rate.rate
+            call_rate = decision_module.call_rate.rate
             for customer in range(1, 80):
                 async with GatewayClient(gateway.server, customer) as client:
                     assert (await client.send_request()).status == 200
             assert tally.total_connections > 6 and decision_module.counter_health.failing > 0
-            assert decision_module.call_rate.rate >= pace
+            assert decision_module.call_rate.rate >= call_rate
 
     run(test())
 
 
-def test_front_doors_name_a_lease_alike() -> None:
-    """Lease windows follow from Unix time: with a clock of its own a front door would lease other names."""
+def test_gateways_use_the_same_name_for_a_lease() -> None:
+    """Lease windows follow from Unix time: a gateway with its own clock would use other names."""
 
     async def test() -> None:
         customer = in_mid_window()
@@ -874,6 +881,6 @@
             assert (await second.send_request()).status == 200
             assert abs(gateway.host.last_time - time.time()) < 5
             names = [name for _, name, *_ in tally.calls]
-            assert len(names) >= 4 and len(set(names)) == 1  # each looks first, then leases
+            assert len(names) >= 4 and len(set(names)) == 1  # each reads the total first, then leases
 
     run(test())
