--- a/ivymux/data_plane/answer_policy.py
+++ b/ivymux/data_plane/answer_policy.py
@@ -21,8 +21,8 @@
     def outcome(self, status: int, not_started: bool) -> Outcome:
         """Return the outcome of an attempt with a complete answer.
 
-        In ordinary HTTP, 500, 502, 503 and 504 (RFC 9110, 15.6) mean that the backend failed; every other
-        status is a final answer.
+        If all statuses are passed on, 500, 502, 503 and 504 (RFC 9110, 15.6) mean that the backend failed,
+        and every other status is a final answer; else only 200 is.
         """
         if status in (503, 504) and not_started:
             return Outcome.FULL
--- a/ivymux/data_plane/host.py
+++ b/ivymux/data_plane/host.py
@@ -58,14 +58,16 @@
 class Host:
     """Connects one decision module with its clients, its backends, its timers and the counter."""
 
-    def __init__(self, gateway: Gateway, upstream: Upstream, refusal_log: RefusalLog | None = None) -> None:
+    def __init__(
+        self, decision_module: Gateway, upstream: Upstream, refusal_log: RefusalLog | None = None
+    ) -> None:
         """`refusal_log`: shared with other hosts; None: the host gets its own."""
-        self.gateway, self.upstream, self.answer_policy = gateway, upstream, upstream.answer_policy
+        self.decision_module, self.upstream = decision_module, upstream
+        self.answer_policy = upstream.answer_policy
         self.counter: Counter | None = None
-        self.wall_clock: Callable[[], float] = (
-            time.time
-        )  # or the time of a counter service that gateways share
-        self.limits = gateway.settings.limits
+        # Returns Unix time; replaced by the time of the counter service if gateways share one.
+        self.wall_clock: Callable[[], float] = time.time
+        self.limits = decision_module.settings.limits
         self.loop = asyncio.get_running_loop()
         self.requests: dict[int, OpenRequest] = {}
         self.events: deque[i.Event] = deque()
@@ -104,14 +106,13 @@
 
     def handle_event(self, event: i.Event) -> None:
         """Let the decision module handle an event, then execute its actions."""
-        gateway = self.gateway
-        failed = False
+        has_failed = False
         try:
-            actions = gateway.handle(self.current_time(), event)
+            actions = self.decision_module.handle(self.current_time(), event)
         except Exception:
             # The actions decided before the error are still executed, so that other requests go on.
             log.exception("the decision module failed on %s", type(event).__name__)
-            actions, failed = gateway.actions, True
+            actions, has_failed = self.decision_module.actions, True
         for action in actions:
             try:
                 self.execute(action)
@@ -119,7 +120,7 @@
                 log.exception("could not execute %s", type(action).__name__)
                 if isinstance(action, i.Send | i.Refuse | i.Fail):
                     self.fail_request(action.request)
-        if failed and isinstance(event, i.Request | i.Finished):
+        if has_failed and isinstance(event, i.Request | i.Finished):
             self.fail_request(event.request)
 
     def fail_request(self, number: int) -> None:
@@ -136,7 +137,7 @@
     def submit(
         self, call: Call, reply: Callable[[Answer], None], on_finished: Callable[[], None]
     ) -> OpenRequest:
-        """Accept a request.
+        """Start handling a request.
 
         `reply` is called with its answer; `on_finished` once it is answered and has no attempts in flight.
         """
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -160,7 +160,7 @@
     assert set(storm.statuses) <= {200, 500, 502, 503, 504}
     assert max(end - began - pauses.total_within(began, end) for began, end in storm.asked) < DEADLINE + 0.5
     assert storm.statuses[200] > 0.7 * REQUESTS
-    assert door.host.gateway.settings.classes == tuple(door.classes.listed)
+    assert door.host.decision_module.settings.classes == tuple(door.classes.listed)
     repeated = 0
     for name, effect in storm.effects.items():
         runs, seen = fleet.runs[name], fleet.seen[name]
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -302,7 +302,7 @@
     gateway = PlatformGateway(config(known, counter, **changes))
     module = FakeDecisionModule(react or (lambda event: []))
     if react is not None:
-        gateway.host.gateway = module  # type: ignore[assignment]
+        gateway.host.decision_module = module  # type: ignore[assignment]
     await gateway.start()
     try:
         yield gateway, module
--- a/tests/tally/test_four_doors.py
+++ b/tests/tally/test_four_doors.py
@@ -160,7 +160,7 @@
     async def test() -> None:
         async with run_four_gateways(tmp_path, LOADS) as cluster:
             loop = asyncio.get_running_loop()
-            deciders = [gateway.host.gateway for gateway in cluster.gateways]
+            deciders = [gateway.host.decision_module for gateway in cluster.gateways]
             # The flood keeps the bucket empty, so nothing overflows: the total is what was admitted.
             load = asyncio.create_task(cluster.generate_load(FLOODING, 5 * RATE, (1, 1, 1, 1), 45.0))
             await cluster.sleep_until(4.0)
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -550,7 +550,7 @@
             GatewayClient(gateway.server) as client,
             GatewayClient(gateway.server) as other,
         ):
-            decision_module = gateway.host.gateway
+            decision_module = gateway.host.decision_module
             asked = asyncio.ensure_future(client.send_request(1, Idempotency_Key="costly"))
             await until(lambda: costly)
             sent = time.monotonic()
@@ -610,7 +610,7 @@
             ),
             GatewayClient(gateway.server) as client,
         ):
-            gateway.host.gateway.class_latency[0] = gateway.host.gateway.latency = 0.02
+            gateway.host.decision_module.class_latency[0] = gateway.host.decision_module.latency = 0.02
             answer = await client.send_request()
             assert (answer.status, answer.body) == (200, b"done")
             assert len(seen) == 2 and seen[0] is not seen[1] and seen[0].open_connections == 0
@@ -833,7 +833,7 @@
             async with GatewayClient(gateway.server, customer) as client:
                 for _ in range(4):  # a lease is for three requests, so some of the second is left
                     assert (await client.send_request()).status == 200
-            (lease,) = gateway.host.gateway.leases.values()
+            (lease,) = gateway.host.decision_module.leases.values()
             kept, before = lease.credits, sum(tally.totals.values())
             assert kept >= 1
             gateway.host.finish_all()  # as at the end of a drain; unused credit is also returned without it
@@ -852,7 +852,7 @@
             listening(FakeBackend().handle) as endpoint,
             platform_gateway(endpoint, counter=counter) as (gateway, _),
         ):
-            decision_module = gateway.host.gateway
+            decision_module = gateway.host.decision_module
             call_rate = decision_module.call_rate.rate
             for customer in range(1, 80):
                 async with GatewayClient(gateway.server, customer) as client:
