--- a/ivymux/fault_injection/guard.py
+++ b/ivymux/fault_injection/guard.py
@@ -43,6 +43,8 @@
 
 @dataclass(slots=True)
 class Guard:
+    """The counts of all proxies that report, and the decision on them."""
+
     proxies: dict[str, ProxyCounts] = field(default_factory=dict)
 
     def report(
--- a/ivymux/fault_injection/request_matcher.py
+++ b/ivymux/fault_injection/request_matcher.py
@@ -77,6 +77,7 @@
         self.index_by_caller()
 
     def index_by_caller(self) -> None:
+        """Rebuild `active_by_caller` after a change of trials or keys."""
         self.active_by_caller = {}
         for active in self.active.values():
             trial = active.trial
--- a/ivymux/fault_injection/trial_set.py
+++ b/ivymux/fault_injection/trial_set.py
@@ -19,13 +19,13 @@
 from ivymux.routing_config.route_plan import RoutePlan
 
 REFUSE, DELAY, LOSE, CLOSE = "refuse", "delay", "lose", "close"
-DOES = {
+FAULTS = {  # what happens to a request, by the value of `does`
     REFUSE: "refused before it is sent",
     DELAY: "held for `delay`, then served",
     LOSE: "run, and its answer lost",
     CLOSE: "its connection closed before it is sent",
 }
-STATUSES = (429, 503)  # those that tell a client that its request has not run
+REFUSAL_STATUSES = (429, 503)  # those that tell a client that its request has not run
 MAX_RUNNING = 16
 MAX_ENCODED_CHARS = 24 << 10  # of the set; over it, the oldest ended trials are dropped
 MAX_DOCUMENT_BYTES = 8 << 10  # of what an operator sends
@@ -39,7 +39,7 @@
 DIGEST = re.compile(r"[0-9a-f]{12,64}", re.ASCII)
 DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s|m)", re.ASCII)
 UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0}
-DONE = "its time is over"
+EXPIRED = "its time is over"  # why a trial ended by itself
 
 
 class TrialError(ValueError):
@@ -206,9 +206,9 @@
             f"caller: {document.caller[:60]!r} is no tenant of version {plan.version};"
             " name one tenant of tenant_table (there is no trial of all)"
         )
-    if document.does not in DOES:
-        raise TrialError(f"does: {document.does[:20]!r}; write {', '.join(DOES)}")
-    if document.status not in STATUSES:
+    if document.does not in FAULTS:
+        raise TrialError(f"does: {document.does[:20]!r}; write {', '.join(FAULTS)}")
+    if document.status not in REFUSAL_STATUSES:
         raise TrialError(f"status: {document.status}; write 429 or 503: they promise that nothing has run")
     if isinstance(document.share, bool) or not 0 < document.share <= 1:
         raise TrialError(f"share: {document.share}; write more than 0 and 1 at most")
--- a/ivymux/registry/backend_records.py
+++ b/ivymux/registry/backend_records.py
@@ -124,6 +124,7 @@
         return changed
 
     def record_change(self, record: BackendRecord) -> None:
+        """Number a change of a record and log it."""
         self.last_change += 1
         record.change_number = self.last_change
         self.change_log.append((self.last_change, record.id))
@@ -147,10 +148,12 @@
         return [self.encode_record(self.records[id], now) for id in ids if id in self.records]
 
     def encode_all(self, now: float) -> list[list[Any]]:
+        """All records as messages to proxies carry them."""
         return [self.encode_record(record, now) for record in self.records.values()]
 
 
 def required_text(body: Any, name: str) -> str:
+    """A field of a heartbeat that must be a text.  Raises CallError."""
     value = body.get(name) if isinstance(body, dict) else None
     if not isinstance(value, str) or not value or len(value) > MAX_TEXT_CHARS:
         raise CallError(f"{name}: write a text of 1 to 256 signs")
@@ -158,6 +161,7 @@
 
 
 def whole_number(body: Any, name: str, default: int) -> int:
+    """A field of a heartbeat that must be a whole number, not negative.  Raises CallError."""
     value: object = body.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_NUMBER:
         raise CallError(f"{name}: write a whole number of 0 or more")
--- a/ivymux/registry/outlier_detection.py
+++ b/ivymux/registry/outlier_detection.py
@@ -77,6 +77,7 @@
         return found.ejection_s
 
     def drop_old(self, now: float) -> None:
+        """Drop the backends without a recent ejection."""
         self.backends = {
             id: found for id, found in self.backends.items() if found.ejected_until + REPEAT_WINDOW_S > now
         }
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -31,7 +31,14 @@
 from ivymux.routing_config.route_plan import MAX_TEXT_BYTES, RoutingConfigError
 from ivymux.runtime.log import Log
 from ivymux.runtime.settings import Settings
-from ivymux.transport.connection import Connection, Connector, Listener, TransportError
+from ivymux.transport.connection import (
+    CALL_NUMBER,
+    REPLY_TO,
+    Connection,
+    Connector,
+    Listener,
+    TransportError,
+)
 from ivymux.transport.frames import Message, encode_frame
 from ivymux.transport.http_calls import (
     JSON,
@@ -106,6 +113,8 @@
 
 
 class Registry(TrialEndpoints):
+    """The registry of one core machine."""
+
     def __init__(self, settings: Settings) -> None:
         self.max_trial_s = settings.max_trial_s
         self.settings = settings
@@ -149,13 +158,14 @@
         self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Raises OSError."""
+        """Listen for proxies and HTTP calls.  Raises OSError."""
         await self.listener.start(Address(self.settings.ip, self.settings.registry_port))
         await self.server.start()
         self.expiry_task = asyncio.get_running_loop().create_task(self.expire_backends())
         log.info(f"takes calls on {self.server.listen.host}:{self.server.listen.port}.")
 
     async def expire_backends(self) -> None:
+        """Tell the proxies of backends whose heartbeats have stopped."""
         while not self.is_stopping:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             before = self.backends.last_change
@@ -178,7 +188,7 @@
             connection.abort()
 
     def handle_message(self, connection: Connection, message: Message) -> None:
-        """Raises KeyError, TypeError or ValueError if the message is invalid."""
+        """Handle one message.  Raises KeyError, TypeError or ValueError if it is invalid."""
         kind = message["k"]
         if kind == kinds.HELLO:
             self.add_proxy(connection, message)
@@ -206,18 +216,19 @@
                 self.spawn(self.forward_call(connection, message))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a forwarded call in a task of its own."""
         task = asyncio.get_running_loop().create_task(work)
         self.forwarded_calls.add(task)
         task.add_done_callback(self.forwarded_calls.discard)
 
     async def forward_call(self, connection: Connection, message: Message) -> None:
         """Forward a proxy's call about an action to the config store, and its reply back."""
-        call = {key: value for key, value in message.items() if key != "n"}
+        call = {key: value for key, value in message.items() if key != CALL_NUMBER}
         try:
             reply = await self.config_store.call(call, FORWARD_TIMEOUT_S)
         except TransportError:
             reply = {"ok": False}
-        connection.answer(message, **{key: value for key, value in reply.items() if key != "re"})
+        connection.answer(message, **{key: value for key, value in reply.items() if key != REPLY_TO})
 
     def on_failure_report(self, proxy: ConnectedProxy, id: str, failures: int) -> None:
         """Take a proxy's report of failures of a backend.  Raises ValueError if it is invalid."""
@@ -268,6 +279,7 @@
         self.announce(proxy, True)
 
     def on_disconnect(self, connection: Connection) -> None:
+        """Forget a proxy's connection; calls no longer wait for its acknowledgements."""
         proxy = self.proxies.pop(connection, None)
         if proxy is None:
             return
@@ -295,6 +307,7 @@
                 self.announce_timer = asyncio.get_running_loop().call_later(delay, self.send_announcements)
 
     def send_announcements(self) -> None:
+        """Send the collected announcements to all connected proxies."""
         self.announce_timer, self.announced_at = None, time.monotonic()
         announced, self.unannounced = self.unannounced, {}
         joined = [proxy.encode(self.announced_at) for proxy, has_joined in announced.values() if has_joined]
@@ -338,6 +351,7 @@
         return self.reachability.is_sufficient(reached, time.monotonic())
 
     def release_ack_waiters(self, proxy: ConnectedProxy) -> None:
+        """Wake calls that wait for a change that the proxy has acknowledged."""
         due = [entry for entry in proxy.ack_waiters if entry[0] <= proxy.acked_change]
         proxy.ack_waiters = [entry for entry in proxy.ack_waiters if entry[0] > proxy.acked_change]
         for _, waiter in due:
@@ -353,6 +367,7 @@
         self.apply_waiters.remove((version, waiter))
 
     def release_apply_waiters(self) -> None:
+        """Wake calls that wait for a configuration that all proxies have in force."""
         lowest = min((proxy.config_version for proxy in self.proxies.values()), default=1 << 62)
         for version, waiter in self.apply_waiters:
             if version <= lowest and not waiter.done():
@@ -361,6 +376,7 @@
     # --- messages of the config store ----------------------------------------------------------------------
 
     def on_config_store_message(self, connection: Connection, message: Message) -> None:
+        """Take a newer configuration, setting or list of core machines, and pass it on to the proxies."""
         kind = message.get("k")
         if kind == kinds.CONFIG:
             version, text = int(message["v"]), str(message["t"])
@@ -424,6 +440,7 @@
 
     @endpoint("PUT", "/configuration")
     async def put_configuration(self, request: HttpRequest) -> Answer:
+        """Check a configuration and have the config store take it."""
         from ivymux.routing_config.validation import parse_route_plan  # slow to import: not at the start
 
         try:
@@ -457,6 +474,7 @@
 
     @endpoint("GET", "/configuration")
     async def get_configuration(self, request: HttpRequest) -> Answer:
+        """The newest configuration, as the config store's leader knows it."""
         try:
             reply = await self.config_store.call({"k": kinds.CONFIG_READ}, CONFIG_READ_TIMEOUT_S)
         except TransportError as error:
@@ -471,6 +489,7 @@
 
     @endpoint("PUT", "/conversations")
     async def put_conversations(self, request: HttpRequest) -> Answer:
+        """Check the settings of conversations and have the config store take them."""
         from ivymux.idempotency.settings import ConversationSettingsError
         from ivymux.idempotency.validation import read  # slow to import: not at the start
 
--- a/ivymux/registry/trial_endpoints.py
+++ b/ivymux/registry/trial_endpoints.py
@@ -18,6 +18,7 @@
     loaded_trial_service: TrialService | None = None
 
     def trial_service(self) -> TrialService:
+        """The service, imported and created on first use."""
         if self.loaded_trial_service is None:
             from ivymux.registry.trial_service import TrialService
 
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -67,6 +67,8 @@
 
 @dataclass(slots=True)
 class TrialService:
+    """The trials of one registry."""
+
     registry: Registry
     max_trial_s: float
     trials: TrialSet = field(default_factory=TrialSet)
@@ -135,13 +137,13 @@
             names = trial_set.expired_trials(self.trials, now)
             if trip_reason:
                 names = [trial.name for trial in self.trials.running]
-            why = f"guard: {trip_reason}" if trip_reason else trial_set.DONE
+            why = f"guard: {trip_reason}" if trip_reason else trial_set.EXPIRED
             for name in names:
                 try:
                     await self.end_trial(name, ENDED_BY_SYSTEM, why)
                 except TrialError:
                     continue  # ended by another registry, or there is no leader: the next round tries again
-                log.info(f"trial {name} is ended: {trip_reason or trial_set.DONE}.")
+                log.info(f"trial {name} is ended: {trip_reason or trial_set.EXPIRED}.")
 
     async def end_trial(self, name: str, by: str, why: str) -> Trial:
         """End one trial and return it.  Raises TrialError."""
@@ -274,6 +276,7 @@
         return json_answer(trial_set.describe(ended))
 
     async def handle_list(self) -> Answer:
+        """Describe all trials, running and past."""
         trials = await self.read_trials()
         if trials is None:
             return error_answer(503, UNAVAILABLE)
@@ -286,6 +289,7 @@
         )
 
     async def handle_get(self, name: str) -> Answer:
+        """Describe one trial."""
         trials = await self.read_trials()
         if trials is None:
             return error_answer(503, UNAVAILABLE)
--- a/ivymux/routing_config/route_plan.py
+++ b/ivymux/routing_config/route_plan.py
@@ -86,6 +86,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
+    """A compiled route."""
+
     name: str
     host: str
     path_prefix: str
@@ -109,6 +111,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
+    """A compiled service."""
+
     name: str
     health_path: str
     max_connections: int  # from all callers together; 0: the limit is unknown
@@ -116,6 +120,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A compiled tenant; its keys are in `RoutePlan.tenant_by_key`."""
+
     name: str
     precedence: int
     rate_per_s: float  # of requests; 0: no limit
@@ -163,12 +169,14 @@
 
 
 def required_text(value: object, where: str) -> str:
+    """Raises RoutingConfigError."""
     if not isinstance(value, str):
         raise RoutingConfigError(f"{where}: {value!r} is no text")
     return value
 
 
 def required_number(value: object, where: str) -> Any:
+    """Raises RoutingConfigError."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise RoutingConfigError(f"{where}: {value!r} is no number")
     return value
--- a/ivymux/runtime/clock.py
+++ b/ivymux/runtime/clock.py
@@ -11,6 +11,8 @@
 
 
 class SystemClock:
+    """A proxy's estimate of system time."""
+
     def __init__(self, unix: float, steady: float) -> None:
         """Start from the local wall clock, until a registry reports its time."""
         self.offset = unix - steady
--- a/ivymux/runtime/log.py
+++ b/ivymux/runtime/log.py
@@ -33,6 +33,7 @@
 
 
 def start() -> None:
+    """Send this process's log to standard output."""
     add_destinations(LineWriter())
 
 
--- a/ivymux/runtime/settings.py
+++ b/ivymux/runtime/settings.py
@@ -34,6 +34,8 @@
 
 @dataclass
 class ProcessLimits:
+    """What the platform lets the process use."""
+
     cpu_quota: int | float = 1
     memory_mb: int | float = 256
     fd_limit: int = 1024
@@ -53,6 +55,8 @@
 
 @dataclass
 class NetworkTable:
+    """The addresses and ports of this process, and the core machines and zones it starts from."""
+
     listen_addrs: dict[str, str]
     inner_port_range: list[int]
     seed_nodes: list[str]
@@ -61,11 +65,15 @@
 
 @dataclass
 class PlatformTable:
+    """What the platform does by itself: how often its backends send heartbeats."""
+
     beat_period: str = "1500ms"
 
 
 @dataclass
 class TermsTable:
+    """The bounds that the platform holds the system to."""
+
     timing_bounds: dict[str, Any] = field(default_factory=dict)
 
 
--- a/ivymux/transport/connection.py
+++ b/ivymux/transport/connection.py
@@ -157,6 +157,7 @@
             self.on_disconnect(self)
 
     def abort(self) -> None:
+        """Close the connection at once, also while it is being established."""
         self.is_aborted = True
         if self.transport is not None:
             self.transport.abort()
@@ -193,6 +194,7 @@
         return self.connection is not None and self.connection.is_connected
 
     async def keep_connected(self) -> None:
+        """Connect, wait for the connection's end, and start again until closed."""
         loop = asyncio.get_running_loop()
         while not self.is_closed:
             disconnected = asyncio.Event()
--- a/ivymux/transport/http_calls.py
+++ b/ivymux/transport/http_calls.py
@@ -146,6 +146,7 @@
         self.failed_calls = 0
 
     def as_host(self) -> Host:
+        """This object under the type that `Server` asks for."""
         return cast("Host", self)
 
     def submit(self, call: Call, reply: Callable[[Answer], None], release: Callable[[], None]) -> Any:
@@ -159,6 +160,7 @@
     async def handle(
         self, call: HttpCall, reply: Callable[[Answer], None], release: Callable[[], None]
     ) -> None:
+        """Run the handler; a failure or timeout is answered with 503."""
         assert call.handler is not None and call.request is not None
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
