--- a/ivymux/data_plane/frontend.py
+++ b/ivymux/data_plane/frontend.py
@@ -80,12 +80,18 @@
         """Return the answer to a request for the gateway itself, such as its readiness, else None."""
 
     def accept(
-        self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
+        self,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: list[bytes],
+        received_at: float,
+        peer_address: str,
     ) -> Call | Answer:
         """Validate a request; return it as a call, or its answer if it needs no backend.
 
-        `began`: monotonic time of its first byte; `peer`: the client's address.  Raises BadRequest for
-        requests that must reach neither the decision module nor a backend.
+        `received_at`: monotonic time of its first byte.  Raises BadRequest for requests that must reach
+        neither the decision module nor a backend.
         """
 
     def refusal(self, error: BadRequest) -> Answer:
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -39,7 +39,13 @@
         return Answer(200, b"ready\n", b"text/plain") if self.ready() else Answer(503, retry_after=1.0)
 
     def accept(
-        self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
+        self,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: list[bytes],
+        received_at: float,
+        peer_address: str,
     ) -> Call | Answer:
         raise BadRequest("no tenant has this host name", 421)
 
--- a/ivymux/platform/frontend.py
+++ b/ivymux/platform/frontend.py
@@ -36,10 +36,16 @@
         return Answer(200 if self.is_ready() else 503) if target == b"/-/ready" else None
 
     def accept(
-        self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
+        self,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: list[bytes],
+        received_at: float,
+        peer_address: str,
     ) -> Call | Answer:
         terms = self.terms_reader.read(method, target, headers)
-        deadline = began + terms.timeout
+        deadline = received_at + terms.timeout
         content = b"".join(body)
         head = b"%s %s HTTP/1.1\r\n" % (method, target) + b"".join(
             b"%s: %s\r\n" % pair for pair in headers if pair[0] not in HOP_BY_HOP
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -66,7 +66,13 @@
         self.max_body_bytes = plan.client_limits.max_body_bytes
 
     def accept(
-        self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
+        self,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: list[bytes],
+        received_at: float,
+        peer_address: str,
     ) -> Call | Answer:
         plan = self.plan
         if plan is None:
@@ -106,7 +112,7 @@
             dropped.add(b"authorization")
         found = MILLISECONDS.fullmatch(left)
         wait = min(route.deadline_s, int(found[1]) / 1000) if found else route.deadline_s
-        end = began + wait
+        end = received_at + wait
         draw = int.from_bytes(blake2b(name or target, digest_size=8).digest(), "big") / 2**64
         content = b"".join(body)
         claim, home, name_of = None, 0, ""
--- a/ivymux/proxy/status_pages.py
+++ b/ivymux/proxy/status_pages.py
@@ -30,7 +30,13 @@
         return page() if page is not None else Answer(404)
 
     def accept(
-        self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
+        self,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: list[bytes],
+        received_at: float,
+        peer_address: str,
     ) -> Call | Answer:
         raise BadRequest("nothing else here", 404)
 
--- a/ivymux/service/frontend.py
+++ b/ivymux/service/frontend.py
@@ -36,9 +36,9 @@
 
 
 @lru_cache(maxsize=4096)
-def forwarded_alone(peer: str, host: bytes) -> bytes:
+def forwarded_alone(peer_address: str, host: bytes) -> bytes:
     """The fields for a client that is no trusted proxy; there are few peers and hosts."""
-    return forwarded(peer, host, [])
+    return forwarded(peer_address, host, [])
 
 
 class Finds(Protocol):
@@ -67,9 +67,9 @@
         networks = [ip_network(text) for text in trusted]
 
         @lru_cache(maxsize=4096)
-        def trusts(peer: str) -> bool:
+        def trusts(peer_address: str) -> bool:
             try:
-                address = ip_address(peer)
+                address = ip_address(peer_address)
             except ValueError:
                 return False
             return any(address in network for network in networks)
@@ -85,13 +85,19 @@
     # --- requests ------------------------------------------------------------------------------------
 
     def accept(
-        self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
+        self,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: list[bytes],
+        received_at: float,
+        peer_address: str,
     ) -> Call | Answer:
-        return self.take_of(None, method, target, headers, body, began, peer)
+        return self.take_of(None, method, target, headers, body, received_at, peer_address)
 
     def take_of(
         self, caller: Caller | None, method: bytes, target: bytes, headers: Headers, body: list[bytes],
-        began: float, peer: str,
+        received_at: float, peer_address: str,
     ) -> Call | Answer:  # fmt: skip
         """A request whose caller is known already, or (None) told by its headers."""
         host = self.host(headers)
@@ -117,17 +123,17 @@
         host = read.authority or host
         request_id = self.request_id(headers)
         sent = read.path if read.query is None else read.path + b"?" + read.query
-        if self.trusts(peer):
-            set_here = forwarded(peer, host, [p for p in headers if p[0] in FORWARDED])
+        if self.trusts(peer_address):
+            set_here = forwarded(peer_address, host, [p for p in headers if p[0] in FORWARDED])
         else:
-            set_here = forwarded_alone(peer, host)
+            set_here = forwarded_alone(peer_address, host)
         head = b"%s %s HTTP/1.1\r\nhost: %s\r\n%s%srequest-id: %s\r\nivymux-customer: %s\r\n" % (
             method, sent, host, b"".join([b"%s: %s\r\n" % pair for pair in fields]), set_here, request_id,
             caller.field,
         )  # fmt: skip
         if content or method not in NO_BODY:
             head += b"content-length: %d\r\n" % len(content)
-        end = began + operation.deadline
+        end = received_at + operation.deadline
         classes, number = self.table.classes, decision.cls
 
         def payload(left: float) -> bytes:
--- a/ivymux/transport/http_calls.py
+++ b/ivymux/transport/http_calls.py
@@ -90,7 +90,13 @@
         return None
 
     def accept(
-        self, method: bytes, target: bytes, headers: Headers, body: list[bytes], began: float, peer: str
+        self,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: list[bytes],
+        received_at: float,
+        peer_address: str,
     ) -> Call | Answer:
         path = target.partition(b"?")[0]
         path_is_known = False
