--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -190,7 +190,8 @@
         self.last_received_at = time.monotonic()
         try:
             # A failed machine never closes its connections, so silence ends the watch too.  An agent that
-            # was asked for the list while discovery was down never answers, so it is soon asked again.
+            # was asked for the list while discovery was down never answers and counts what it receives later
+            # as sent already, so a new connection has to ask soon.
             while (time_left := self.last_received_at + watch.silence_timeout() - time.monotonic()) > 0:
                 await asyncio.wait([watch.closed], timeout=time_left)
                 if watch.closed.done():
