--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -96,7 +96,7 @@
     def take() -> tuple[NameTables, RoutePlan]:
         tables = NameTables()
         plan = parse_route_plan(text)
-        tables.enter(plan)
+        tables.update(plan)
         return tables, plan
 
     _, spent = timed(take)
--- a/ivymux/proxy/answer_policy.py
+++ b/ivymux/proxy/answer_policy.py
@@ -1,4 +1,4 @@
-"""What a backend's answer means to a door of the system, and what its client is told in the end.  Pure."""
+"""How a proxy interprets backends' answers, and which status a client gets.  Pure."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from ivymux.data_plane.answer_policy import AnswerPolicy
 from orchidhill.interface import Outcome
 
-SEAL = b"server-seal"
-NOT_RUN = b"not-executed"
-ID = b"try-id"
-PROMISES = (408, 421, 429, 503)  # to a client they say that its request has not run
+SEAL_HEADER = b"server-seal"
+NOT_RUN_HEADER = b"not-executed"
+REQUEST_ID_HEADER = b"try-id"
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # which tell a client that its request has not been executed
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyAnswerPolicy(AnswerPolicy):
     def outcome(self, status: int, not_started: bool) -> Outcome:
-        """Only `Not-Executed` and 421 say that a backend did not run a request."""
+        """Only `Not-Executed` and 421 mean that a backend did not execute a request."""
         if status == 421 or (not_started and status in (400, 408, 429, 503)):
             return Outcome.FULL
-        return Outcome.ERROR if status >= 500 or status in PROMISES else Outcome.OK
+        return Outcome.ERROR if status >= 500 or status in NOT_RUN_STATUSES else Outcome.OK
 
     def is_valid(self, status: int, headers: list[tuple[bytes, bytes]]) -> bool:
-        """A success carries its backend's seal and the backend's own bytes, and names its request."""
+        """Whether a success has its backend's seal, its request's id, and an unencoded body."""
         if not 200 <= status < 300:
             return True
         names = {name for name, _ in headers}
-        return SEAL in names and ID in names and b"content-encoding" not in names
+        return SEAL_HEADER in names and REQUEST_ID_HEADER in names and b"content-encoding" not in names
 
     def client_status(self, status: int) -> int:
-        """A backend's status that promises more than the backend knows reaches no client."""
-        return 502 if status in PROMISES else status
+        """Replace a status that would promise more to the client than the backend knows."""
+        return 502 if status in NOT_RUN_STATUSES else status
 
     def refusal_status(self, over_quota: bool, last_outcome: Outcome | None) -> int:
         if last_outcome is not None and not last_outcome.never_ran:
@@ -38,5 +38,12 @@
         return 429 if over_quota else 503
 
 
-def proxy_answer_policy(most_body: int, held: int) -> ProxyAnswerPolicy:
-    return ProxyAnswerPolicy(True, most_body, held, NOT_RUN, ID, True)
+def proxy_answer_policy(max_body_bytes: int, max_held_bytes: int) -> ProxyAnswerPolicy:
+    return ProxyAnswerPolicy(
+        passes_all_statuses=True,
+        max_body_bytes=max_body_bytes,
+        max_held_bytes=max_held_bytes,
+        not_run_header=NOT_RUN_HEADER,
+        request_id_header=REQUEST_ID_HEADER,
+        requires_framing=True,
+    )
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -1,4 +1,4 @@
-"""A door's connection to one core machine's registry: what it hears there, and what it asks for."""
+"""A proxy's connection to one core machine's registry: membership, configuration, replicated settings."""
 
 from __future__ import annotations
 
@@ -14,105 +14,123 @@
 if TYPE_CHECKING:
     from ivymux.proxy.program import Proxy
 
-NEAR_FIRST = 0.1  # seconds for which a door waits for the configuration from its own zone
-MAX_SHUN = 10.0  # seconds for which a door leaves a backend alone by the core's word
+SAME_ZONE_DELAY_S = 0.1  # for which a core machine of the same zone is preferred to send the configuration
+MAX_EJECTION_S = 10.0  # for which the core may have a backend ejected
 
 log = Log("proxy")
 
 
 class CoreConnection:
-    """The connection to one core machine's registry."""
-
-    def __init__(self, door: Proxy, ip: str) -> None:
-        self.door, self.ip = door, ip
-        self.version, self.zone = -1, ""
-        self.asked_at = 0.0
-        address = Address(ip, door.settings.registry_port)
-        self.line = Connector(address, self.heard, on_connect=self.up, on_disconnect=self.down)
-
-    def up(self, line: Connection) -> None:
-        source = self.door.membership.registry(self.ip)
-        settings = self.door.settings
-        line.send(
-            {"k": "door", "id": self.door.id, "ip": settings.ip, "port": settings.proxy_port,
-             "zone": settings.zone, "run": source.incarnation_id, "n": source.last_sequence,
-             "age": self.door.age()}
+    def __init__(self, proxy: Proxy, ip: str) -> None:
+        self.proxy, self.ip = proxy, ip
+        self.config_version, self.zone = -1, ""  # as the registry reports them
+        address = Address(ip, proxy.settings.registry_port)
+        self.connector = Connector(
+            address, self.on_message, on_connect=self.on_connect, on_disconnect=self.on_disconnect
+        )
+
+    @property
+    def is_connected(self) -> bool:
+        return self.connector.is_connected
+
+    def on_connect(self, connection: Connection) -> None:
+        """Introduce this proxy; the registry answers with a snapshot."""
+        registry = self.proxy.membership.registry(self.ip)
+        settings = self.proxy.settings
+        connection.send(
+            {"k": "door", "id": self.proxy.id, "ip": settings.ip, "port": settings.proxy_port,
+             "zone": settings.zone, "run": registry.incarnation_id, "n": registry.last_sequence,
+             "age": self.proxy.core_connected_seconds()}
         )  # fmt: skip
 
-    def down(self, line: Connection) -> None:
-        if self.door.membership.registry(self.ip).connected:
-            self.door.membership.on_disconnected(self.ip, time.monotonic())
-            self.door.clock.remove_source(self.ip)
-            self.door.changed()
+    def on_disconnect(self, connection: Connection) -> None:
+        if self.proxy.membership.registry(self.ip).connected:
+            self.proxy.membership.on_disconnected(self.ip, time.monotonic())
+            self.proxy.clock.remove_source(self.ip)
+            self.proxy.on_membership_changed()
 
-    def heard(self, line: Connection, message: Message) -> None:
+    def on_message(self, connection: Connection, message: Message) -> None:
         try:
-            self.hear(line, message)
+            self.handle(connection, message)
         except (KeyError, TypeError, ValueError) as error:
-            self.door.spoilt += 1
-            if self.door.spoilt in (1, 10, 100, 1000):
-                log.info(f"a message that no registry sends ended its connection: {error}.")
-            line.abort()
+            self.proxy.malformed_messages += 1
+            if self.proxy.malformed_messages in (1, 10, 100, 1000):
+                log.info(f"closed a connection after a malformed message of a registry: {error}.")
+            connection.abort()
 
-    def hear(self, line: Connection, message: Message) -> None:
-        door, kind, now = self.door, message["k"], time.monotonic()
+    def handle(self, connection: Connection, message: Message) -> None:
+        """Handle a message by its kind.  Raises KeyError, TypeError or ValueError if it is malformed."""
+        proxy, kind = self.proxy, message["k"]
         if kind == "news":
-            if not door.membership.apply_changes(
-                self.ip, int(message["f"]), int(message["n"]), message["i"], now
-            ):
-                self.up(line)  # a gap: what is missing comes with its answer
-                return
-            door.changed()
-            line.send({"k": "ack", "n": message["n"]})
+            self.on_changes(connection, message)
         elif kind == "here":
-            self.zone, self.version = str(message["zone"]), int(message["v"])
-            door.clock.update(self.ip, float(message["t"]), now)
-            door.membership.apply_snapshot(
-                self.ip, str(message["run"]), int(message["n"]), message["whole"] is True, message["i"],
-                message["doors"], now,
-            )  # fmt: skip
-            door.meet(message["cores"])
-            door.changed()
-            line.send({"k": "ack", "n": message["n"]})
-            self.have()
-            self.want()
+            self.on_snapshot(connection, message)
         elif kind == "doors":
-            door.membership.update_proxies(self.ip, message["on"], message["off"], now)
-            door.changed()
+            joined, left = message["on"], message["off"]
+            proxy.membership.update_proxies(self.ip, joined, left, time.monotonic())
+            proxy.on_membership_changed()
         elif kind == "shun":
-            if number := door.number(str(message["id"])):
-                door.host.post(i.Shun(number, min(MAX_SHUN, float(message["for"]))))
+            if number := proxy.backend_number(str(message["id"])):
+                seconds = float(message["for"])
+                proxy.host.post(i.Shun(number, min(MAX_EJECTION_S, seconds)))
         elif kind == "cores":
-            door.meet(message["l"])
+            proxy.update_cores(message["l"])
         elif kind == "note":
-            door.note(str(message["name"]), str(message["t"]))
+            name, text = str(message["name"]), str(message["t"])
+            proxy.on_replicated_setting(name, text)
         elif kind == "config":
-            self.version = int(message["v"])
-            if self.version <= door.version:
-                self.have()
-            self.want()
+            self.config_version = int(message["v"])
+            if self.config_version <= proxy.config_version:
+                self.acknowledge_configuration()
+            self.request_configuration()
         elif kind == "text":
-            door.apply(int(message["v"]), str(message["t"]))
-            for core in door.cores.values():  # any of them may be the one that answers the operator
-                core.have()
+            version, text = int(message["v"]), str(message["t"])
+            proxy.apply_configuration(version, text)
+            for core in proxy.cores.values():  # any of them may be answering the operator
+                core.acknowledge_configuration()
+
+    def on_changes(self, connection: Connection, message: Message) -> None:
+        previous, sequence, backends = int(message["f"]), int(message["n"]), message["i"]
+        membership = self.proxy.membership
+        if not membership.apply_changes(self.ip, previous, sequence, backends, time.monotonic()):
+            self.on_connect(connection)  # changes are missing: request a snapshot
+            return
+        self.proxy.on_membership_changed()
+        connection.send({"k": "ack", "n": message["n"]})
+
+    def on_snapshot(self, connection: Connection, message: Message) -> None:
+        proxy, now = self.proxy, time.monotonic()
+        self.zone, self.config_version = str(message["zone"]), int(message["v"])
+        system_time = float(message["t"])
+        proxy.clock.update(self.ip, system_time, now)
+        incarnation_id, sequence = str(message["run"]), int(message["n"])
+        complete, backends, proxies = message["whole"] is True, message["i"], message["doors"]
+        proxy.membership.apply_snapshot(self.ip, incarnation_id, sequence, complete, backends, proxies, now)
+        proxy.update_cores(message["cores"])
+        proxy.on_membership_changed()
+        connection.send({"k": "ack", "n": message["n"]})
+        self.acknowledge_configuration()
+        self.request_configuration()
 
-    def have(self) -> None:
+    def acknowledge_configuration(self) -> None:
         """Acknowledge the configuration that is in force here."""
-        if self.door.version >= 0 and self.line.is_connected:
-            self.line.send({"k": "have", "v": self.door.version})
+        if self.proxy.config_version >= 0 and self.is_connected:
+            self.connector.send({"k": "have", "v": self.proxy.config_version})
 
-    def want(self, late: bool = False) -> None:
-        """Ask for a configuration that this door lacks: at its own zone's core machine first."""
-        door = self.door
-        if self.version <= door.version or not self.line.is_connected:
+    def request_configuration(self, is_delayed: bool = False) -> None:
+        """Request a newer configuration, from a core machine of the same zone first."""
+        proxy = self.proxy
+        if self.config_version <= proxy.config_version or not self.is_connected:
             return
-        near = any(c.zone == door.settings.zone and c.line.is_connected for c in door.cores.values())
-        if self.zone != door.settings.zone and near and not late:
-            door.loop.call_later(NEAR_FIRST, self.want, True)
+        zone = proxy.settings.zone
+        has_same_zone = any(core.zone == zone and core.is_connected for core in proxy.cores.values())
+        if self.zone != zone and has_same_zone and not is_delayed:
+            proxy.loop.call_later(SAME_ZONE_DELAY_S, self.request_configuration, True)
             return
         now = time.monotonic()
-        if now - door.asked_at < NEAR_FIRST and door.asked_version >= self.version:
-            door.loop.call_later(NEAR_FIRST, self.want, True)
+        requested_recently = now - proxy.configuration_requested_at < SAME_ZONE_DELAY_S
+        if requested_recently and proxy.requested_version >= self.config_version:
+            proxy.loop.call_later(SAME_ZONE_DELAY_S, self.request_configuration, True)
             return
-        door.asked_at, door.asked_version = now, self.version
-        self.line.send({"k": "want"})
+        proxy.configuration_requested_at, proxy.requested_version = now, self.config_version
+        self.connector.send({"k": "want"})
--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -256,21 +256,21 @@
         now = time.monotonic()
         if self.holders.find_holder(int(name), int(customer), now - check_number(since)) == self.me:
             count = Count(
-                name=int(name),
-                amount=check_number(amount),
-                expires=check_number(life),
-                call=int(call),
-                drained=check_number(drained),
-                since=check_number(since),
-                customer=int(customer),
-                rate=check_non_negative(rate),
-                burst=check_non_negative(burst),
-                span=check_non_negative(span, MAX_SPAN_S),
-                seed=check_non_negative(seed),
-                known=check_number(known[0]) if known else 0.0,
-                knew=int(known[1]) if known else 0,
-                late=check_non_negative(late),
-                spread=check_non_negative(spread, MAX_SPAN_S),
+                int(name),
+                check_number(amount),
+                check_number(life),
+                int(call),
+                check_number(drained),
+                check_number(since),
+                int(customer),
+                check_non_negative(rate),
+                check_non_negative(burst),
+                check_non_negative(span, MAX_SPAN_S),
+                check_non_negative(seed),
+                check_number(known[0]) if known else 0.0,
+                int(known[1]) if known else 0,
+                check_non_negative(late),
+                check_non_negative(spread, MAX_SPAN_S),
             )
             with contextlib.suppress(TallyFull):
                 answer["t"] = self.counts.add(count, str(message["by"]), now)
--- a/ivymux/proxy/failure_reports.py
+++ b/ivymux/proxy/failure_reports.py
@@ -1,4 +1,4 @@
-"""What a door tells the core of backends that fail what they are sent."""
+"""Reports to the core on backends that fail the requests they are sent."""
 
 from __future__ import annotations
 
@@ -12,54 +12,60 @@
 from ivymux.transport.frames import Message
 from orchidhill.interface import Outcome
 
-TOGETHER = 0.03  # seconds: what is met within them is told in one message
-LOOK = 1.0  # seconds over which a door looks whether it is well itself
+BATCH_INTERVAL_S = 0.03  # failures within it are reported in one message
+HEALTH_WINDOW_S = 1.0  # over which a proxy compares its successes with its failures
+MAX_SAMPLES = 64
 
 
 def indicates_backend_failure(outcome: Outcome, status: int) -> bool:
-    """Whether an attempt tells against its backend.
+    """Whether an attempt's outcome counts as a failure of its backend.
 
-    Not what a full one says or does (503, 504, a reset): to leave those alone would fill the others.
+    503, 504 and resets do not, as an overloaded backend causes them: to eject it would overload the others.
     """
     return outcome is Outcome.CANCELLED or (outcome is Outcome.ERROR and status in (500, 502))
 
 
 class WatchedHost(Host):
-    """A host that tells which backends failed, and counts what went well."""
+    """A host that reports failures of backends, and counts successes."""
 
-    well = 0
-    doubt: Callable[[int], None] = staticmethod(lambda backend: None)
+    success_count = 0
+    report_failure: Callable[[int], None] = staticmethod(lambda backend: None)
 
     def on_attempt_finished(self, request: OpenRequest, number: int, backend: int, result: Result) -> None:
         if result.outcome is Outcome.OK:
-            self.well += 1
+            self.success_count += 1
         elif indicates_backend_failure(result.outcome, result.status) and not request.is_settled:
-            self.doubt(backend)
+            self.report_failure(backend)
         super().on_attempt_finished(request, number, backend, result)
 
 
 class FailureReporter:
     def __init__(
-        self, well: Callable[[], int], id: Callable[[int], str], send: Callable[[Message], None]
+        self,
+        success_count: Callable[[], int],
+        backend_id: Callable[[int], str],
+        send: Callable[[Message], None],
     ) -> None:
-        """`well`: requests that went well so far; `id`: a backend's, by its number; `send`: to the core."""
-        self.well, self.id, self.send = well, id, send
-        self.met: Counter[int] = Counter()
+        """`success_count`: successes so far; `backend_id`: id by number; `send`: sends to the core."""
+        self.success_count, self.backend_id, self.send = success_count, backend_id, send
+        self.failures: Counter[int] = Counter()  # not reported yet, by backend
         self.timer: asyncio.TimerHandle | None = None
-        self.kept: deque[tuple[float, int]] = deque(maxlen=64)  # when, and how many had gone well
+        self.samples: deque[tuple[float, int]] = deque(maxlen=MAX_SAMPLES)  # time, successes so far
 
-    def doubt(self, backend: int) -> None:
-        self.met[backend] += 1
+    def on_failure(self, backend: int) -> None:
+        self.failures[backend] += 1
         if self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(TOGETHER, self.tell)
+            self.timer = asyncio.get_running_loop().call_later(BATCH_INTERVAL_S, self.send_report)
 
     def sample(self) -> None:
-        self.kept.append((time.monotonic(), self.well()))
+        self.samples.append((time.monotonic(), self.success_count()))
 
-    def tell(self) -> None:
-        """What was met, unless most goes wrong here: then it is this door's own trouble."""
-        self.timer, met, self.met = None, self.met, Counter()
+    def send_report(self) -> None:
+        """Report the failures, unless they outnumber successes: this proxy is then the likely cause."""
+        self.timer, failures, self.failures = None, self.failures, Counter()
         self.sample()
-        since = next((count for at, count in self.kept if at > time.monotonic() - LOOK), 0)
-        if self.kept[-1][1] - since >= met.total():
-            self.send({"k": "doubt", "l": [[id, n] for b, n in met.items() if (id := self.id(b))]})
+        window_start = time.monotonic() - HEALTH_WINDOW_S
+        earlier = next((count for at, count in self.samples if at > window_start), 0)
+        if self.samples[-1][1] - earlier >= failures.total():
+            entries = [[id, n] for backend, n in failures.items() if (id := self.backend_id(backend))]
+            self.send({"k": "doubt", "l": entries})
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -1,4 +1,4 @@
-"""The users' protocol at the door: routes, keys, tenants; what goes to a backend and what comes back."""
+"""The proxy's HTTP frontend: finds a request's route and tenant, and encodes requests and answers."""
 
 from __future__ import annotations
 
@@ -25,18 +25,21 @@
     431: "Request Header Fields Too Large",
     500: "Internal Server Error", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
 }  # fmt: skip
-ONE_CONNECTION = frozenset(
+CONNECTION_HEADERS = frozenset(
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer"
     b" transfer-encoding upgrade expect content-length".split()
 )
-KEY = b"idempotency-key"
-OURS = frozenset((b"time-remaining", b"target-instance", b"tenant-name"))
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+# Set by the proxy itself, never passed on from a client.
+PROXY_HEADERS = frozenset((b"time-remaining", b"target-instance", b"tenant-name"))
 TARGET = re.compile(rb"/[!-~]*")
 MILLISECONDS = re.compile(rb"(\d{1,9})(?:\.\d{1,6})?")
 NO_TENANT = 0
-NOT_YET = "no configuration yet"
-LOST_TEXT = b"the answer was lost in a trial; the request may have run\n"
-START = 0.5  # seconds in which a door that has just started most likely has one
+NO_CONFIGURATION = "no configuration yet"
+LOST_ANSWER_TEXT = b"the answer was lost in a trial; the request may have run\n"
+STARTUP_RETRY_AFTER_S = 0.5  # by then a proxy that has just started most likely has a configuration
+UNAVAILABLE_RETRY_AFTER_S = 0.2
+DEFAULT_MAX_BODY_BYTES = 64 << 20
 
 
 class ProxyFrontend:
@@ -46,22 +49,24 @@
     max_unread_clients = 200
 
     def __init__(
-        self, tables: NameTables, instance: Callable[[int], bytes], doors: Callable[[], int],
-        keys: Callable[[], KeyedRequests] | None = None, number: Callable[[str], int] = lambda backend: 0,
-    ) -> None:  # fmt: skip
-        """`instance`: the id of a backend's life by its number, `number` the other way; `doors`: how many
-        doors there are; `keys`: what actions with keys need.
-        """
-        self.tables, self.instance, self.doors = tables, instance, doors
-        self.keys, self.number = keys, number
+        self,
+        tables: NameTables,
+        instance_id: Callable[[int], bytes],
+        proxy_count: Callable[[], int],
+        load_keyed_requests: Callable[[], KeyedRequests] | None = None,
+        backend_number: Callable[[str], int] = lambda backend: 0,
+    ) -> None:
+        """`instance_id`: a backend's id by its number, `backend_number`: the reverse."""
+        self.tables, self.instance_id, self.proxy_count = tables, instance_id, proxy_count
+        self.load_keyed_requests, self.backend_number = load_keyed_requests, backend_number
         self.plan: RoutePlan | None = None
-        self.catcher: TrialClient | None = None  # only while a trial may be in force
-        self.max_body_bytes = 64 << 20
+        self.trial_client: TrialClient | None = None  # only while a trial may be in force
+        self.max_body_bytes = DEFAULT_MAX_BODY_BYTES
 
     def answer_locally(self, target: bytes) -> Answer | None:
         return None
 
-    def use(self, plan: RoutePlan) -> None:
+    def update_plan(self, plan: RoutePlan) -> None:
         self.plan = plan
         self.max_body_bytes = plan.client_limits.max_body_bytes
 
@@ -76,117 +81,127 @@
     ) -> Call | Answer:
         plan = self.plan
         if plan is None:
-            raise BadRequest(NOT_YET, 503)
+            raise BadRequest(NO_CONFIGURATION, 503)
         if not TARGET.fullmatch(target):
             raise BadRequest("malformed target")
-        host, auth, name, left = b"", b"", b"", b""
-        hosts, keyed = 0, False
-        dropped = set(ONE_CONNECTION)
+        host, authorization, try_id, time_remaining = b"", b"", b"", b""
+        host_count, has_key = 0, False
+        dropped = set(CONNECTION_HEADERS)
         for field, value in headers:
             if field == b"host":
-                host, hosts = value, hosts + 1
+                host, host_count = value, host_count + 1
             elif field == b"authorization":
-                auth = value
+                authorization = value
             elif field == b"try-id":
-                name = value
+                try_id = value
             elif field == b"time-remaining":
-                left = value
-            elif field == KEY:
-                keyed = True
-            elif field == b"connection":  # what it names concerns this connection only
+                time_remaining = value
+            elif field == IDEMPOTENCY_KEY_HEADER:
+                has_key = True
+            elif field == b"connection":  # names headers that apply to this connection only
                 dropped |= {part.strip().lower() for part in value.split(b",")}
-        if hosts != 1:
+        if host_count != 1:
             raise BadRequest("one Host is needed")
         path = target.partition(b"?")[0].decode("latin-1")
         route = plan.find_route(host.decode("latin-1").lower().partition(":")[0], path)
         if route is None:
             raise BadRequest("no route", 404)
-        tenant, key = "", b""
+        tenant, api_key = "", b""
         if plan.has_tenants:
-            scheme, _, key = auth.partition(b" ")
-            key = key.strip()
-            known = plan.tenant_by_key.get(key) if scheme.lower() == b"bearer" else None
-            if known is None and not route.no_auth:
+            scheme, _, api_key = authorization.partition(b" ")
+            api_key = api_key.strip()
+            known_tenant = plan.tenant_by_key.get(api_key) if scheme.lower() == b"bearer" else None
+            if known_tenant is None and not route.no_auth:
                 raise BadRequest("unknown key", 401)
-            tenant = known or ""
+            tenant = known_tenant or ""
             dropped.add(b"authorization")
-        found = MILLISECONDS.fullmatch(left)
-        wait = min(route.deadline_s, int(found[1]) / 1000) if found else route.deadline_s
-        end = received_at + wait
-        draw = int.from_bytes(blake2b(name or target, digest_size=8).digest(), "big") / 2**64
+        match = MILLISECONDS.fullmatch(time_remaining)
+        timeout_s = min(route.deadline_s, int(match[1]) / 1000) if match else route.deadline_s
+        deadline = received_at + timeout_s
+        # Retries of a request get the same draw, and so the same service of a split route.
+        draw = int.from_bytes(blake2b(try_id or target, digest_size=8).digest(), "big") / 2**64
         content = b"".join(body)
-        claim, home, name_of = None, 0, ""
-        if keyed and tenant and not route.is_idempotent and self.keys is not None:
-            taken = self.keys().prepare(
-                route, headers, tenant, auth, method, host, target, content, end, name
+        claim, home, keyed_service = None, 0, ""
+        if has_key and tenant and not route.is_idempotent and self.load_keyed_requests is not None:
+            keyed = self.load_keyed_requests().prepare(
+                route, headers, tenant, authorization, method, host, target, content, deadline, try_id
+            )
+            claim, keyed_service = keyed.claim, keyed.service
+            home = self.backend_number(keyed.home_backend)
+        service_name = keyed_service or route.choose_service(draw)
+        hold_s, drops_answer = 0.0, False
+        if self.trial_client is not None and tenant:
+            injection = self.trial_client.inject(
+                tenant, api_key, route.name, service_name, try_id or target, deadline
             )
-            claim, name_of, home = taken.claim, taken.service, self.number(taken.home_backend)
-        service_name = name_of or route.choose_service(draw)
-        hold, lose = 0.0, False
-        if self.catcher is not None and tenant:
-            caught = self.catcher.meet(tenant, key, route.name, service_name, name or target, end)
-            if caught.answer is not None:
-                return caught.answer
-            hold, lose = caught.hold, caught.lose
-        service = self.tables.service(service_name)
+            if injection.answer is not None:
+                return injection.answer
+            hold_s, drops_answer = injection.hold_s, injection.drops_answer
+        service = self.tables.service_number(service_name)
         head = b"%s %s HTTP/1.1\r\n" % (method, target) + b"".join(
-            b"%s: %s\r\n" % pair for pair in headers if pair[0] not in dropped and pair[0] not in OURS
+            b"%s: %s\r\n" % pair
+            for pair in headers
+            if pair[0] not in dropped and pair[0] not in PROXY_HEADERS
         )
         if content or method in (b"POST", b"PUT", b"PATCH"):
             head += b"Content-Length: %d\r\n" % len(content)
         if tenant:
             head += b"Tenant-Name: %s\r\n" % tenant.encode()
-        instance = self.instance
+        instance_id = self.instance_id
 
-        def to(left: float, backend: int) -> bytes:
+        def make_payload_for(left: float, backend: int) -> bytes:
             return b"%sTarget-Instance: %s\r\nTime-Remaining: %d\r\n\r\n%s" % (
-                head, instance(backend), max(1, int(left * 1000)), content
+                head, instance_id(backend), max(1, int(left * 1000)), content
             )  # fmt: skip
 
-        tables, doors = self.tables, self.doors
-        cls = tables.cls(route)
-        plan_number = tables.tenants.get(tenant, NO_TENANT)
-        customer = tables.customers.get(tenant, 0)
+        tables, proxy_count = self.tables, self.proxy_count
+        class_number = tables.class_number(route)
+        plan_number = tables.plan_numbers.get(tenant, NO_TENANT)
+        customer = tables.customer_numbers.get(tenant, NO_TENANT)
 
-        def make(request: int) -> i.Request:
+        def make_event(request: int) -> i.Request:
             return i.Request(
-                request, cls, plan_number, customer, end - time.monotonic(), 1.0, doors(), 0, False,
-                not route.is_idempotent, service, route.max_attempts, home,
+                request, class_number, plan_number, customer, deadline - time.monotonic(), 1.0, proxy_count(),
+                0, False, not route.is_idempotent, service, route.max_attempts, home,
             )  # fmt: skip
 
         return Call(
-            b"", end, make, _no_payload, method == b"HEAD", name,
-            make_payload_for=to, claim=claim, hold_s=hold, drops_answer=lose,
+            b"", deadline, make_event, _no_payload, method == b"HEAD", try_id,
+            make_payload_for=make_payload_for, claim=claim, hold_s=hold_s, drops_answer=drops_answer,
             on_departure=OnDeparture.for_request(route.is_idempotent),
         )  # fmt: skip
 
     def refusal(self, error: BadRequest) -> Answer:
-        after = START if str(error) == NOT_YET else 0.2
-        return Answer(error.status, f"{error}\n".encode(), retry_after=after if error.status == 503 else 0.0)
+        body = f"{error}\n".encode()
+        if error.status != 503:
+            return Answer(error.status, body)
+        is_starting = str(error) == NO_CONFIGURATION
+        retry_after = STARTUP_RETRY_AFTER_S if is_starting else UNAVAILABLE_RETRY_AFTER_S
+        return Answer(error.status, body, retry_after=retry_after)
 
     def encode(self, answer: Answer, close: bool, call: Call | None) -> bytes:
         status = answer.status
         if status == CLOSE_CONNECTION:
             return b""
         if call is not None and call.drops_answer and answer.headers is not None:
-            answer, status = Answer(502, LOST_TEXT), 502
+            answer, status = Answer(502, LOST_ANSWER_TEXT), 502
         parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, "Answer").encode())]
         if answer.headers is not None:
-            parts += [b"%s: %s\r\n" % pair for pair in answer.headers if pair[0] not in ONE_CONNECTION]
+            parts += [b"%s: %s\r\n" % pair for pair in answer.headers if pair[0] not in CONNECTION_HEADERS]
         elif call is not None and call.request_id:
             parts.append(b"try-id: %s\r\n" % call.request_id)
-        bodiless = status in (204, 304)
-        if not bodiless:
+        has_no_body = status in (204, 304)
+        if not has_no_body:
             parts.append(b"content-length: %d\r\n" % len(answer.body))
         if answer.retry_after > 0:
             parts.append(b"retry-after: %.3f\r\n" % answer.retry_after)
         if close:
             parts.append(b"connection: close\r\n")
         parts.append(b"\r\n")
-        if not (bodiless or (call is not None and call.is_head)):
+        if not (has_no_body or (call is not None and call.is_head)):
             parts.append(answer.body)
         return b"".join(parts)
 
 
 def _no_payload(left: float) -> bytes:
-    raise AssertionError("what goes to a backend names it")
+    raise AssertionError("a payload needs its backend: use make_payload_for")
--- a/ivymux/proxy/metrics.py
+++ b/ivymux/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""A door's collect_metrics, as operators and scrapers fetch them."""
+"""The proxy's metrics, for operators and scrapers."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 PREFIX = "ivymux_proxy"
 
 
-def collect_metrics(door: Proxy) -> dict[str, float]:
-    """Counts since the start end in `_total`; the others are of this moment."""
-    host, departures = door.host, door.host.departures
+def collect_metrics(proxy: Proxy) -> dict[str, float]:
+    """Collect counters since the start, which end in `_total`, and current values."""
+    host, departures = proxy.host, proxy.host.departures
     return {
-        "config_version": door.version,
-        "in_touch": door.touch,
-        "doors": len(door.holders.joined_at),
+        "config_version": proxy.config_version,
+        "in_touch": proxy.is_core_connected,
+        "doors": len(proxy.holders.joined_at),
         "requests_total": host.request_count,
         "requests_open": host.unanswered_count,
         "requests_kept": len(host.requests),
-        "clients": len(door.server.clients),
+        "clients": len(proxy.server.clients),
         "backend_connections": host.upstream.connection_count,
-        "further_tries_spared_total": door.switch.denied_retries,
+        "further_tries_spared_total": proxy.gateway.denied_retries,
         "departed_requests_total": departures.requests,
         "departed_attempts_total": departures.attempts,
         "departed_unwritten_total": departures.unwritten,
@@ -35,5 +35,5 @@
 
 
 def format_metrics(values: Mapping[str, float]) -> bytes:
-    """One figure a line, `ivymux_proxy_NAME VALUE`, as scrapers of plain text read them."""
+    """Format one metric per line, `ivymux_proxy_NAME VALUE`, as scrapers of plain text read them."""
     return "".join(f"{PREFIX}_{name} {value:.10g}\n" for name, value in values.items()).encode()
--- a/ivymux/proxy/module_settings.py
+++ b/ivymux/proxy/module_settings.py
@@ -1,21 +1,32 @@
-"""What a door's module is told at its start.  Pure."""
+"""Settings of a proxy's decision module at its start.  Pure."""
 
 from __future__ import annotations
 
 from orchidhill import interface as i
 
-CONNECT_TIMEOUT = 0.5  # seconds
-COUNTER_TIMEOUT = 0.25
-COUNTER_PACE = 400.0  # calls a second that a door may make to begin with
-ATTEMPTS = 6  # of one try, those that reached nobody too
-MAX_RETRY_AFTER = 0.6
+CONNECT_TIMEOUT_S = 0.5
+COUNTER_TIMEOUT_S = 0.25
+INITIAL_COUNTER_CALLS_PER_S = 400.0  # by one proxy
+PEERS = 8
+MAX_ATTEMPTS = 6  # of one client's try, including those that reached no backend
+MAX_RETRY_AFTER_S = 0.6
+ANSWER_SLACK_S = 0.5
+DRAIN_GRACE_S = 2.5
+TICK_PERIOD_S = 0.025
 
 
 def module_settings() -> i.Settings:
-    limits = i.Limits(ATTEMPTS, False, True, False, True, MAX_RETRY_AFTER, CONNECT_TIMEOUT)
-    rules = i.Rules(0.5, 2.5, 1.0, 0.0, 0.0, 0.0, 0.0)
+    second_copies, cancel, probes, retry_after = False, True, False, True
+    limits = i.Limits(
+        MAX_ATTEMPTS, second_copies, cancel, probes, retry_after, MAX_RETRY_AFTER_S, CONNECT_TIMEOUT_S
+    )
+    cold_share, warm_up, fall_multiple, fall_time, ask_within = 1.0, 0.0, 0.0, 0.0, 0.0
+    rules = i.Rules(ANSWER_SLACK_S, DRAIN_GRACE_S, cold_share, warm_up, fall_multiple, fall_time, ask_within)
+    me, zone, zones = 0, 0, ()
+    has_counter, counter_price, settles, membership_push = True, 0.01, False, True
+    weight_source, report_how, report_columns = "", "none", ()
     return i.Settings(
-        0, 8, 0, (), 0.025, (), (), rules, limits, True, 0.01, COUNTER_TIMEOUT, False, True, "", "none", (),
-        {},
-        counter_pace=8 * COUNTER_PACE,
+        me, PEERS, zone, zones, TICK_PERIOD_S, (), (), rules, limits, has_counter, counter_price,
+        COUNTER_TIMEOUT_S, settles, membership_push, weight_source, report_how, report_columns, {},
+        counter_pace=PEERS * INITIAL_COUNTER_CALLS_PER_S,
     )  # fmt: skip
--- a/ivymux/proxy/name_tables.py
+++ b/ivymux/proxy/name_tables.py
@@ -1,6 +1,6 @@
-"""Numbers for the names of a configuration, as the module knows them: classes, services, plans.  Pure.
+"""Numbers that stand for a configuration's names in the decision module: classes, services, plans.  Pure.
 
-A number once given to a name stays with it: requests that are open keep theirs over any change.
+A name keeps its number once it has one, so that open requests keep theirs over any change.
 """
 
 from __future__ import annotations
@@ -11,64 +11,66 @@
 from ivymux.routing_config.route_plan import Route, RoutePlan, Tenant
 from orchidhill import interface as i
 
-OVER_COST = 2.0  # shares of doors that cannot reach a holder add up to the quota
+# Of a unit beyond the quota.  Shares of proxies that cannot reach a holder add up to the quota.
+OVER_QUOTA_COST = 2.0
 
 
 @dataclass(slots=True)
 class NameTables:
-    routes: dict[str, int] = field(default_factory=dict)
+    class_numbers: dict[str, int] = field(default_factory=dict)  # by route
     classes: list[i.RequestClass] = field(default_factory=list)
-    tenants: dict[str, int] = field(default_factory=dict)
-    customers: dict[str, int] = field(default_factory=dict)
+    plan_numbers: dict[str, int] = field(default_factory=dict)  # by tenant
+    customer_numbers: dict[str, int] = field(default_factory=dict)  # by tenant
     plans: list[i.Plan] = field(default_factory=list)
-    services: dict[str, int] = field(default_factory=dict)
+    service_numbers: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.plans.append(i.Plan("", 0.0, 0.0, 0, 1.0, OVER_COST, 0.0, 0.0, 0.0, 0.0))  # without a limit
+        unlimited = i.Plan("", 0.0, 0.0, 0, 1.0, OVER_QUOTA_COST, 0.0, 0.0, 0.0, 0.0)
+        self.plans.append(unlimited)
 
-    def enter(self, plan: RoutePlan) -> None:
-        """Take in a configuration: names that are new get numbers, what others say is brought up to date."""
-        for route in (r for rs in plan.routes_by_host.values() for r in rs):
-            number = self.routes.setdefault(key(route), len(self.classes))
+    def update(self, plan: RoutePlan) -> None:
+        """Apply a configuration: number its new names, and replace the classes and plans of known ones."""
+        for route in (route for routes in plan.routes_by_host.values() for route in routes):
+            number = self.class_numbers.setdefault(route_key(route), len(self.classes))
             cls = request_class(route)
             if number == len(self.classes):
                 self.classes.append(cls)
             else:
                 self.classes[number] = cls
         for tenant in plan.tenants.values():
-            number = self.tenants.setdefault(tenant.name, len(self.plans))
-            self.customers[tenant.name] = customer_number(tenant.name)
-            made = tenant_plan(tenant)
+            number = self.plan_numbers.setdefault(tenant.name, len(self.plans))
+            self.customer_numbers[tenant.name] = customer_number(tenant.name)
+            quota = tenant_plan(tenant)
             if number == len(self.plans):
-                self.plans.append(made)
+                self.plans.append(quota)
             else:
-                self.plans[number] = made
+                self.plans[number] = quota
         for name in plan.services:
-            self.service(name)
+            self.service_number(name)
 
-    def service(self, name: str) -> int:
-        return self.services.setdefault(name, len(self.services))
+    def service_number(self, name: str) -> int:
+        return self.service_numbers.setdefault(name, len(self.service_numbers))
 
-    def cls(self, route: Route) -> int:
-        return self.routes[key(route)]
+    def class_number(self, route: Route) -> int:
+        return self.class_numbers[route_key(route)]
 
 
 def customer_number(name: str) -> int:
-    """A tenant's number, the same at every door; its counts go by it."""
+    """A tenant's number, the same at all proxies: its counts are identified by it."""
     return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big") + 1
 
 
-def key(route: Route) -> str:
+def route_key(route: Route) -> str:
     return f"{route.host} {route.path_prefix}"
 
 
 def request_class(route: Route) -> i.RequestClass:
     effect = i.Effect.SAFE if route.is_idempotent else i.Effect.UNSAFE
     return i.RequestClass(
-        key(route), route.target_latency_s, route.deadline_s, effect, i.Scope.ALL, 0.0, 1.0, 0.2, False
+        route_key(route), route.target_latency_s, route.deadline_s, effect, i.Scope.ALL, 0.0, 1.0, 0.2, False
     )
 
 
 def tenant_plan(tenant: Tenant) -> i.Plan:
     burst = max(1.0, tenant.burst_size)
-    return i.Plan(tenant.name, tenant.rate_per_s, burst, 0, 1.0, OVER_COST, 0.0, 0.0, 0.0, 0.0)
+    return i.Plan(tenant.name, tenant.rate_per_s, burst, 0, 1.0, OVER_QUOTA_COST, 0.0, 0.0, 0.0, 0.0)
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -1,4 +1,4 @@
-"""The proxy's process: one door of the system, its parts wired together."""
+"""The proxy's process: its servers, connections to the core, membership and configuration."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     ProxyLocation,
 )
 from ivymux.proxy.metrics import collect_metrics, format_metrics
-from ivymux.proxy.module_settings import CONNECT_TIMEOUT, COUNTER_TIMEOUT, module_settings
+from ivymux.proxy.module_settings import CONNECT_TIMEOUT_S, COUNTER_TIMEOUT_S, module_settings
 from ivymux.proxy.name_tables import NameTables
 from ivymux.proxy.status_pages import METRICS, READINESS, StatusPagesFrontend
 from ivymux.routing_config.route_plan import RoutingConfigError, parse_route_plan
@@ -52,23 +52,33 @@
     from ivymux.proxy.trial_client import TrialClient
     from orchidhill.gateway import Gateway
 
-IDLE = 10.0  # seconds that a backend is taken to keep an idle connection, where it says nothing
-SWEEP = 0.5
-UNREAD = 0.5  # for which clients may wait for a door's first configuration; they give up after a second
-READY_AFTER = 0.15  # seconds after the first configuration: the list of doors comes with it
-TELL = 10.0  # seconds between lines of the log on what was refused
-LAME = 2.5  # seconds after SIGTERM in which the platform goes on handing over connections
-HELD_PART = 1 / 4  # of the memory, for answers that are coming in
-LATER = 1.0  # seconds after which that is read at a door that has had no action with a key
-COUNTED = 24  # sweeps
-COLD = 3.0  # seconds that a backend is slow from its start
+IDLE_TIMEOUT_S = 10.0  # assumed of a backend's idle connection where the backend states none
+SWEEP_INTERVAL_S = 0.5
+# Clients may wait this long for a proxy's first configuration; they give up after one second.
+MAX_ACCEPT_DELAY_S = 0.5
+READY_DELAY_S = 0.15  # after the first configuration: the list of proxies arrives with it
+LOG_INTERVAL_S = 10.0  # between log lines of one kind
+STOP_LISTENING_DELAY_S = 2.5  # after SIGTERM, while the platform still hands over connections
+STOP_MARGIN_S = 0.5  # of the shutdown grace, left for closing connections
+STOP_POLL_S = 0.02
+FLUSH_DELAY_S = 0.1  # for the last answers, and the counts that are returned to their holders
+MAX_CLAIMS_FINISH_S = 0.4
+BUFFERED_ANSWERS_PART = 1 / 4  # of the memory
+MAX_ANSWER_BYTES = 64 << 20
+RESERVED_SOCKETS = 260  # for other than clients and backends
+MIN_SOCKETS = 64
+KEYED_REQUESTS_LOAD_DELAY_S = 1.0  # after conversation settings arrive without a keyed request so far
+REQUEST_COUNT_SAMPLES = 24  # one per sweep
+WARM_UP_S = 3.0  # for which a backend is slow after its start
+MAX_CORE_MACHINES = 32
+MAX_FAILED_CONNECTS = 60  # after which a core machine that no other one lists is dropped
 
 log = Log("proxy")
 
 
 class Proxy:
     def __init__(self, settings: Settings, waiting: socket.socket | None = None) -> None:
-        """`waiting`: where clients wait already."""
+        """`waiting`: a socket that already listens, on which clients may wait."""
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.id = f"{settings.ip}:{settings.proxy_port}"
@@ -76,38 +86,49 @@
         self.clock = SystemClock(time.time(), now)
         self.membership, self.tables = MembershipView(), NameTables()
         self.holders = CounterHolders(self.id, now, settings.is_initial_start)
-        bounds = Bounds.from_limits(max(64, settings.fd_limit - 260), settings.memory_mb)
-        held = int(settings.memory_mb * HELD_PART * (1 << 20))
+        bounds = Bounds.from_limits(
+            max(MIN_SOCKETS, settings.fd_limit - RESERVED_SOCKETS), settings.memory_mb
+        )
+        max_buffered_bytes = int(settings.memory_mb * BUFFERED_ANSWERS_PART * (1 << 20))
         upstream = Upstream(
-            CONNECT_TIMEOUT, IDLE, (), bounds.max_backend_connections, proxy_answer_policy(64 << 20, held)
+            CONNECT_TIMEOUT_S,
+            IDLE_TIMEOUT_S,
+            (),
+            bounds.max_backend_connections,
+            proxy_answer_policy(MAX_ANSWER_BYTES, max_buffered_bytes),
         )
-        made = module_settings()
-        terms = ProxyRules(
+        rules = ProxyRules(
             settings.retry_ratio, settings.quota_window_s, settings.quota_excess, settings.quota_slack
         )
-        self.switch = ProxyGateway(made, secrets.randbits(64), terms)
-        # The host needs of a module what both kinds have.
-        self.host = WatchedHost(cast("Gateway", self.switch), upstream)
-        self.doubts = FailureReporter(lambda: self.host.well, self.id_of, self.tell_core)
-        self.host.doubt = self.doubts.doubt
+        self.gateway = ProxyGateway(module_settings(), secrets.randbits(64), rules)
+        # The host uses only what both kinds of gateway have.
+        self.host = WatchedHost(cast("Gateway", self.gateway), upstream)
+        self.failure_reporter = FailureReporter(
+            lambda: self.host.success_count, self.backend_id, self.send_to_core
+        )
+        self.host.report_failure = self.failure_reporter.on_failure
         self.host.wall_clock = lambda: self.clock.system_time(time.monotonic())
         counts = LeaseCounts(self.holders, secrets.randbits(48) | 1)
-        self.counter = DistributedCounter(self.id, self.holders, counts, COUNTER_TIMEOUT, self.host.post)
+        self.counter = DistributedCounter(self.id, self.holders, counts, COUNTER_TIMEOUT_S, self.host.post)
         self.host.counter = self.counter
-        self.keyed: KeyedRequests | None = None
-        self.terms = ""  # settings of conversations, as the core told them last
-        self.catcher: TrialClient | None = None
-        # Requests and those that ended without service, at each sweep: what trials are held against.
-        self.counted: deque[tuple[float, int, int]] = deque(maxlen=COUNTED)
-        self.front = ProxyFrontend(
-            self.tables, self.instance, lambda: max(1, len(self.holders.joined_at)), self.keys, self.number
+        self.keyed_requests: KeyedRequests | None = None
+        self.conversation_settings = ""  # as the core sent them last
+        self.trial_client: TrialClient | None = None
+        # At each sweep: the time, and the counts of requests and of those refused for lack of backends.
+        self.request_counts: deque[tuple[float, int, int]] = deque(maxlen=REQUEST_COUNT_SAMPLES)
+        self.frontend = ProxyFrontend(
+            self.tables,
+            self.instance_id,
+            lambda: max(1, len(self.holders.joined_at)),
+            self.load_keyed_requests,
+            self.backend_number,
         )
-        self.server = Server(self.front, settings.listen_addresses["front_addr"], bounds, self.host)
-        front = settings.listen_addresses["front_addr"]
-        self.server.listening_socket = keep_matching(waiting, front.host, front.port)
+        listen = settings.listen_addresses["front_addr"]
+        self.server = Server(self.frontend, listen, bounds, self.host)
+        self.server.listening_socket = keep_matching(waiting, listen.host, listen.port)
         own_bounds = Bounds(64, 8, 0, 1 << 16)
         self.ready_server = Server(
-            StatusPagesFrontend({READINESS: self.readiness}),
+            StatusPagesFrontend({READINESS: self.answer_readiness}),
             settings.listen_addresses["ready_addr"],
             own_bounds,
             None,
@@ -116,274 +137,306 @@
         if settings.metrics_port is not None:
             address = Address(settings.ip, settings.metrics_port)
             self.metrics_server = Server(
-                StatusPagesFrontend({METRICS: self.metrics}), address, own_bounds, None
+                StatusPagesFrontend({METRICS: self.answer_metrics}), address, own_bounds, None
             )
         self.listener = Listener(self.counter.on_caller_message)
         self.cores: dict[str, CoreConnection] = {}
-        self.version, self.applied_at = -1, 0.0
-        self.asked_at, self.asked_version = 0.0, -1
-        self.ids: dict[int, bytes] = {}
-        self.spoilt = 0
-        self.ending = False
-        self.sweeper: asyncio.TimerHandle | None = None
-        self.listing = 0
-        self.touch = False
-        self.touched_at = math.inf  # since when it is in touch with the core
-        self.known_doors: dict[str, ProxyLocation] = {}  # as last heard of, in touch
-        self.told_at = self.claims_told_at = self.departed_told_at = 0.0
-        self.taking: asyncio.Task[None] | None = None
+        self.config_version, self.first_applied_at = -1, 0.0
+        self.configuration_requested_at, self.requested_version = 0.0, -1
+        self.instance_ids: dict[int, bytes] = {}
+        self.malformed_messages = 0
+        self.is_stopping = False
+        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.listing_version = 0
+        self.is_core_connected = False
+        self.core_connected_since = math.inf
+        self.known_proxies: dict[str, ProxyLocation] = {}  # as last listed by a connected registry
+        self.refusals_logged_at = self.claims_logged_at = self.departures_logged_at = 0.0
+        self.accept_task: asyncio.Task[None] | None = None
 
     # --- readiness -------------------------------------------------------------------------------------
 
-    def ready(self) -> bool:
-        applied = self.version >= 0 and time.monotonic() - self.applied_at > READY_AFTER
-        return applied and not self.ending
+    def is_ready(self) -> bool:
+        applied = self.config_version >= 0 and time.monotonic() - self.first_applied_at > READY_DELAY_S
+        return applied and not self.is_stopping
 
-    def readiness(self) -> Answer:
-        return Answer(200 if self.ready() else 503)
+    def answer_readiness(self) -> Answer:
+        return Answer(200 if self.is_ready() else 503)
 
-    def metrics(self) -> Answer:
+    def answer_metrics(self) -> Answer:
         return Answer(200, format_metrics(collect_metrics(self)))
 
-    def instance(self, backend: int) -> bytes:
-        return self.ids.get(backend, b"gone")
+    def instance_id(self, backend: int) -> bytes:
+        return self.instance_ids.get(backend, b"gone")
 
-    def lines(self) -> list[Connector]:
-        """The lines to the core that are up, those of this door's zone first."""
-        up = [core for core in self.cores.values() if core.line.is_connected]
-        return [core.line for core in sorted(up, key=lambda c: (c.zone != self.settings.zone, c.ip))]
+    def core_connectors(self) -> list[Connector]:
+        """The open connections to the core, those of the same zone first."""
+        connected = [core for core in self.cores.values() if core.is_connected]
+        connected.sort(key=lambda core: (core.zone != self.settings.zone, core.ip))
+        return [core.connector for core in connected]
 
-    def keys(self) -> KeyedRequests:
-        """What actions with keys need, loaded with the first of them."""
-        if self.keyed is None:
+    def load_keyed_requests(self) -> KeyedRequests:
+        """The handling of requests with keys; its modules are imported with the first of them."""
+        if self.keyed_requests is None:
             from ivymux.proxy.keyed_requests import KeyedRequests
 
-            self.keyed = KeyedRequests(self.lines, self.membership.backends.values)
-            if self.terms:
-                self.keyed.update_settings(self.terms)
-        return self.keyed
+            self.keyed_requests = KeyedRequests(self.core_connectors, self.membership.backends.values)
+            if self.conversation_settings:
+                self.keyed_requests.update_settings(self.conversation_settings)
+        return self.keyed_requests
 
-    def number(self, backend: str) -> int:
-        """A backend's number here, by its id; 0 for none."""
+    def backend_number(self, backend: str) -> int:
+        """A backend's number in the decision module, by its id; 0 if it is unknown."""
         found = self.membership.backends.get(backend)
         return found.number if found is not None else 0
 
-    def id_of(self, backend: int) -> str:
+    def backend_id(self, backend: int) -> str:
         found = self.membership.by_number.get(backend)
         return found.id if found is not None else ""
 
-    def age(self) -> float:
-        """Seconds for which this door is in touch with the core: who is not may have been replaced."""
-        return max(0.0, time.monotonic() - self.touched_at)
+    def core_connected_seconds(self) -> float:
+        """Seconds since the core was connected; others may have replaced a proxy that was not."""
+        return max(0.0, time.monotonic() - self.core_connected_since)
 
-    def tell_core(self, message: Message) -> None:
-        for line in self.lines():
-            line.send(message)
+    def send_to_core(self, message: Message) -> None:
+        for connector in self.core_connectors():
+            connector.send(message)
 
-    def note(self, name: str, text: str) -> None:
-        """A note of the core's: settings of the system's own, or trials."""
+    def on_replicated_setting(self, name: str, text: str) -> None:
+        """Apply a setting that the core replicates: trials, or conversation settings."""
         if name == TRIALS:
-            self.trials(text)
+            self.update_trials(text)
         if name != CONVERSATIONS:
             return
-        self.terms = text
-        if self.keyed is not None:
-            self.keyed.update_settings(text)
-        else:  # not while the door starts
-            self.loop.call_later(LATER, self.keys)
-
-    def trials(self, text: str) -> None:
-        """A board of trials; what it takes is loaded with the first of them."""
-        if self.catcher is None:
+        self.conversation_settings = text
+        if self.keyed_requests is not None:
+            self.keyed_requests.update_settings(text)
+        else:  # not while the proxy starts
+            self.loop.call_later(KEYED_REQUESTS_LOAD_DELAY_S, self.load_keyed_requests)
+
+    def update_trials(self, text: str) -> None:
+        """Apply a set of trials; the module that it needs is imported with the first one."""
+        if self.trial_client is None:
             from ivymux.proxy.trial_client import TrialClient
 
-            self.catcher = TrialClient(
-                self.settings.zone, self.id, self.host, self.lines, self.clock.system_time, self.counted
+            self.trial_client = TrialClient(
+                self.settings.zone,
+                self.id,
+                self.host,
+                self.core_connectors,
+                self.clock.system_time,
+                self.request_counts,
             )
-            if self.front.plan is not None:
-                self.catcher.configured(self.front.plan.tenant_by_key)
-        self.front.catcher = self.catcher if self.catcher.use(text) else None
+            if self.frontend.plan is not None:
+                self.trial_client.update_keys(self.frontend.plan.tenant_by_key)
+        self.frontend.trial_client = self.trial_client if self.trial_client.apply(text) else None
 
     # --- the core ----------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Raises OSError."""
+        """Start serving.  Raises OSError if an address cannot be listened on."""
         await self.listener.start(Address(self.settings.ip, self.settings.proxy_port))
-        self.meet([a.host for a in self.settings.seed_addresses])
+        self.update_cores([address.host for address in self.settings.seed_addresses])
         await self.ready_server.start()
-        await self.serve_metrics()
-        # Who comes before the configuration waits for it in the system's queue: after a loss of all processes
-        # it is there in a moment, and a refusal would send whole crowds round the doors again.
+        await self.start_metrics_server()
+        # Clients that connect before the first configuration wait in the kernel's accept queue.  After a loss
+        # of all processes it arrives within moments; refusals would cause a wave of retries at all proxies.
         self.server.listen_without_accepting()
-        self.loop.call_later(UNREAD, self.take_clients)
+        self.loop.call_later(MAX_ACCEPT_DELAY_S, self.accept_clients)
         self.sweep()
-        log.info(f"serves on {self.server.listen.host}:{self.server.listen.port}.")
+        log.info(f"listening on {self.server.listen.host}:{self.server.listen.port}.")
 
-    async def serve_metrics(self) -> None:
-        """Clients are served also where the port of the metrics is taken."""
+    async def start_metrics_server(self) -> None:
+        """Start the metrics server; clients are served even if its port is taken."""
         if self.metrics_server is None:
             return
         try:
             await self.metrics_server.start()
         except OSError as error:
-            log.info(f"tells no metrics: {error.strerror}.")
+            log.info(f"cannot serve metrics: {error.strerror}.")
 
-    def take_clients(self) -> None:
-        """Read what clients send, also those who came before."""
-        if self.server.listening_socket is not None and not self.ending:
-            self.taking = self.loop.create_task(self.server.start())
+    def accept_clients(self) -> None:
+        """Accept clients, including those that connected before."""
+        if self.server.listening_socket is not None and not self.is_stopping:
+            self.accept_task = self.loop.create_task(self.server.start())
 
-    def meet(self, cores: list[str]) -> None:
-        """Core machines there are: each is dialled, and those that are gone for long are let go."""
+    def update_cores(self, cores: list[str]) -> None:
+        """Connect to new core machines, and drop those that have been unreachable for long."""
         for ip in cores:
-            if ip not in self.cores and len(self.cores) < 32:
-                parse_address(f"{ip}:1")
+            if ip not in self.cores and len(self.cores) < MAX_CORE_MACHINES:
+                parse_address(f"{ip}:1")  # raises ConfigError, a ValueError
                 self.cores[ip] = CoreConnection(self, ip)
-        told = {ip for c in self.cores.values() if c.line.is_connected for ip in cores}
+        is_any_connected = any(core.is_connected for core in self.cores.values())
+        listed = set(cores) if is_any_connected else set()
         for ip, core in list(self.cores.items()):
-            if core.line.failed_attempts > 60 and ip not in told:
-                core.line.close()
+            if core.connector.failed_attempts > MAX_FAILED_CONNECTS and ip not in listed:
+                core.connector.close()
                 del self.cores[ip]
 
-    def changed(self) -> None:
-        """Something of backends or doors has changed: the module and the counter are told."""
+    def on_membership_changed(self) -> None:
+        """Update the decision module and the counter after a change of backends or proxies."""
         now = time.monotonic()
         if self.membership.proxies_changed:
             self.membership.proxies_changed = False
-            doors = self.membership.proxies()
-            if not self.membership.is_connected():
-                # Out of touch: the others no longer count on this door, and will have named another holder.
-                doors = {d: self.known_doors[d] for d in self.known_doors if d != self.id}
-            else:
-                self.known_doors = doors
-            self.holders.update_proxies({id: door.joined_at for id, door in doors.items()}, now)
-            self.counter.update_proxies({id: Address(d.address, d.port) for id, d in doors.items()}, now)
-            if doors:
-                self.host.post(i.Doors(len(set(doors) | {self.id})))
-        if self.membership.is_connected() != self.touch:
-            self.touch = not self.touch
-            self.touched_at = now if self.touch else math.inf
+            self.update_proxies(now)
+        if self.membership.is_connected() != self.is_core_connected:
+            self.is_core_connected = not self.is_core_connected
+            self.core_connected_since = now if self.is_core_connected else math.inf
             log.info(
-                "hears the core." if self.touch else "hears no core machine; serves on with what it knows."
+                "connected to the core."
+                if self.is_core_connected
+                else "disconnected from all core machines; serving with the last known state."
             )
         backends = self.membership.drain_changes()
         if backends:
-            self.members(backends)
-
-    def members(self, backends: list[Backend]) -> None:
-        if self.keyed is not None:
-            self.keyed.is_stale = True
+            self.update_backends(backends)
+
+    def update_proxies(self, now: float) -> None:
+        proxies = self.membership.proxies()
+        if self.membership.is_connected():
+            self.known_proxies = proxies
+        else:
+            # The other proxies no longer list this one, and use other holders in its place.
+            proxies = {id: location for id, location in self.known_proxies.items() if id != self.id}
+        self.holders.update_proxies({id: location.joined_at for id, location in proxies.items()}, now)
+        addresses = {id: Address(location.address, location.port) for id, location in proxies.items()}
+        self.counter.update_proxies(addresses, now)
+        if proxies:
+            self.host.post(i.Doors(len(set(proxies) | {self.id})))
+
+    def update_backends(self, backends: list[Backend]) -> None:
+        if self.keyed_requests is not None:
+            self.keyed_requests.is_stale = True
         entries, addresses = [], {}
-        clock, now = self.host.current_time(), time.monotonic()
+        gateway_time, now = self.host.current_time(), time.monotonic()
         for backend in backends:
             try:
                 address = parse_address(backend.address)
             except ConfigError:
-                continue  # an id that ended unseen has no address
-            state = (
-                State.GONE if backend.state == OFF else State.READY if backend.state == UP else State.DRAINING
-            )
+                continue  # a backend that was first reported as ended has no address
+            state = gateway_state(backend)
             if state is State.GONE:
-                if backend.number not in self.ids:
+                if backend.number not in self.instance_ids:
                     continue
             else:
-                self.ids[backend.number] = backend.id.encode()
-            started = clock - COLD + backend.warm_until - now if backend.warm_until > now else 0.0
+                self.instance_ids[backend.number] = backend.id.encode()
+            is_warming_up = backend.warm_until > now
+            started = gateway_time - WARM_UP_S + backend.warm_until - now if is_warming_up else 0.0
             entries.append(
                 i.Entry(
-                    backend.number, 0 if backend.zone == self.settings.zone else 1, started, state,
-                    SILENT if backend.state == LOST else 0, 0,
-                    float(backend.capacity), self.tables.service(backend.service),
+                    backend.number,
+                    0 if backend.zone == self.settings.zone else 1,
+                    started,
+                    state,
+                    SILENT if backend.state == LOST else 0,
+                    0,
+                    float(backend.capacity),
+                    self.tables.service_number(backend.service),
                 )
-            )  # fmt: skip
+            )
             addresses[backend.number] = address
-        self.listing += 1
-        self.host.update_members(i.Members(i.Listing.DELTA, self.listing, tuple(entries)), addresses)
+        self.listing_version += 1
+        self.host.update_members(i.Members(i.Listing.DELTA, self.listing_version, tuple(entries)), addresses)
 
-    def apply(self, version: int, text: str) -> None:
-        """A configuration that is in force; an older one than this door has changes nothing."""
-        if version <= self.version:
+    def apply_configuration(self, version: int, text: str) -> None:
+        """Apply a configuration that is in force; one older than the current one is ignored."""
+        if version <= self.config_version:
             return
         try:
             plan = parse_route_plan(text.encode())
         except RoutingConfigError as error:
-            log.info(f"version {version} was taken by the core and cannot be used here: {error}.")
+            log.info(f"cannot apply configuration version {version}, which the core accepted: {error}.")
             return
-        self.tables.enter(plan)
+        self.tables.update(plan)
         self.host.post(i.Classes(tuple(self.tables.classes)))
         self.host.post(i.Plans(tuple(self.tables.plans)))
-        self.front.use(plan)
-        if self.catcher is not None:
-            self.catcher.configured(plan.tenant_by_key)
+        self.frontend.update_plan(plan)
+        if self.trial_client is not None:
+            self.trial_client.update_keys(plan.tenant_by_key)
         self.server.max_head_bytes = plan.client_limits.max_header_bytes
         self.server.read_timeout = plan.client_limits.header_timeout_s
         self.server.idle_timeout = plan.client_limits.idle_timeout_s
-        if self.version < 0:
-            self.applied_at = time.monotonic()
-            self.take_clients()
-        self.version = version
-        log.info(f"version {version} is in force: {len(self.tables.classes)} routes so far.")
+        if self.config_version < 0:
+            self.first_applied_at = time.monotonic()
+            self.accept_clients()
+        self.config_version = version
+        log.info(f"configuration version {version} is in force: {len(self.tables.classes)} routes so far.")
 
     def sweep(self) -> None:
         try:
             self.membership.expire_backends(time.monotonic())
-            self.changed()
+            self.on_membership_changed()
         except MembershipError:
             pass
-        self.doubts.sample()
-        self.counted.append(
+        self.failure_reporter.sample()
+        self.request_counts.append(
             (time.monotonic(), self.host.request_count, self.host.refusal_log.refusals.count_unserved())
         )
-        if self.catcher is not None and not self.catcher.busy():
-            self.front.catcher = None
-        if time.monotonic() - self.told_at > TELL and (line := self.host.refusal_log.refusals.log_line()):
-            self.told_at = time.monotonic()
-            log.info(f"{line}; further tries spared {self.switch.denied_retries}.")
-        departed_due = time.monotonic() - self.departed_told_at > TELL
-        if departed_due and (line := self.host.departures.log_line()):
-            self.departed_told_at = time.monotonic()
+        if self.trial_client is not None and not self.trial_client.is_running():
+            self.frontend.trial_client = None
+        self.log_summaries()
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
+
+    def log_summaries(self) -> None:
+        """Log what was refused, left and claimed, each at most once per LOG_INTERVAL_S."""
+        refusals, departures = self.host.refusal_log.refusals, self.host.departures
+        refusals_due = time.monotonic() - self.refusals_logged_at > LOG_INTERVAL_S
+        if refusals_due and (line := refusals.log_line()):
+            self.refusals_logged_at = time.monotonic()
+            log.info(f"{line}; retries denied by the retry budget: {self.gateway.denied_retries}.")
+        departures_due = time.monotonic() - self.departures_logged_at > LOG_INTERVAL_S
+        if departures_due and (line := departures.log_line()):
+            self.departures_logged_at = time.monotonic()
             log.info(f"{line}.")
-        claims = self.keyed.claims if self.keyed is not None else None
-        if (
-            claims is not None
-            and time.monotonic() - self.claims_told_at > TELL
-            and (line := claims.log_line())
-        ):
-            self.claims_told_at = time.monotonic()
+        if self.keyed_requests is None:
+            return
+        claims_due = time.monotonic() - self.claims_logged_at > LOG_INTERVAL_S
+        if claims_due and (line := self.keyed_requests.claims.log_line()):
+            self.claims_logged_at = time.monotonic()
             log.info(f"{line}.")
-        self.sweeper = self.loop.call_later(SWEEP, self.sweep)
 
     def reload(self, settings: Settings) -> None:
-        """The settings file has changed: seeds are added to what is known."""
+        """Apply a changed settings file: new seed addresses are added to the known core machines."""
         self.settings = settings
-        self.meet([a.host for a in settings.seed_addresses])
+        self.update_cores([address.host for address in settings.seed_addresses])
 
     # --- the end -------------------------------------------------------------------------------------------
 
     async def stop(self) -> None:
-        """Not ready first; serve on while connections come; finish what is held within the grace."""
+        """Stop gracefully.
+
+        Reports not ready first, accepts connections for a while, then finishes open requests within the
+        grace.
+        """
         began = time.monotonic()
-        self.ending = self.server.closes_after_answer = True
-        log.info("ends: it takes what still comes, then finishes.")
-        await asyncio.sleep(min(LAME, self.settings.shutdown_grace_s / 2))
+        self.is_stopping = self.server.closes_after_answer = True
+        log.info("stopping: new connections are accepted for a while, then open requests are finished.")
+        await asyncio.sleep(min(STOP_LISTENING_DELAY_S, self.settings.shutdown_grace_s / 2))
         self.server.stop_listening()
-        until = began + self.settings.shutdown_grace_s - 0.5
-        while self.host.unanswered_count and time.monotonic() < until:
-            await asyncio.sleep(0.02)
+        deadline = began + self.settings.shutdown_grace_s - STOP_MARGIN_S
+        while self.host.unanswered_count and time.monotonic() < deadline:
+            await asyncio.sleep(STOP_POLL_S)
         self.host.finish_all()
         if line := self.host.departures.log_line():
             log.info(f"{line}.")
         self.server.close()
-        if self.catcher is not None:
-            self.catcher.close()
-        if self.keyed is not None:
-            await self.keyed.claims.finish(0.4)
-        await asyncio.sleep(0.1)  # the last answers and what goes back to the holders leave
+        if self.trial_client is not None:
+            self.trial_client.close()
+        if self.keyed_requests is not None:
+            await self.keyed_requests.claims.finish(MAX_CLAIMS_FINISH_S)
+        await asyncio.sleep(FLUSH_DELAY_S)
         for core in self.cores.values():
-            core.line.close()
+            core.connector.close()
         self.counter.close()
         self.listener.close()
         self.host.upstream.close()
         self.ready_server.close()
         if self.metrics_server is not None:
             self.metrics_server.close()
+
+
+def gateway_state(backend: Backend) -> State:
+    """A backend's state as the decision module knows it."""
+    if backend.state == OFF:
+        return State.GONE
+    return State.READY if backend.state == UP else State.DRAINING
--- a/ivymux/proxy/status_pages.py
+++ b/ivymux/proxy/status_pages.py
@@ -1,4 +1,4 @@
-"""The door's own pages: whether it takes clients, and its figures."""
+"""The status pages of a proxy: readiness and metrics."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StatusPagesFrontend:
-    """A front whose requests are all answered by the door itself, by their path."""
+    """A frontend that answers all requests itself, by their path."""
 
     allows_half_close = False
     closes_after_refusal = False
@@ -44,8 +44,8 @@
         return Answer(error.status)
 
     def encode(self, answer: Answer, close: bool, call: Call | None) -> bytes:
-        end = b"connection: close\r\n" if close else b""
+        close_header = b"connection: close\r\n" if close else b""
         reason = REASONS.get(answer.status, "Answer").encode()
         return b"HTTP/1.1 %d %s\r\ncontent-length: %d\r\n%s\r\n%s" % (
-            answer.status, reason, len(answer.body), end, answer.body
+            answer.status, reason, len(answer.body), close_header, answer.body
         )  # fmt: skip
--- a/ivymux/proxy/trial_client.py
+++ b/ivymux/proxy/trial_client.py
@@ -1,6 +1,6 @@
-"""Trials at a door: the core is asked for them again and again, requests are caught, counts are told.
+"""Fault-injection trials at a proxy: renews its lease on them at the core, and decides on requests.
 
-Imported with the first trial that a door hears of: one that hears of none starts without it.
+Imported with the first trial, so that a proxy starts without the cost of this module.
 """
 
 from __future__ import annotations
@@ -19,120 +19,123 @@
 from ivymux.runtime.log import Log
 from ivymux.transport.connection import Connector, TransportError
 
-CALL = 0.5  # seconds of one question
-KEPT = 10.0  # seconds of counts from before a trial, which others' failures are held against
-LEFT = 0.5  # of the time that a client has left, what a request is held for at most
-TEXT = b"refused in a trial of this caller; it has not run\n"
+CALL_TIMEOUT_S = 0.5
+BASELINE_S = 10.0  # before a trial, whose counts other callers' failures are compared with
+MAX_HOLD_PART = 0.5  # of the time that a client has left, the longest delay of its request
+REFUSAL_TEXT = b"refused in a trial of this caller; it has not run\n"
 
 log = Log("proxy")
 
 
 @dataclass(frozen=True, slots=True)
-class Caught:
-    """What becomes of a request: an answer at once, or what its call is marked with."""
+class Injection:
+    """What a trial does to a request: an answer without a backend, a delay, or the loss of the answer."""
 
     answer: Answer | None = None
-    hold: float = 0.0
-    lose: bool = False
+    hold_s: float = 0.0
+    drops_answer: bool = False
 
 
-FREE = Caught()
+NO_INJECTION = Injection()
 
 
 class TrialClient:
     def __init__(
-        self, zone: str, id: str, host: Host, lines: Callable[[], list[Connector]],
-        system: Callable[[float], float], kept: Iterable[tuple[float, int, int]],
+        self, zone: str, id: str, host: Host, connectors: Callable[[], list[Connector]],
+        system_time: Callable[[float], float], samples: Iterable[tuple[float, int, int]],
     ) -> None:  # fmt: skip
-        """`lines`: to the core; `system`: the system's time at a steady time; `kept`: what `others` gave at
-        times before.
-        """
-        self.catch, self.id, self.host = RequestMatcher(zone), id, host
-        self.lines, self.system, self.kept = lines, system, kept
+        """`connectors`: to the core; `system_time`: by steady time; `samples`: earlier request counts."""
+        self.matcher, self.id, self.host = RequestMatcher(zone), id, host
+        self.connectors, self.system_time, self.samples = connectors, system_time, samples
         self.task: asyncio.Task[None] | None = None
-        self.before = (0, 0)
-        self.spoilt = 0
+        self.baseline = (0, 0)  # requests and failures before the trial
+        self.malformed_replies = 0
 
-    def configured(self, keys: Iterable[bytes]) -> None:
-        self.catch.update_keys(keys)
+    def update_keys(self, keys: Iterable[bytes]) -> None:
+        self.matcher.update_keys(keys)
 
-    def use(self, text: str) -> bool:
-        """A board that the core told of; whether a trial may come to be in force by it."""
+    def apply(self, text: str) -> bool:
+        """Apply a trial set that the core sent; returns whether one of its trials may be in force."""
         now = time.monotonic()
         try:
-            news = self.catch.apply(decode(text), now, self.system(now))
+            is_newer = self.matcher.apply(decode(text), now, self.system_time(now))
         except TrialError as error:
-            log.info(f"{error}; no trial of it is in force here.")
-            return self.busy()
-        if news:
-            names = ", ".join(t.name for t in self.catch.trials.running) or "none"
-            log.info(f"board {self.catch.trials.version} of trials: {names}.")
-        if self.catch.has_running_trial(now) and not self.busy():
-            self.task = asyncio.get_running_loop().create_task(self.renew())
-        return self.busy()
-
-    def busy(self) -> bool:
+            log.info(f"ignored an invalid trial set: {error}.")
+            return self.is_running()
+        if is_newer:
+            names = ", ".join(trial.name for trial in self.matcher.trials.running) or "none"
+            log.info(f"trial set {self.matcher.trials.version} received; running: {names}.")
+        if self.matcher.has_running_trial(now) and not self.is_running():
+            self.task = asyncio.get_running_loop().create_task(self.renew_leases())
+        return self.is_running()
+
+    def is_running(self) -> bool:
         return self.task is not None and not self.task.done()
 
     # --- requests --------------------------------------------------------------------------------------
 
-    def meet(self, tenant: str, key: bytes, route: str, service: str, name: bytes, end: float) -> Caught:
-        """What becomes of a request whose client gives up at `end`, steady time."""
+    def inject(
+        self, tenant: str, key: bytes, route: str, service: str, request_id: bytes, deadline: float
+    ) -> Injection:
+        """Decide on a request whose client gives up at `deadline`, in steady time."""
         now = time.monotonic()
-        trial = self.catch.match(now, tenant, key, route, service, name)
+        trial = self.matcher.match(now, tenant, key, route, service, request_id)
         if trial is None:
-            return FREE
+            return NO_INJECTION
         if trial.does == DELAY:
-            self.catch.forwarded += 1
-            return Caught(hold=min(trial.delay, LEFT * max(0.0, end - now)))
+            self.matcher.forwarded += 1
+            return Injection(hold_s=min(trial.delay, MAX_HOLD_PART * max(0.0, deadline - now)))
         if trial.does == LOSE:
-            self.catch.forwarded += 1
-            return Caught(lose=True)
+            self.matcher.forwarded += 1
+            return Injection(drops_answer=True)
         self.host.refusal_log.record(TRIAL)
         if trial.does == CLOSE:
-            return Caught(Answer(CLOSE_CONNECTION))
-        return Caught(Answer(trial.status, TEXT, retry_after=trial.after))
+            return Injection(Answer(CLOSE_CONNECTION))
+        return Injection(Answer(trial.status, REFUSAL_TEXT, retry_after=trial.after))
 
     # --- the core --------------------------------------------------------------------------------------
 
-    def others(self) -> tuple[int, int]:
-        """Requests under no trial, and those of them that ended without service for want of servers."""
-        return self.host.request_count - self.catch.forwarded, self.host.refusal_log.refusals.count_unserved()
+    def unaffected_counts(self) -> tuple[int, int]:
+        """Requests under no trial, and those of them that were not served for lack of backends."""
+        unaffected = self.host.request_count - self.matcher.forwarded
+        return unaffected, self.host.refusal_log.refusals.count_unserved()
 
-    async def renew(self) -> None:
-        """While a trial runs: ask, tell, and take what is answered."""
+    async def renew_leases(self) -> None:
+        """While a trial runs, report its counts to the core and renew the lease on the trial set."""
         now = time.monotonic()
-        self.before = self.past(now)
-        while self.catch.has_running_trial(time.monotonic()):
-            asked, failed = self.others()
+        self.baseline = self.recent_counts(now)
+        while self.matcher.has_running_trial(time.monotonic()):
+            requests, failures = self.unaffected_counts()
             now = time.monotonic()
             message = {
-                "k": "trial", "v": self.catch.trials.version, "c": self.catch.counts(now),
-                "o": [asked, failed, *self.before],
+                "k": "trial", "v": self.matcher.trials.version, "c": self.matcher.counts(now),
+                "o": [requests, failures, *self.baseline],
             }  # fmt: skip
-            calls = [self.ask(line, message) for line in self.lines()]
+            calls = [self.call(connector, message) for connector in self.connectors()]
             await asyncio.gather(*calls, asyncio.sleep(RENEWAL_INTERVAL_S))
-        for line in self.lines():  # what it came to
-            line.send({"k": "trial", "v": self.catch.trials.version, "c": self.catch.counts(now)})
+        for connector in self.connectors():  # the final counts
+            connector.send({"k": "trial", "v": self.matcher.trials.version, "c": self.matcher.counts(now)})
 
-    def past(self, now: float) -> tuple[int, int]:
-        """Requests and failures of the last KEPT seconds, as they were kept."""
-        asked, failed = self.others()
-        first = next(((a, f) for at, a, f in self.kept if now - at <= KEPT), (asked, failed))
-        return asked - first[0], failed - first[1]
+    def recent_counts(self, now: float) -> tuple[int, int]:
+        """Requests and failures within the last BASELINE_S."""
+        requests, failures = self.unaffected_counts()
+        recent = (sample for sample in self.samples if now - sample[0] <= BASELINE_S)
+        _, first_requests, first_failures = next(recent, (now, requests, failures))
+        return requests - first_requests, failures - first_failures
 
-    async def ask(self, line: Connector, message: dict[str, Any]) -> None:
+    async def call(self, connector: Connector, message: dict[str, Any]) -> None:
         began = time.monotonic()
         try:
-            told = await line.call(message, CALL)
-            if isinstance(told.get("t"), str) and told["t"]:
-                self.use(told["t"])
-            if told.get("age") is not None:
-                self.catch.renew_lease(int(told["v"]), began, float(told["age"]))
+            reply = await connector.call(message, CALL_TIMEOUT_S)
+            text, age = reply.get("t"), reply.get("age")
+            if isinstance(text, str) and text:
+                self.apply(text)
+            if age is not None:
+                self.matcher.renew_lease(int(reply["v"]), began, float(age))
         except TransportError:
             pass
         except (KeyError, TypeError, ValueError):
-            self.spoilt += 1
+            self.malformed_replies += 1
 
     def close(self) -> None:
         if self.task is not None:
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -76,12 +76,12 @@
         reporter = FailureReporter(lambda: succeeded[0], lambda backend: f"b{backend}", sent.append)
         reporter.sample()
         for _ in range(3):
-            reporter.doubt(1)
+            reporter.on_failure(1)
         await until(lambda: reporter.timer is None)
         assert not sent
         succeeded[0] = 5
-        reporter.doubt(1)
-        reporter.doubt(1)
+        reporter.on_failure(1)
+        reporter.on_failure(1)
         await until(lambda: reporter.timer is None)
         assert sent == [{"k": "doubt", "l": [["b1", 2]]}]
 
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -101,25 +101,25 @@
 
 
 def configuration_not_applied() -> None:
-    true = Proxy.apply
+    true = Proxy.apply_configuration
 
     def apply(self: Proxy, version: int, text: str) -> None:
-        if self.version < 0:
+        if self.config_version < 0:
             true(self, version, text)
 
-    swap(Proxy, "apply", apply)
+    swap(Proxy, "apply_configuration", apply)
 
 
 def configuration_reverted() -> None:
-    true, first = Proxy.apply, list[Any]()
+    true, first = Proxy.apply_configuration, list[Any]()
 
     def apply(self: Proxy, version: int, text: str) -> None:
         true(self, version, text)
-        first.append(self.front.plan)
+        first.append(self.frontend.plan)
         if len(first) == 2:  # the newer one holds for a second
-            self.loop.call_later(1.0, self.front.use, first[0])
+            self.loop.call_later(1.0, self.frontend.update_plan, first[0])
 
-    swap(Proxy, "apply", apply)
+    swap(Proxy, "apply_configuration", apply)
 
 
 def drain_not_heard() -> None:
