--- a/tests/proxy/test_claimed.py
+++ b/tests/proxy/test_claimed.py
@@ -1,4 +1,4 @@
-"""The host and a claim: nothing is sent before it is heard of, and nothing behind a request that is over."""
+"""The host and claims: nothing is sent before a claim is acquired, or after its request has ended."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from orchidhill.interface import Outcome
 
 
-class Asks:
-    """A claim that is heard of when the test says so."""
+class ManualClaim:
+    """A claim whose result the test delivers."""
 
     def __init__(self) -> None:
         self.go: Callable[[Answer | None], None] | None = None
@@ -32,10 +32,10 @@
         self.ends.append((answer.status if answer is not None else None, ran))
 
 
-class Bench:
-    """A host whose module sends each request to backend 1, and whose backends do what the test says."""
+class HostHarness:
+    """A host whose decision module sends each request to backend 1, and whose results the test delivers."""
 
-    def __init__(self, wait: float = 5.0) -> None:
+    def __init__(self, timeout: float = 5.0) -> None:
         self.events: list[i.Event] = []
         self.sent: list[Callable[[Result], None]] = []
         module = SimpleNamespace(settings=module_settings(), actions=[], handle=self.handle)
@@ -43,17 +43,17 @@
             answer_policy=proxy_answer_policy(1 << 20, 1 << 20), start_attempt=self.start
         )
         self.host = Host(cast(Any, module), cast(Any, upstream))
-        self.claim, self.answers = Asks(), list[int]()
-        self.written = True  # whether a backend may have read of an attempt
+        self.claim, self.answers = ManualClaim(), list[int]()
+        self.written = True  # whether a backend may have received bytes of an attempt
         call = Call(
-            b"", time.monotonic() + wait, self.made, lambda left: b"", claim=self.claim,
+            b"", time.monotonic() + timeout, self.make_event, lambda left: b"", claim=self.claim,
             on_departure=OnDeparture.for_request(repeatable=False),
         )  # fmt: skip
         self.request: OpenRequest = self.host.submit(
             call, lambda a: self.answers.append(a.status), lambda: None
         )
 
-    def made(self, number: int) -> i.Request:
+    def make_event(self, number: int) -> i.Request:
         return i.Request(number, 0, 0, 0, 5.0, 1.0, 1, 0, False, True)
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
@@ -70,69 +70,69 @@
         return [(e.outcome, e.closed) for e in self.events if isinstance(e, i.Finished)]
 
 
-def test_a_claim_that_goes_is_ended_with_the_backends_answer() -> None:
-    async def day() -> None:
-        it = Bench()
-        assert not it.sent and it.claim.go is not None
-        it.claim.go(None)
-        it.sent[0](Result(Outcome.OK, 0.1, status=200, body=b"x", headers=[]))
-        assert it.answers == [200] and it.claim.ends == [(200, True)] and not it.host.requests
-
-    asyncio.run(day())
-
-
-def test_a_claim_that_is_answered_sends_nothing() -> None:
-    async def day() -> None:
-        it = Bench()
-        assert it.claim.go is not None
-        it.claim.go(Answer(409, retry_after=0.1))
-        assert it.answers == [409] and not it.sent and not it.host.requests
-        assert it.finished() == [(Outcome.MOOT, True)] and it.claim.ends == [(None, False)]
-
-    asyncio.run(day())
-
-
-def test_a_late_go_sends_nothing_for_a_client_that_has_left_or_whose_time_is_over() -> None:
-    async def day() -> None:
-        for over, answers in ((Host.on_client_left, []), (Host.on_deadline, [503])):
-            it = Bench()
-            over(it.host, it.request)
-            assert it.answers == answers and it.host.requests  # until the claim is heard of
-            assert it.claim.go is not None
-            it.claim.go(None)
-            assert not it.sent and not it.host.requests
-            assert it.finished() == [(Outcome.MOOT, True)] and it.claim.ends == [(None, False)]
-
-    asyncio.run(day())
-
-
-def test_what_runs_on_behind_a_client_that_left_is_kept_and_what_was_lost_is_not_known() -> None:
-    async def day() -> None:
-        it = Bench()
-        assert it.claim.go is not None
-        it.claim.go(None)
-        it.host.on_client_left(it.request)
-        assert it.host.requests and not it.claim.ends  # it may have begun: it runs on
-        it.sent[0](Result(Outcome.OK, 0.1, status=201, body=b"x", headers=[]))
-        assert it.answers == [] and it.claim.ends == [(201, True)]
-        it = Bench()
-        assert it.claim.go is not None
-        it.claim.go(None)
-        it.host.on_deadline(it.request)
-        assert it.answers == [504] and it.claim.ends == [(None, True)]
-
-    asyncio.run(day())
-
-
-def test_an_action_that_was_not_written_yet_ends_with_its_client_as_not_run() -> None:
-    async def day() -> None:
-        it = Bench()
-        it.written = False
-        assert it.claim.go is not None
-        it.claim.go(None)
-        attempt = it.request.attempts[0]
-        attempt.give_up = lambda outcome: it.sent[0](Result(Outcome.MOOT, 0.0))  # type: ignore[method-assign]
-        it.host.on_client_left(it.request)
-        assert not it.host.requests and it.claim.ends == [(None, False)]
-
-    asyncio.run(day())
+def test_an_acquired_claim_is_ended_with_the_backends_answer() -> None:
+    async def scenario() -> None:
+        harness = HostHarness()
+        assert not harness.sent and harness.claim.go is not None
+        harness.claim.go(None)
+        harness.sent[0](Result(Outcome.OK, 0.1, status=200, body=b"x", headers=[]))
+        assert harness.answers == [200] and harness.claim.ends == [(200, True)] and not harness.host.requests
+
+    asyncio.run(scenario())
+
+
+def test_a_request_that_its_claim_answers_is_not_sent() -> None:
+    async def scenario() -> None:
+        harness = HostHarness()
+        assert harness.claim.go is not None
+        harness.claim.go(Answer(409, retry_after=0.1))
+        assert harness.answers == [409] and not harness.sent and not harness.host.requests
+        assert harness.finished() == [(Outcome.MOOT, True)] and harness.claim.ends == [(None, False)]
+
+    asyncio.run(scenario())
+
+
+def test_a_claim_acquired_after_the_client_left_or_its_deadline_sends_nothing() -> None:
+    async def scenario() -> None:
+        for end_request, answers in ((Host.on_client_left, []), (Host.on_deadline, [503])):
+            harness = HostHarness()
+            end_request(harness.host, harness.request)
+            assert harness.answers == answers and harness.host.requests  # until the claim has its result
+            assert harness.claim.go is not None
+            harness.claim.go(None)
+            assert not harness.sent and not harness.host.requests
+            assert harness.finished() == [(Outcome.MOOT, True)] and harness.claim.ends == [(None, False)]
+
+    asyncio.run(scenario())
+
+
+def test_an_action_completes_after_its_client_left_and_is_unknown_after_its_deadline() -> None:
+    async def scenario() -> None:
+        harness = HostHarness()
+        assert harness.claim.go is not None
+        harness.claim.go(None)
+        harness.host.on_client_left(harness.request)
+        assert harness.host.requests and not harness.claim.ends  # the action may have begun, and continues
+        harness.sent[0](Result(Outcome.OK, 0.1, status=201, body=b"x", headers=[]))
+        assert harness.answers == [] and harness.claim.ends == [(201, True)]
+        harness = HostHarness()
+        assert harness.claim.go is not None
+        harness.claim.go(None)
+        harness.host.on_deadline(harness.request)
+        assert harness.answers == [504] and harness.claim.ends == [(None, True)]
+
+    asyncio.run(scenario())
+
+
+def test_an_action_that_was_not_yet_written_ends_as_not_run_when_its_client_leaves() -> None:
+    async def scenario() -> None:
+        harness = HostHarness()
+        harness.written = False
+        assert harness.claim.go is not None
+        harness.claim.go(None)
+        attempt = harness.request.attempts[0]
+        attempt.give_up = lambda outcome: harness.sent[0](Result(Outcome.MOOT, 0.0))  # type: ignore[method-assign]
+        harness.host.on_client_left(harness.request)
+        assert not harness.host.requests and harness.claim.ends == [(None, False)]
+
+    asyncio.run(scenario())
