--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -11,7 +11,7 @@
 from orchidhill import degraded_mode
 from standins.world import World, plan
 
-GATEWAY_COUNT, SCHEDULE_S = 4, 32.0  # more than a window of 20 s
+GATEWAY_COUNT, SCHEDULE_S = 4, 32.0  # schedules are longer than a window of 20 s
 RATE, BURST, CEILING = 4.0, 12.0, 2.0
 FLOODING, MODERATE = 1, 2  # customers
 SLACK_SHARE = 0.05  # of the ceiling's burst
@@ -37,8 +37,8 @@
 def allowed_excess(schedule: list[Fault]) -> float:
     """Return the units allowed beyond the ceiling's bucket by the theorem in docs/design/tally.md.
 
-    None but SLACK_SHARE, if the counters that serve at once, plus one for gateways in degraded mode, are no
-    more than the ceiling is multiples of the quota.
+    The sides are the counters that serve at the same time, plus one for gateways in degraded mode.  Up to
+    CEILING sides (the ceiling over the quota), only SLACK_SHARE of the ceiling's burst is allowed.
     """
     sides = max_counters(schedule) + any(f.kind in ("refused", "silent", "late", "lost") for f in schedule)
     if sides <= CEILING:
@@ -149,7 +149,7 @@
 
 
 def test_a_replaced_counter_is_logged_and_its_totals_are_restored_once() -> None:
-    """Four gateways reach an empty counter in turn: the bucket gets no fuller, and no emptier for long."""
+    """Four gateways reach an empty counter in turn: the bucket gets no fuller, and is emptier only briefly."""
     world = World(GATEWAY_COUNT, plan(RATE, BURST, CEILING), seed=1)
     begin = world.now
     world.load(FLOODING, 5 * RATE, range(GATEWAY_COUNT), begin, begin + 19.0)
@@ -165,10 +165,8 @@
 
 def test_a_local_share_fades_in_long_degraded_mode() -> None:
     assert degraded_mode.fade_factor(10.0) == degraded_mode.fade_factor(degraded_mode.HOLD_S) == 1.0
-    assert (
-        degraded_mode.fade_factor(90.0) == pytest.approx(2 / 3)
-        and degraded_mode.fade_factor(1e6) == degraded_mode.MIN_FADE
-    )
+    assert degraded_mode.fade_factor(90.0) == pytest.approx(2 / 3)
+    assert degraded_mode.fade_factor(1e6) == degraded_mode.MIN_FADE
 
 
 @given(
