--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -149,7 +149,7 @@
 
 
 def test_a_replaced_counter_is_logged_and_its_totals_are_restored_once() -> None:
-    """Four gateways reach an empty counter in turn: the bucket gets no fuller, and is emptier only briefly."""
+    """Four gateways reach an empty counter in turn: the bucket gets no fuller, and emptier only briefly."""
     world = World(GATEWAY_COUNT, plan(RATE, BURST, CEILING), seed=1)
     begin = world.now
     world.load(FLOODING, 5 * RATE, range(GATEWAY_COUNT), begin, begin + 19.0)
