--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -236,7 +236,7 @@
 def store_members(size: int) -> Values:
     """What members of a core say to one another while nothing changes (simulated time)."""
     cores = started(1, size)
-    cores.run(3.0)
+    cores.run_for(3.0)
     sent = [0, 0]
     send = cores.send
 
@@ -247,7 +247,7 @@
         send(source, target, message)
 
     cores.send = counted  # type: ignore[method-assign]
-    cores.run(QUIET)
+    cores.run_for(QUIET)
     return {
         "messages between all core machines": (sent[0] / QUIET, "1/s"),
         "bytes between all core machines": (sent[1] / QUIET, "bytes/s"),
--- a/bench/control.py
+++ b/bench/control.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from bench.common import figure, parser, report
-from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
 from ivymux.simulation.loss_scenarios import (
     ROLES,
     SYNC_TIME,
@@ -31,7 +31,7 @@
 COMMITS = (0.3, 2.0)  # seconds of a commit on a slow disk
 ENDS = 100
 Case = tuple[str, tuple[Any, ...]]
-PLAYS: dict[str, Callable[..., Cores]] = {
+PLAYS: dict[str, Callable[..., CoreCluster]] = {
     "departure": departure,
     "two operators": two_operators,
     "slow repair": slow_repair,
@@ -57,7 +57,7 @@
     kind, arguments = case
     try:
         PLAYS[kind](*arguments)
-    except Broken as error:
+    except GuaranteeViolation as error:
         return f"{kind}{arguments}: {error}"
     return ""
 
--- a/bench/epochs.py
+++ b/bench/epochs.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 
 from bench.common import figure, parser, report
-from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import Fault, after, placed, play, two_changes
 
 QUICK = 400
@@ -28,8 +28,8 @@
     changes = 0
     for seed in span:
         try:
-            changes += len(play(seed).acked)
-        except Broken as error:
+            changes += len(play(seed).acknowledged_versions)
+        except GuaranteeViolation as error:
             return changes, f"seed {seed}: {error}"
     return changes, ""
 
@@ -43,7 +43,7 @@
         for faults in after(first, steps):
             runs += 1
             two_changes(faults)
-    except Broken as error:
+    except GuaranteeViolation as error:
         return runs, f"{','.join(map(str, faults))}: {error}"
     return runs, ""
 
@@ -51,17 +51,21 @@
 def takeover(case: tuple[int, int]) -> float:
     """Seconds from a lost leader to a change that is acknowledged."""
     seed, count = case
-    cores = Cores(seed, count)
-    for ip in cores.machines:
-        cores.start_at(cores.random.uniform(0, 0.3), ip)
-    cores.run(0.5)
-    cores.settle()
-    cores.run(1.0)
-    cores.kill(cores.leaders()[0])
-    began = cores.now
-    if not cores.led(10.0) or not cores.put(cores.leaders()[0], 5, "five") or not cores.acknowledged(5, 3.0):
+    cluster = CoreCluster(seed, count)
+    for ip in cluster.machines:
+        cluster.start_at(cluster.random.uniform(0, 0.3), ip)
+    cluster.run_for(0.5)
+    cluster.heal()
+    cluster.run_for(1.0)
+    cluster.kill(cluster.primaries()[0])
+    began = cluster.now
+    if (
+        not cluster.run_until_led(10.0)
+        or not cluster.put(cluster.primaries()[0], 5, "five")
+        or not cluster.run_until_acknowledged(5, 3.0)
+    ):
         raise AssertionError(f"seed {seed}: no change is acknowledged behind a lost leader")
-    return cores.now - began
+    return cluster.now - began
 
 
 def checked(results: Iterator[tuple[int, str]]) -> int:
--- a/ivymux/simulation/control_plane.py
+++ b/ivymux/simulation/control_plane.py
@@ -15,7 +15,7 @@
 from ivymux.config_store.history import ChangeOutcome
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
-from ivymux.simulation.core_cluster import GRACE, Broken, Cores
+from ivymux.simulation.core_cluster import EXIT_GRACE_S, CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import Callers, Make
 from ivymux.simulation.loss_scenarios import SYNC_TIME
 
@@ -105,32 +105,32 @@
 class Operators:
     """Two that change the configuration at any machine, lose answers, send again, also what is long past."""
 
-    def __init__(self, cores: Cores, chance: random.Random) -> None:
-        self.cores, self.chance = cores, chance
+    def __init__(self, cluster: CoreCluster, chance: random.Random) -> None:
+        self.cluster, self.chance = cluster, chance
         self.version = 0
         self.open: dict[tuple[int, str], int] = {}  # changes without a clear answer, and how often sent
         self.settled: list[tuple[int, str, ChangeOutcome]] = []
-        checked = cores.answered
+        checked = cluster.on_change_outcome
 
         def answered(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
             checked(version, text, outcome, known)
             if chance.random() < 0.7 and self.open.pop((version, text), None) is not None:
                 self.settled.append((version, text, outcome))
 
-        cores.answered = answered  # type: ignore[method-assign]
+        cluster.on_change_outcome = answered  # type: ignore[method-assign]
 
     def step(self) -> None:
-        chance, machines = self.chance, list(self.cores.machines)
+        chance, machines = self.chance, list(self.cluster.machines)
         if chance.random() < 0.3 and len(self.open) < 8:
             self.version += chance.randint(0, 2)
             for name in chance.choice((("a",), ("b",), ("a", "b"))):
                 self.open[(self.version, f"{self.version} by {name}")] = 0
         for version, text in list(self.open):
             if chance.random() < 0.5:
-                self.cores.put(chance.choice(machines), version, text)
+                self.cluster.put(chance.choice(machines), version, text)
         if self.settled and chance.random() < 0.1:  # one that was answered before, at any machine
             version, text, _ = chance.choice(self.settled)
-            self.cores.put(chance.choice(machines), version, text)
+            self.cluster.put(chance.choice(machines), version, text)
 
 
 class ControlDay:
@@ -139,65 +139,65 @@
     def __init__(self, seed: int, count: int, faults: tuple[ControlFault, ...], make: Make) -> None:
         self.chance = random.Random(seed)
         self.count, self.faults = count, faults
-        self.cores = Cores(seed, count + SPARES, make)
+        self.cluster = CoreCluster(seed, count + SPARES, make)
         self.spares = [f"m{n}" for n in range(count, count + SPARES)]
-        self.operators = Operators(self.cores, self.chance)
-        self.callers = Callers(self.cores, self.chance)
+        self.operators = Operators(self.cluster, self.chance)
+        self.callers = Callers(self.cluster, self.chance)
         self.disk_lost = False  # in this phase
         self.phase_ends = 0.0
         self.successor_synced_at = 0.0
         self.successors: set[str] = set()  # machines that have come in this phase in the place of others
 
-    def play(self) -> Cores:
-        cores = self.cores
-        cores.removed |= set(self.spares)  # nobody has added them yet
+    def play(self) -> CoreCluster:
+        cluster = self.cluster
+        cluster.removed_machines |= set(self.spares)  # nobody has added them yet
         for number in range(self.count):
-            cores.start_at(self.chance.uniform(0, 0.4), f"m{number}")
-        cores.run(2.0)
+            cluster.start_at(self.chance.uniform(0, 0.4), f"m{number}")
+        cluster.run_for(2.0)
         phases = sorted({fault.phase for fault in self.faults})
         for phase in phases:
             self.play_phase([fault for fault in self.faults if fault.phase == phase])
         slowest = max((fault.lasts for fault in self.faults), default=0.0)
         self.callers.look(5.0 + 2 * slowest)  # a commit that hangs when a phase ends may last for that long
-        return cores
+        return cluster
 
     def play_phase(self, faults: list[ControlFault]) -> None:
-        cores = self.cores
+        cluster = self.cluster
         self.disk_lost = False
         self.successors.clear()
-        began = cores.now
+        began = cluster.now
         self.phase_ends = began + max(fault.at + fault.lasts for fault in faults) + 0.5
         for fault in faults:
-            cores.at(fault.at, lambda fault=fault: self.strike(fault))  # type: ignore[misc]
-        while cores.now < self.phase_ends:
+            cluster.schedule(fault.at, lambda fault=fault: self.strike(fault))  # type: ignore[misc]
+        while cluster.now < self.phase_ends:
             self.step()
-        for machine in cores.machines.values():
-            machine.disk.slow, machine.disk.full = USUAL_COMMIT, False
+        for machine in cluster.machines.values():
+            machine.disk.commit_s, machine.disk.is_full = USUAL_COMMIT, False
         # A disk that hung is one in trouble until the commit that it was at is done.
-        mended = max([cores.now, *(machine.commit_ends for machine in cores.machines.values())])
-        cores.settle(RECOVERY + mended - cores.now)
-        until = max(cores.now, mended) + CATCH_UP
-        while cores.now < until:
+        mended = max([cluster.now, *(machine.commit_ends_at for machine in cluster.machines.values())])
+        cluster.heal(RECOVERY + mended - cluster.now)
+        until = max(cluster.now, mended) + CATCH_UP
+        while cluster.now < until:
             self.step()
-        cores.settle(RECOVERY)
+        cluster.heal(RECOVERY)
 
     def step(self) -> None:
-        self.cores.run(STEP * self.chance.uniform(0.2, 1.5))
+        self.cluster.run_for(STEP * self.chance.uniform(0.2, 1.5))
         self.operators.step()
         self.callers.step()
-        self.cores.read_all()
+        self.cluster.read_all()
 
     # --- faults ----------------------------------------------------------------------------------------
 
     def victim(self, fault: ControlFault) -> str:
         """The address that a fault is meant for."""
         if fault.machine not in ("primary", "backup"):
-            present = [m for m in self.cores.machines if m not in self.cores.removed]
+            present = [m for m in self.cluster.machines if m not in self.cluster.removed_machines]
             return fault.machine if fault.machine in present else present[0]
-        records = [m.replica.led_epoch for m in self.cores.machines.values() if m.replica is not None]
+        records = [m.replica.led_epoch for m in self.cluster.machines.values() if m.replica is not None]
         leading = [record for record in records if record is not None]
         if not leading:
-            return next(m for m in self.cores.machines if m not in self.cores.removed)
+            return next(m for m in self.cluster.machines if m not in self.cluster.removed_machines)
         newest = max(leading, key=lambda record: record.number)
         return address_of(newest.primary if fault.machine == "primary" else newest.backup)
 
@@ -206,13 +206,13 @@
 
         A machine that is replaced counts as lost until its successor has had SYNC_TIME.
         """
-        if self.disk_lost or self.cores.now < self.successor_synced_at:
+        if self.disk_lost or self.cluster.now < self.successor_synced_at:
             return False
         self.disk_lost = True
         return True
 
     def strike(self, fault: ControlFault) -> None:
-        cores = self.cores
+        cluster = self.cluster
         if fault.kind in ALL_MACHINES:
             self.strike_all(fault)
             return
@@ -223,73 +223,73 @@
         if kind in ("wipe", "replace") and not self.may_lose_disk():
             kind = "kill"
         if kind in ("kill", "power"):
-            cores.kill(machine)
+            cluster.kill(machine)
             self.back(machine, fault.lasts)
         elif kind == "wipe":
-            cores.wipe(machine)
+            cluster.wipe(machine)
             self.back(machine, fault.lasts)
         elif kind == "leave":
-            cores.leave(machine)
+            cluster.leave(machine)
             self.back_after_end(machine, fault.lasts)
         elif kind == "retire":
             self.retire(machine)
         elif kind == "replace":
             self.replace(machine, fault.lasts)
         elif kind in ("cut", "out", "in"):
-            cores.cut_off(machine, outward=kind != "in", inward=kind != "out")
-            cores.at(fault.lasts, cores.cut.clear)
+            cluster.isolate(machine, outward=kind != "in", inward=kind != "out")
+            cluster.schedule(fault.lasts, cluster.cut_links.clear)
         elif kind in ("slow", "hang"):
             self.slow_disk(machine, 0.3 if kind == "slow" else fault.lasts, fault.lasts)
         elif kind == "freeze":
-            cores.freeze(machine)
-            cores.at(fault.lasts, lambda: cores.thaw(machine))
+            cluster.freeze(machine)
+            cluster.schedule(fault.lasts, lambda: cluster.thaw(machine))
         elif kind == "full":
             self.fill_disk(machine, fault.lasts)
 
     def strike_all(self, fault: ControlFault) -> None:
-        cores = self.cores
+        cluster = self.cluster
         if fault.kind == "halves":
-            machines = [m for m in cores.machines if m not in cores.removed]
+            machines = [m for m in cluster.machines if m not in cluster.removed_machines]
             half = set(self.chance.sample(machines, len(machines) // 2))
             for one, other in itertools.permutations(machines, 2):
                 if (one in half) != (other in half):
-                    cores.cut.add((one, other))
-            cores.at(fault.lasts, cores.cut.clear)
+                    cluster.cut_links.add((one, other))
+            cluster.schedule(fault.lasts, cluster.cut_links.clear)
             return
         if fault.kind == "loss":
-            cores.loss = 0.2
-            cores.at(fault.lasts, self.end_loss)
+            cluster.loss_rate = 0.2
+            cluster.schedule(fault.lasts, self.end_loss)
             return
         victim = self.victim(fault)
-        for machine in list(cores.machines):
-            cores.kill(machine)
+        for machine in list(cluster.machines):
+            cluster.kill(machine)
             self.back(machine, min(fault.lasts, 1.5))
         if fault.kind == "aimed" and self.may_lose_disk():
-            cores.wipe(victim)
+            cluster.wipe(victim)
 
     def end_loss(self) -> None:
-        self.cores.loss = 0.0
+        self.cluster.loss_rate = 0.0
 
     def back(self, machine: str, after: float) -> None:
         """The process starts again, unless its machine is gone for good."""
 
         def start() -> None:
-            if machine not in self.cores.removed:
-                self.cores.start(machine)
+            if machine not in self.cluster.removed_machines:
+                self.cluster.start(machine)
 
-        self.cores.at(after, start)
+        self.cluster.schedule(after, start)
 
     def back_after_end(self, machine: str, after: float) -> None:
         """The same, once a planned end is over."""
-        self.back(machine, GRACE + 0.1 + after)
+        self.back(machine, EXIT_GRACE_S + 0.1 + after)
 
     def add_spare(self) -> None:
         """A new machine, at another address, where there is one left."""
         if self.spares:
             spare = self.spares.pop(0)
             self.successors.add(spare)
-            self.cores.removed.discard(spare)
-            self.cores.start(spare)
+            self.cluster.removed_machines.discard(spare)
+            self.cluster.start(spare)
 
     def retire(self, machine: str) -> None:
         """A planned replacement: the successor first, and then the end, for good where nothing is held.
@@ -297,61 +297,61 @@
         A process that still holds a copy at the end of its grace takes a disk with it: then the operators
         start it again, unless a disk may be lost.
         """
-        cores = self.cores
-        if cores.machines[machine].replica is None or not self.spares or self.disk_lost:
+        cluster = self.cluster
+        if cluster.machines[machine].replica is None or not self.spares or self.disk_lost:
             return
         self.add_spare()
-        self.successor_synced_at = cores.now + SYNC_TIME
+        self.successor_synced_at = cluster.now + SYNC_TIME
         self.phase_ends = max(self.phase_ends, self.successor_synced_at + 1.0)
-        cores.at(SYNC_TIME, lambda: cores.leave(machine))
+        cluster.schedule(SYNC_TIME, lambda: cluster.leave(machine))
 
         def look() -> None:
-            replica = cores.machines[machine].replica
+            replica = cluster.machines[machine].replica
             if replica is None:  # it ended in time, or was lost meanwhile
                 self.remove(machine)
             elif replica.leaving_since is not None and replica.may_exit():
-                cores.removed.add(machine)
-                cores.kill(machine)
+                cluster.removed_machines.add(machine)
+                cluster.kill(machine)
             else:
-                cores.at(0.02, look)
+                cluster.schedule(0.02, look)
 
-        cores.at(SYNC_TIME + 0.01, look)
+        cluster.schedule(SYNC_TIME + 0.01, look)
 
     def remove(self, machine: str) -> None:
         """A process that is down is not started again if its disk may be lost, else it is."""
         if self.may_lose_disk():
-            self.cores.removed.add(machine)
+            self.cluster.removed_machines.add(machine)
         else:
             self.back(machine, 0.3)
 
     def replace(self, machine: str, after: float) -> None:
         """A machine is gone for good, an empty one comes later at another address."""
         if not self.spares:
-            self.cores.wipe(machine)
+            self.cluster.wipe(machine)
             self.back(machine, after)
             return
-        self.cores.removed.add(machine)
-        self.cores.kill(machine)
-        self.cores.at(min(after, 3.0), self.add_spare)
+        self.cluster.removed_machines.add(machine)
+        self.cluster.kill(machine)
+        self.cluster.schedule(min(after, 3.0), self.add_spare)
 
     def slow_disk(self, machine: str, commit_s: float, lasts: float) -> None:
-        disk = self.cores.machines[machine].disk
-        disk.slow = commit_s
+        disk = self.cluster.machines[machine].disk
+        disk.commit_s = commit_s
 
         def usual() -> None:
-            disk.slow = USUAL_COMMIT
+            disk.commit_s = USUAL_COMMIT
 
-        self.cores.at(lasts, usual)
+        self.cluster.schedule(lasts, usual)
 
     def fill_disk(self, machine: str, lasts: float) -> None:
-        disk = self.cores.machines[machine].disk
-        disk.full = True
+        disk = self.cluster.machines[machine].disk
+        disk.is_full = True
 
         def room() -> None:
-            disk.full = False
+            disk.is_full = False
             self.back(machine, 0.3)
 
-        self.cores.at(lasts, room)
+        self.cluster.schedule(lasts, room)
 
 
 @dataclass(frozen=True, slots=True)
@@ -376,6 +376,6 @@
                 faults.append(ControlFault.read(event))
         try:
             ControlDay(seed, count, tuple(faults), self.make).play()
-        except Broken as error:
+        except GuaranteeViolation as error:
             return str(error)
         return ""
--- a/ivymux/simulation/core_cluster.py
+++ b/ivymux/simulation/core_cluster.py
@@ -1,6 +1,6 @@
-"""Core machines in simulated time: members of epochs, their disks and their network, from one seed.
+"""Simulates a cluster of core machines, their disks and their network in virtual time, from one seed.
 
-A checker sees what an operator sees: which changes were acknowledged, and what was read when.
+The checks use only what an operator can observe: the changes that were acknowledged and the results of reads.
 """
 
 from __future__ import annotations
@@ -29,406 +29,452 @@
 from ivymux.config_store.replica import Replica
 
 Answer = dict[str, Any]
-TICK = 0.05
-GRACE = 5.0  # seconds for which a process that was told to end may go on
+TICK_INTERVAL_S = 0.05  # between the ticks of a replica
+USUAL_COMMIT_S = 0.008
+EXIT_GRACE_S = 5.0  # within which a process has to exit after a request to stop
 
 
-class Broken(AssertionError):
-    """A promise that was not kept."""
+class GuaranteeViolation(AssertionError):
+    """The core broke one of its guarantees."""
 
 
 @dataclass
 class Disk:
-    """What is synced, and a token that a wipe takes away."""
+    """The synced state of a machine, including its identity, which a wipe replaces."""
 
-    kept: DurableState
-    slow: float = 0.008  # seconds of a commit
-    full: bool = False  # takes no more: a process that writes ends
+    durable: DurableState
+    commit_s: float = USUAL_COMMIT_S  # mean duration of a commit
+    is_full: bool = False  # every write fails, and the process that writes exits
 
 
 @dataclass
 class Machine:
+    """A core machine: its disk, and the replica process while it runs."""
+
     ip: str
     disk: Disk
     replica: Replica | None = None
-    life: int = 0
-    queue: list[Action] = field(default_factory=list)
-    writing: list[Persist] = field(default_factory=list)
-    resting: list[Action] = field(default_factory=list)  # what goes out once that is done
-    commit_ends: float = 0.0
-    known: int = -1
-    thawed: list[Callable[[], None]] | None = None  # while frozen: what comes behind it
-    calls: dict[int, tuple[int, str, ChangeOutcome]] = field(default_factory=dict)
-    asked: dict[int, tuple[Answer, Callable[[Answer], None]]] = field(default_factory=dict)
+    incarnation: int = 0
+    queued: list[Action] = field(default_factory=list)  # until the running commit ends
+    committing: list[Persist] = field(default_factory=list)
+    after_commit: list[Action] = field(default_factory=list)  # executed once `committing` is synced
+    commit_ends_at: float = 0.0
+    published_version: int = -1
+    deferred: list[Callable[[], None]] | None = None  # events while the process is frozen, else None
+    open_changes: dict[int, tuple[int, str, ChangeOutcome]] = field(default_factory=dict)  # by call id
+    open_calls: dict[int, tuple[Answer, Callable[[Answer], None]]] = field(default_factory=dict)  # by call id
+
 
+class CoreCluster:
+    """Core machines with simulated disks, network and operators, and checks of the core's guarantees.
 
-class Cores:
-    """`replica` makes a machine's replica: a test puts a broken one in its place to see that it is found."""
+    `replica` creates the replica of a machine; tests pass a faulty one to verify that the checks detect it.
+    """
 
     def __init__(
         self, seed: int, count: int = 3, replica: Callable[[DurableState, float], Replica] = Replica
     ) -> None:
         self.random = random.Random(seed)
-        self.make = replica
+        self.make_replica = replica
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
-        self.cut: set[tuple[str, str]] = set()
-        self.removed: set[str] = set()  # machines that are gone for good
-        self.loss = 0.0
+        self.cut_links: set[tuple[str, str]] = set()
+        self.removed_machines: set[str] = set()  # never started again
+        self.loss_rate = 0.0
         self.machines: dict[str, Machine] = {}
-        self.sent: dict[int, set[str]] = {}  # texts by version, as operators sent them
-        self.held: dict[int, str] = {}  # the one text of each that was read, or held when acknowledged
-        self.acked: set[int] = set()
-        self.highest = -1  # of the versions that were acknowledged as taken
+        self.sent_texts: dict[int, set[str]] = {}  # by version, as operators sent them
+        self.text_by_version: dict[int, str] = {}  # as acknowledged or read
+        self.acknowledged_versions: set[int] = set()
+        self.highest_acknowledged = -1  # of the versions acknowledged as stored
         self.highest_read = -1
-        self.unchanged: set[tuple[int, str]] = set()  # changes that were said to have changed nothing
+        self.superseded: set[tuple[int, str]] = set()  # changes answered as superseded
         self.log: list[str] = []
-        self.call = itertools.count(1)
-        self.wipes = itertools.count(1)
+        self.call_ids = itertools.count(1)
+        self.wipe_numbers = itertools.count(1)
         ips = [f"m{n}" for n in range(count)]
         seeds = tuple(f"{ip}/first" for ip in ips[:3])
         for ip in ips:
             record = EpochRecord(0, "", "", seeds) if f"{ip}/first" in seeds else None
             self.machines[ip] = Machine(ip, Disk(DurableState(f"{ip}/first", record, 0, "", None)))
 
-    # --- time ----------------------------------------------------------------------------------------
+    # --- time -----------------------------------------------------------------------------------------
 
-    def at(self, delay: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (self.now + delay, next(self.order), what))
+    def schedule(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Run a callback after `delay_s` seconds of virtual time."""
+        heapq.heappush(self.events, (self.now + delay_s, next(self.order), callback))
 
-    def run(self, span: float) -> None:
-        until = self.now + span
-        while self.events and self.events[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.events)
-            what()
-        self.now = until
+    def run_for(self, span_s: float) -> None:
+        """Advance the virtual time by `span_s` seconds and run the events that fall due."""
+        end = self.now + span_s
+        while self.events and self.events[0][0] <= end:
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
+        self.now = end
 
-    def until(self, what: Callable[[], bool], most: float) -> bool:
-        """Run on until something holds, for `most` seconds at the most."""
-        end = self.now + most
-        while not what() and self.now < end:
-            self.run(TICK)
-        return what()
+    def run_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
+        """Run until the condition is true or `timeout_s` seconds have passed; returns the condition."""
+        end = self.now + timeout_s
+        while not condition() and self.now < end:
+            self.run_for(TICK_INTERVAL_S)
+        return condition()
 
-    # --- machines ------------------------------------------------------------------------------------
+    # --- machines -------------------------------------------------------------------------------------
 
-    def acknowledged(self, version: int, most: float) -> bool:
-        """Run on until a version, or a later one, is acknowledged."""
-        return self.until(lambda: self.highest >= version, most)
+    def run_until_acknowledged(self, version: int, timeout_s: float) -> bool:
+        """Run until this version or a later one is acknowledged; returns whether it is."""
+        return self.run_until(lambda: self.highest_acknowledged >= version, timeout_s)
 
-    def led(self, most: float) -> bool:
-        """Run on until a machine leads."""
-        return self.until(lambda: bool(self.leaders()), most)
+    def run_until_led(self, timeout_s: float) -> bool:
+        """Run until a primary serves reads; returns whether one does."""
+        return self.run_until(lambda: bool(self.primaries()), timeout_s)
 
-    def start_at(self, delay: float, ip: str) -> None:
-        self.at(delay, lambda: self.start(ip))
+    def start_at(self, delay_s: float, ip: str) -> None:
+        """Start the process of a machine after `delay_s` seconds."""
+        self.schedule(delay_s, lambda: self.start(ip))
 
     def start(self, ip: str) -> None:
+        """Start the process of a machine, unless it runs."""
         machine = self.machines[ip]
         if machine.replica is not None:
             return
-        machine.life += 1
-        machine.replica = self.make(machine.disk.kept, self.now)
-        machine.queue, machine.writing, machine.resting, machine.thawed = [], [], [], None
-        machine.calls, machine.asked, machine.known = {}, {}, -1
-        self.tick(machine, machine.life)
-
-    def tick(self, machine: Machine, life: int) -> None:
-        if machine.replica is None or machine.life != life:
+        machine.incarnation += 1
+        machine.replica = self.make_replica(machine.disk.durable, self.now)
+        machine.queued, machine.committing, machine.after_commit, machine.deferred = [], [], [], None
+        machine.open_changes, machine.open_calls, machine.published_version = {}, {}, -1
+        self.tick(machine, machine.incarnation)
+
+    def tick(self, machine: Machine, incarnation: int) -> None:
+        """Call the replica's timer and schedule the next call, for as long as this process runs."""
+        if machine.replica is None or machine.incarnation != incarnation:
             return
-        if machine.thawed is not None:
-            machine.thawed.append(lambda: self.tick(machine, life))
+        if machine.deferred is not None:
+            machine.deferred.append(lambda: self.tick(machine, incarnation))
             return
-        self.carry(machine, machine.replica.tick(self.now))
-        self.at(TICK * self.random.uniform(0.9, 1.1), lambda: self.tick(machine, life))
+        self.execute_all(machine, machine.replica.tick(self.now))
+        self.schedule(
+            TICK_INTERVAL_S * self.random.uniform(0.9, 1.1), lambda: self.tick(machine, incarnation)
+        )
 
     def kill(self, ip: str) -> None:
-        """The process is gone; a write that it was at is on its disk by now, or never will be."""
+        """Kill the process; a commit in progress is either on its disk or lost."""
         machine = self.machines[ip]
-        if machine.replica is not None and machine.writing and self.survives():
-            self.store(machine.disk, machine.writing)
-        machine.replica, machine.writing = None, []
+        if machine.replica is not None and machine.committing and self.interrupted_write_survives():
+            self.apply_writes(machine.disk, machine.committing)
+        machine.replica, machine.committing = None, []
 
     def freeze(self, ip: str) -> None:
-        """The process stands still; what its disk is at goes on, what comes waits."""
+        """Suspend the process; its disk finishes a running commit, and incoming events are deferred."""
         machine = self.machines[ip]
-        if machine.replica is not None and machine.thawed is None:
-            machine.thawed = []
+        if machine.replica is not None and machine.deferred is None:
+            machine.deferred = []
 
     def thaw(self, ip: str) -> None:
+        """Resume a frozen process and run its deferred events."""
         machine = self.machines[ip]
-        waiting, machine.thawed = machine.thawed or [], None
-        for what in waiting:
-            what()
+        deferred, machine.deferred = machine.deferred or [], None
+        for callback in deferred:
+            callback()
 
-    def leave(self, ip: str, gone: bool = False, grace: float = GRACE) -> None:
-        """A planned end: the process ends once its replica may, or when `grace` is over.
+    def leave(self, ip: str, for_good: bool = False, grace_s: float = EXIT_GRACE_S) -> None:
+        """Ask a process to exit; it exits when its replica may, at the latest after `grace_s` seconds.
 
-        `gone`: the machine never comes back.
+        With `for_good`, the machine is never started again.
         """
         machine = self.machines[ip]
         if machine.replica is None:
             return
-        if gone:
-            self.removed.add(ip)
-        life, ends = machine.life, self.now + grace
-        self.carry(machine, machine.replica.leave(self.now))
+        if for_good:
+            self.removed_machines.add(ip)
+        incarnation, exit_deadline = machine.incarnation, self.now + grace_s
+        self.execute_all(machine, machine.replica.leave(self.now))
 
-        def look() -> None:
-            if machine.replica is None or machine.life != life:
+        def exit_if_allowed() -> None:
+            if machine.replica is None or machine.incarnation != incarnation:
                 return
-            if (machine.thawed is None and machine.replica.may_exit()) or self.now >= ends:
+            if (machine.deferred is None and machine.replica.may_exit()) or self.now >= exit_deadline:
                 self.kill(ip)
             else:
-                self.at(TICK, look)
+                self.schedule(TICK_INTERVAL_S, exit_if_allowed)
 
-        self.at(TICK, look)
+        self.schedule(TICK_INTERVAL_S, exit_if_allowed)
 
-    def membership(self) -> set[str]:
-        """The addresses of the members of the epoch in force; none where nobody leads."""
-        leaders = self.leaders()
-        replica = self.machines[leaders[0]].replica if leaders else None
+    def member_addresses(self) -> set[str]:
+        """Return the addresses of the members of the epoch in force; empty without a primary."""
+        primaries = self.primaries()
+        replica = self.machines[primaries[0]].replica if primaries else None
         if replica is None or replica.led_epoch is None:
             return set()
         return {m.partition("/")[0] for m in replica.led_epoch.members}
 
     def wipe(self, ip: str) -> None:
+        """Kill the process and replace its disk by an empty one with a new identity."""
         self.kill(ip)
-        kept = DurableState(f"{ip}/w{next(self.wipes)}", None, 0, "", None)
-        self.machines[ip].disk = Disk(kept)
+        durable = DurableState(f"{ip}/w{next(self.wipe_numbers)}", None, 0, "", None)
+        self.machines[ip].disk = Disk(durable)
 
-    def cut_off(self, ip: str, outward: bool = True, inward: bool = True) -> None:
-        """What a machine says, or hears, is lost."""
+    def isolate(self, ip: str, outward: bool = True, inward: bool = True) -> None:
+        """Drop the messages that a machine sends (`outward`) or receives (`inward`)."""
         for other in self.machines:
             if outward:
-                self.cut.add((ip, other))
+                self.cut_links.add((ip, other))
             if inward:
-                self.cut.add((other, ip))
+                self.cut_links.add((other, ip))
 
-    # --- actions, as the program carries them out ----------------------------------------------------
+    # --- actions, in the order in which the real process executes them --------------------------------
 
-    def carry(self, machine: Machine, actions: list[Action]) -> None:
+    def execute_all(self, machine: Machine, actions: list[Action]) -> None:
+        """Execute the actions of a replica; they wait for earlier writes unless they may overtake them."""
         for action in actions:
-            behind = machine.queue or machine.writing or isinstance(action, Persist)
-            if behind and not may_overtake(action, [*machine.writing, *machine.queue]):
-                machine.queue.append(action)
+            is_blocked = machine.queued or machine.committing or isinstance(action, Persist)
+            if is_blocked and not may_overtake(action, [*machine.committing, *machine.queued]):
+                machine.queued.append(action)
             else:
-                self.act(machine, action)
-        self.flush(machine)
+                self.execute(machine, action)
+        self.start_commit(machine)
 
-    def flush(self, machine: Machine) -> None:
-        if machine.writing:
+    def start_commit(self, machine: Machine) -> None:
+        """Start one commit of all queued writes, unless a commit is running."""
+        if machine.committing:
             return
-        while machine.queue and not isinstance(machine.queue[0], Persist):
-            self.act(machine, machine.queue.pop(0))
-        things = [a for a in machine.queue if isinstance(a, Persist)]
-        machine.resting = [a for a in machine.queue if not isinstance(a, Persist)]
-        machine.queue = []
-        if things:
-            machine.writing = things
-            life, disk = machine.life, machine.disk
-            takes = disk.slow * self.pace()
-            machine.commit_ends = self.now + takes
-            self.at(takes, lambda: self.written(machine, life, disk, things))
-
-    def written(self, machine: Machine, life: int, disk: Disk, things: list[Persist]) -> None:
-        if machine.life != life or machine.replica is None:
+        while machine.queued and not isinstance(machine.queued[0], Persist):
+            self.execute(machine, machine.queued.pop(0))
+        writes = [a for a in machine.queued if isinstance(a, Persist)]
+        machine.after_commit = [a for a in machine.queued if not isinstance(a, Persist)]
+        machine.queued = []
+        if writes:
+            machine.committing = writes
+            incarnation, disk = machine.incarnation, machine.disk
+            duration_s = disk.commit_s * self.commit_factor()
+            machine.commit_ends_at = self.now + duration_s
+            self.schedule(duration_s, lambda: self.finish_commit(machine, incarnation, disk, writes))
+
+    def finish_commit(self, machine: Machine, incarnation: int, disk: Disk, writes: list[Persist]) -> None:
+        """Store the writes of a commit and execute what waits for it; a full disk ends the process."""
+        if machine.incarnation != incarnation or machine.replica is None:
             return
-        if disk.full:
-            machine.writing = []
+        if disk.is_full:
+            machine.committing = []
             self.kill(machine.ip)
             return
-        self.store(disk, things)
-        machine.writing = []
-        if machine.thawed is not None:
-            machine.thawed.append(lambda: self.rested(machine, life))
+        self.apply_writes(disk, writes)
+        machine.committing = []
+        if machine.deferred is not None:
+            machine.deferred.append(lambda: self.execute_after_commit(machine, incarnation))
         else:
-            self.rested(machine, life)
+            self.execute_after_commit(machine, incarnation)
 
-    def rested(self, machine: Machine, life: int) -> None:
-        """What rested on a commit goes out."""
-        if machine.life != life or machine.replica is None:
+    def execute_after_commit(self, machine: Machine, incarnation: int) -> None:
+        """Execute the actions that waited for a commit, and start the next one."""
+        if machine.incarnation != incarnation or machine.replica is None:
             return
-        resting, machine.resting = machine.resting, []
-        for action in resting:
-            self.act(machine, action)
-        self.flush(machine)
-
-    def store(self, disk: Disk, things: list[Persist]) -> None:
-        for thing in things:
-            old = disk.kept
-            promised = thing.promised or (old.promised, old.promised_to)
+        waiting, machine.after_commit = machine.after_commit, []
+        for action in waiting:
+            self.execute(machine, action)
+        self.start_commit(machine)
+
+    def apply_writes(self, disk: Disk, writes: list[Persist]) -> None:
+        """Apply the writes of one commit to a disk, in order."""
+        for write in writes:
+            old = disk.durable
+            promised = write.promised or (old.promised, old.promised_to)
             records = old.idempotency_records
-            if thing.idempotency_records:
+            if write.idempotency_records:
                 records = {
-                    k: t for k, t in {**records, **dict(thing.idempotency_records)}.items() if t is not None
+                    key: record
+                    for key, record in {**records, **dict(write.idempotency_records)}.items()
+                    if record is not None
                 }
-            history = old.history if thing.history is None else thing.history
-            if thing.change is not None:
-                history = (*history, thing.change)
-            disk.kept = DurableState(
+            history = old.history if write.history is None else write.history
+            if write.change is not None:
+                history = (*history, write.change)
+            disk.durable = DurableState(
                 old.identity,
-                thing.epoch_record or old.epoch_record,
+                write.epoch_record or old.epoch_record,
                 *promised,
-                thing.state or old.state,
+                write.state or old.state,
                 records,
                 history,
             )
 
-    def act(self, machine: Machine, action: Action) -> None:
+    def execute(self, machine: Machine, action: Action) -> None:
+        """Execute one action at once."""
         if isinstance(action, Send):
             targets = [m for m in self.machines if m != machine.ip] if action.to == EVERYONE else [action.to]
             for target in targets:
                 self.send(machine.ip, target, action.message)
         elif isinstance(action, Complete):
-            self.done(machine, action)
+            self.on_call_complete(machine, action)
         elif isinstance(action, Publish):
-            machine.known = max(machine.known, action.version)
-            self.seen(ConfigurationState(0, action.version, action.text))
+            machine.published_version = max(machine.published_version, action.version)
+            self.check_state(ConfigurationState(0, action.version, action.text))
         elif isinstance(action, LogLine):
             self.log.append(f"{machine.ip}: {action.text}")
 
     def send(self, source: str, target: str, message: ReplicaMessage) -> None:
-        if source != target and ((source, target) in self.cut or self.random.random() < self.loss):
+        """Send a message, which is lost on a cut link or at random."""
+        if source != target and ((source, target) in self.cut_links or self.random.random() < self.loss_rate):
             return
-        life = self.machines[target].life
-        delay = 0.0001 if source == target else self.delay()
-        self.at(delay, lambda: self.arrive(source, target, life, message))
+        incarnation = self.machines[target].incarnation
+        delay = 0.0001 if source == target else self.message_delay_s()
+        self.schedule(delay, lambda: self.deliver(source, target, incarnation, message))
 
-    def arrive(self, source: str, target: str, life: int, message: ReplicaMessage) -> None:
+    def deliver(self, source: str, target: str, incarnation: int, message: ReplicaMessage) -> None:
+        """Deliver a message, unless the receiving process has ended since it was sent."""
         machine = self.machines[target]
-        if machine.replica is None or machine.life != life:
+        if machine.replica is None or machine.incarnation != incarnation:
             return
-        if machine.thawed is not None:
-            machine.thawed.append(lambda: self.arrive(source, target, life, message))
+        if machine.deferred is not None:
+            machine.deferred.append(lambda: self.deliver(source, target, incarnation, message))
         else:
-            self.carry(machine, machine.replica.handle(self.now, source, message))
+            self.execute_all(machine, machine.replica.handle(self.now, source, message))
 
-    # --- luck ----------------------------------------------------------------------------------------
+    # --- random delays and failures -------------------------------------------------------------------
 
-    def delay(self) -> float:
-        """Seconds that a message takes."""
+    def message_delay_s(self) -> float:
+        """Draw the seconds that a message takes."""
         return self.random.uniform(0.0008, 0.004)
 
-    def pace(self) -> float:
-        """Times its usual that a write takes."""
+    def commit_factor(self) -> float:
+        """Draw the factor by which a commit takes longer or shorter than the mean of its disk."""
         return self.random.uniform(0.5, 2)
 
-    def survives(self) -> bool:
-        """Whether a write that power cut short is there."""
+    def interrupted_write_survives(self) -> bool:
+        """Draw whether a commit in progress is on disk after its process was killed."""
         return self.random.random() >= 0.5
 
-    # --- the operator --------------------------------------------------------------------------------
+    # --- operators and callers ------------------------------------------------------------------------
 
     def put(self, ip: str, version: int, text: str) -> bool:
-        """Whether a machine took the change; its acknowledgement may come later."""
+        """Send a change to a machine; returns whether it accepts the call, which may be answered later."""
         machine = self.machines[ip]
-        if machine.replica is None or machine.thawed is not None:
+        if machine.replica is None or machine.deferred is not None:
             return False
-        self.sent.setdefault(version, set()).add(text)
-        call = next(self.call)
-        told = machine.replica.handle_call(self.now, call, PutConfiguration(version, text))
-        if told is None:
+        self.sent_texts.setdefault(version, set()).add(text)
+        call_id = next(self.call_ids)
+        reply = machine.replica.handle_call(self.now, call_id, PutConfiguration(version, text))
+        if reply is None:
             return False
-        outcome = ChangeOutcome(told.answer["outcome"])
-        if told.answer["held_version"] < self.highest:
-            raise Broken(
-                f"{told.answer['held_version']} is held at {ip}, and {self.highest} was acknowledged"
+        outcome = ChangeOutcome(reply.answer["outcome"])
+        if reply.answer["held_version"] < self.highest_acknowledged:
+            raise GuaranteeViolation(
+                f"{ip} holds version {reply.answer['held_version']} after version"
+                f" {self.highest_acknowledged} was acknowledged"
             )
-        if told.wait:
-            machine.calls[call] = version, text, outcome
+        if reply.wait:
+            machine.open_changes[call_id] = version, text, outcome
         else:
-            self.answered(version, text, outcome, told.answer["known_digest"])
-        self.carry(machine, told.actions)
+            self.on_change_outcome(version, text, outcome, reply.answer["known_digest"])
+        self.execute_all(machine, reply.actions)
         return True
 
-    def answered(self, version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
-        """What an operator was told of a change: one number has one text, whatever it is asked and when."""
+    def on_change_outcome(self, version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
+        """Check the outcome of a change, as an operator gets it: a version has exactly one text.
+
+        `known` is the digest of the stored text, if the outcome is a conflict.  Raises GuaranteeViolation.
+        """
         if outcome is ChangeOutcome.STORED:
-            if self.held.setdefault(version, text) != text:
-                raise Broken(f"version {version} was acknowledged with two texts")
-            if (version, text) in self.unchanged:
-                raise Broken(f"version {version} was said to have changed nothing, and to be taken")
-            self.highest = max(self.highest, version)
-            self.acked.add(version)
+            if self.text_by_version.setdefault(version, text) != text:
+                raise GuaranteeViolation(f"version {version} was acknowledged with two texts")
+            if (version, text) in self.superseded:
+                raise GuaranteeViolation(f"version {version} was answered as superseded, and as stored")
+            self.highest_acknowledged = max(self.highest_acknowledged, version)
+            self.acknowledged_versions.add(version)
         elif outcome is ChangeOutcome.CONFLICT:
-            taken = next((t for t in self.sent[version] if digest_of(t) == known), None)
-            if taken is None or taken == text or self.held.setdefault(version, taken) != taken:
-                raise Broken(f"version {version} is said to be taken with another text than {text}")
-        elif version in self.acked and self.held[version] == text:
-            raise Broken(f"version {version} was acknowledged, and is said to have changed nothing")
+            stored = next((t for t in self.sent_texts[version] if digest_of(t) == known), None)
+            if stored is None or stored == text or self.text_by_version.setdefault(version, stored) != stored:
+                raise GuaranteeViolation(
+                    f"version {version} is reported as stored with another text than {text}"
+                )
+        elif version in self.acknowledged_versions and self.text_by_version[version] == text:
+            raise GuaranteeViolation(f"version {version} was acknowledged, and is answered as superseded")
         else:
-            self.unchanged.add((version, text))
+            self.superseded.add((version, text))
+
+    def call(self, ip: str, request: Call, on_answer: Callable[[Answer], None]) -> bool:
+        """Send a call about an idempotency record or a setting; returns whether the machine accepts it.
 
-    def ask(self, ip: str, asked: Call, told: Callable[[Answer], None]) -> bool:
-        """A call about a ticket; `told` hears its answer, now or once it is on two disks."""
+        `on_answer` receives the answer, at once or when the change is on two disks.
+        """
         machine = self.machines[ip]
-        if machine.replica is None or machine.thawed is not None:
+        if machine.replica is None or machine.deferred is not None:
             return False
-        call = next(self.call)
-        said = machine.replica.handle_call(self.now, call, asked)
-        if said is None:
+        call_id = next(self.call_ids)
+        reply = machine.replica.handle_call(self.now, call_id, request)
+        if reply is None:
             return False
-        if said.wait:
-            machine.asked[call] = said.answer, told
+        if reply.wait:
+            machine.open_calls[call_id] = reply.answer, on_answer
         else:
-            told(said.answer)
-        self.carry(machine, said.actions)
+            on_answer(reply.answer)
+        self.execute_all(machine, reply.actions)
         return True
 
-    def done(self, machine: Machine, action: Complete) -> None:
-        """An answer that waited for both disks."""
-        answer = machine.asked.pop(action.call_id, None)
-        if answer is not None:
-            answer[1](answer[0])
+    def on_call_complete(self, machine: Machine, action: Complete) -> None:
+        """Deliver an answer that waited for both disks."""
+        open_call = machine.open_calls.pop(action.call_id, None)
+        if open_call is not None:
+            answer, on_answer = open_call
+            on_answer(answer)
             return
-        change = machine.calls.pop(action.call_id, None)
+        change = machine.open_changes.pop(action.call_id, None)
         if change is not None:
-            self.answered(*change)
+            self.on_change_outcome(*change)
         assert machine.replica is not None and machine.replica.state is not None
-        self.seen(machine.replica.state)
+        self.check_state(machine.replica.state)
 
-    def seen(self, state: ConfigurationState) -> None:
-        """A configuration that holds.  Raises Broken where its number was seen with another text."""
+    def check_state(self, state: ConfigurationState) -> None:
+        """Check a configuration in force: its version has one text.  Raises GuaranteeViolation."""
         if state.version < 0:
             return
-        if state.text not in self.sent[state.version]:
-            raise Broken(f"version {state.version} holds with a text that nobody sent")
-        if self.held.setdefault(state.version, state.text) != state.text:
-            raise Broken(f"version {state.version} holds with two texts")
+        if state.text not in self.sent_texts[state.version]:
+            raise GuaranteeViolation(f"version {state.version} is in force with a text that no operator sent")
+        if self.text_by_version.setdefault(state.version, state.text) != state.text:
+            raise GuaranteeViolation(f"version {state.version} is in force with two texts")
 
     def read(self, ip: str) -> int | None:
-        """What a read of the configuration gives there; None where that machine gives no answer."""
+        """Read the version of the configuration at a machine; None if it does not serve reads.
+
+        Raises GuaranteeViolation if a newer version was acknowledged or read before.
+        """
         replica = self.machines[ip].replica
-        if replica is None or self.machines[ip].thawed is not None or not replica.may_serve(self.now):
+        if replica is None or self.machines[ip].deferred is not None or not replica.may_serve(self.now):
             return None
         state = replica.state
         version = state.version if state is not None else -1
-        if version < self.highest:
-            raise Broken(f"read {version} at {ip}, and {self.highest} was acknowledged")
+        if version < self.highest_acknowledged:
+            raise GuaranteeViolation(
+                f"{ip} serves version {version} after version {self.highest_acknowledged} was acknowledged"
+            )
         if version < self.highest_read:
-            raise Broken(f"read {version} at {ip}, and {self.highest_read} was read before")
+            raise GuaranteeViolation(
+                f"{ip} serves version {version} after version {self.highest_read} was read"
+            )
         self.highest_read = version
         if state is not None:
-            self.seen(state)
+            self.check_state(state)
         return version
 
     def read_all(self) -> None:
+        """Read at every machine, to check what each serves."""
         for ip in self.machines:
             self.read(ip)
 
-    def leaders(self) -> list[str]:
+    def primaries(self) -> list[str]:
+        """Return the addresses of the machines that serve reads: the primary, or none."""
         return [ip for ip in self.machines if self.read(ip) is not None]
 
-    def settle(self, most: float = 20.0) -> str:
-        """All machines up and connected: who leads then.  Raises Broken where nobody does."""
-        self.cut.clear()
-        self.loss = 0.0
+    def heal(self, timeout_s: float = 20.0) -> str:
+        """Start and reconnect all machines and return the primary's address.
+
+        Raises GuaranteeViolation if there is no primary within `timeout_s` seconds.
+        """
+        self.cut_links.clear()
+        self.loss_rate = 0.0
         for ip in self.machines:
             self.thaw(ip)
-            if ip not in self.removed:
+            if ip not in self.removed_machines:
                 self.start(ip)
-        if not self.until(lambda: bool(self.leaders()), most):
-            raise Broken(f"nobody leads {most} s after all is well: {self.log[-8:]}")
-        return self.leaders()[0]
+        if not self.run_until(lambda: bool(self.primaries()), timeout_s):
+            raise GuaranteeViolation(f"no primary {timeout_s} s after all faults ended: {self.log[-8:]}")
+        return self.primaries()[0]
--- a/ivymux/simulation/exploration.py
+++ b/ivymux/simulation/exploration.py
@@ -14,7 +14,7 @@
 from ivymux.config_store.replica import Replica
 from ivymux.registry import outlier_detection
 from ivymux.simulation.control_plane import Control
-from ivymux.simulation.core_cluster import Broken
+from ivymux.simulation.core_cluster import GuaranteeViolation
 from ivymux.simulation.event_queue import START
 from ivymux.simulation.fault_schedules import FAULTS, Fault, Make, two_changes
 from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
@@ -60,7 +60,7 @@
     def play(self, events: Events) -> str:
         try:
             two_changes(tuple(Fault.read(text) for text in events), self.make)
-        except Broken as error:
+        except GuaranteeViolation as error:
             # That many faults may take all of the time there is; nothing acknowledged is at stake then.
             return "" if "is not taken" in str(error) else str(error)
         return ""
--- a/ivymux/simulation/fault_schedules.py
+++ b/ivymux/simulation/fault_schedules.py
@@ -19,42 +19,49 @@
 from ivymux.config_store.records import DurableState
 from ivymux.config_store.replica import Replica
 from ivymux.idempotency.record_store import ANSWERED, DONE, FREE, LOST, PROCEED
-from ivymux.simulation.core_cluster import GRACE, Answer, Broken, Cores, Disk, Machine
+from ivymux.simulation.core_cluster import (
+    EXIT_GRACE_S,
+    Answer,
+    CoreCluster,
+    Disk,
+    GuaranteeViolation,
+    Machine,
+)
 
 Make = Callable[[DurableState, float], Replica]
 KINDS = ("kill", "wipe", "cut", "one", "link", "loss", "slow", "stuck", "all", "calm", "aimed")
 BACK = 4.5  # seconds after which a machine counts as back
 
 
-def play(seed: int, make: Make = Replica) -> Cores:
+def play(seed: int, make: Make = Replica) -> CoreCluster:
     """One random schedule: changes at any machine, and one machine in trouble at a time, or all at once.
 
     Raises Broken.
     """
     chance = random.Random(seed)
-    cores = Cores(seed, chance.choice((3, 3, 4)), make)
-    for ip in cores.machines:
-        cores.start_at(chance.uniform(0, 0.4), ip)
-    cores.run(2.0)
+    cluster = CoreCluster(seed, chance.choice((3, 3, 4)), make)
+    for ip in cluster.machines:
+        cluster.start_at(chance.uniform(0, 0.4), ip)
+    cluster.run_for(2.0)
     version = 0
-    callers = Callers(cores, chance)
+    callers = Callers(cluster, chance)
     for _ in range(chance.randint(2, 6)):
-        strike(cores, chance)
+        strike(cluster, chance)
         for _ in range(chance.randint(4, 40)):
-            cores.run(chance.uniform(0.01, 0.2))
+            cluster.run_for(chance.uniform(0.01, 0.2))
             callers.step()
             if chance.random() < 0.4:
                 version += chance.randint(1, 3)
-            for ip in chance.sample(list(cores.machines), 2):
-                cores.put(ip, version, f"{version} by {ip}")
-            cores.read_all()
-        for machine in cores.machines.values():
-            machine.disk.slow = 0.008
-        cores.settle()
-        cores.run(BACK)
-        cores.read_all()
+            for ip in chance.sample(list(cluster.machines), 2):
+                cluster.put(ip, version, f"{version} by {ip}")
+            cluster.read_all()
+        for machine in cluster.machines.values():
+            machine.disk.commit_s = 0.008
+        cluster.heal()
+        cluster.run_for(BACK)
+        cluster.read_all()
     callers.look()
-    return cores
+    return cluster
 
 
 KEYS = 6
@@ -65,8 +72,8 @@
 class Callers:
     """Doors that claim actions by keys, and end them; who sees that none may run twice."""
 
-    def __init__(self, cores: Cores, chance: random.Random) -> None:
-        self.cores, self.chance = cores, chance
+    def __init__(self, cluster: CoreCluster, chance: random.Random) -> None:
+        self.cluster, self.chance = cluster, chance
         self.numbers = itertools.count(1)
         self.live: dict[str, str] = {}  # the claim that may run, by key
         self.done: dict[str, str] = {}  # answers that are acknowledged as kept
@@ -80,28 +87,30 @@
 
     def step(self) -> None:
         """A claim, some at several machines or given up at once, and ends that are sent again."""
-        machines = list(self.cores.machines)
+        machines = list(self.cluster.machines)
         for claim, message in list(self.owed.items()):
-            self.cores.ask(self.chance.choice(machines), message, partial(self.ended, claim, message))
+            self.cluster.call(self.chance.choice(machines), message, partial(self.ended, claim, message))
         key = f"{self.chance.randrange(KEYS):032x}"
         claim, asked = self.asked(key)
         for ip in self.chance.sample(machines, self.chance.choice((1, 2, len(machines)))):
-            self.cores.ask(ip, asked, partial(self.told, key, claim))
+            self.cluster.call(ip, asked, partial(self.told, key, claim))
         if self.chance.random() < GIVEN_UP:
             self.end(key, claim, FREE)
 
     def told(self, key: str, claim: str, answer: Answer) -> None:
         if answer["verdict"] == ANSWERED and key in self.done and answer["answer"] != self.done[key]:
-            raise Broken(f"key {key[-2:]} was answered with {self.done[key]}, then with {answer['answer']}")
+            raise GuaranteeViolation(
+                f"key {key[-2:]} was answered with {self.done[key]}, then with {answer['answer']}"
+            )
         if answer["verdict"] != PROCEED or claim in self.over or self.live.get(key) == claim:
             return
         if key in self.live:
-            raise Broken(f"key {key[-2:]} may run for {self.live[key]} and for {claim}")
+            raise GuaranteeViolation(f"key {key[-2:]} may run for {self.live[key]} and for {claim}")
         self.live[key] = claim
         self.runs += 1
         if self.chance.random() >= NEVER_ENDED:
             state = self.chance.choice((DONE, DONE, FREE, LOST))
-            self.cores.at(self.chance.uniform(0.0, 1.0), lambda: self.end(key, claim, state))
+            self.cluster.schedule(self.chance.uniform(0.0, 1.0), lambda: self.end(key, claim, state))
 
     def end(self, key: str, claim: str, state: str) -> None:
         if claim in self.over:
@@ -122,45 +131,47 @@
             _, asked = self.asked(key)
             seen: list[Answer] = []
             for _ in range(round(most / 0.05)):
-                for ip in self.cores.machines:
-                    self.cores.ask(ip, asked, seen.append)
+                for ip in self.cluster.machines:
+                    self.cluster.call(ip, asked, seen.append)
                 if seen:
                     break
-                self.cores.run(0.05)
+                self.cluster.run_for(0.05)
             if not seen or seen[-1]["verdict"] != ANSWERED or seen[-1]["answer"] != answer:
-                raise Broken(f"key {key[-2:]} was answered with {answer}, and now {seen[-1:]}")
+                raise GuaranteeViolation(f"key {key[-2:]} was answered with {answer}, and now {seen[-1:]}")
 
 
-def strike(cores: Cores, chance: random.Random) -> None:
+def strike(cluster: CoreCluster, chance: random.Random) -> None:
     """One trouble, drawn."""
-    victim = chance.choice([*cores.machines, *cores.leaders()])
+    victim = chance.choice([*cluster.machines, *cluster.primaries()])
     kind = chance.choice(KINDS)
     if kind == "kill":
-        cores.kill(victim)
+        cluster.kill(victim)
     elif kind == "wipe":
-        cores.wipe(victim)
+        cluster.wipe(victim)
     elif kind in ("cut", "one"):
-        cores.cut_off(victim, inward=kind == "cut")
+        cluster.isolate(victim, inward=kind == "cut")
     elif kind == "link":  # one machine hears another no more, all else goes on
-        other = chance.choice([ip for ip in cores.machines if ip != victim])
-        cores.cut |= {(victim, other), (other, victim)} if chance.random() < 0.5 else {(victim, other)}
+        other = chance.choice([ip for ip in cluster.machines if ip != victim])
+        cluster.cut_links |= (
+            {(victim, other), (other, victim)} if chance.random() < 0.5 else {(victim, other)}
+        )
     elif kind == "loss":
-        cores.loss = 0.2
+        cluster.loss_rate = 0.2
     elif kind == "slow":
-        cores.machines[victim].disk.slow = chance.choice((0.3, 2.0))
+        cluster.machines[victim].disk.commit_s = chance.choice((0.3, 2.0))
     elif kind == "stuck":  # a disk that hangs, and then its process goes too
-        cores.machines[victim].disk.slow = chance.choice((0.3, 2.0))
+        cluster.machines[victim].disk.commit_s = chance.choice((0.3, 2.0))
         after = chance.uniform(0.05, 2.5)
-        cores.at(after, lambda: cores.kill(victim))
-        cores.start_at(after + chance.uniform(0.2, 1.0), victim)
+        cluster.schedule(after, lambda: cluster.kill(victim))
+        cluster.start_at(after + chance.uniform(0.2, 1.0), victim)
     elif kind in ("all", "aimed"):
-        for ip in cores.machines:
-            cores.kill(ip)
+        for ip in cluster.machines:
+            cluster.kill(ip)
         if kind == "aimed":
-            cores.wipe(victim)
-        cores.run(chance.uniform(0.05, 1.0))
-        for ip in cores.machines:
-            cores.start(ip)
+            cluster.wipe(victim)
+        cluster.run_for(chance.uniform(0.05, 1.0))
+        for ip in cluster.machines:
+            cluster.start(ip)
 
 
 # --- every pair of faults ---------------------------------------------------------------------------------
@@ -208,7 +219,7 @@
         return f"{self.step}:{self.kind}:{self.machine}"
 
 
-class Stepped(Cores):
+class Stepped(CoreCluster):
     """Three machines that work in steps: a message that is heard, a write that is done.
 
     Delays are fixed, so the steps before a fault are the same as without it.
@@ -222,18 +233,18 @@
         self.struck: set[Fault] = set()
         for ip in self.machines:
             self.start_at(0.01 * int(ip[1:]), ip)
-        self.run(1.0)
-        self.settle()
-        self.run(1.0)
+        self.run_for(1.0)
+        self.heal()
+        self.run_for(1.0)
         self.counting = True
 
-    def delay(self) -> float:
+    def message_delay_s(self) -> float:
         return 0.002
 
-    def pace(self) -> float:
+    def commit_factor(self) -> float:
         return 1.0
 
-    def survives(self) -> bool:
+    def interrupted_write_survives(self) -> bool:
         return not self.lose
 
     def stepped(self) -> None:
@@ -249,16 +260,16 @@
         all_of = list(self.machines) if fault.kind.startswith("all") else [fault.machine]
         if fault.kind == "link":
             one, other = fault.machine[:2], fault.machine[3:]
-            self.cut |= {(one, other), (other, one)} if "=" in fault.machine else {(one, other)}
-            self.at(CUT, self.cut.clear)
+            self.cut_links |= {(one, other), (other, one)} if "=" in fault.machine else {(one, other)}
+            self.schedule(CUT, self.cut_links.clear)
             return
         if fault.kind in ("cut", "out", "in"):
-            self.cut_off(fault.machine, fault.kind != "in", fault.kind != "out")
-            self.at(CUT, self.cut.clear)
+            self.isolate(fault.machine, fault.kind != "in", fault.kind != "out")
+            self.schedule(CUT, self.cut_links.clear)
             return
         if fault.kind == "leave":
             self.leave(fault.machine)
-            self.start_at(GRACE + DOWN, fault.machine)
+            self.start_at(EXIT_GRACE_S + DOWN, fault.machine)
             return
         if fault.kind == "wipe":
             self.wipe(fault.machine)
@@ -269,38 +280,38 @@
         for ip in all_of:
             self.start_at(DOWN, ip)
 
-    def arrive(self, source: str, target: str, life: int, message: ReplicaMessage) -> None:
+    def deliver(self, source: str, target: str, life: int, message: ReplicaMessage) -> None:
         if not isinstance(message, QUIET):
             self.stepped()
-        super().arrive(source, target, life, message)
+        super().deliver(source, target, life, message)
 
-    def written(self, machine: Machine, life: int, disk: Disk, things: list[Persist]) -> None:
+    def finish_commit(self, machine: Machine, life: int, disk: Disk, things: list[Persist]) -> None:
         self.stepped()
-        super().written(machine, life, disk, things)
+        super().finish_commit(machine, life, disk, things)
 
 
 def two_changes(faults: tuple[Fault, ...], make: Make = Replica) -> int:
     """Two changes, each repeated at all machines until it is acknowledged, with faults on the way; the number
     of steps that the run had.  Raises Broken.
     """
-    cores = Stepped(faults, make)
+    cluster = Stepped(faults, make)
     for version in (1, 2):
-        until = cores.now + 25.0
-        while cores.highest < version:
-            if cores.now > until:
-                raise Broken(f"version {version} is not taken in 25 s: {cores.log[-6:]}")
-            for ip in cores.machines:
-                cores.put(ip, version, f"v{version}")
+        until = cluster.now + 25.0
+        while cluster.highest_acknowledged < version:
+            if cluster.now > until:
+                raise GuaranteeViolation(f"version {version} is not taken in 25 s: {cluster.log[-6:]}")
+            for ip in cluster.machines:
+                cluster.put(ip, version, f"v{version}")
             for _ in range(4):
-                cores.run(0.0125)
-                cores.read_all()
-    steps = cores.step
+                cluster.run_for(0.0125)
+                cluster.read_all()
+    steps = cluster.step
     for _ in range(30):
-        cores.run(0.1)
-        cores.read_all()
-    cores.counting = False
-    if (found := cores.read(cores.settle())) != 2:
-        raise Broken(f"version {found} is read in the end")
+        cluster.run_for(0.1)
+        cluster.read_all()
+    cluster.counting = False
+    if (found := cluster.read(cluster.heal())) != 2:
+        raise GuaranteeViolation(f"version {found} is read in the end")
     return steps
 
 
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -26,7 +26,7 @@
 from ivymux.proxy.lease_counts import LeaseCounts, TenantUsage
 from ivymux.registry import outlier_detection
 from ivymux.simulation.control_plane import Control
-from ivymux.simulation.core_cluster import Cores, Disk
+from ivymux.simulation.core_cluster import CoreCluster, Disk
 from ivymux.simulation.exploration import Core, Cuts, Doubts, Quotas, Trials, World
 from orchidhill import interface as i
 
@@ -302,9 +302,9 @@
     return true_use(self, board, steady, unix)
 
 
-def same_name(self: Cores, ip: str) -> None:
+def same_name(self: CoreCluster, ip: str) -> None:
     self.kill(ip)
-    kept = self.machines[ip].disk.kept
+    kept = self.machines[ip].disk.durable
     record = EpochRecord(0, "", "", tuple(f"{other}/first" for other in self.machines))
     self.machines[ip].disk = Disk(DurableState(kept.identity, record, 0, "", None))
 
@@ -370,7 +370,7 @@
     "a lease that is not waited out": lambda: contextlib.nullcontext(Control(Hasty)),
     "votes forgotten with a restart": lambda: contextlib.nullcontext(Control(Fresh)),
     "promises that are on no disk": lambda: contextlib.nullcontext(Control(Forgetful)),
-    "a wiped machine that votes as the old one": lambda: swapped(Control(), Cores, wipe=same_name),
+    "a wiped machine that votes as the old one": lambda: swapped(Control(), CoreCluster, wipe=same_name),
 }
 
 # Those that these worlds did not show, in 1,500 to 4,000 days of the core, 400 of cuts.  Random schedules
@@ -381,7 +381,7 @@
     "core: votes forgotten with a restart": lambda: contextlib.nullcontext(Core(Fresh)),
     "core: promises that are on no disk": lambda: contextlib.nullcontext(Core(Forgetful)),
     "core: an answer before the own disk": lambda: contextlib.nullcontext(Core(Early)),
-    "core: a wiped machine that votes as the old one": lambda: swapped(Core(), Cores, wipe=same_name),
+    "core: a wiped machine that votes as the old one": lambda: swapped(Core(), CoreCluster, wipe=same_name),
     "a door that comes back and goes on with its book": lambda: swapped(
         Cuts(), LeaseCounts, is_complete=always
     ),
--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -22,63 +22,63 @@
 )
 from ivymux.config_store.records import DurableState, EpochRecord
 from ivymux.config_store.replica import Replica
-from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import Make, placed, play, two_changes
 
 SCHEDULES = int(os.environ.get("EPOCH_SCHEDULES", "400"))
 
 
-def started(seed: int, count: int = 3, make: Make = Replica) -> Cores:
-    cores = Cores(seed, count, make)
-    for ip in cores.machines:
-        cores.start_at(cores.random.uniform(0, 0.3), ip)
-    cores.run(0.5)
-    cores.settle()
-    return cores
+def started(seed: int, count: int = 3, make: Make = Replica) -> CoreCluster:
+    cluster = CoreCluster(seed, count, make)
+    for ip in cluster.machines:
+        cluster.start_at(cluster.random.uniform(0, 0.3), ip)
+    cluster.run_for(0.5)
+    cluster.heal()
+    return cluster
 
 
 def test_the_seeds_make_one_first_epoch_in_any_order_of_starts(snapshot: SnapshotAssertion) -> None:
     for order in itertools.permutations(range(3)):
-        cores = Cores(7)
+        cluster = CoreCluster(7)
         for position, number in enumerate(order):
-            cores.start_at(position * 1.7, f"m{number}")
-        cores.run(9.0)
-        assert len(cores.leaders()) == 1
-        epochs = {line.split(" is in force")[0] for line in cores.log if "is in force" in line}
+            cluster.start_at(position * 1.7, f"m{number}")
+        cluster.run_for(9.0)
+        assert len(cluster.primaries()) == 1
+        epochs = {line.split(" is in force")[0] for line in cluster.log if "is in force" in line}
         # No epoch number is used twice.
         assert len({line.split("epoch ")[1] for line in epochs}) == len(epochs)
     assert started(3).log == snapshot
 
 
 def test_a_fourth_machine_joins_and_a_lost_one_is_removed() -> None:
-    cores = started(5, 4)
-    assert cores.until(lambda: members(cores) == {"m0", "m1", "m2", "m3"}, 3.0)
-    cores.kill("m3")
-    assert cores.until(lambda: members(cores) == {"m0", "m1", "m2"}, 12.0)
-    cores.start("m3")
-    assert cores.until(lambda: members(cores) == {"m0", "m1", "m2", "m3"}, 5.0)
+    cluster = started(5, 4)
+    assert cluster.run_until(lambda: members(cluster) == {"m0", "m1", "m2", "m3"}, 3.0)
+    cluster.kill("m3")
+    assert cluster.run_until(lambda: members(cluster) == {"m0", "m1", "m2"}, 12.0)
+    cluster.start("m3")
+    assert cluster.run_until(lambda: members(cluster) == {"m0", "m1", "m2", "m3"}, 5.0)
 
 
 def test_all_three_seeds_can_be_replaced() -> None:
-    cores = Cores(11, 6)
+    cluster = CoreCluster(11, 6)
     for ip in ("m0", "m1", "m2"):
-        cores.start(ip)
-    leader = cores.led(5.0) and cores.leaders()[0]
-    assert isinstance(leader, str) and cores.put(leader, 3, "three")
-    cores.run(0.5)
+        cluster.start(ip)
+    leader = cluster.run_until_led(5.0) and cluster.primaries()[0]
+    assert isinstance(leader, str) and cluster.put(leader, 3, "three")
+    cluster.run_for(0.5)
     for old, new in (("m0", "m3"), ("m1", "m4"), ("m2", "m5")):
-        cores.start(new)
-        cores.run(1.5)
-        cores.leave(old, gone=True)
-        assert cores.until(lambda old=old: cores.machines[old].replica is None, 2.0)  # type: ignore[misc]
-        assert cores.led(6.0), cores.log[-6:]
-        cores.run(2.5)
-    assert members(cores) == {"m3", "m4", "m5"} and cores.read(cores.leaders()[0]) == 3
-
-
-def members(cores: Cores) -> set[str]:
-    leaders = cores.leaders()
-    replica = cores.machines[leaders[0]].replica if leaders else None
+        cluster.start(new)
+        cluster.run_for(1.5)
+        cluster.leave(old, for_good=True)
+        assert cluster.run_until(lambda old=old: cluster.machines[old].replica is None, 2.0)  # type: ignore[misc]
+        assert cluster.run_until_led(6.0), cluster.log[-6:]
+        cluster.run_for(2.5)
+    assert members(cluster) == {"m3", "m4", "m5"} and cluster.read(cluster.primaries()[0]) == 3
+
+
+def members(cluster: CoreCluster) -> set[str]:
+    leaders = cluster.primaries()
+    replica = cluster.machines[leaders[0]].replica if leaders else None
     if replica is None or replica.led_epoch is None:
         return set()
     return {member.partition("/")[0] for member in replica.led_epoch.members}
@@ -88,15 +88,15 @@
 def test_a_lost_primary_is_replaced_within_three_seconds(count: int) -> None:
     waits = []
     for seed in range(50):
-        cores = started(seed, count)
-        cores.run(1.0)
-        leader = cores.leaders()[0]
-        cores.kill(leader)
-        began = cores.now
-        assert cores.led(10.0)
-        first = cores.leaders()[0]
-        assert cores.put(first, 5, "five") and cores.acknowledged(5, 3.0)
-        waits.append(cores.now - began)
+        cluster = started(seed, count)
+        cluster.run_for(1.0)
+        leader = cluster.primaries()[0]
+        cluster.kill(leader)
+        began = cluster.now
+        assert cluster.run_until_led(10.0)
+        first = cluster.primaries()[0]
+        assert cluster.put(first, 5, "five") and cluster.run_until_acknowledged(5, 3.0)
+        waits.append(cluster.now - began)
     assert sorted(waits)[25] < 1.5 and max(waits) < 3.0
 
 
@@ -104,109 +104,109 @@
 def test_an_acknowledged_change_survives_a_lost_disk_and_a_power_failure(count: int) -> None:
     """The primary loses its disk and every other machine its power, right after an acknowledgement."""
     for seed in range(40):
-        cores = started(seed, count)
-        cores.run(1.5)
-        leader = cores.leaders()[0]
+        cluster = started(seed, count)
+        cluster.run_for(1.5)
+        leader = cluster.primaries()[0]
         for version in (4, 9):
-            cores.put(leader, version, f"v{version}")
-            assert cores.acknowledged(version, 2.0)
-        cores.wipe(leader)
-        for ip in cores.machines:
-            cores.kill(ip)
-        cores.run(1.0)
-        assert cores.read(cores.settle()) == 9
+            cluster.put(leader, version, f"v{version}")
+            assert cluster.run_until_acknowledged(version, 2.0)
+        cluster.wipe(leader)
+        for ip in cluster.machines:
+            cluster.kill(ip)
+        cluster.run_for(1.0)
+        assert cluster.read(cluster.heal()) == 9
 
 
 def test_a_change_survives_the_loss_of_the_backups_disk_and_then_of_the_primarys() -> None:
     for seed in range(30):
-        cores = started(seed)
-        cores.run(1.0)
-        leader = cores.leaders()[0]
-        replica = cores.machines[leader].replica
+        cluster = started(seed)
+        cluster.run_for(1.0)
+        leader = cluster.primaries()[0]
+        replica = cluster.machines[leader].replica
         assert replica is not None and replica.led_epoch is not None
         backup = replica.led_epoch.backup.partition("/")[0]
-        cores.put(leader, 4, "four")
-        assert cores.acknowledged(4, 2.0)
-        cores.wipe(backup)
-        cores.run(1.2)
-        cores.start(backup)
-        cores.run(4.0)  # the time that operators allow a machine to catch up
-        cores.wipe(cores.leaders()[0])
-        assert cores.read(cores.settle()) == 4
+        cluster.put(leader, 4, "four")
+        assert cluster.run_until_acknowledged(4, 2.0)
+        cluster.wipe(backup)
+        cluster.run_for(1.2)
+        cluster.start(backup)
+        cluster.run_for(4.0)  # the time that operators allow a machine to catch up
+        cluster.wipe(cluster.primaries()[0])
+        assert cluster.read(cluster.heal()) == 4
 
 
 @pytest.mark.parametrize("one_way", [False, True])
 def test_a_primary_that_is_cut_off_serves_no_stale_reads(one_way: bool) -> None:
     for seed in range(30):
-        cores = started(seed, 3 + seed % 2)
-        cores.run(1.0)
-        leader = cores.leaders()[0]
-        for ip in cores.machines:
-            cores.cut.add((leader, ip))
+        cluster = started(seed, 3 + seed % 2)
+        cluster.run_for(1.0)
+        leader = cluster.primaries()[0]
+        for ip in cluster.machines:
+            cluster.cut_links.add((leader, ip))
             if not one_way:
-                cores.cut.add((ip, leader))
+                cluster.cut_links.add((ip, leader))
         for step in range(60):
-            cores.run(0.1)
-            for ip in cores.machines:
-                cores.read(ip)
+            cluster.run_for(0.1)
+            for ip in cluster.machines:
+                cluster.read(ip)
                 if step == 40:
-                    cores.put(ip, 6, "six")
-        assert cores.highest == 6
-        assert cores.read(cores.settle()) == 6
+                    cluster.put(ip, 6, "six")
+        assert cluster.highest_acknowledged == 6
+        assert cluster.read(cluster.heal()) == 6
 
 
-def run_partitioned_pair(seed: int, make: Make = Replica) -> Cores:
+def run_partitioned_pair(seed: int, make: Make = Replica) -> CoreCluster:
     """Cut the connection between primary and backup while the witness reaches both, with changes and reads.
 
     Just before the backup may start an election, the primary no longer receives the witness's messages, so it
     does not learn of a new epoch.
     """
-    cores = started(seed, 3, make)
-    cores.run(1.0)
-    replica = cores.machines[cores.leaders()[0]].replica
+    cluster = started(seed, 3, make)
+    cluster.run_for(1.0)
+    replica = cluster.machines[cluster.primaries()[0]].replica
     assert replica is not None and replica.led_epoch is not None
     pair = [m.partition("/")[0] for m in (replica.led_epoch.primary, replica.led_epoch.backup)]
-    cores.cut |= {(pair[0], pair[1]), (pair[1], pair[0])}
-    (witness,) = set(cores.machines) - set(pair)
+    cluster.cut_links |= {(pair[0], pair[1]), (pair[1], pair[0])}
+    (witness,) = set(cluster.machines) - set(pair)
     for step in range(300):
         if step == 68:
-            cores.cut.add((witness, pair[0]))
-        cores.run(0.01)
-        for ip in cores.machines:
-            cores.put(ip, step, f"{step} by {ip}")
-        cores.read_all()
-    return cores
+            cluster.cut_links.add((witness, pair[0]))
+        cluster.run_for(0.01)
+        for ip in cluster.machines:
+            cluster.put(ip, step, f"{step} by {ip}")
+        cluster.read_all()
+    return cluster
 
 
 def test_a_primary_that_is_cut_off_from_its_backup_serves_no_stale_reads() -> None:
     taken = 0
     for seed in range(20):
-        cores = run_partitioned_pair(seed)
-        taken += cores.highest > 0  # the candidates may keep colliding for longer than the run
-        assert cores.read(cores.settle()) is not None
+        cluster = run_partitioned_pair(seed)
+        taken += cluster.highest_acknowledged > 0  # the candidates may keep colliding for longer than the run
+        assert cluster.read(cluster.heal()) is not None
     assert taken > 15
 
 
 def test_changes_are_acknowledged_again_after_a_disk_hung() -> None:
     for seed in range(20):
-        cores = started(seed)
-        leader = cores.leaders()[0]
-        cores.machines[leader].disk.slow = 8.0
-        cores.put(leader, 4, "four")
-        cores.run(3.0)
-        cores.machines[leader].disk.slow = 0.008
-        cores.run(9.0)
-        for ip in cores.leaders():
-            cores.put(ip, 5, "five")
-        assert cores.acknowledged(5, 4.0)
+        cluster = started(seed)
+        leader = cluster.primaries()[0]
+        cluster.machines[leader].disk.commit_s = 8.0
+        cluster.put(leader, 4, "four")
+        cluster.run_for(3.0)
+        cluster.machines[leader].disk.commit_s = 0.008
+        cluster.run_for(9.0)
+        for ip in cluster.primaries():
+            cluster.put(ip, 5, "five")
+        assert cluster.run_until_acknowledged(5, 4.0)
 
 
 def test_random_fault_schedules_lose_no_acknowledged_change() -> None:
     changes = 0
     for seed in range(SCHEDULES):
         try:
-            changes += len(play(seed).acked)
-        except Broken as error:
+            changes += len(play(seed).acknowledged_versions)
+        except GuaranteeViolation as error:
             raise AssertionError(f"seed {seed}: {error}") from error
     assert changes > 3 * SCHEDULES
 
@@ -232,7 +232,7 @@
 
 
 def test_a_fault_at_some_step_reveals_an_acknowledgement_after_one_disk() -> None:
-    with pytest.raises(Broken):
+    with pytest.raises(GuaranteeViolation):
         for step in range(two_changes((), AcknowledgesAfterOneDisk)):
             for fault in placed(step):
                 two_changes((fault,), AcknowledgesAfterOneDisk)
@@ -257,7 +257,7 @@
 
 @pytest.mark.parametrize("broken", [IgnoresGrantedLeases, AcknowledgesAfterOneDisk])
 def test_the_checker_detects_seeded_faults(broken: type[Replica]) -> None:
-    with pytest.raises(Broken):
+    with pytest.raises(GuaranteeViolation):
         for seed in range(60):
             run_partitioned_pair(seed, broken)
             play(seed, broken)
--- a/tests/config_store/test_idempotency_records.py
+++ b/tests/config_store/test_idempotency_records.py
@@ -20,7 +20,7 @@
 )
 from ivymux.config_store.replica import Replica
 from ivymux.idempotency.record_store import RecordStore
-from ivymux.simulation.core_cluster import Answer, Broken, Cores
+from ivymux.simulation.core_cluster import Answer, CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import play
 
 from .test_epochs import started
@@ -30,117 +30,119 @@
     return ClaimAction(f"{key:032x}", "tenant", f"door/{number}", "place", "body", 4.0)
 
 
-def call_primary(cores: Cores, call: Call, most: float = 5.0) -> Answer:
+def call_primary(cluster: CoreCluster, call: Call, most: float = 5.0) -> Answer:
     """Return the primary's answer to a call."""
     answers: list[Answer] = []
     for _ in range(int(most / 0.05)):
-        for ip in cores.machines:
+        for ip in cluster.machines:
             if not answers:
-                cores.ask(ip, call, answers.append)
-        cores.run(0.05)
+                cluster.call(ip, call, answers.append)
+        cluster.run_for(0.05)
         if answers:
             return answers[0]
     raise AssertionError("no primary answered")
 
 
-def record_store(cores: Cores, ip: str) -> RecordStore:
-    member = cores.machines[ip].replica
+def record_store(cluster: CoreCluster, ip: str) -> RecordStore:
+    member = cluster.machines[ip].replica
     assert member is not None
     return member.record_replication.store
 
 
-def primary_and_backup(cores: Cores) -> tuple[str, str]:
-    member = cores.machines[cores.leaders()[0]].replica
+def primary_and_backup(cluster: CoreCluster) -> tuple[str, str]:
+    member = cluster.machines[cluster.primaries()[0]].replica
     assert member is not None and member.led_epoch is not None
     return member.led_epoch.primary.partition("/")[0], member.led_epoch.backup.partition("/")[0]
 
 
-def record_message_types(cores: Cores) -> list[type[ReplicaMessage]]:
+def record_message_types(cluster: CoreCluster) -> list[type[ReplicaMessage]]:
     """Return a list to which the type of each later message between machines is added."""
     seen: list[type[ReplicaMessage]] = []
-    send = cores.send
+    send = cluster.send
 
     def recording_send(source: str, target: str, message: ReplicaMessage) -> None:
         seen.append(type(message))
         send(source, target, message)
 
-    cores.send = recording_send  # type: ignore[method-assign]
+    cluster.send = recording_send  # type: ignore[method-assign]
     return seen
 
 
 def test_a_claim_is_on_both_disks_before_it_is_answered() -> None:
-    cores = started(3)
-    primary, backup = primary_and_backup(cores)
+    cluster = started(3)
+    primary, backup = primary_and_backup(cluster)
     answers: list[Answer] = []
-    assert cores.ask(primary, claim(1), answers.append) and not answers
-    cores.run(0.2)
+    assert cluster.call(primary, claim(1), answers.append) and not answers
+    cluster.run_for(0.2)
     assert [answer["verdict"] for answer in answers] == ["go"]
-    assert all(f"{1:032x}" in cores.machines[ip].disk.kept.idempotency_records for ip in (primary, backup))
-    assert call_primary(cores, claim(1, 2))["verdict"] == "in hand"
+    assert all(
+        f"{1:032x}" in cluster.machines[ip].disk.durable.idempotency_records for ip in (primary, backup)
+    )
+    assert call_primary(cluster, claim(1, 2))["verdict"] == "in hand"
 
 
 def test_a_new_backup_receives_only_the_ranges_that_differ() -> None:
-    cores = started(4)
+    cluster = started(4)
     for key in range(40):
-        call_primary(cores, claim(key << 120 | key))
-    _, backup = primary_and_backup(cores)
-    cores.kill(backup)
+        call_primary(cluster, claim(key << 120 | key))
+    _, backup = primary_and_backup(cluster)
+    cluster.kill(backup)
     for key in range(40, 44):
-        call_primary(cores, claim(key << 120 | key))
+        call_primary(cluster, claim(key << 120 | key))
     repaired_ranges: list[Any] = []
-    send = cores.send
+    send = cluster.send
 
     def recording_send(source: str, target: str, message: ReplicaMessage) -> None:
         if isinstance(message, RecordRepair):
             repaired_ranges.extend(message.ranges)
         send(source, target, message)
 
-    cores.send = recording_send  # type: ignore[method-assign]
-    cores.start(backup)
-    cores.run(2.0)
-    if (replacement := primary_and_backup(cores)[1]) != backup:
-        cores.kill(replacement)
-        cores.run(6.0)
-    primary, new_backup = primary_and_backup(cores)
-    assert record_store(cores, primary).root_digest() == record_store(cores, new_backup).root_digest()
+    cluster.send = recording_send  # type: ignore[method-assign]
+    cluster.start(backup)
+    cluster.run_for(2.0)
+    if (replacement := primary_and_backup(cluster)[1]) != backup:
+        cluster.kill(replacement)
+        cluster.run_for(6.0)
+    primary, new_backup = primary_and_backup(cluster)
+    assert record_store(cluster, primary).root_digest() == record_store(cluster, new_backup).root_digest()
     assert repaired_ranges and sum(len(records) for _, records in repaired_ranges) < 44
 
 
 def test_copies_that_differ_are_repaired_while_an_epoch_is_in_force() -> None:
-    cores = started(5)
+    cluster = started(5)
     for key in range(10):
-        call_primary(cores, claim(key))
-    primary, backup = primary_and_backup(cores)
-    record_store(cores, backup).remove(f"{3:032x}")
-    cores.run(6.0)
-    assert primary_and_backup(cores) == (primary, backup)
-    assert record_store(cores, primary).root_digest() == record_store(cores, backup).root_digest()
-    seen = record_message_types(cores)
-    cores.run(6.0)
+        call_primary(cluster, claim(key))
+    primary, backup = primary_and_backup(cluster)
+    record_store(cluster, backup).remove(f"{3:032x}")
+    cluster.run_for(6.0)
+    assert primary_and_backup(cluster) == (primary, backup)
+    assert record_store(cluster, primary).root_digest() == record_store(cluster, backup).root_digest()
+    seen = record_message_types(cluster)
+    cluster.run_for(6.0)
     assert RecordDigest in seen and RecordRepair not in seen
 
 
 def test_copies_are_not_compared_without_records() -> None:
-    cores = started(6)
-    seen = record_message_types(cores)
-    cores.run(8.0)
+    cluster = started(6)
+    seen = record_message_types(cluster)
+    cluster.run_for(8.0)
     assert not {RecordDigest, RecordRangeDigests, RecordRepair, RecordWrite} & set(seen)
 
 
 def test_settings_reach_all_machines_and_one_that_starts_later() -> None:
-    cores = started(7)
-    cores.kill("m2")
-    cores.run(0.5)
+    cluster = started(7)
+    cluster.kill("m2")
+    cluster.run_for(0.5)
     setting = PutSetting("conversations", 4, '{"settings_version":4,"kept_for":"1h"}')
-    assert call_primary(cores, setting) == {"ok": True, "version": 4}
-    cores.start("m2")
-    cores.run(3.0)
-    for machine in cores.machines.values():
+    assert call_primary(cluster, setting) == {"ok": True, "version": 4}
+    cluster.start("m2")
+    cluster.run_for(3.0)
+    for machine in cluster.machines.values():
         assert machine.replica is not None
         assert machine.replica.record_replication.settings["conversations"].version == 4
-    leader = cores.machines[cores.leaders()[0]].replica
+    leader = cluster.machines[cluster.primaries()[0]].replica
     assert leader is not None and leader.record_replication.limits.retention_s == 3600.0
-    assert call_primary(cores, PutSetting("conversations", 3, "older"))["ok"]
+    assert call_primary(cluster, PutSetting("conversations", 3, "older"))["ok"]
     assert leader.record_replication.settings["conversations"].version == 4
 
 
@@ -151,9 +153,11 @@
 
 
 def test_a_claim_out_of_bounds_is_rejected() -> None:
-    cores = started(8)
+    cluster = started(8)
     with pytest.raises(ValueError):
-        cores.ask(cores.leaders()[0], ClaimAction("no key", "tenant", "door/1", "place", "body", 4.0), print)
+        cluster.call(
+            cluster.primaries()[0], ClaimAction("no key", "tenant", "door/1", "place", "body", 4.0), print
+        )
 
 
 class AcknowledgesAfterOneDisk(RecordReplication):
@@ -187,17 +191,17 @@
     class Faulty(Replica):
         record_replication_class = broken
 
-    with pytest.raises(Broken):
+    with pytest.raises(GuaranteeViolation):
         for seed in range(150):
             play(seed, Faulty)
 
 
 def test_a_setting_based_on_another_version_is_not_stored() -> None:
     """Of two operators who change the same setting at once, the later one must make the change again."""
-    cores = started(3)
+    cluster = started(3)
 
     def put(based_on: int, version: int, text: str) -> Answer:
-        return call_primary(cores, PutSetting("trials", version, text, based_on))
+        return call_primary(cluster, PutSetting("trials", version, text, based_on))
 
     first = {"ok": True, "version": 0}
     assert put(-1, 0, "first") == first
@@ -206,18 +210,18 @@
     assert put(0, 1, "second") == {"ok": True, "version": 1}
     assert put(0, 1, "another") == {"ok": True, "version": 1, "taken": False}
     read = ReadSetting("trials")
-    assert call_primary(cores, read) == {"ok": True, "version": 1, "text": "second"}
-    cores.kill(primary_and_backup(cores)[0])
-    assert call_primary(cores, read) == {"ok": True, "version": 1, "text": "second"}
+    assert call_primary(cluster, read) == {"ok": True, "version": 1, "text": "second"}
+    cluster.kill(primary_and_backup(cluster)[0])
+    assert call_primary(cluster, read) == {"ok": True, "version": 1, "text": "second"}
     assert put(1, 2, "third") == {"ok": True, "version": 2}
 
 
 def test_another_text_under_the_version_held_is_not_stored() -> None:
-    cores = started(3)
-    assert call_primary(cores, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
-    assert call_primary(cores, PutSetting("conversations", 4, "other")) == {
+    cluster = started(3)
+    assert call_primary(cluster, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
+    assert call_primary(cluster, PutSetting("conversations", 4, "other")) == {
         "ok": True,
         "version": 4,
         "taken": False,
     }
-    assert call_primary(cores, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
+    assert call_primary(cluster, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -16,7 +16,7 @@
 from ivymux.config_store.history import MAX_CHANGES, ChangeHistory, ChangeOutcome, digest_of
 from ivymux.config_store.messages import ReplicaMessage, StateTransfer
 from ivymux.config_store.records import ConfigurationState
-from ivymux.simulation.core_cluster import Broken, Cores
+from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
 from ivymux.simulation.loss_scenarios import (
     BACKUP,
     PRIMARY,
@@ -66,43 +66,43 @@
 @pytest.mark.parametrize("role", ROLES)
 def test_a_change_during_a_planned_end_is_answered_within_half_a_second(role: str) -> None:
     for seed in range(10):
-        cores = started(seed, 3 + seed % 3)
-        cores.leave(holding(cores, role))
-        assert change(cores, 2) < 0.5
+        cluster = started(seed, 3 + seed % 3)
+        cluster.leave(holding(cluster, role))
+        assert change(cluster, 2) < 0.5
 
 
 def test_a_primary_and_a_backup_that_end_at_once_hand_over_to_a_third_machine() -> None:
     for seed in range(10):
-        cores = started(seed, 4)
-        for machine in (holding(cores, PRIMARY), holding(cores, BACKUP)):
-            cores.leave(machine, gone=True)
-        cores.run(1.0)
-        assert all(cores.machines[m].replica is None for m in cores.removed)
-        assert cores.read(cores.settle()) == 1
+        cluster = started(seed, 4)
+        for machine in (holding(cluster, PRIMARY), holding(cluster, BACKUP)):
+            cluster.leave(machine, for_good=True)
+        cluster.run_for(1.0)
+        assert all(cluster.machines[m].replica is None for m in cluster.removed_machines)
+        assert cluster.read(cluster.heal()) == 1
 
 
 def test_a_machine_with_the_only_other_copy_stays_until_its_grace_is_over() -> None:
-    cores = started(1, 3)
-    leaving = holding(cores, BACKUP)
-    cores.kill(holding(cores, WITNESS))
-    cores.leave(leaving)
-    cores.run(3.0)
-    assert cores.machines[leaving].replica is not None and cores.leaders()
-    cores.run(3.0)
-    assert cores.machines[leaving].replica is None
+    cluster = started(1, 3)
+    leaving = holding(cluster, BACKUP)
+    cluster.kill(holding(cluster, WITNESS))
+    cluster.leave(leaving)
+    cluster.run_for(3.0)
+    assert cluster.machines[leaving].replica is not None and cluster.primaries()
+    cluster.run_for(3.0)
+    assert cluster.machines[leaving].replica is None
 
 
 def test_the_primary_serves_reads_while_a_member_with_a_slow_disk_joins() -> None:
-    cores = started(2, 3)
-    leader = holding(cores, PRIMARY)
-    away = holding(cores, WITNESS)
-    cores.wipe(away)
-    cores.machines[away].disk.slow = 1.0
-    cores.run(0.5)
-    cores.start(away)
+    cluster = started(2, 3)
+    leader = holding(cluster, PRIMARY)
+    away = holding(cluster, WITNESS)
+    cluster.wipe(away)
+    cluster.machines[away].disk.commit_s = 1.0
+    cluster.run_for(0.5)
+    cluster.start(away)
     for _ in range(160):
-        cores.run(0.05)
-        assert cores.leaders() == [leader]
+        cluster.run_for(0.05)
+        assert cluster.primaries() == [leader]
 
 
 # --- one version, one text --------------------------------------------------------------------------------
@@ -111,24 +111,24 @@
 class Operator:
     """Sends a change to all machines in turn until one answers with its outcome."""
 
-    def __init__(self, cores: Cores) -> None:
-        self.cores = cores
+    def __init__(self, cluster: CoreCluster) -> None:
+        self.cluster = cluster
         self.outcomes: list[tuple[int, str, ChangeOutcome]] = []
-        checked = cores.answered
+        checked = cluster.on_change_outcome
 
         def answered(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
             checked(version, text, outcome, known)
             self.outcomes.append((version, text, outcome))
 
-        cores.answered = answered  # type: ignore[method-assign]
+        cluster.on_change_outcome = answered  # type: ignore[method-assign]
 
     def put(self, version: int, text: str, most: float = 6.0) -> ChangeOutcome | None:
         self.outcomes.clear()
-        until = self.cores.now + most
-        while self.cores.now < until:
-            for machine in self.cores.machines:
-                self.cores.put(machine, version, text)
-            self.cores.run(0.02)
+        until = self.cluster.now + most
+        while self.cluster.now < until:
+            for machine in self.cluster.machines:
+                self.cluster.put(machine, version, text)
+            self.cluster.run_for(0.02)
             outcomes = [outcome for *change, outcome in self.outcomes if change == [version, text]]
             if outcomes:
                 return outcomes[0]
@@ -137,32 +137,32 @@
 
 def test_two_texts_under_one_version_are_not_both_confirmed() -> None:
     for seed in range(20):
-        cores = started(seed, 3)
-        leader = cores.leaders()[0]
+        cluster = started(seed, 3)
+        leader = cluster.primaries()[0]
         for text in ("seven by a", "seven by b"):  # at the same instant, by two operators
-            cores.put(leader, 7, text)
-        assert cores.acknowledged(7, 2.0)
-        operator = Operator(cores)
+            cluster.put(leader, 7, text)
+        assert cluster.run_until_acknowledged(7, 2.0)
+        operator = Operator(cluster)
         outcomes = {operator.put(7, text) for text in ("seven by a", "seven by b")}
         assert outcomes == {ChangeOutcome.STORED, ChangeOutcome.CONFLICT}
         assert operator.put(7, "a third") is ChangeOutcome.CONFLICT
 
 
 def test_a_repeated_change_is_recognised_after_lost_primaries_and_a_hundred_changes() -> None:
-    cores = started(3, 3)
-    operator = Operator(cores)
+    cluster = started(3, 3)
+    operator = Operator(cluster)
     for version in range(10, 115):
         assert operator.put(version, f"v{version}") is ChangeOutcome.STORED
-    cores.wipe(holding(cores, PRIMARY))
-    cores.run(1.0)
-    cores.settle()
+    cluster.wipe(holding(cluster, PRIMARY))
+    cluster.run_for(1.0)
+    cluster.heal()
     assert operator.put(10, "v10") is ChangeOutcome.STORED
     assert operator.put(60, "other") is ChangeOutcome.CONFLICT
     assert operator.put(9, "never taken") is ChangeOutcome.SUPERSEDED
-    cores.run(4.0)
-    cores.wipe(holding(cores, PRIMARY))
-    cores.run(1.0)
-    cores.settle()
+    cluster.run_for(4.0)
+    cluster.wipe(holding(cluster, PRIMARY))
+    cluster.run_for(1.0)
+    cluster.heal()
     assert operator.put(114, "v114") is ChangeOutcome.STORED
     assert operator.put(114, "other") is ChangeOutcome.CONFLICT
 
@@ -170,18 +170,18 @@
 def test_a_text_that_only_a_lost_primary_had_does_not_conflict_with_another() -> None:
     """Only the primary's disk holds the first text; after its loss another text is stored, and stays."""
     for seed in range(20):
-        cores = started(seed, 3)
-        leader = holding(cores, PRIMARY)
-        backup = holding(cores, BACKUP)
-        cores.cut = {(leader, backup)}
-        assert cores.put(leader, 5, "first")
-        cores.run(0.05)
-        cores.kill(leader)
-        cores.cut.clear()
-        operator = Operator(cores)
+        cluster = started(seed, 3)
+        leader = holding(cluster, PRIMARY)
+        backup = holding(cluster, BACKUP)
+        cluster.cut_links = {(leader, backup)}
+        assert cluster.put(leader, 5, "first")
+        cluster.run_for(0.05)
+        cluster.kill(leader)
+        cluster.cut_links.clear()
+        operator = Operator(cluster)
         assert operator.put(5, "second") is ChangeOutcome.STORED
-        cores.settle()
-        cores.run(1.0)
+        cluster.heal()
+        cluster.run_for(1.0)
         assert operator.put(5, "first") is ChangeOutcome.CONFLICT
 
 
@@ -215,53 +215,53 @@
 
 
 def test_the_checker_detects_two_texts_confirmed_under_one_version() -> None:
-    cores = started(1, 3)
-    cores.answered(7, "a", ChangeOutcome.STORED)
-    with pytest.raises(Broken):
-        cores.answered(7, "b", ChangeOutcome.STORED)
+    cluster = started(1, 3)
+    cluster.on_change_outcome(7, "a", ChangeOutcome.STORED)
+    with pytest.raises(GuaranteeViolation):
+        cluster.on_change_outcome(7, "b", ChangeOutcome.STORED)
 
 
 # --- hundreds of changes ----------------------------------------------------------------------------------
 
 
 def test_a_thousand_changes_while_machines_are_down_in_turn() -> None:
-    cores = started(5, 4)
+    cluster = started(5, 4)
     away: dict[str, int] = {}
     for version in range(2, 1002):
         if version % 100 == 50:
-            victim = holding(cores, ROLES[version // 100 % 3])
-            cores.wipe(victim) if version % 300 == 50 else cores.kill(victim)
+            victim = holding(cluster, ROLES[version // 100 % 3])
+            cluster.wipe(victim) if version % 300 == 50 else cluster.kill(victim)
             away[victim] = version + 60
         for machine in [m for m, until in away.items() if until <= version]:
-            cores.start(machine)
+            cluster.start(machine)
             del away[machine]
-        change(cores, version)
-    assert away and cores.read(cores.settle()) == 1001
-    operator = Operator(cores)
+        change(cluster, version)
+    assert away and cluster.read(cluster.heal()) == 1001
+    operator = Operator(cluster)
     for known in (2, 500, 1001):
         assert operator.put(known, f"v{known}") is ChangeOutcome.STORED
         assert operator.put(known, "other") is ChangeOutcome.CONFLICT
 
 
 def test_a_new_backup_that_restarts_twice_during_its_transfer_catches_up() -> None:
-    cores = started(6, 3)
-    lost = holding(cores, BACKUP)
-    send = cores.send
+    cluster = started(6, 3)
+    lost = holding(cluster, BACKUP)
+    send = cluster.send
     interrupted: list[str] = []
 
     def cut_short(source: str, target: str, message: ReplicaMessage) -> None:
         send(source, target, message)
         if isinstance(message, StateTransfer) and len(interrupted) < 2:
             interrupted.append(target)
-            cores.at(0.006, lambda: cores.kill(target))  # received, but not on disk yet
-            cores.start_at(0.4, target)
+            cluster.schedule(0.006, lambda: cluster.kill(target))  # received, but not on disk yet
+            cluster.start_at(0.4, target)
 
-    cores.send = cut_short  # type: ignore[method-assign]
-    cores.kill(lost)
-    change(cores, 2, most=8.0)
+    cluster.send = cut_short  # type: ignore[method-assign]
+    cluster.kill(lost)
+    change(cluster, 2, most=8.0)
     assert len(interrupted) == 2
-    cores.wipe(holding(cores, PRIMARY))
-    assert cores.read(cores.settle()) == 2
+    cluster.wipe(holding(cluster, PRIMARY))
+    assert cluster.read(cluster.heal()) == 2
 
 
 def test_a_full_map_fails_the_write_and_keeps_the_stored_state(
