--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -146,12 +146,12 @@
         moved = not fresh and self.inventory != inventory
         self.part, self.roster, self.inventory = part, roster, inventory
         self.callers = callers
-        front = HttpFrontend(
+        frontend = HttpFrontend(
             table, callers, tenant.header, site.plans, self.terms.doors,
             self.terms.body, MAX_UNREAD, self.terms.trusted, lambda: True, make_id,
         )  # fmt: skip
         self.tenant, self.revision = tenant, revision
-        self.served_by = None if tenant.suspended or self.leaving else front
+        self.served_by = None if tenant.suspended or self.leaving else frontend
         self.shares.change(self.share, tenant.limits, now)
         self.sweep()
         if moved:
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -64,8 +64,8 @@
         self.hosts: dict[str, Resident] = {}
         self.leaving: list[Resident] = []
         unread = max(8, int(limits.memory_mb * BODY_MEMORY_SHARE * (1 << 20)) // answer)
-        self.front = HostedFrontend(limits.body_kb * 1024, unread, lambda: not self.server.is_stopping)
-        self.server = HostedServer(self.front, hosting.listen, bounds, self.shares, self.hosts)
+        self.frontend = HostedFrontend(limits.body_kb * 1024, unread, lambda: not self.server.is_stopping)
+        self.server = HostedServer(self.frontend, hosting.listen, bounds, self.shares, self.hosts)
         self.server.refusal_log = told
         self.revision = -1  # up to which the desired state is followed
         self.lineage = ""
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -98,7 +98,7 @@
     def __init__(self, server: HostedServer) -> None:
         super().__init__(server)
         self.asked: Resident | None = None  # whose host name the request has that is coming in
-        self.front: HttpFrontend | None = None  # that has looked at its key
+        self.frontend: HttpFrontend | None = None  # that has looked at its key
         self.caller: Caller | None = None
         self.stranger: BadRequest | None = None  # why its key does not count
         self.resident: Resident | None = None  # whom the connection counts for
@@ -130,12 +130,12 @@
 
     def recognize(self) -> None:
         """Whose key a request has, as the tenant's front of now says."""
-        self.caller = self.stranger = self.front = None
-        if self.asked is None or (front := self.asked.served_by) is None:
+        self.caller = self.stranger = self.frontend = None
+        if self.asked is None or (frontend := self.asked.served_by) is None:
             return
-        self.front = front
+        self.frontend = frontend
         try:
-            self.caller = front.caller(self.headers)
+            self.caller = frontend.caller(self.headers)
         except BadRequest as error:
             self.stranger = error
 
@@ -184,10 +184,10 @@
             return
         if url[:1] != b"/" and url[:1] != b"*" and server.find(authority(url)) is not resident:
             raise BadRequest("the target and Host name different places", 421)
-        front = resident.served_by
-        if front is None:
+        frontend = resident.served_by
+        if frontend is None:
             raise BadRequest("this tenant is not served now", 503)
-        if front is not self.front:
+        if frontend is not self.frontend:
             self.recognize()  # the tenant's state changed while the request came in
         caller, share = self.caller, resident.share
         if caller is None:
@@ -199,7 +199,7 @@
             exchange.reply(server.hosted.beyond(wait))
             return
         try:
-            call = front.take_of(
+            call = frontend.take_of(
                 caller, self.parser.get_method(), self.url, self.headers, self.body, self.request_started_at,
                 self.peer_address,
             )  # fmt: skip
@@ -224,11 +224,11 @@
     client_type = HostedClient
 
     def __init__(
-        self, front: HostedFrontend, listen: Address, bounds: Bounds, shares: Shares,
+        self, frontend: HostedFrontend, listen: Address, bounds: Bounds, shares: Shares,
         residents: dict[str, Resident],
     ) -> None:  # fmt: skip
-        super().__init__(front, listen, bounds, None)
-        self.hosted, self.shares, self.residents = front, shares, residents
+        super().__init__(frontend, listen, bounds, None)
+        self.hosted, self.shares, self.residents = frontend, shares, residents
 
     def find(self, named: bytes) -> Resident | None:
         """The tenant of a Host field.  Host names are of any case and may end in a dot (RFC 9110, 4.2.3)."""
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -105,11 +105,11 @@
         else:
             self.host.counter = LocalCounter(self.store, self.host.post)
         unread = max(8, int(limits.memory_mb * BODY_MEMORY_SHARE * (1 << 20)) // answer)
-        self.front = HttpFrontend(
+        self.frontend = HttpFrontend(
             self.table, site.callers, file.callers.header, site.plans, file.tally.doors,
             limits.body_kb * 1024, unread, tuple(file.trusted_proxies), self.ready, self.make_id,
         )  # fmt: skip
-        self.server = Server(self.front, site.listen, bounds, self.host)
+        self.server = Server(self.frontend, site.listen, bounds, self.host)
         self.roster, self.resolver = Roster(), Resolver()
         self.workers: tuple[Worker, ...] = ()  # as last told
         self.placing = asyncio.Lock()
@@ -247,7 +247,7 @@
         # From here to the end nothing waits: a request has the old description whole, or the new one.
         table.enter()
         self.host.post(i.Classes(tuple(self.classes.listed)))
-        self.table = self.front.table = table
+        self.table = self.frontend.table = table
         self.longest = max(self.longest, *(o.deadline for o in compiled.operations))
 
     async def reload(self) -> None:
@@ -269,7 +269,7 @@
             log.error("the site stays as it was: %s", error)
             return
         self.site = site
-        self.front.callers = site.callers
+        self.frontend.callers = site.callers
         await self.reload_description()
 
     # --- the end ---------------------------------------------------------------------------------------
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -362,7 +362,7 @@
     async def test() -> None:
         limits = "answer_kb = 2048\nmemory_mb = 128"
         async with standing(tmp_path, [lambda seen: Reply(data=big)], limits=limits) as place:
-            most = place.door.front.max_unread_clients
+            most = place.door.frontend.max_unread_clients
             callers = [Caller(place.door) for _ in range(most + 4)]
             for caller in callers:
                 await caller.__aenter__()
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -116,7 +116,7 @@
             table = place.door.table
             place.describe(data)
             assert not await place.door.reload_description()
-            assert place.door.table is table is place.door.front.table
+            assert place.door.table is table is place.door.frontend.table
             assert (await ask(place, "GET /read/7")).status == 200
             place.describe(described({"/new": {"get": operation()}}))
             assert await place.door.reload_description()
@@ -282,7 +282,7 @@
         async with standing(tmp_path, description="watch = 0") as place:
             site = place.folder / "site.toml"
             text = site.read_text()
-            before = (place.door.site, place.door.front.callers, place.door.workers)
+            before = (place.door.site, place.door.frontend.callers, place.door.workers)
             match change:
                 case "cut":
                     site.write_text(text[: len(text) // 2])
@@ -295,7 +295,7 @@
                 case "gone":
                     site.unlink()
             await place.door.reload()
-            assert (place.door.site, place.door.front.callers, place.door.workers) == before
+            assert (place.door.site, place.door.frontend.callers, place.door.workers) == before
             assert (await ask(place, "GET /read/1")).status == 200
 
     run(test())
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -64,7 +64,7 @@
 
     def watch(self, place: Place) -> None:
         """Note under which effect each request was taken."""
-        front, take = place.door.front, place.door.front.accept
+        frontend, take = place.door.frontend, place.door.frontend.accept
 
         def noting(*args: Any) -> Any:
             call = take(*args)
@@ -73,7 +73,7 @@
                 self.effects[call.request_id.decode()] = place.door.classes.listed[number].effect
             return call
 
-        front.accept = noting  # type: ignore[method-assign, assignment]
+        frontend.accept = noting  # type: ignore[method-assign, assignment]
 
     async def swap(self, place: Place) -> None:
         """Another description every 100 ms."""
