--- a/bench/evening.py
+++ b/bench/evening.py
@@ -15,7 +15,7 @@
 
 from bench.common import figure, html, parser, report
 from ivymux.simulation.conversation_load import Evening, Play, Size
-from ivymux.simulation.local_cluster import lab
+from ivymux.simulation.local_cluster import local_cluster
 
 NEVER = ("doubled", "answered and without effect", "refused and with effect")
 
@@ -24,8 +24,8 @@
     evening = Evening(size, seed)
 
     async def run() -> None:
-        async with lab(folder, 3, size.doors, most=size.seconds + 120) as it:
-            await Play(it, evening).run()
+        async with local_cluster(folder, 3, size.doors, timeout_s=size.seconds + 120) as cluster:
+            await Play(cluster, evening).run()
 
     asyncio.run(run())
     return evening
--- a/bench/trials.py
+++ b/bench/trials.py
@@ -29,7 +29,7 @@
 
 from bench.common import figure, html, parser, quantile, report
 from ivymux.fault_injection.request_matcher import LEASE_S
-from ivymux.simulation.local_cluster import Lab, lab
+from ivymux.simulation.local_cluster import LocalCluster, local_cluster
 
 DOORS, CORES, PARTNERS = 12, 3, 8
 CAUGHT = "partner-3"  # whose requests are tried
@@ -119,8 +119,8 @@
 
 
 class Evening:
-    def __init__(self, it: Lab, seed: int) -> None:
-        self.it, self.chance = it, random.Random(seed)
+    def __init__(self, cluster: LocalCluster, seed: int) -> None:
+        self.cluster, self.chance = cluster, random.Random(seed)
         self.seen: list[Seen] = []
         self.numbers = iter(range(1, 1 << 60))
         self.phase = ""  # of what is asked now; empty: not counted
@@ -147,15 +147,15 @@
         }  # fmt: skip
 
     async def begin(self, backends: int = 3) -> None:
-        it = self.it
-        await it.all(first=True)
+        cluster = self.cluster
+        await cluster.start_all(initial_start=True)
         for service in SERVICES:
             for n in range(backends):
-                made = await it.backend(f"i-{service}-{n}", service)
+                made = await cluster.start_backend(f"i-{service}-{n}", service)
                 made.work = 0.01
-        await it.put(self.document())
-        for door in it.doors:
-            await it.takes_clients(door)
+        await cluster.put_configuration(self.document())
+        for door in cluster.proxy_ips:
+            await cluster.wait_until_ready(door)
 
     # --- trials ----------------------------------------------------------------------------------------
 
@@ -163,8 +163,8 @@
         """An operator's call, repeated at other core machines until it is answered."""
         async with asyncio.timeout(LIMIT):
             while True:
-                for core in self.it.cores:
-                    status, answer = await self.it.call(method, core, path, body)
+                for core in self.cluster.core_ips:
+                    status, answer = await self.cluster.call_core(method, core, path, body)
                     if status == 200:
                         return dict(json.loads(answer))
                     if 400 <= status < 500:
@@ -191,44 +191,46 @@
     # --- troubles --------------------------------------------------------------------------------------
 
     async def troubles(self, seconds: float) -> None:
-        it, until, lost = self.it, time.perf_counter() + seconds, False
+        cluster, until, lost = self.cluster, time.perf_counter() + seconds, False
         while time.perf_counter() < until:
             await asyncio.sleep(1.5)
-            up = [d for d in it.doors if d not in self.down]
+            up = [d for d in cluster.proxy_ips if d not in self.down]
             kind = self.chance.choice(("kill", "leave", "freeze", "join"))
             if not lost and until - time.perf_counter() < seconds / 2:
                 lost, kind = True, "leader"
             door = self.chance.choice(up)
             if kind == "leader":
-                leader = it.leader()
-                await it.kill(leader)
-                await it.start(leader)
+                leader = cluster.primary_ip()
+                await cluster.kill(leader)
+                await cluster.start(leader)
             elif kind == "join" or len(up) < DOORS // 2:
                 for gone in list(self.down):
-                    await it.start(gone)
+                    await cluster.start(gone)
                     self.down.discard(gone)
             elif kind == "freeze":
-                it.signal(door, signal.SIGSTOP)
+                cluster.send_signal(door, signal.SIGSTOP)
                 await asyncio.sleep(1.0)
-                it.signal(door, signal.SIGCONT)
+                cluster.send_signal(door, signal.SIGCONT)
             else:
                 self.down.add(door)
-                await it.kill(door, signal.SIGTERM if kind == "leave" else signal.SIGKILL)
+                await cluster.kill(door, signal.SIGTERM if kind == "leave" else signal.SIGKILL)
             self.events.append((time.perf_counter(), kind))
         for gone in list(self.down):
-            await it.start(gone)
+            await cluster.start(gone)
         self.down.clear()
-        for door in it.doors:
-            await it.takes_clients(door)
+        for door in cluster.proxy_ips:
+            await cluster.wait_until_ready(door)
         await asyncio.sleep(SETTLED)
 
 
 async def evening(folder: Path, quick: bool, seed: int) -> Evening:
     rounds, span, stretch = (2, 3.0, 10.0) if quick else (6, 8.0, 60.0)
-    async with lab(folder, CORES, DOORS, most=900.0) as it:
-        made = Evening(it, seed)
+    async with local_cluster(folder, CORES, DOORS, timeout_s=900.0) as cluster:
+        made = Evening(cluster, seed)
         await made.begin()
-        callers = [Caller(made, door, name, f"key-of-{name}") for door in it.doors for name in made.callers]
+        callers = [
+            Caller(made, door, name, f"key-of-{name}") for door in cluster.proxy_ips for name in made.callers
+        ]
         asking = [asyncio.create_task(caller.keep()) for caller in callers]
         await made.span("", 2.0)
         for n in range(rounds):
@@ -253,7 +255,7 @@
         made.over = True
         await asyncio.gather(*asking)
         made.effects = Counter(
-            ran.target.rpartition("/")[2] for b in it.backends for ran in b.ran if ran.method == "POST"
+            ran.target.rpartition("/")[2] for b in cluster.backends for ran in b.ran if ran.method == "POST"
         )
     return made
 
@@ -265,7 +267,7 @@
     own = [s for s in seen if s.caller == CAUGHT]
     shares: dict[str, dict[str, float]] = {}
     for kind in ("whole", "part"):
-        for door in made.it.doors:
+        for door in made.cluster.proxy_ips:
             there = [s for s in own if s.door == door and s.phase.startswith(kind)]
             shares.setdefault(kind, {})[door] = sum(s.tried for s in there) / max(1, len(there))
     many = sum(s.phase == "part" for s in own) / DOORS
@@ -321,11 +323,11 @@
 
 async def speed(folder: Path, doors: int, times: int) -> dict[str, Any]:
     """From a trial's start and end to its effect at the last door."""
-    async with lab(folder, CORES, doors, most=600.0) as it:
-        made = Evening(it, 1)
+    async with local_cluster(folder, CORES, doors, timeout_s=600.0) as cluster:
+        made = Evening(cluster, 1)
         await made.begin(1)
         last: dict[str, tuple[float, bool]] = {}
-        callers = [Caller(made, door, CAUGHT, f"key-of-{CAUGHT}") for door in it.doors]
+        callers = [Caller(made, door, CAUGHT, f"key-of-{CAUGHT}") for door in cluster.proxy_ips]
 
         def note(caller: Caller) -> Any:
             def told(status: int, tried: bool) -> None:
@@ -378,8 +380,8 @@
     from matplotlib import pyplot as plt
 
     first = min(s.at for s in made.seen)
-    plot, axes = plt.subplots(len(made.it.doors), 1, figsize=(12, 14), sharex=True)
-    for axis, door in zip(axes, made.it.doors, strict=True):
+    plot, axes = plt.subplots(len(made.cluster.proxy_ips), 1, figsize=(12, 14), sharex=True)
+    for axis, door in zip(axes, made.cluster.proxy_ips, strict=True):
         for own, color in ((False, "tab:blue"), (True, "tab:red")):
             bins: dict[int, list[bool]] = defaultdict(list)
             for s in made.seen:
--- a/ivymux/simulation/conversation_load.py
+++ b/ivymux/simulation/conversation_load.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ivymux.simulation.local_cluster import Lab
+from ivymux.simulation.local_cluster import LocalCluster
 from standins.backend import Backend, Ran
 
 HOST = "minutes.example"
@@ -129,8 +129,8 @@
 
 
 class Play:
-    def __init__(self, it: Lab, evening: Evening) -> None:
-        self.it, self.evening, self.size = it, evening, evening.size
+    def __init__(self, cluster: LocalCluster, evening: Evening) -> None:
+        self.cluster, self.evening, self.size = cluster, evening, evening.size
         self.chance = random.Random(evening.seed)
         self.numbers = itertools.count(1)
         self.serving: list[str] = []
@@ -141,18 +141,18 @@
         return time.monotonic() - self.began
 
     async def run(self) -> None:
-        it, size = self.it, self.size
-        await it.all(first=True)
+        cluster, size = self.cluster, self.size
+        await cluster.start_all(initial_start=True)
         for service in SERVICES:
             for n in range(size.backends):
-                await self.add(await it.backend(f"i-{service}-{n}", service))
-        await it.put(document(size))
+                await self.add(await cluster.start_backend(f"i-{service}-{n}", service))
+        await cluster.put_configuration(document(size))
         settings = {"settings_version": 1, "conversation_header": "X-Conversation"}
-        while (await it.call("PUT", it.cores[0], "/conversations", settings))[0] != 200:
+        while (await cluster.call_core("PUT", cluster.core_ips[0], "/conversations", settings))[0] != 200:
             await asyncio.sleep(0.05)
-        for door in it.doors:
-            await it.takes_clients(door)
-        self.serving = list(it.doors)
+        for door in cluster.proxy_ips:
+            await cluster.wait_until_ready(door)
+        self.serving = list(cluster.proxy_ips)
         self.began = time.monotonic()
         for life in self.evening.lives.values():
             life[0] = -1e9
@@ -164,7 +164,7 @@
             for n, partner in enumerate(partners):
                 group.create_task(self.conversation(n, partner, until))
         await troubles
-        for backends in it.backends:
+        for backends in cluster.backends:
             for ran in backends.ran:
                 if key := ran.headers.get("idempotency-key"):
                     self.evening.effects[key] += 1
@@ -194,7 +194,9 @@
 
     async def read(self, partner: int, chance: random.Random) -> None:
         for _ in range(3):
-            answer = await self.it.ask(chance.choice(self.serving), path="/archive/1", key=f"key-{partner}")
+            answer = await self.cluster.send_request(
+                chance.choice(self.serving), path="/archive/1", key=f"key-{partner}"
+            )
             if answer is not None and answer.status_code == 200:
                 self.evening.reads["answered"] += 1
                 return
@@ -210,7 +212,7 @@
         told.end = "refused"
         while told.tries < TRIES and time.monotonic() - began < PATIENCE:
             told.tries += 1
-            answer = await self.it.ask(
+            answer = await self.cluster.send_request(
                 chance.choice(self.serving), "POST", f"/{service}/{key}", f"key-{partner}", b"yes",
                 Idempotency_Key=key, X_Conversation=name, Time_Remaining=str(int(TRY * 1000)),
             )  # fmt: skip
@@ -241,38 +243,38 @@
             self.evening.serving.append((self.now(), len(self.serving)))
 
     async def trouble(self, kind: str, number: int) -> None:
-        it = self.it
-        down = [d for d in it.doors if d not in self.serving]
+        cluster = self.cluster
+        down = [d for d in cluster.proxy_ips if d not in self.serving]
         if kind == "join" or (kind != "release" and len(self.serving) <= LEAST_DOORS):
             if not down:
                 return
             kind, door = "join", self.chance.choice(down)
-            await it.kill(door)
-            await it.start(door)
-            await it.takes_clients(door)
+            await cluster.kill(door)
+            await cluster.start(door)
+            await cluster.wait_until_ready(door)
             self.serving.append(door)
         elif kind == "release":
             service = self.chance.choice(SERVICES)
             old = self.backends[service].pop(0)
             door = f"i-{service}-new-{number}"
-            await self.add(await it.release(old, door))
+            await self.add(await cluster.replace_backend(old, door))
             self.evening.lives[old.instance].append(self.now())
         else:
             door = self.chance.choice(self.serving)
             if kind == "freeze":
-                it.signal(door, signal.SIGSTOP)
+                cluster.send_signal(door, signal.SIGSTOP)
                 self.serving.remove(door)
                 await asyncio.sleep(FROZEN)
-                it.signal(door, signal.SIGCONT)
+                cluster.send_signal(door, signal.SIGCONT)
                 self.serving.append(door)
             else:
                 self.serving.remove(door)
-                it.signal(door, signal.SIGTERM if kind == "leave" else signal.SIGKILL)
+                cluster.send_signal(door, signal.SIGTERM if kind == "leave" else signal.SIGKILL)
         self.evening.what.append((self.now(), kind, door))
 
     async def lose_leader(self) -> None:
-        leader = self.it.leader()
-        await self.it.kill(leader)
+        leader = self.cluster.primary_ip()
+        await self.cluster.kill(leader)
         self.evening.what.append((self.now(), "leader", leader))
         await asyncio.sleep(EVERY)
-        await self.it.start(leader)
+        await self.cluster.start(leader)
--- a/ivymux/simulation/local_cluster.py
+++ b/ivymux/simulation/local_cluster.py
@@ -1,4 +1,7 @@
-"""The system's programs as real processes on loopback addresses: machines, an operator, clients, backends."""
+"""Runs the system's programs as real processes on loopback addresses: core machines, proxies and backends.
+
+A `LocalCluster` also acts as the operator (configuration calls) and as the clients (requests to proxies).
+"""
 
 from __future__ import annotations
 
@@ -20,13 +23,15 @@
 from standins.backend import Backend
 
 ROOT = Path(__file__).parent.parent.parent
-BEAT = 0.4  # seconds between the backends' calls here
-ENTRY = ("-m", "ivymux")
-LINGER = 1.0  # seconds for which a backend that leaves serves on
+HEARTBEAT_PERIOD_S = 0.4  # of the backends
+ENTRY_POINT = ("-m", "ivymux")
+QUIESCE_S = 1.0  # time for which a replaced backend still serves
+POLL_INTERVAL_S = 0.02
+LOG_FILE_NAME = "log.txt"
 
 
-def document(version: int, **routes: str) -> dict[str, Any]:
-    """A configuration with one route a service: `read` idempotent, `sign` not."""
+def build_configuration(version: int, **routes: str) -> dict[str, Any]:
+    """Build a configuration with one route for each service; `sign` is not idempotent, all others are."""
     return {
         "config_version": version,
         "route_table": [
@@ -42,218 +47,259 @@
     }  # fmt: skip
 
 
-class Lab:
-    def __init__(self, folder: Path, cores: int = 3, doors: int = 2, entry: tuple[str, ...] = ENTRY) -> None:
-        """`entry`: what starts a program, given its role and settings."""
-        self.folder, self.entry = folder, entry
+class LocalCluster:
+    """Core machines and proxies as local processes, one loopback address each, and backends in this process.
+
+    The addresses derive from this process's id, so that clusters of parallel test workers do not collide.
+    """
+
+    def __init__(
+        self,
+        folder: Path,
+        core_count: int = 3,
+        proxy_count: int = 2,
+        entry_point: tuple[str, ...] = ENTRY_POINT,
+    ) -> None:
+        """`entry_point`: the interpreter's arguments that start a program, before its role and settings."""
+        self.folder, self.entry_point = folder, entry_point
         net = f"127.{40 + os.getpid() % 200}.{(os.getpid() // 200) % 250}"
-        self.cores = [f"{net}.{n}" for n in range(1, cores + 1)]
-        self.doors = [f"{net}.{n}" for n in range(101, 101 + doors)]
-        self.machines: dict[str, list[asyncio.subprocess.Process]] = {}
+        self.core_ips = [f"{net}.{n}" for n in range(1, core_count + 1)]
+        self.proxy_ips = [f"{net}.{n}" for n in range(101, 101 + proxy_count)]
+        self.processes: dict[str, list[asyncio.subprocess.Process]] = {}  # by the machine's address
         self.backends: list[Backend] = []
-        self.beating: dict[str, asyncio.Task[None]] = {}
-        self.leaving: set[asyncio.Task[None]] = set()
-        self.http = httpx.AsyncClient(timeout=3.0, trust_env=False, limits=httpx.Limits(max_connections=200))
-        self.ids = itertools.count(1)
-        self.logs = open(folder / "log.txt", "ab")  # noqa: SIM115  # as long as the lab
+        self.heartbeat_tasks: dict[str, asyncio.Task[None]] = {}  # by backend instance
+        self.deregistrations: set[asyncio.Task[None]] = set()
+        self.http_client = httpx.AsyncClient(
+            timeout=3.0, trust_env=False, limits=httpx.Limits(max_connections=200)
+        )
+        self.request_numbers = itertools.count(1)
+        self.log_file = open(folder / LOG_FILE_NAME, "ab")  # noqa: SIM115  # closed in close()
 
     # --- machines ------------------------------------------------------------------------------------
 
-    def settings(self, ip: str, first: bool) -> Path:
-        core = ip in self.cores
-        data = self.folder / ip
-        listen = {"control_addr": f"{ip}:8529"} if core else {
+    def write_settings(self, ip: str, initial_start: bool) -> Path:
+        """Write a machine's settings file and return its path."""
+        is_core = ip in self.core_ips
+        data_path = self.folder / ip
+        listen_addrs = {"control_addr": f"{ip}:8529"} if is_core else {
             "front_addr": f"{ip}:8520", "ready_addr": f"{ip}:8521"
         }  # fmt: skip
-        made = {
+        settings = {
             "self_entity": {
-                "node_name": ip, "ip_address": ip, "zone_name": "hall", "initial_start": first,
-                "data_path": str(data) if core else None, "limits": {"memory_mb": 300, "fd_limit": 1000},
+                "node_name": ip, "ip_address": ip, "zone_name": "hall", "initial_start": initial_start,
+                "data_path": str(data_path) if is_core else None,
+                "limits": {"memory_mb": 300, "fd_limit": 1000},
             },
             "network_table": {
-                "listen_addrs": listen, "inner_port_range": [7340, 7355], "zones": {"hall": "valley"},
-                "seed_nodes": [f"{c}:8529" for c in self.cores[:3]],
+                "listen_addrs": listen_addrs, "inner_port_range": [7340, 7355], "zones": {"hall": "valley"},
+                "seed_nodes": [f"{core_ip}:8529" for core_ip in self.core_ips[:3]],
             },
-            "platform_table": {"beat_period": f"{BEAT}s"},
+            "platform_table": {"beat_period": f"{HEARTBEAT_PERIOD_S}s"},
             "terms_table": {"timing_bounds": {"quota_excess": 0.1, "quota_slack": 20, "grace": "3s"}},
         }  # fmt: skip
         path = self.folder / f"{ip}.yaml"
-        path.write_text(yaml.safe_dump(made))
+        path.write_text(yaml.safe_dump(settings))
         return path
 
-    async def start(self, ip: str, first: bool = False) -> None:
-        path = self.settings(ip, first)
-        roles = ("registry", "config_store") if ip in self.cores else ("proxy",)
-        self.machines[ip] = [
+    async def start(self, ip: str, initial_start: bool = False) -> None:
+        """Start a machine's processes; `initial_start`: it may found a new core."""
+        path = self.write_settings(ip, initial_start)
+        roles = ("registry", "config_store") if ip in self.core_ips else ("proxy",)
+        self.processes[ip] = [
             await asyncio.create_subprocess_exec(
-                sys.executable, *self.entry, role, "--settings", str(path), cwd=ROOT,
-                stdout=self.logs, stderr=self.logs,
+                sys.executable, *self.entry_point, role, "--settings", str(path), cwd=ROOT,
+                stdout=self.log_file, stderr=self.log_file,
             )
             for role in roles
         ]  # fmt: skip
 
-    async def kill(self, ip: str, how: int = signal.SIGKILL) -> None:
-        """End a machine's processes, by their ids."""
-        for process in self.machines.pop(ip, []):
+    async def start_all(self, initial_start: bool = False) -> None:
+        for ip in (*self.core_ips, *self.proxy_ips):
+            await self.start(ip, initial_start)
+
+    async def kill(self, ip: str, signal_number: int = signal.SIGKILL) -> None:
+        """Send a signal to each process of a machine, one after another, and wait until each has ended."""
+        for process in self.processes.pop(ip, []):
             with contextlib.suppress(ProcessLookupError):
-                process.send_signal(how)
+                process.send_signal(signal_number)
             await process.wait()
 
-    def signal(self, ip: str, how: int) -> None:
-        """To a machine's processes, by their ids."""
-        for process in self.machines.get(ip, []):
+    def send_signal(self, ip: str, signal_number: int) -> None:
+        """Send a signal to each process of a machine, without waiting for its end."""
+        for process in self.processes.get(ip, []):
             with contextlib.suppress(ProcessLookupError):
-                process.send_signal(how)
+                process.send_signal(signal_number)
 
-    def leader(self) -> str:
-        """The core machine that leads, as its log has it."""
-        return (self.folder / "log.txt").read_text().split("is in force: primary ")[-1].split(",")[0]
+    def primary_ip(self) -> str:
+        """Return the address of the core machine that was the last to log that it is the primary."""
+        log = (self.folder / LOG_FILE_NAME).read_text()
+        return log.split("is in force: primary ")[-1].split(",")[0]
 
     async def wipe(self, ip: str) -> None:
+        """Kill a machine and delete its data."""
         await self.kill(ip)
         shutil.rmtree(self.folder / ip, ignore_errors=True)
 
-    async def all(self, first: bool = False) -> None:
-        for ip in (*self.cores, *self.doors):
-            await self.start(ip, first)
-
     # --- the operator ----------------------------------------------------------------------------------
 
-    async def call(self, method: str, ip: str, path: str, body: Any = None) -> tuple[int, bytes]:
-        """One call to a core machine; status 0 where it gave no answer."""
+    async def call_core(self, method: str, ip: str, path: str, body: Any = None) -> tuple[int, bytes]:
+        """Call a core machine once; the status is 0 where no answer arrived."""
         content = body if isinstance(body, bytes) else json.dumps(body).encode() if body is not None else None
         try:
-            answer = await self.http.request(method, f"http://{ip}:8529{path}", content=content)
+            answer = await self.http_client.request(method, f"http://{ip}:8529{path}", content=content)
         except httpx.HTTPError:
             return 0, b""
         return answer.status_code, answer.content
 
-    async def put(self, body: Any, cores: list[str] | None = None) -> tuple[int, bytes]:
-        """A call that is repeated at other machines until it has a clear answer."""
-        for ip in itertools.cycle(cores or self.cores):
-            status, answer = await self.call("PUT", ip, "/configuration", body)
+    async def put_configuration(self, body: Any, core_ips: list[str] | None = None) -> tuple[int, bytes]:
+        """Send a configuration to one core machine after another until a status below 500 is returned."""
+        for ip in itertools.cycle(core_ips or self.core_ips):
+            status, answer = await self.call_core("PUT", ip, "/configuration", body)
             if status and status < 500:
                 return status, answer
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(POLL_INTERVAL_S)
         raise AssertionError
 
-    async def read(self) -> bytes:
-        for ip in itertools.cycle(self.cores):
-            status, answer = await self.call("GET", ip, "/configuration")
+    async def read_configuration(self) -> bytes:
+        """Read the configuration from one core machine after another until one returns it."""
+        for ip in itertools.cycle(self.core_ips):
+            status, answer = await self.call_core("GET", ip, "/configuration")
             if status == 200:
                 return answer
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(POLL_INTERVAL_S)
         raise AssertionError
 
     # --- backends ----------------------------------------------------------------------------------------
 
-    async def backend(self, instance: str, service: str, port: int = 0) -> Backend:
-        """A backend that serves and calls the registry until it is stopped."""
-        made = Backend(instance, service, "127.0.0.1", "hall")
-        await made.start(port)
-        self.backends.append(made)
-        self.beating[instance] = asyncio.get_running_loop().create_task(self.beat(made))
-        return made
+    async def start_backend(self, instance: str, service: str, port: int = 0) -> Backend:
+        """Start a backend that serves and sends heartbeats to the registry until it is stopped."""
+        backend = Backend(instance, service, "127.0.0.1", "hall")
+        await backend.start(port)
+        self.backends.append(backend)
+        self.start_heartbeats(backend)
+        return backend
 
-    async def beat(self, backend: Backend) -> None:
+    def start_heartbeats(self, backend: Backend) -> None:
+        heartbeats = self.send_heartbeats(backend)
+        self.heartbeat_tasks[backend.instance] = asyncio.get_running_loop().create_task(heartbeats)
+
+    async def send_heartbeats(self, backend: Backend) -> None:
         while True:
-            await self.say(backend)
-            await asyncio.sleep(BEAT)
+            await self.send_heartbeat(backend)
+            await asyncio.sleep(HEARTBEAT_PERIOD_S)
+
+    async def send_heartbeat(self, backend: Backend, state: str = "in_service") -> None:
+        """Send one heartbeat to one core machine after another until one accepts it."""
+        body = backend.beat(state)
+        for ip in self.core_ips:
+            status, _ = await self.call_core("PUT", ip, f"/instances/{backend.instance}", body)
+            if status == 200:
+                return
 
-    async def release(self, old: Backend, instance: str) -> Backend:
-        """A new backend in the place of an old one, which leaves in order."""
-        new = await self.backend(instance, old.service)
+    async def replace_backend(self, old: Backend, instance: str) -> Backend:
+        """Start a backend for the same service, quiesce the old one and remove it after `QUIESCE_S`."""
+        new = await self.start_backend(instance, old.service)
         new.work = old.work
-        self.beating.pop(old.instance).cancel()
-        await self.say(old, "quiescing")
-        asyncio.get_running_loop().call_later(LINGER, self.gone, old)
+        self.heartbeat_tasks.pop(old.instance).cancel()
+        await self.send_heartbeat(old, "quiescing")
+        asyncio.get_running_loop().call_later(QUIESCE_S, self.start_removal, old)
         return new
 
-    def gone(self, old: Backend) -> None:
-        async def leave() -> None:
-            for ip in self.cores:
-                if (await self.call("DELETE", ip, f"/instances/{old.instance}"))[0] == 200:
-                    break
-            old.stop()
-
-        task = asyncio.get_running_loop().create_task(leave())
-        self.leaving.add(task)
-        task.add_done_callback(self.leaving.discard)
+    def start_removal(self, backend: Backend) -> None:
+        task = asyncio.get_running_loop().create_task(self.remove_backend(backend))
+        self.deregistrations.add(task)
+        task.add_done_callback(self.deregistrations.discard)
 
-    async def say(self, backend: Backend, state: str = "in_service") -> None:
-        body = backend.beat(state)
-        for ip in self.cores:
-            status, _ = await self.call("PUT", ip, f"/instances/{backend.instance}", body)
+    async def remove_backend(self, backend: Backend) -> None:
+        """Deregister a backend and stop it."""
+        for ip in self.core_ips:
+            status, _ = await self.call_core("DELETE", ip, f"/instances/{backend.instance}")
             if status == 200:
-                return
+                break
+        backend.stop()
 
     # --- clients -----------------------------------------------------------------------------------------
 
-    async def ask(
+    async def send_request(
         self,
-        door: str,
+        proxy_ip: str,
         method: str = "GET",
         path: str = "/read/1",
         key: str = "key-one",
         content: bytes = b"",
         **headers: str,
     ) -> httpx.Response | None:
-        """One try at a door; None where no answer came."""
-        sent = {
-            "Host": "minutes.example", "Try-Id": f"try-{next(self.ids)}", "Time-Remaining": "2000",
-            "Authorization": f"Bearer {key}", **{k.replace("_", "-"): v for k, v in headers.items()},
+        """Send one request to a proxy; None where no answer arrived.
+
+        An underscore in the name of a header stands for a hyphen.
+        """
+        all_headers = {
+            "Host": "minutes.example", "Try-Id": f"try-{next(self.request_numbers)}",
+            "Time-Remaining": "2000", "Authorization": f"Bearer {key}",
+            **{name.replace("_", "-"): value for name, value in headers.items()},
         }  # fmt: skip
         try:
-            return await self.http.request(
-                method, f"http://{door}:8520{path}", headers=sent, content=content or None
+            return await self.http_client.request(
+                method, f"http://{proxy_ip}:8520{path}", headers=all_headers, content=content or None
             )
         except httpx.HTTPError:
             return None
 
-    async def ready(self, door: str) -> bool:
+    async def is_ready(self, proxy_ip: str) -> bool:
         try:
-            return (await self.http.get(f"http://{door}:8521/readiness")).status_code == 200
+            answer = await self.http_client.get(f"http://{proxy_ip}:8521/readiness")
         except httpx.HTTPError:
             return False
+        return answer.status_code == 200
 
-    async def served(self, door: str, path: str = "/read/1", status: int = 200) -> httpx.Response:
-        """Ask until a door answers with a status."""
+    async def wait_until_ready(self, proxy_ip: str) -> None:
+        while not await self.is_ready(proxy_ip):
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def wait_until_served(
+        self, proxy_ip: str, path: str = "/read/1", status: int = 200
+    ) -> httpx.Response:
+        """Repeat a request until the proxy answers with this status, and return that answer."""
         while True:
-            answer = await self.ask(door, path=path)
+            answer = await self.send_request(proxy_ip, path=path)
             if answer is not None and answer.status_code == status:
                 return answer
-            await asyncio.sleep(0.02)
-
-    async def takes_clients(self, door: str) -> None:
-        while not await self.ready(door):
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def sends_to(self, door: str, service: str) -> None:
-        """Until a door sends reads to a service."""
-        while not (await self.served(door)).text.startswith(service):
-            await asyncio.sleep(0.02)
+    async def wait_until_routed_to(self, proxy_ip: str, service: str) -> None:
+        """Repeat a read until the proxy forwards it to this service."""
+        while not (await self.wait_until_served(proxy_ip)).text.startswith(service):
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        for task in (*self.beating.values(), *self.leaving):
+        """End all processes, backends and tasks."""
+        for task in (*self.heartbeat_tasks.values(), *self.deregistrations):
             task.cancel()
-        for ip in list(self.machines):
+        for ip in list(self.processes):
             await self.kill(ip)
         for backend in self.backends:
             backend.stop()
-        await self.http.aclose()
-        self.logs.close()
+        await self.http_client.aclose()
+        self.log_file.close()
 
 
 @contextlib.asynccontextmanager
-async def lab(
-    folder: Path, cores: int = 3, doors: int = 2, most: float = 50.0, entry: tuple[str, ...] = ENTRY
-) -> AsyncIterator[Lab]:
-    """Machines that are ended behind it; `most` seconds, for one that hangs."""
-    made = Lab(folder, cores, doors, entry)
+async def local_cluster(
+    folder: Path,
+    core_count: int = 3,
+    proxy_count: int = 2,
+    timeout_s: float = 50.0,
+    entry_point: tuple[str, ...] = ENTRY_POINT,
+) -> AsyncIterator[LocalCluster]:
+    """Yield a cluster, whose machines are not started yet, and close it afterwards.
+
+    Raises AssertionError with the end of the processes' log where the body takes longer than `timeout_s`.
+    """
+    cluster = LocalCluster(folder, core_count, proxy_count, entry_point)
     try:
-        async with asyncio.timeout(most):
-            yield made
+        async with asyncio.timeout(timeout_s):
+            yield cluster
     except TimeoutError:
-        raise AssertionError((folder / "log.txt").read_text()[-3000:]) from None
+        raise AssertionError((folder / LOG_FILE_NAME).read_text()[-3000:]) from None
     finally:
-        await made.close()
+        await cluster.close()
--- a/ivymux/simulation/replay.py
+++ b/ivymux/simulation/replay.py
@@ -39,7 +39,7 @@
     Start,
     Told,
 )  # fmt: skip
-from ivymux.simulation.local_cluster import ENTRY, Lab, document, lab
+from ivymux.simulation.local_cluster import ENTRY_POINT, LocalCluster, build_configuration, local_cluster
 from ivymux.simulation.rules import Breach, check
 from standins import backend as standin
 
@@ -90,8 +90,8 @@
 class Player:
     """One day on one lab."""
 
-    def __init__(self, day: Day, doing: Sequence[Doing], made: Lab) -> None:
-        self.day, self.doing, self.lab = day, doing, made
+    def __init__(self, day: Day, doing: Sequence[Doing], made: LocalCluster) -> None:
+        self.day, self.doing, self.cluster = day, doing, made
         self.loop = asyncio.get_running_loop()
         self.began = 0.0
         self.seen: list[Seen] = []
@@ -104,22 +104,22 @@
 
     async def play(self) -> list[Seen]:
         self.began = self.loop.time()
-        await self.lab.all(first=True)
+        await self.cluster.start_all(initial_start=True)
         for service, count in self.day.services.items():
             for n in range(count):
                 await self.raise_backend(f"{service}-{n}", service)
         for core in range(self.day.cores):
             if await self.change(Change(0.0, core, FIRST, first_routes())) == 200:
                 break
-        for door in self.lab.doors:
-            await self.lab.takes_clients(door)
-            await self.lab.served(door)
+        for door in self.cluster.proxy_ips:
+            await self.cluster.wait_until_ready(door)
+            await self.cluster.wait_until_served(door)
         for backend in self.backends.values():
             backend.ran.clear()
         self.seen.clear()
         self.began = self.loop.time()
         self.seen.append(Told(0.0, 0.0, FIRST, 200))
-        looking = [self.loop.create_task(self.look(door)) for door in range(len(self.lab.doors))]
+        looking = [self.loop.create_task(self.look(door)) for door in range(len(self.cluster.proxy_ips))]
         looking.append(self.loop.create_task(self.notice_stalls()))
         tasks = [self.loop.create_task(self.do_at(event)) for event in self.doing]
         await asyncio.gather(*tasks)
@@ -138,11 +138,11 @@
             case Kill():
                 ip = self.address(event.machine)
                 if event.how == "wipe":
-                    await self.lab.wipe(ip)
+                    await self.cluster.wipe(ip)
                 else:
-                    await self.lab.kill(ip, signal.SIGTERM if event.how == "term" else signal.SIGKILL)
+                    await self.cluster.kill(ip, signal.SIGTERM if event.how == "term" else signal.SIGKILL)
             case Start():
-                await self.lab.start(self.address(event.machine))
+                await self.cluster.start(self.address(event.machine))
             case Leave():
                 await self.leave(event.backend, event.stays)
             case Spoil():
@@ -150,7 +150,7 @@
 
     def address(self, machine: str) -> str:
         kind, _, number = machine.partition("-")
-        return (self.lab.cores if kind == "core" else self.lab.doors)[int(number)]
+        return (self.cluster.core_ips if kind == "core" else self.cluster.proxy_ips)[int(number)]
 
     async def notice_stalls(self) -> None:
         """Write down when this process itself stood still, as on a machine that is too full."""
@@ -164,7 +164,7 @@
         """Ask a door again and again whether it takes clients; what has changed is written down."""
         was = None
         while True:
-            ready = await self.lab.ready(self.lab.doors[door])
+            ready = await self.cluster.is_ready(self.cluster.proxy_ips[door])
             if ready is not was:
                 was = ready
                 self.seen.append(Ready(self.now(), door, ready))
@@ -174,8 +174,8 @@
 
     async def ask(self, event: Ask) -> None:
         sent = self.now()
-        door = self.lab.doors[event.door]
-        asking = self.lab.ask(
+        door = self.cluster.proxy_ips[event.door]
+        asking = self.cluster.send_request(
             door, event.method, event.path, event.key, Try_Id=event.id,
             Time_Remaining=str(round(event.waits * 1000)),
         )  # fmt: skip
@@ -198,36 +198,36 @@
     # --- the operator ------------------------------------------------------------
 
     async def change(self, event: Change) -> int:
-        made = document(event.version, **event.routes)
+        made = build_configuration(event.version, **event.routes)
         made["tenant_table"][0].update(rate_per_s=self.day.rate, burst_size=self.day.burst)
         text = self.texts[event.version] = json.dumps(made).encode()
         sent = self.now()
-        cores = self.lab.cores[event.core :] + self.lab.cores[: event.core]
-        status, _ = await self.lab.put(text, cores)
+        cores = self.cluster.core_ips[event.core :] + self.cluster.core_ips[: event.core]
+        status, _ = await self.cluster.put_configuration(text, cores)
         self.seen.append(Told(self.now(), sent, event.version, status))
         return status
 
     async def read(self) -> None:
-        text = await self.lab.read()
+        text = await self.cluster.read_configuration()
         version = int(json.loads(text)["config_version"])
         self.seen.append(Read(self.now(), version, self.texts.get(version) == text))
 
     # --- backends ------------------------------------------------------------
 
     async def raise_backend(self, name: str, service: str) -> None:
-        made = self.backends[name] = await self.lab.backend(name, service)
+        made = self.backends[name] = await self.cluster.start_backend(name, service)
         made.work = self.day.work
         watcher = self.watchers[name] = HistoryWatcher(self, name, service)
         made.watcher, made.plan = watcher, watcher.plan
 
     async def leave(self, name: str, stays: float) -> None:
-        self.lab.beating[name].cancel()
+        self.cluster.heartbeat_tasks[name].cancel()
         sent = self.now()
-        await self.lab.say(self.backends[name], "quiescing")
+        await self.cluster.send_heartbeat(self.backends[name], "quiescing")
         self.seen.append(Left(self.now(), name, sent))
         await asyncio.sleep(stays)
-        for ip in self.lab.cores:
-            if (await self.lab.call("DELETE", ip, f"/instances/{name}"))[0] == 200:
+        for ip in self.cluster.core_ips:
+            if (await self.cluster.call_core("DELETE", ip, f"/instances/{name}"))[0] == 200:
                 break
         self.backends[name].stop()
 
@@ -237,11 +237,13 @@
 
 
 async def played(
-    day: Day, doing: Sequence[Doing], folder: Path, entry: tuple[str, ...] = ENTRY
+    day: Day, doing: Sequence[Doing], folder: Path, entry: tuple[str, ...] = ENTRY_POINT
 ) -> list[Seen]:
     """What was seen on a day.  Raises AssertionError with the processes' log where it hangs."""
     longest = max((event.at for event in doing), default=0.0)
-    async with lab(folder, day.cores, day.doors, most=longest + 60.0, entry=entry) as made:
+    async with local_cluster(
+        folder, day.cores, day.doors, timeout_s=longest + 60.0, entry_point=entry
+    ) as made:
         return await Player(day, doing, made).play()
 
 
--- a/tests/registry/test_applied.py
+++ b/tests/registry/test_applied.py
@@ -7,7 +7,7 @@
 
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
-from ivymux.simulation.local_cluster import Lab
+from ivymux.simulation.local_cluster import LocalCluster
 from ivymux.transport.connection import Connection
 from ivymux.transport.frames import FrameDecoder, Message
 
@@ -27,8 +27,8 @@
 
 def test_a_call_waits_until_each_connected_proxy_has_the_configuration(tmp_path: Path) -> None:
     async def test() -> None:
-        lab = Lab(tmp_path)
-        registry = Registry(load(lab.settings(lab.cores[0], True)))
+        cluster = LocalCluster(tmp_path)
+        registry = Registry(load(cluster.write_settings(cluster.core_ips[0], True)))
         connections = [connect_proxy(registry, number) for number in range(3)]
 
         async def call(version: int) -> None:
@@ -51,7 +51,7 @@
         await registry.wait_until_applied(10, 0.0)
         assert not registry.apply_waiters
         await registry.stop()
-        await lab.close()
+        await cluster.close()
 
     run(test())
 
@@ -69,8 +69,8 @@
     """When a whole fleet starts, no proxy gets a message for each other proxy."""
 
     async def test() -> None:
-        lab = Lab(tmp_path)
-        registry = Registry(load(lab.settings(lab.cores[0], True)))
+        cluster = LocalCluster(tmp_path)
+        registry = Registry(load(cluster.write_settings(cluster.core_ips[0], True)))
         first = RecordingConnection(registry.on_message, on_disconnect=registry.on_disconnect)
         first.written = []
         first.is_connected = True
@@ -87,6 +87,6 @@
         assert joined - {"d", "d7"} == expected
         assert announcements[-1]["off"] == ["d7"]
         await registry.stop()
-        await lab.close()
+        await cluster.close()
 
     run(test())
--- a/tests/registry/test_calls.py
+++ b/tests/registry/test_calls.py
@@ -9,7 +9,7 @@
 from ivymux.registry.backend_records import UP
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
-from ivymux.simulation.local_cluster import Lab
+from ivymux.simulation.local_cluster import LocalCluster
 
 from ..sockets import run, until
 
@@ -24,8 +24,8 @@
 
 def test_a_call_truncated_at_any_byte_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        lab = Lab(tmp_path)
-        registry = Registry(load(lab.settings(lab.cores[0], True)))
+        cluster = LocalCluster(tmp_path)
+        registry = Registry(load(cluster.write_settings(cluster.core_ips[0], True)))
         await registry.start()
         listen = registry.server.listen
         for size in range(len(CALL)):
@@ -46,6 +46,6 @@
         assert registry.backends.records["i-1"].state == UP
         writer.close()
         await registry.stop()
-        await lab.close()
+        await cluster.close()
 
     run(test())
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -15,7 +15,7 @@
 )
 from ivymux.registry.program import Registry
 from ivymux.runtime.settings import load
-from ivymux.simulation.local_cluster import Lab
+from ivymux.simulation.local_cluster import LocalCluster
 from ivymux.transport.connection import Connection
 from ivymux.transport.frames import FrameDecoder, Message
 from orchidhill.interface import Outcome
@@ -99,8 +99,8 @@
 
 def test_a_registry_announces_an_ejection_to_all_proxies(tmp_path: Path) -> None:
     async def test() -> None:
-        lab = Lab(tmp_path)
-        registry = Registry(load(lab.settings(lab.cores[0], True)))
+        cluster = LocalCluster(tmp_path)
+        registry = Registry(load(cluster.write_settings(cluster.core_ips[0], True)))
         connections = []
         for number in range(3):
             connection = RecordingConnection(registry.on_message, on_disconnect=registry.on_disconnect)
@@ -122,6 +122,6 @@
         registry.on_message(connections[0], {"k": "doubt", "l": [["i-0", 0]]})
         assert not connections[0].is_connected and registry.invalid_messages == 1
         await registry.stop()
-        await lab.close()
+        await cluster.close()
 
     run(test())
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -9,38 +9,39 @@
 from pathlib import Path
 from typing import Any
 
-from ivymux.simulation.local_cluster import Lab, document, lab
+from ivymux.simulation.local_cluster import LocalCluster, build_configuration, local_cluster
 
 
 def texts(version: int) -> tuple[dict[str, Any], dict[str, Any]]:
     """Two configurations of one number."""
-    return document(version), document(version, read="desk")
+    return build_configuration(version), build_configuration(version, read="desk")
 
 
-async def told(it: Lab, body: Any) -> dict[str, Any]:
-    status, answer = await it.put(body)
+async def told(cluster: LocalCluster, body: Any) -> dict[str, Any]:
+    status, answer = await cluster.put_configuration(body)
     return {"status": status, **json.loads(answer)}
 
 
 def test_two_operators_with_one_number_at_two_machines(tmp_path: Path) -> None:
     async def day() -> None:
-        async with lab(tmp_path, doors=0) as it:
-            await it.all(first=True)
-            await it.put(document(1))
+        async with local_cluster(tmp_path, proxy_count=0) as cluster:
+            await cluster.start_all(initial_start=True)
+            await cluster.put_configuration(build_configuration(1))
             first, second = texts(7)
             at_once = await asyncio.gather(
-                it.put(first, [it.cores[0], it.cores[1]]), it.put(second, [it.cores[2], it.cores[1]])
+                cluster.put_configuration(first, [cluster.core_ips[0], cluster.core_ips[1]]),
+                cluster.put_configuration(second, [cluster.core_ips[2], cluster.core_ips[1]]),
             )
             assert sorted(status for status, _ in at_once) == [200, 409]
             taken, other = (first, second) if at_once[0][0] == 200 else (second, first)
-            await it.kill(it.leader())
-            assert (await told(it, taken))["outcome"] == "taken"
-            refused = await told(it, other)
+            await cluster.kill(cluster.primary_ip())
+            assert (await told(cluster, taken))["outcome"] == "taken"
+            refused = await told(cluster, other)
             assert refused["status"] == 409 and "higher version" in refused["error"]
-            assert json.loads(await it.read()) == taken
-            await it.put(document(9))
-            assert (await told(it, taken))["outcome"] == "taken"  # however late
-            unknown = await told(it, document(8))
+            assert json.loads(await cluster.read_configuration()) == taken
+            await cluster.put_configuration(build_configuration(9))
+            assert (await told(cluster, taken))["outcome"] == "taken"  # however late
+            unknown = await told(cluster, build_configuration(8))
             assert (unknown["outcome"], unknown["held_version"]) == ("superseded", 9)
 
     asyncio.run(day())
@@ -50,27 +51,27 @@
     """The leader leaves for good, then who leads then; each hands over before it ends."""
 
     async def day() -> None:
-        async with lab(tmp_path, cores=5, doors=0) as it:
-            await it.all(first=True)
-            await it.put(document(1))
+        async with local_cluster(tmp_path, core_count=5, proxy_count=0) as cluster:
+            await cluster.start_all(initial_start=True)
+            await cluster.put_configuration(build_configuration(1))
             while "5 members" not in (tmp_path / "log.txt").read_text():
                 await asyncio.sleep(0.05)
             gone: list[str] = []
             for version in (2, 3):
-                leaving = it.leader()
-                ended = asyncio.create_task(it.kill(leaving, signal.SIGTERM))
-                it.cores.remove(leaving)
+                leaving = cluster.primary_ip()
+                ended = asyncio.create_task(cluster.kill(leaving, signal.SIGTERM))
+                cluster.core_ips.remove(leaving)
                 gone.append(leaving)
                 began = time.monotonic()
-                assert (await told(it, document(version)))["outcome"] == "taken"
+                assert (await told(cluster, build_configuration(version)))["outcome"] == "taken"
                 assert time.monotonic() - began < 2.0  # far less in simulated time: bench.control
                 await ended
-            lost = it.leader()
+            lost = cluster.primary_ip()
             assert lost not in gone
-            await it.wipe(lost)
-            assert json.loads(await it.read()) == document(3)
-            await it.start(lost)
-            assert (await told(it, document(4)))["outcome"] == "taken"
+            await cluster.wipe(lost)
+            assert json.loads(await cluster.read_configuration()) == build_configuration(3)
+            await cluster.start(lost)
+            assert (await told(cluster, build_configuration(4)))["outcome"] == "taken"
             assert "could take over" not in (tmp_path / "log.txt").read_text()
 
     asyncio.run(day())
--- a/tests/system/test_conversation_load.py
+++ b/tests/system/test_conversation_load.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ivymux.simulation.conversation_load import Evening, Play, Size
-from ivymux.simulation.local_cluster import lab
+from ivymux.simulation.local_cluster import local_cluster
 
 
 @pytest.mark.alone
@@ -17,8 +17,8 @@
     evening = Evening(size, 11)
 
     async def day() -> None:
-        async with lab(tmp_path, 3, size.doors, most=110.0) as it:
-            await Play(it, evening).run()
+        async with local_cluster(tmp_path, 3, size.doors, timeout_s=110.0) as cluster:
+            await Play(cluster, evening).run()
 
     asyncio.run(day())
     found = evening.report()
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ivymux.simulation.local_cluster import Lab, document, lab
+from ivymux.simulation.local_cluster import LocalCluster, build_configuration, local_cluster
 from standins.backend import Backend
 
 BOUND = 0.5  # seconds behind a client's leaving by which work for it has ended
@@ -23,7 +23,7 @@
 
 def patient(version: int) -> dict[str, Any]:
     """The lab's configuration, with deadlines that do not end what these tests look at."""
-    made = document(version)
+    made = build_configuration(version)
     for route in made["route_table"]:
         route["deadline"] = f"{LONG}ms"
     return made
@@ -55,18 +55,21 @@
 
 
 @asynccontextmanager
-async def working(folder: Path) -> AsyncIterator[tuple[Lab, str, Backend]]:
+async def working(folder: Path) -> AsyncIterator[tuple[LocalCluster, str, Backend]]:
     """A door before one backend of both services' work, whose requests take until its gate opens."""
-    async with lab(folder, doors=1) as it:
-        await it.all(first=True)
-        archive, desk = await it.backend("i-archive", "archive"), await it.backend("i-desk", "desk")
-        await it.put(patient(1))
-        await it.takes_clients(it.doors[0])
-        await it.served(it.doors[0])
-        await it.served(it.doors[0], "/sign/0")
+    async with local_cluster(folder, proxy_count=1) as cluster:
+        await cluster.start_all(initial_start=True)
+        archive, desk = (
+            await cluster.start_backend("i-archive", "archive"),
+            await cluster.start_backend("i-desk", "desk"),
+        )
+        await cluster.put_configuration(patient(1))
+        await cluster.wait_until_ready(cluster.proxy_ips[0])
+        await cluster.wait_until_served(cluster.proxy_ips[0])
+        await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/0")
         archive.gate = desk.gate = asyncio.Event()
         desk.ran, desk.finished, desk.dropped = archive.ran, archive.finished, archive.dropped
-        yield it, it.doors[0], archive
+        yield cluster, cluster.proxy_ips[0], archive
 
 
 async def runs(backend: Backend, id: str) -> None:
@@ -84,9 +87,9 @@
     return loop.time() - began
 
 
-async def departed(it: Lab, door: str) -> bool:
+async def departed(cluster: LocalCluster, door: str) -> bool:
     """Whether a door has met a client's leaving, by its metrics."""
-    text = (await it.http.get(f"http://{door}:7343/metrics")).text
+    text = (await cluster.http_client.get(f"http://{door}:7343/metrics")).text
     return "ivymux_proxy_departed_requests_total 1\n" in text
 
 
@@ -110,14 +113,14 @@
     """Also for a request behind another one on its connection."""
 
     async def day() -> None:
-        async with working(tmp_path) as (it, door, backend):
+        async with working(tmp_path) as (cluster, door, backend):
             client = await Leaver.at(door)
             client.ask("first")
             client.ask("second")
             await runs(backend, "first")
             await runs(backend, "second")
-            it.signal(door, signal.SIGTERM)
-            while await it.ready(door):
+            cluster.send_signal(door, signal.SIGTERM)
+            while await cluster.is_ready(door):
                 await asyncio.sleep(0.005)
             client.leave("close")
             assert (
@@ -132,12 +135,12 @@
     """To cut it off would leave nobody knowing whether it ran; with a key its answer is there for a retry."""
 
     async def day() -> None:
-        async with working(tmp_path) as (it, door, backend):
+        async with working(tmp_path) as (cluster, door, backend):
             client = await Leaver.at(door)
             client.ask("action", "POST", "/sign/1", more)
             await runs(backend, "action")
             client.leave("close")
-            while not await departed(it, door):
+            while not await departed(cluster, door):
                 await asyncio.sleep(0.005)
             assert backend.gate is not None
             backend.gate.set()
@@ -145,7 +148,9 @@
                 await asyncio.sleep(0.005)
             assert "action" not in backend.dropped
             if more:
-                while (again := await it.ask(door, "POST", "/sign/1", Idempotency_Key='"a"')) is not None:
+                while (
+                    again := await cluster.send_request(door, "POST", "/sign/1", Idempotency_Key='"a"')
+                ) is not None:
                     if again.status_code == 200:
                         break
                 assert again is not None and again.headers["idempotent-replayed"] == "true"
--- a/tests/system/test_offsets.py
+++ b/tests/system/test_offsets.py
@@ -14,7 +14,7 @@
 
 import httpx
 
-from ivymux.simulation.local_cluster import Lab, document, lab
+from ivymux.simulation.local_cluster import LocalCluster, build_configuration, local_cluster
 from standins.backend import Backend
 
 
@@ -83,12 +83,12 @@
         writer.transport.abort()
 
 
-async def breaking_desk(it: Lab) -> BreakingBackend:
+async def breaking_desk(cluster: LocalCluster) -> BreakingBackend:
     made = BreakingBackend("i-desk", "desk", "127.0.0.1", "hall")
     made.whole_runs = Counter()
     await made.start()
-    it.backends.append(made)
-    it.beating["i-desk"] = asyncio.get_running_loop().create_task(it.beat(made))
+    cluster.backends.append(made)
+    cluster.heartbeat_tasks["i-desk"] = asyncio.get_running_loop().create_task(cluster.send_heartbeats(made))
     return made
 
 
@@ -106,16 +106,16 @@
 
 def test_connections_that_break_at_each_byte(tmp_path: Path) -> None:
     async def day() -> None:
-        async with lab(tmp_path, doors=1, most=100.0) as it:
-            await it.all(first=True)
-            desk = await breaking_desk(it)
-            await it.put(document(1, sign="desk"))
-            await it.takes_clients(it.doors[0])
-            await it.served(it.doors[0], "/sign/0")
+        async with local_cluster(tmp_path, proxy_count=1, timeout_s=100.0) as cluster:
+            await cluster.start_all(initial_start=True)
+            desk = await breaking_desk(cluster)
+            await cluster.put_configuration(build_configuration(1, sign="desk"))
+            await cluster.wait_until_ready(cluster.proxy_ips[0])
+            await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/0")
 
             async def ask(id: str) -> int:
                 target = f"/sign/{id}"
-                answer = await it.ask(it.doors[0], "POST", target, Try_Id=id)
+                answer = await cluster.send_request(cluster.proxy_ips[0], "POST", target, Try_Id=id)
                 check(answer, id, target, desk)
                 assert answer is not None
                 return answer.status_code
