--- a/bench/epochs.py
+++ b/bench/epochs.py
@@ -15,7 +15,13 @@
 
 from bench.common import figure, parser, report
 from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
-from ivymux.simulation.fault_schedules import Fault, after, placed, play, two_changes
+from ivymux.simulation.fault_schedules import (
+    Fault,
+    faults_before_step,
+    pairs_with_second_fault,
+    play_random_schedule,
+    run_two_changes,
+)
 
 QUICK = 400
 SCHEDULES = 100_000
@@ -28,7 +34,7 @@
     changes = 0
     for seed in span:
         try:
-            changes += len(play(seed).acknowledged_versions)
+            changes += len(play_random_schedule(seed).acknowledged_versions)
         except GuaranteeViolation as error:
             return changes, f"seed {seed}: {error}"
     return changes, ""
@@ -39,10 +45,10 @@
     runs = 1
     faults: Pair = (first,)
     try:
-        steps = two_changes(faults)
-        for faults in after(first, steps):
+        steps = run_two_changes(faults)
+        for faults in pairs_with_second_fault(first, steps):
             runs += 1
-            two_changes(faults)
+            run_two_changes(faults)
     except GuaranteeViolation as error:
         return runs, f"{','.join(map(str, faults))}: {error}"
     return runs, ""
@@ -85,7 +91,7 @@
     arguments.add_argument("--play", default="")
     args = arguments.parse_args()
     if args.play:
-        print("steps:", two_changes(tuple(Fault.read(text) for text in args.play.split(","))))
+        print("steps:", run_two_changes(tuple(Fault.parse(text) for text in args.play.split(","))))
         return
     wanted = args.schedules or (QUICK if args.quick else SCHEDULES)
     began = time.monotonic()
@@ -94,8 +100,8 @@
         spans = [range(n, min(n + 50, end)) for n in range(args.first, end, 50)]
         changes = checked(pool.imap_unordered(seeds, spans))
         played_s = time.monotonic() - began
-        steps = two_changes(())
-        firsts = [fault for step in range(steps) for fault in placed(step)]
+        steps = run_two_changes(())
+        firsts = [fault for step in range(steps) for fault in faults_before_step(step)]
         firsts = firsts[:: 25 if args.quick else 1]
         runs = checked(pool.imap_unordered(pairs_behind, firsts))
         waits = {n: pool.map(takeover, [(seed, n) for seed in range(TAKEOVERS)]) for n in (3, 4)}
--- a/ivymux/simulation/control_plane.py
+++ b/ivymux/simulation/control_plane.py
@@ -16,7 +16,7 @@
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
 from ivymux.simulation.core_cluster import EXIT_GRACE_S, CoreCluster, GuaranteeViolation
-from ivymux.simulation.fault_schedules import Callers, Make
+from ivymux.simulation.fault_schedules import ActionCallers, ReplicaFactory
 from ivymux.simulation.loss_scenarios import SYNC_TIME
 
 SPARES = 3  # machines that may be added in the course of a day
@@ -136,13 +136,15 @@
 class ControlDay:
     """One day, played from its numbers alone.  Raises Broken."""
 
-    def __init__(self, seed: int, count: int, faults: tuple[ControlFault, ...], make: Make) -> None:
+    def __init__(
+        self, seed: int, count: int, faults: tuple[ControlFault, ...], make_replica: ReplicaFactory
+    ) -> None:
         self.chance = random.Random(seed)
         self.count, self.faults = count, faults
-        self.cluster = CoreCluster(seed, count + SPARES, make)
+        self.cluster = CoreCluster(seed, count + SPARES, make_replica)
         self.spares = [f"m{n}" for n in range(count, count + SPARES)]
         self.operators = Operators(self.cluster, self.chance)
-        self.callers = Callers(self.cluster, self.chance)
+        self.callers = ActionCallers(self.cluster, self.chance)
         self.disk_lost = False  # in this phase
         self.phase_ends = 0.0
         self.successor_synced_at = 0.0
@@ -158,7 +160,9 @@
         for phase in phases:
             self.play_phase([fault for fault in self.faults if fault.phase == phase])
         slowest = max((fault.lasts for fault in self.faults), default=0.0)
-        self.callers.look(5.0 + 2 * slowest)  # a commit that hangs when a phase ends may last for that long
+        self.callers.verify_kept_answers(
+            5.0 + 2 * slowest
+        )  # a commit that hangs when a phase ends may last for that long
         return cluster
 
     def play_phase(self, faults: list[ControlFault]) -> None:
@@ -358,7 +362,7 @@
 class Control:
     """A world for `explore`: days of the control side."""
 
-    make: Make = Replica
+    make_replica: ReplicaFactory = Replica
     name: str = "control"
 
     def draw(self, chance: random.Random) -> tuple[str, ...]:
@@ -375,7 +379,7 @@
             else:
                 faults.append(ControlFault.read(event))
         try:
-            ControlDay(seed, count, tuple(faults), self.make).play()
+            ControlDay(seed, count, tuple(faults), self.make_replica).play()
         except GuaranteeViolation as error:
             return str(error)
         return ""
--- a/ivymux/simulation/exploration.py
+++ b/ivymux/simulation/exploration.py
@@ -16,7 +16,7 @@
 from ivymux.simulation.control_plane import Control
 from ivymux.simulation.core_cluster import GuaranteeViolation
 from ivymux.simulation.event_queue import START
-from ivymux.simulation.fault_schedules import FAULTS, Fault, Make, two_changes
+from ivymux.simulation.fault_schedules import FAULT_TARGETS, Fault, ReplicaFactory, run_two_changes
 from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
 from ivymux.simulation.trial_model import Happening, Run, drawn
 
@@ -42,27 +42,27 @@
 class Core:
     """Three core machines, two changes of the configuration, faults at steps (fault_schedules.py)."""
 
-    make: Make = Replica
+    make_replica: ReplicaFactory = Replica
     name: str = "core"
 
     def draw(self, chance: random.Random) -> Events:
         """One disk is lost at the most, and then nothing else happens to other machines by themselves."""
-        kinds = [kind for kind in FAULTS if kind != "wipe"]
+        kinds = [kind for kind in FAULT_TARGETS if kind != "wipe"]
         count = chance.randint(1, MAX_FAULTS)
         kinds = chance.choices(kinds, k=count)
-        faults = [Fault(chance.randrange(STEPS), kind, chance.choice(FAULTS[kind])) for kind in kinds]
+        faults = [Fault(chance.randrange(STEPS), kind, chance.choice(FAULT_TARGETS[kind])) for kind in kinds]
         if chance.random() < 0.3:
-            victim = chance.choice(FAULTS["wipe"])
+            victim = chance.choice(FAULT_TARGETS["wipe"])
             faults = [f for f in faults if f.machine in (victim, "-")]
             faults.append(Fault(chance.randrange(STEPS), "wipe", victim))
         return tuple(str(f) for f in sorted(faults, key=lambda f: f.step))
 
     def play(self, events: Events) -> str:
         try:
-            two_changes(tuple(Fault.read(text) for text in events), self.make)
+            run_two_changes(tuple(Fault.parse(text) for text in events), self.make_replica)
         except GuaranteeViolation as error:
-            # That many faults may take all of the time there is; nothing acknowledged is at stake then.
-            return "" if "is not taken" in str(error) else str(error)
+            # Many faults may keep a change from being stored in time; no acknowledged change is lost then.
+            return "" if "is not stored within" in str(error) else str(error)
         return ""
 
 
--- a/ivymux/simulation/fault_schedules.py
+++ b/ivymux/simulation/fault_schedules.py
@@ -1,7 +1,7 @@
 """Schedules of faults over simulated core machines: random ones, and every pair of faults at every step.
 
-Each is played from its own numbers alone, so a find is a line that plays again.  `Broken` says which promise
-was not kept: an acknowledged configuration is never gone, never old when read, never two of one number.
+Each run depends only on its seed or its list of faults, which reproduce a failure.  GuaranteeViolation says
+which guarantee was broken: no acknowledged configuration is lost, no read is stale, no version has two texts.
 """
 
 from __future__ import annotations
@@ -21,6 +21,7 @@
 from ivymux.idempotency.record_store import ANSWERED, DONE, FREE, LOST, PROCEED
 from ivymux.simulation.core_cluster import (
     EXIT_GRACE_S,
+    USUAL_COMMIT_S,
     Answer,
     CoreCluster,
     Disk,
@@ -28,25 +29,25 @@
     Machine,
 )
 
-Make = Callable[[DurableState, float], Replica]
-KINDS = ("kill", "wipe", "cut", "one", "link", "loss", "slow", "stuck", "all", "calm", "aimed")
-BACK = 4.5  # seconds after which a machine counts as back
+ReplicaFactory = Callable[[DurableState, float], Replica]
+RANDOM_FAULT_KINDS = ("kill", "wipe", "cut", "one", "link", "loss", "slow", "stuck", "all", "calm", "aimed")
+CATCH_UP_S = 4.5  # after which a restarted machine counts as recovered
 
 
-def play(seed: int, make: Make = Replica) -> CoreCluster:
-    """One random schedule: changes at any machine, and one machine in trouble at a time, or all at once.
+def play_random_schedule(seed: int, make_replica: ReplicaFactory = Replica) -> CoreCluster:
+    """Play a random schedule: changes at any machine, with faults of one machine at a time or of all at once.
 
-    Raises Broken.
+    Raises GuaranteeViolation.
     """
     chance = random.Random(seed)
-    cluster = CoreCluster(seed, chance.choice((3, 3, 4)), make)
+    cluster = CoreCluster(seed, chance.choice((3, 3, 4)), make_replica)
     for ip in cluster.machines:
         cluster.start_at(chance.uniform(0, 0.4), ip)
     cluster.run_for(2.0)
     version = 0
-    callers = Callers(cluster, chance)
+    callers = ActionCallers(cluster, chance)
     for _ in range(chance.randint(2, 6)):
-        strike(cluster, chance)
+        inject_random_fault(cluster, chance)
         for _ in range(chance.randint(4, 40)):
             cluster.run_for(chance.uniform(0.01, 0.2))
             callers.step()
@@ -56,83 +57,99 @@
                 cluster.put(ip, version, f"{version} by {ip}")
             cluster.read_all()
         for machine in cluster.machines.values():
-            machine.disk.commit_s = 0.008
+            machine.disk.commit_s = USUAL_COMMIT_S
         cluster.heal()
-        cluster.run_for(BACK)
+        cluster.run_for(CATCH_UP_S)
         cluster.read_all()
-    callers.look()
+    callers.verify_kept_answers()
     return cluster
 
 
-KEYS = 6
-NEVER_ENDED = 0.1  # part of the actions whose door dies with them
-GIVEN_UP = 0.15  # part of the claims that their door gives up before it hears of them
+KEY_COUNT = 6
+UNFINISHED_SHARE = 0.1  # of the actions: their proxy dies and never ends them
+ABANDONED_SHARE = 0.15  # of the claims: their proxy gives them up before the answer
 
 
-class Callers:
-    """Doors that claim actions by keys, and end them; who sees that none may run twice."""
+class ActionCallers:
+    """Proxies that claim actions by idempotency key and end them; checks that no action may run twice."""
 
     def __init__(self, cluster: CoreCluster, chance: random.Random) -> None:
         self.cluster, self.chance = cluster, chance
         self.numbers = itertools.count(1)
-        self.live: dict[str, str] = {}  # the claim that may run, by key
-        self.done: dict[str, str] = {}  # answers that are acknowledged as kept
+        self.granted: dict[str, str] = {}  # the claim whose action may run, by key
+        self.kept_answers: dict[str, str] = {}  # acknowledged as stored, by key
         self.runs = 0
-        self.owed: dict[str, EndAction] = {}  # ends that are not acknowledged yet, by claim
-        self.over: set[str] = set()  # claims that their doors have ended: nothing is sent for them any more
+        self.open_ends: dict[str, EndAction] = {}  # sent but not acknowledged yet, by claim
+        self.ended_claims: set[str] = set()  # their proxies run nothing for them any more
 
-    def asked(self, key: str) -> tuple[str, ClaimAction]:
+    def new_claim(self, key: str) -> tuple[str, ClaimAction]:
+        """Create a claim with a new id; returns the id and the call."""
         claim = f"door/{next(self.numbers)}"
         return claim, ClaimAction(key, "tenant", claim, "place", "body", 2.0)
 
     def step(self) -> None:
-        """A claim, some at several machines or given up at once, and ends that are sent again."""
+        """Send one claim, to one or more machines and perhaps given up at once, and repeat open ends."""
         machines = list(self.cluster.machines)
-        for claim, message in list(self.owed.items()):
-            self.cluster.call(self.chance.choice(machines), message, partial(self.ended, claim, message))
-        key = f"{self.chance.randrange(KEYS):032x}"
-        claim, asked = self.asked(key)
+        for claim, message in list(self.open_ends.items()):
+            self.cluster.call(
+                self.chance.choice(machines), message, partial(self.on_end_answer, claim, message)
+            )
+        key = f"{self.chance.randrange(KEY_COUNT):032x}"
+        claim, request = self.new_claim(key)
         for ip in self.chance.sample(machines, self.chance.choice((1, 2, len(machines)))):
-            self.cluster.call(ip, asked, partial(self.told, key, claim))
-        if self.chance.random() < GIVEN_UP:
-            self.end(key, claim, FREE)
-
-    def told(self, key: str, claim: str, answer: Answer) -> None:
-        if answer["verdict"] == ANSWERED and key in self.done and answer["answer"] != self.done[key]:
+            self.cluster.call(ip, request, partial(self.on_claim_answer, key, claim))
+        if self.chance.random() < ABANDONED_SHARE:
+            self.end_claim(key, claim, FREE)
+
+    def on_claim_answer(self, key: str, claim: str, answer: Answer) -> None:
+        """Check the answer to a claim; a granted action runs for up to a second.
+
+        Raises GuaranteeViolation if the key has two answers or two granted claims.
+        """
+        if (
+            answer["verdict"] == ANSWERED
+            and key in self.kept_answers
+            and answer["answer"] != self.kept_answers[key]
+        ):
             raise GuaranteeViolation(
-                f"key {key[-2:]} was answered with {self.done[key]}, then with {answer['answer']}"
+                f"key {key[-2:]} was answered with {self.kept_answers[key]}, then with {answer['answer']}"
             )
-        if answer["verdict"] != PROCEED or claim in self.over or self.live.get(key) == claim:
+        if answer["verdict"] != PROCEED or claim in self.ended_claims or self.granted.get(key) == claim:
             return
-        if key in self.live:
-            raise GuaranteeViolation(f"key {key[-2:]} may run for {self.live[key]} and for {claim}")
-        self.live[key] = claim
+        if key in self.granted:
+            raise GuaranteeViolation(f"key {key[-2:]} may run for {self.granted[key]} and for {claim}")
+        self.granted[key] = claim
         self.runs += 1
-        if self.chance.random() >= NEVER_ENDED:
+        if self.chance.random() >= UNFINISHED_SHARE:
             state = self.chance.choice((DONE, DONE, FREE, LOST))
-            self.cluster.schedule(self.chance.uniform(0.0, 1.0), lambda: self.end(key, claim, state))
+            self.cluster.schedule(self.chance.uniform(0.0, 1.0), lambda: self.end_claim(key, claim, state))
 
-    def end(self, key: str, claim: str, state: str) -> None:
-        if claim in self.over:
+    def end_claim(self, key: str, claim: str, state: str) -> None:
+        """End a claim once; the end is sent until it is acknowledged."""
+        if claim in self.ended_claims:
             return
-        if state == FREE and self.live.get(key) == claim:
-            del self.live[key]  # it has not run, and will not
-        self.over.add(claim)
-        self.owed[claim] = EndAction(key, claim, state, f"answer to {claim}")
-
-    def ended(self, claim: str, message: EndAction, answer: Answer) -> None:
-        self.owed.pop(claim, None)
-        if message.state == DONE and self.live.get(message.key) == claim:
-            self.done[message.key] = message.answer
-
-    def look(self, most: float = 5.0) -> None:
-        """What was kept is still there; a machine says so within `most` seconds.  Raises Broken."""
-        for key, answer in list(self.done.items()):
-            _, asked = self.asked(key)
+        if state == FREE and self.granted.get(key) == claim:
+            del self.granted[key]  # the action has not run, and will not
+        self.ended_claims.add(claim)
+        self.open_ends[claim] = EndAction(key, claim, state, f"answer to {claim}")
+
+    def on_end_answer(self, claim: str, message: EndAction, answer: Answer) -> None:
+        """Note that the end of a claim was acknowledged, and its answer stored."""
+        self.open_ends.pop(claim, None)
+        if message.state == DONE and self.granted.get(message.key) == claim:
+            self.kept_answers[message.key] = message.answer
+
+    def verify_kept_answers(self, timeout_s: float = 5.0) -> None:
+        """Check that a machine returns each stored answer within `timeout_s` seconds.
+
+        Raises GuaranteeViolation.
+        """
+        for key, answer in list(self.kept_answers.items()):
+            _, request = self.new_claim(key)
             seen: list[Answer] = []
-            for _ in range(round(most / 0.05)):
+            for _ in range(round(timeout_s / 0.05)):
                 for ip in self.cluster.machines:
-                    self.cluster.call(ip, asked, seen.append)
+                    self.cluster.call(ip, request, seen.append)
                 if seen:
                     break
                 self.cluster.run_for(0.05)
@@ -140,17 +157,17 @@
                 raise GuaranteeViolation(f"key {key[-2:]} was answered with {answer}, and now {seen[-1:]}")
 
 
-def strike(cluster: CoreCluster, chance: random.Random) -> None:
-    """One trouble, drawn."""
+def inject_random_fault(cluster: CoreCluster, chance: random.Random) -> None:
+    """Draw a fault and a machine, and inject the fault."""
     victim = chance.choice([*cluster.machines, *cluster.primaries()])
-    kind = chance.choice(KINDS)
+    kind = chance.choice(RANDOM_FAULT_KINDS)
     if kind == "kill":
         cluster.kill(victim)
     elif kind == "wipe":
         cluster.wipe(victim)
     elif kind in ("cut", "one"):
         cluster.isolate(victim, inward=kind == "cut")
-    elif kind == "link":  # one machine hears another no more, all else goes on
+    elif kind == "link":  # between two machines, in one or both directions
         other = chance.choice([ip for ip in cluster.machines if ip != victim])
         cluster.cut_links |= (
             {(victim, other), (other, victim)} if chance.random() < 0.5 else {(victim, other)}
@@ -159,11 +176,11 @@
         cluster.loss_rate = 0.2
     elif kind == "slow":
         cluster.machines[victim].disk.commit_s = chance.choice((0.3, 2.0))
-    elif kind == "stuck":  # a disk that hangs, and then its process goes too
+    elif kind == "stuck":  # the disk hangs, and later the process restarts
         cluster.machines[victim].disk.commit_s = chance.choice((0.3, 2.0))
-        after = chance.uniform(0.05, 2.5)
-        cluster.schedule(after, lambda: cluster.kill(victim))
-        cluster.start_at(after + chance.uniform(0.2, 1.0), victim)
+        ends_after = chance.uniform(0.05, 2.5)
+        cluster.schedule(ends_after, lambda: cluster.kill(victim))
+        cluster.start_at(ends_after + chance.uniform(0.2, 1.0), victim)
     elif kind in ("all", "aimed"):
         for ip in cluster.machines:
             cluster.kill(ip)
@@ -176,7 +193,7 @@
 
 # --- every pair of faults ---------------------------------------------------------------------------------
 
-QUIET: tuple[type[ReplicaMessage], ...] = (  # messages that are no step
+UNCOUNTED_MESSAGES: tuple[type[ReplicaMessage], ...] = (  # not counted as steps
     messages.LeaseRequest,
     messages.LeaseGrant,
     messages.JoinRequest,
@@ -189,29 +206,31 @@
     messages.Leaving,
 )
 MACHINES = ("m0", "m1", "m2")
-ALL = "-"
-LINKS = tuple(f"{a}>{b}" for a in MACHINES for b in MACHINES if a != b)  # a is not heard by b
-BOTH = ("m0=m1", "m0=m2", "m1=m2")  # neither hears the other
-FAULTS = {
+ALL_TARGET = "-"
+ONE_WAY_LINKS = tuple(f"{a}>{b}" for a in MACHINES for b in MACHINES if a != b)  # from a to b
+TWO_WAY_LINKS = ("m0=m1", "m0=m2", "m1=m2")  # messages in both directions are lost
+FAULT_TARGETS = {
     "kill": MACHINES, "power": MACHINES, "wipe": MACHINES, "cut": MACHINES, "out": MACHINES, "in": MACHINES,
-    "link": LINKS + BOTH, "all": (ALL,), "all power": (ALL,), "leave": MACHINES,
+    "link": ONE_WAY_LINKS + TWO_WAY_LINKS, "all": (ALL_TARGET,), "all power": (ALL_TARGET,),
+    "leave": MACHINES,
 }  # fmt: skip
-DOWN = 0.6  # seconds for which a process is away
-CUT = 1.6  # and a cut lasts
-MAX_STEPS = 60  # after the first change in which faults are placed; a run without any has 10
+DOWNTIME_S = 0.6  # of a killed process
+CUT_S = 1.6  # duration of a network fault
+CHANGE_TIMEOUT_S = 25.0
+MAX_STEPS = 60  # after the first change, at which faults are injected; a run without faults has 10
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Before a step, counted from the first change, something happens to a machine."""
+    """A fault of a machine or link before a step, counted from the first change."""
 
     step: int
     kind: str
     machine: str
 
     @staticmethod
-    def read(text: str) -> Fault:
-        """As it is printed, `step:kind:machine`."""
+    def parse(text: str) -> Fault:
+        """Parse the printed form, `step:kind:machine`."""
         step, kind, machine = text.split(":")
         return Fault(int(step), kind, machine)
 
@@ -219,24 +238,24 @@
         return f"{self.step}:{self.kind}:{self.machine}"
 
 
-class Stepped(CoreCluster):
-    """Three machines that work in steps: a message that is heard, a write that is done.
+class SteppedCluster(CoreCluster):
+    """Three machines whose steps are counted: a message delivered, a commit finished.
 
-    Delays are fixed, so the steps before a fault are the same as without it.
+    Delays are fixed, so the steps before a fault are the same as in a run without it.
     """
 
-    def __init__(self, faults: tuple[Fault, ...], make: Make = Replica) -> None:
-        super().__init__(0, 3, make)
+    def __init__(self, faults: tuple[Fault, ...], make_replica: ReplicaFactory = Replica) -> None:
+        super().__init__(0, 3, make_replica)
         self.faults = faults
-        self.step, self.counting = 0, False
-        self.lose = False  # whether a write that is cut short is lost
-        self.struck: set[Fault] = set()
+        self.step, self.is_counting = 0, False
+        self.interrupted_writes_are_lost = False
+        self.injected: set[Fault] = set()
         for ip in self.machines:
             self.start_at(0.01 * int(ip[1:]), ip)
         self.run_for(1.0)
         self.heal()
         self.run_for(1.0)
-        self.counting = True
+        self.is_counting = True
 
     def message_delay_s(self) -> float:
         return 0.002
@@ -245,61 +264,66 @@
         return 1.0
 
     def interrupted_write_survives(self) -> bool:
-        return not self.lose
+        return not self.interrupted_writes_are_lost
 
-    def stepped(self) -> None:
-        if not self.counting:
+    def on_step(self) -> None:
+        """Count a step and inject the faults that are due before it."""
+        if not self.is_counting:
             return
         for fault in self.faults:
-            if fault.step == self.step and fault not in self.struck:
-                self.struck.add(fault)
-                self.strike(fault)
+            if fault.step == self.step and fault not in self.injected:
+                self.injected.add(fault)
+                self.inject(fault)
         self.step += 1
 
-    def strike(self, fault: Fault) -> None:
-        all_of = list(self.machines) if fault.kind.startswith("all") else [fault.machine]
+    def inject(self, fault: Fault) -> None:
+        """Apply a fault and schedule its end."""
+        affected = list(self.machines) if fault.kind.startswith("all") else [fault.machine]
         if fault.kind == "link":
             one, other = fault.machine[:2], fault.machine[3:]
             self.cut_links |= {(one, other), (other, one)} if "=" in fault.machine else {(one, other)}
-            self.schedule(CUT, self.cut_links.clear)
+            self.schedule(CUT_S, self.cut_links.clear)
             return
         if fault.kind in ("cut", "out", "in"):
             self.isolate(fault.machine, fault.kind != "in", fault.kind != "out")
-            self.schedule(CUT, self.cut_links.clear)
+            self.schedule(CUT_S, self.cut_links.clear)
             return
         if fault.kind == "leave":
             self.leave(fault.machine)
-            self.start_at(EXIT_GRACE_S + DOWN, fault.machine)
+            self.start_at(EXIT_GRACE_S + DOWNTIME_S, fault.machine)
             return
         if fault.kind == "wipe":
             self.wipe(fault.machine)
         else:
-            self.lose = fault.kind in ("power", "all power")
-            for ip in all_of:
+            self.interrupted_writes_are_lost = fault.kind in ("power", "all power")
+            for ip in affected:
                 self.kill(ip)
-        for ip in all_of:
-            self.start_at(DOWN, ip)
+        for ip in affected:
+            self.start_at(DOWNTIME_S, ip)
+
+    def deliver(self, source: str, target: str, incarnation: int, message: ReplicaMessage) -> None:
+        if not isinstance(message, UNCOUNTED_MESSAGES):
+            self.on_step()
+        super().deliver(source, target, incarnation, message)
 
-    def deliver(self, source: str, target: str, life: int, message: ReplicaMessage) -> None:
-        if not isinstance(message, QUIET):
-            self.stepped()
-        super().deliver(source, target, life, message)
+    def finish_commit(self, machine: Machine, incarnation: int, disk: Disk, writes: list[Persist]) -> None:
+        self.on_step()
+        super().finish_commit(machine, incarnation, disk, writes)
 
-    def finish_commit(self, machine: Machine, life: int, disk: Disk, things: list[Persist]) -> None:
-        self.stepped()
-        super().finish_commit(machine, life, disk, things)
 
+def run_two_changes(faults: tuple[Fault, ...], make_replica: ReplicaFactory = Replica) -> int:
+    """Send two changes to all machines until each is acknowledged, while faults are injected.
 
-def two_changes(faults: tuple[Fault, ...], make: Make = Replica) -> int:
-    """Two changes, each repeated at all machines until it is acknowledged, with faults on the way; the number
-    of steps that the run had.  Raises Broken.
+    Returns the number of steps of the run.  Raises GuaranteeViolation.
     """
-    cluster = Stepped(faults, make)
+    cluster = SteppedCluster(faults, make_replica)
     for version in (1, 2):
-        until = cluster.now + 25.0
+        deadline = cluster.now + CHANGE_TIMEOUT_S
         while cluster.highest_acknowledged < version:
-            if cluster.now > until:
-                raise GuaranteeViolation(f"version {version} is not taken in 25 s: {cluster.log[-6:]}")
+            if cluster.now > deadline:
+                raise GuaranteeViolation(
+                    f"version {version} is not stored within {CHANGE_TIMEOUT_S:g} s: {cluster.log[-6:]}"
+                )
             for ip in cluster.machines:
                 cluster.put(ip, version, f"v{version}")
             for _ in range(4):
@@ -309,29 +333,30 @@
     for _ in range(30):
         cluster.run_for(0.1)
         cluster.read_all()
-    cluster.counting = False
+    cluster.is_counting = False
     if (found := cluster.read(cluster.heal())) != 2:
-        raise GuaranteeViolation(f"version {found} is read in the end")
+        raise GuaranteeViolation(f"the final read gives version {found}, not 2")
     return steps
 
 
-def placed(step: int) -> Iterator[Fault]:
-    """The faults that can come before a step."""
-    for kind, places in FAULTS.items():
+def faults_before_step(step: int) -> Iterator[Fault]:
+    """Yield each fault that can be injected before a step."""
+    for kind, places in FAULT_TARGETS.items():
         for machine in places:
             yield Fault(step, kind, machine)
 
 
-def after(first: Fault, steps: int) -> Iterator[tuple[Fault, Fault]]:
-    """Each second fault behind a first one, in a run that has so many steps with the first alone.
+def pairs_with_second_fault(first: Fault, steps: int) -> Iterator[tuple[Fault, Fault]]:
+    """Yield each pair of a first fault and a later one; the run with the first alone has `steps` steps.
 
-    One disk may be lost; a cut of another machine takes the place of an earlier one.
+    At most one disk is lost, together with faults of the same machine or of all machines only.  The end of a
+    network fault also ends any other network fault.
     """
     for step in range(first.step, min(steps, MAX_STEPS)):
-        for second in placed(step):
+        for second in faults_before_step(step):
             if first.kind == "wipe":
-                may = second.kind != "wipe" and second.machine in (first.machine, ALL)
+                is_tolerable = second.kind != "wipe" and second.machine in (first.machine, ALL_TARGET)
             else:
-                may = second != first and (second.kind != "wipe" or first.machine == ALL)
-            if may:
+                is_tolerable = second != first and (second.kind != "wipe" or first.machine == ALL_TARGET)
+            if is_tolerable:
                 yield first, second
--- a/ivymux/simulation/loss_scenarios.py
+++ b/ivymux/simulation/loss_scenarios.py
@@ -9,7 +9,7 @@
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
 from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
-from ivymux.simulation.fault_schedules import Make
+from ivymux.simulation.fault_schedules import ReplicaFactory
 
 PRIMARY, BACKUP, WITNESS = "primary", "backup", "witness"
 ROLES = (PRIMARY, BACKUP, WITNESS)
@@ -23,9 +23,9 @@
 RECOVERY = 15.0  # seconds within which the operators want service after a loss
 
 
-def started(seed: int, count: int, spares: int = 0, make: Make = Replica) -> CoreCluster:
+def started(seed: int, count: int, spares: int = 0, make_replica: ReplicaFactory = Replica) -> CoreCluster:
     """A core of `count` members with one change acknowledged; `spares` more machines are not up yet."""
-    cluster = CoreCluster(seed, count + spares, make)
+    cluster = CoreCluster(seed, count + spares, make_replica)
     for number in range(count):
         cluster.start_at(cluster.random.uniform(0, 0.3), f"m{number}")
     cluster.run_for(1.0)
@@ -63,13 +63,13 @@
 
 
 def departure(
-    seed: int, count: int, role: str, victim: str, delay: float, make: Make = Replica
+    seed: int, count: int, role: str, victim: str, delay: float, make_replica: ReplicaFactory = Replica
 ) -> CoreCluster:
     """A machine leaves for good, its successor is up; then another that has a role loses its disk.
 
     `delay`: seconds from the end of the process that leaves to the loss.
     """
-    cluster = started(seed, count, 1, make)
+    cluster = started(seed, count, 1, make_replica)
     cluster.start(f"m{count}")
     cluster.run_for(SETTLE)
     change(cluster, 2)
@@ -90,14 +90,14 @@
 
 
 def slow_repair(
-    seed: int, count: int, commit_s: float, delay: float = SYNC_TIME, make: Make = Replica
+    seed: int, count: int, commit_s: float, delay: float = SYNC_TIME, make_replica: ReplicaFactory = Replica
 ) -> CoreCluster:
     """A machine returns with an empty slow disk, then another loses its disk and the rest lose power.
 
     `commit_s`: seconds of a commit on the slow disk, before its own luck.  Raises Broken where nobody leads
     in time, or the core is led for too small a part of what follows.
     """
-    cluster = started(seed, count, 0, make)
+    cluster = started(seed, count, 0, make_replica)
     machines = list(cluster.machines)
     first = cluster.random.choice(machines)
     cluster.wipe(first)
@@ -125,13 +125,13 @@
     return cluster
 
 
-def two_operators(seed: int, count: int, delay: float, make: Make = Replica) -> CoreCluster:
+def two_operators(seed: int, count: int, delay: float, make_replica: ReplicaFactory = Replica) -> CoreCluster:
     """Two texts under one number, sent at once to two machines; the leader is lost `delay` seconds later.
 
     Both are sent again to any machine until each has a clear answer, then again behind a hundred further
     changes and a lost disk.  `Cores` sees to it that one number has one text.
     """
-    cluster = started(seed, count, 0, make)
+    cluster = started(seed, count, 0, make_replica)
     texts = ("seven by a", "seven by b")
     leader = cluster.primaries()[0]
     for text in texts:
@@ -175,9 +175,11 @@
         raise GuaranteeViolation(f"version {version} with {len(texts)} texts: {outcomes}")
 
 
-def planned_end(seed: int, count: int, role: str, make: Make = Replica) -> tuple[float, float]:
+def planned_end(
+    seed: int, count: int, role: str, make_replica: ReplicaFactory = Replica
+) -> tuple[float, float]:
     """Seconds until a process that was told to end has, and the longest that a change meanwhile waits."""
-    cluster = started(seed, count, 0, make)
+    cluster = started(seed, count, 0, make_replica)
     leaving = holding(cluster, role)
     cluster.leave(leaving)
     began, ended, longest, version = cluster.now, 0.0, 0.0, 2
@@ -192,14 +194,14 @@
 
 
 def hanging_backup(
-    seed: int, count: int, delay: float, victim: str = PRIMARY, make: Make = Replica
+    seed: int, count: int, delay: float, victim: str = PRIMARY, make_replica: ReplicaFactory = Replica
 ) -> tuple[CoreCluster, float]:
     """The backup's disk hangs while its process is well; a while later a machine loses its disk.
 
     `delay`: seconds from the change that waits for the backup until it is started anew, `victim`: the role of
     the machine that is lost once it is back.  Also the seconds that the change waited.  Raises Broken.
     """
-    cluster = started(seed, count, 0, make)
+    cluster = started(seed, count, 0, make_replica)
     stuck = holding(cluster, BACKUP)
     cluster.run_for(cluster.random.uniform(0.0, 1.0))
     cluster.machines[stuck].disk.commit_s = HANGS
@@ -224,9 +226,9 @@
     return cluster, waited
 
 
-def hanging_disks(seed: int, count: int, make: Make = Replica) -> int:
+def hanging_disks(seed: int, count: int, make_replica: ReplicaFactory = Replica) -> int:
     """All disks but the primary's hang for a while: epochs that were tried meanwhile.  Raises Broken."""
-    cluster = started(seed, count, 0, make)
+    cluster = started(seed, count, 0, make_replica)
     leader = holding(cluster, PRIMARY)
     others = [machine for machine in cluster.machines if machine != leader]
     for machine in others:
--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -23,13 +23,18 @@
 from ivymux.config_store.records import DurableState, EpochRecord
 from ivymux.config_store.replica import Replica
 from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
-from ivymux.simulation.fault_schedules import Make, placed, play, two_changes
+from ivymux.simulation.fault_schedules import (
+    ReplicaFactory,
+    faults_before_step,
+    play_random_schedule,
+    run_two_changes,
+)
 
 SCHEDULES = int(os.environ.get("EPOCH_SCHEDULES", "400"))
 
 
-def started(seed: int, count: int = 3, make: Make = Replica) -> CoreCluster:
-    cluster = CoreCluster(seed, count, make)
+def started(seed: int, count: int = 3, make_replica: ReplicaFactory = Replica) -> CoreCluster:
+    cluster = CoreCluster(seed, count, make_replica)
     for ip in cluster.machines:
         cluster.start_at(cluster.random.uniform(0, 0.3), ip)
     cluster.run_for(0.5)
@@ -155,13 +160,13 @@
         assert cluster.read(cluster.heal()) == 6
 
 
-def run_partitioned_pair(seed: int, make: Make = Replica) -> CoreCluster:
+def run_partitioned_pair(seed: int, make_replica: ReplicaFactory = Replica) -> CoreCluster:
     """Cut the connection between primary and backup while the witness reaches both, with changes and reads.
 
     Just before the backup may start an election, the primary no longer receives the witness's messages, so it
     does not learn of a new epoch.
     """
-    cluster = started(seed, 3, make)
+    cluster = started(seed, 3, make_replica)
     cluster.run_for(1.0)
     replica = cluster.machines[cluster.primaries()[0]].replica
     assert replica is not None and replica.led_epoch is not None
@@ -205,7 +210,7 @@
     changes = 0
     for seed in range(SCHEDULES):
         try:
-            changes += len(play(seed).acknowledged_versions)
+            changes += len(play_random_schedule(seed).acknowledged_versions)
         except GuaranteeViolation as error:
             raise AssertionError(f"seed {seed}: {error}") from error
     assert changes > 3 * SCHEDULES
@@ -213,11 +218,11 @@
 
 def test_one_fault_at_every_step_of_two_changes() -> None:
     """`python -m bench.epochs` runs pairs of faults."""
-    steps = two_changes(())
+    steps = run_two_changes(())
     assert steps >= 10
     for step in range(steps):
-        for fault in placed(step):
-            two_changes((fault,))
+        for fault in faults_before_step(step):
+            run_two_changes((fault,))
 
 
 def test_a_lease_grant_waits_for_the_write_of_its_epochs_record() -> None:
@@ -233,9 +238,9 @@
 
 def test_a_fault_at_some_step_reveals_an_acknowledgement_after_one_disk() -> None:
     with pytest.raises(GuaranteeViolation):
-        for step in range(two_changes((), AcknowledgesAfterOneDisk)):
-            for fault in placed(step):
-                two_changes((fault,), AcknowledgesAfterOneDisk)
+        for step in range(run_two_changes((), AcknowledgesAfterOneDisk)):
+            for fault in faults_before_step(step):
+                run_two_changes((fault,), AcknowledgesAfterOneDisk)
 
 
 class IgnoresGrantedLeases(Replica):
@@ -260,7 +265,7 @@
     with pytest.raises(GuaranteeViolation):
         for seed in range(60):
             run_partitioned_pair(seed, broken)
-            play(seed, broken)
+            play_random_schedule(seed, broken)
 
 
 def test_no_lease_grant_for_an_epoch_that_may_not_be_on_disk_yet() -> None:
--- a/tests/config_store/test_idempotency_records.py
+++ b/tests/config_store/test_idempotency_records.py
@@ -21,7 +21,7 @@
 from ivymux.config_store.replica import Replica
 from ivymux.idempotency.record_store import RecordStore
 from ivymux.simulation.core_cluster import Answer, CoreCluster, GuaranteeViolation
-from ivymux.simulation.fault_schedules import play
+from ivymux.simulation.fault_schedules import play_random_schedule
 
 from .test_epochs import started
 
@@ -193,7 +193,7 @@
 
     with pytest.raises(GuaranteeViolation):
         for seed in range(150):
-            play(seed, Faulty)
+            play_random_schedule(seed, Faulty)
 
 
 def test_a_setting_based_on_another_version_is_not_stored() -> None:
