--- a/ivymux/cli/host.py
+++ b/ivymux/cli/host.py
@@ -38,16 +38,16 @@
 
 async def host(path: Path) -> None:
     """Serve until SIGTERM or SIGINT."""
-    from ivymux.hosting.hosting_gateway import HostingDoor, load_hosting
-    from ivymux.hosting.state_stores import open_for_door
+    from ivymux.hosting.hosting_gateway import HostingGateway, load_hosting
+    from ivymux.hosting.state_stores import open_gateway_store
 
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
     hosting = load_hosting(path)
-    store = await asyncio.to_thread(open_for_door, hosting.file, path.parent)
-    door = HostingDoor(hosting, store, path.parent)
+    store = await asyncio.to_thread(open_gateway_store, hosting.file, path.parent)
+    door = HostingGateway(hosting, store, path.parent)
     try:
         await door.start()
         logging.getLogger("ivymux").info("serving on %s:%d", hosting.listen.host, door.port)
--- a/ivymux/hosting/host_lookups.py
+++ b/ivymux/hosting/host_lookups.py
@@ -17,11 +17,11 @@
     return sorted({str(entry[4][0]) for entry in socket.getaddrinfo(name, None, type=socket.SOCK_STREAM)})
 
 
-class LookUps:
+class HostLookups:
     def __init__(self) -> None:
         self.threads = ThreadPoolExecutor(THREADS, thread_name_prefix="look-up")
 
-    def of_tenant(self) -> LookUp:
+    def for_tenant(self) -> LookUp:
         """One tenant's look-up.  A name that is waited for no longer goes on counting while it runs."""
         gate = asyncio.Semaphore(MAX_RUNNING)
 
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -15,7 +15,7 @@
 from ivymux.data_plane.limits import Address
 from ivymux.data_plane.refusal_log import RefusalLog
 from ivymux.data_plane.upstream import Upstream
-from ivymux.hosting.host_lookups import LookUps
+from ivymux.hosting.host_lookups import HostLookups
 from ivymux.hosting.tenant_counters import Shared, TenantCounter
 from ivymux.inventory.model import Inventory
 from ivymux.membership.member_list import SLICE, Roster, worker_number
@@ -61,7 +61,7 @@
     number: int = 0  # of this front door among those that count together
     unix: Callable[[], float] = time.time  # the clock that these have in common
     places: Places = ANYWHERE  # where workers may be
-    lookups: LookUps | None = None  # None: the system's, for one tenant alone
+    lookups: HostLookups | None = None  # None: the system's, for one tenant alone
     told: RefusalLog | None = None  # refusals of all tenants; None: each tenant's own
 
 
@@ -81,7 +81,7 @@
         self.host.upstream.close()
 
 
-class Resident:
+class HostedTenant:
     """A tenant in service.  `uid` tells it from another one that has its name later."""
 
     def __init__(self, uid: str, name: str, terms: Terms, shares: Shares, share: Share) -> None:
@@ -93,7 +93,7 @@
         self.former: list[Part] = []
         self.tally = Store(MAX_NAMES)
         self.roster = Roster()
-        look_up = terms.lookups.of_tenant() if terms.lookups is not None else system
+        look_up = terms.lookups.for_tenant() if terms.lookups is not None else system
         self.resolver = Resolver(look_up)
         self.placing = asyncio.Lock()  # one list at a time
         self.renewing: asyncio.Task[None] | None = None  # look-ups that are out
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -14,8 +14,8 @@
 from ivymux.data_plane.limits import BODY_MEMORY_SHARE, Address, Bounds, ConfigError
 from ivymux.data_plane.refusal_log import RefusalLog
 from ivymux.desired.model import DoorStore, Gone, Report, Stored, StoreError
-from ivymux.hosting.host_lookups import LookUps
-from ivymux.hosting.hosted_tenant import Resident, Terms, Unserved
+from ivymux.hosting.host_lookups import HostLookups
+from ivymux.hosting.hosted_tenant import HostedTenant, Terms, Unserved
 from ivymux.hosting.server import HostedFrontend, HostedServer
 from ivymux.hosting.site import Hosting
 from ivymux.hosting.tenant_counters import Shared, SharedCounter
@@ -37,7 +37,7 @@
 log = logging.getLogger("ivymux")
 
 
-class HostingDoor(Door):
+class HostingGateway(Door):
     """One front door."""
 
     longest = 60.0  # the most that a description may say
@@ -50,7 +50,7 @@
         limits = hosting.file.limits
         bounds = Bounds.from_limits(limits.sockets, limits.memory_mb)
         answer = limits.answer_kb * 1024
-        self.lookups = LookUps()
+        self.lookups = HostLookups()
         told = RefusalLog()  # refusals of all tenants
         self.terms = Terms(
             hosting.file.name, hosting.file.tally.doors, limits.body_kb * 1024, answer,
@@ -60,9 +60,9 @@
         )  # fmt: skip
         self.tally: TallyServer | None = None  # that runs here
         self.shares = Shares()
-        self.residents: dict[str, Resident] = {}  # by uid
-        self.hosts: dict[str, Resident] = {}
-        self.leaving: list[Resident] = []
+        self.residents: dict[str, HostedTenant] = {}  # by uid
+        self.hosts: dict[str, HostedTenant] = {}
+        self.leaving: list[HostedTenant] = []
         unread = max(8, int(limits.memory_mb * BODY_MEMORY_SHARE * (1 << 20)) // answer)
         self.frontend = HostedFrontend(limits.body_kb * 1024, unread, lambda: not self.server.is_stopping)
         self.server = HostedServer(self.frontend, hosting.listen, bounds, self.shares, self.hosts)
@@ -119,7 +119,7 @@
         tenant = stored.tenant
         if resident is None:
             share = self.shares.make(tenant.limits, time.monotonic())
-            resident = Resident(stored.uid, stored.name, self.terms, self.shares, share)
+            resident = HostedTenant(stored.uid, stored.name, self.terms, self.shares, share)
             self.residents[stored.uid] = resident
         self.problems.pop(stored.uid, None)
         lacks = Whole.of(tenant).lacks
@@ -144,7 +144,7 @@
         except msgspec.MsgspecError:
             raise Unserved("a text that it is made of is of another version: put it anew") from None
 
-    def name(self, resident: Resident, tenant: Tenant) -> None:
+    def name(self, resident: HostedTenant, tenant: Tenant) -> None:
         """A tenant's host names, as the state says that it serves; nobody else's are touched."""
         served = resident.tenant if resident.tenant is not None else tenant
         kept = {host.removesuffix(".") for host in served.hosts}
@@ -260,7 +260,7 @@
         self.task(self.naming())
 
     @property
-    def everyone(self) -> list[Resident]:
+    def everyone(self) -> list[HostedTenant]:
         return [*self.residents.values(), *self.leaving]
 
     @property
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -10,7 +10,7 @@
 from ivymux.data_plane.limits import Address, Bounds
 from ivymux.data_plane.refusals import GATEWAY
 from ivymux.data_plane.server import ClientConnection, Exchange, Server
-from ivymux.hosting.hosted_tenant import Resident
+from ivymux.hosting.hosted_tenant import HostedTenant
 from ivymux.service.callers import Caller
 from ivymux.service.frontend import READY, HttpFrontend, encode, refusal
 from ivymux.service.problem import TYPE, problem
@@ -97,11 +97,11 @@
 
     def __init__(self, server: HostedServer) -> None:
         super().__init__(server)
-        self.asked: Resident | None = None  # whose host name the request has that is coming in
+        self.asked: HostedTenant | None = None  # whose host name the request has that is coming in
         self.frontend: HttpFrontend | None = None  # that has looked at its key
         self.caller: Caller | None = None
         self.stranger: BadRequest | None = None  # why its key does not count
-        self.resident: Resident | None = None  # whom the connection counts for
+        self.resident: HostedTenant | None = None  # whom the connection counts for
         self.holder: Share | None = None  # whom the body counts for that is coming in
 
     def on_headers_complete(self) -> None:
@@ -145,7 +145,7 @@
             for name, value in self.headers
         )
 
-    def move(self, resident: Resident | None) -> None:
+    def move(self, resident: HostedTenant | None) -> None:
         """Count for another tenant.  Raises BadRequest where that has as many connections as it may."""
         if self.resident is not None:
             self.resident.share.connections -= 1
@@ -225,12 +225,12 @@
 
     def __init__(
         self, frontend: HostedFrontend, listen: Address, bounds: Bounds, shares: Shares,
-        residents: dict[str, Resident],
+        residents: dict[str, HostedTenant],
     ) -> None:  # fmt: skip
         super().__init__(frontend, listen, bounds, None)
         self.hosted, self.shares, self.residents = frontend, shares, residents
 
-    def find(self, named: bytes) -> Resident | None:
+    def find(self, named: bytes) -> HostedTenant | None:
         """The tenant of a Host field.  Host names are of any case and may end in a dot (RFC 9110, 4.2.3)."""
         found = self.residents.get(named.decode("latin-1"))
         if found is not None or not named:
--- a/ivymux/hosting/state_stores.py
+++ b/ivymux/hosting/state_stores.py
@@ -16,7 +16,7 @@
     from ivymux.desired.etcd.client import Access
 
 
-def access_of(etcd: EtcdPart, folder: Path) -> Access:
+def etcd_access(etcd: EtcdPart, folder: Path) -> Access:
     """Raises StoreError where the password can't be read; its text never says what is in the file."""
     from ivymux.desired.etcd.client import Access
 
@@ -35,17 +35,17 @@
         return SqliteStore(folder / file.store)
     from ivymux.desired.etcd.store import EtcdStore
 
-    return EtcdStore(access_of(file.etcd, folder), file.etcd.prefix)
+    return EtcdStore(etcd_access(file.etcd, folder), file.etcd.prefix)
 
 
-def open_for_door(file: HostingFile, folder: Path) -> DoorStore:
+def open_gateway_store(file: HostingFile, folder: Path) -> DoorStore:
     """For a front door.  Raises StoreError where there is no state to begin with."""
     if file.etcd is None:
         return SqliteStore(folder / file.store)
     from ivymux.desired.etcd.follower import Follower
 
     cache = folder / file.etcd.cache if file.etcd.cache else None
-    follower = Follower(access_of(file.etcd, folder), file.etcd.prefix, file.name, cache)
+    follower = Follower(etcd_access(file.etcd, folder), file.etcd.prefix, file.name, cache)
     try:
         follower.start()
     except BaseException:
--- a/tests/hosting/doors.py
+++ b/tests/hosting/doors.py
@@ -14,7 +14,7 @@
 
 from ivymux.desired.model import Change
 from ivymux.desired.sqlite import SqliteStore
-from ivymux.hosting.hosting_gateway import HostingDoor
+from ivymux.hosting.hosting_gateway import HostingGateway
 from ivymux.hosting.site import read_hosting
 from ivymux.tenants.model import Tenant
 from standins.worker import Fleet, Plan, Worker, ordinary
@@ -41,7 +41,7 @@
 
 @dataclass
 class Place:
-    door: HostingDoor
+    door: HostingGateway
     store: SqliteStore
     tenants: dict[str, Hosted] = field(default_factory=dict)
     workers: list[Worker] = field(default_factory=list)
@@ -87,7 +87,7 @@
 
 
 @contextlib.asynccontextmanager
-async def connected(door: HostingDoor) -> AsyncIterator[Caller]:
+async def connected(door: HostingGateway) -> AsyncIterator[Caller]:
     reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
     try:
         yield Caller(reader, writer)
@@ -102,7 +102,7 @@
     """With a front door that looks at the store only when it is told to, unless `follow` says otherwise."""
     store = SqliteStore(folder / "desired.db", busy=0.1)
     text = f'store = "desired.db"\nlisten = "127.0.0.1:0"\nfollow = {follow}\n{extra}'
-    place = Place(HostingDoor(read_hosting(text, "hosting.toml"), store), store)
+    place = Place(HostingGateway(read_hosting(text, "hosting.toml"), store), store)
     for name in names:
         await place.add(name, **terms)
     await place.door.start()
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -17,7 +17,7 @@
 from ivymux.desired.etcd.follower import Follower
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.model import StoreBusy, StoreError
-from ivymux.hosting.hosting_gateway import HostingDoor
+from ivymux.hosting.hosting_gateway import HostingGateway
 from ivymux.hosting.site import read_hosting
 from standins.etcd import Faults, Server, serving
 from standins.worker import Fleet, Worker
@@ -33,7 +33,7 @@
     server: Server
     store: EtcdStore
     folder: Path
-    doors: list[HostingDoor] = field(default_factory=list)
+    doors: list[HostingGateway] = field(default_factory=list)
     workers: list[Worker] = field(default_factory=list)
     keys: dict[str, str] = field(default_factory=dict)
     revisions: dict[str, int] = field(default_factory=dict)
@@ -51,17 +51,17 @@
         gone = change(name, None, self.revisions.pop(name))
         return await asyncio.to_thread(self.store.commit, gone)
 
-    async def door(self, name: str, cache: bool = True) -> HostingDoor:
+    async def door(self, name: str, cache: bool = True) -> HostingGateway:
         terms = access(self.server, timeout=0.5)
         follower = Follower(terms, "/ivymux/", name, self.folder / name if cache else None)
         await asyncio.to_thread(follower.start)
         text = f'store = "-"\nname = "{name}"\nlisten = "127.0.0.1:0"\nfollow = 0.02\n'
-        door = HostingDoor(read_hosting(text, "hosting.toml"), follower)
+        door = HostingGateway(read_hosting(text, "hosting.toml"), follower)
         await door.start()
         self.doors.append(door)
         return door
 
-    async def ask(self, door: HostingDoor, name: str) -> int:
+    async def ask(self, door: HostingGateway, name: str) -> int:
         reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
         writer.write(request("GET /read/7", b"", self.keys[name], Host=f"{name}.example"))
         try:
@@ -69,7 +69,7 @@
         finally:
             writer.close()
 
-    async def serve(self, name: str, wanted: int = 200, *doors: HostingDoor) -> None:
+    async def serve(self, name: str, wanted: int = 200, *doors: HostingGateway) -> None:
         """Wait until the doors answer a tenant so."""
         for door in doors or self.doors:
             end = time.monotonic() + 8
@@ -78,7 +78,7 @@
                 await asyncio.sleep(0.01)
 
 
-def troubled(door: HostingDoor) -> str:
+def troubled(door: HostingGateway) -> str:
     return door.away
 
 
