--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -39,7 +39,7 @@
 from ivymux.proxy.name_tables import NameTables
 from ivymux.registry.backend_records import BackendRecords
 from ivymux.routing_config.route_plan import MAX_TEXT_BYTES, RoutePlan, parse_route_plan
-from ivymux.simulation.loss_scenarios import started
+from ivymux.simulation.loss_scenarios import start_cluster
 from ivymux.transport.frames import encode_frame
 
 PROXIES, BACKENDS, SERVICES, ROUTES, TENANTS = 830, 6800, 130, 4700, 60_000
@@ -235,7 +235,7 @@
 
 def store_members(size: int) -> Values:
     """What members of a core say to one another while nothing changes (simulated time)."""
-    cores = started(1, size)
+    cores = start_cluster(1, size)
     cores.run_for(3.0)
     sent = [0, 0]
     send = cores.send
--- a/bench/control.py
+++ b/bench/control.py
@@ -16,11 +16,11 @@
 from bench.common import figure, parser, report
 from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
 from ivymux.simulation.loss_scenarios import (
+    CATCH_UP_S,
     ROLES,
-    SYNC_TIME,
     departure,
     hanging_backup,
-    planned_end,
+    planned_exit,
     slow_repair,
     two_operators,
 )
@@ -49,7 +49,7 @@
         made.append(("departure", (seed, count, role, victim, delay)))
         made.append(("two operators", (seed, count, delay / 60)))  # around the time that a change takes
         made.append(("hanging backup", (seed, count, delay, victim)))
-        made.append(("slow repair", (seed, count, COMMITS[seed // len(DELAYS) % 2], SYNC_TIME + delay)))
+        made.append(("slow repair", (seed, count, COMMITS[seed // len(DELAYS) % 2], CATCH_UP_S + delay)))
     return made
 
 
@@ -63,7 +63,7 @@
 
 
 def end(case: tuple[int, int, str]) -> tuple[float, float]:
-    return planned_end(*case)
+    return planned_exit(*case)
 
 
 def hang(case: tuple[int, int, float]) -> float:
--- a/ivymux/simulation/control_plane.py
+++ b/ivymux/simulation/control_plane.py
@@ -17,11 +17,11 @@
 from ivymux.config_store.replica import Replica
 from ivymux.simulation.core_cluster import EXIT_GRACE_S, CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import ActionCallers, ReplicaFactory
-from ivymux.simulation.loss_scenarios import SYNC_TIME
+from ivymux.simulation.loss_scenarios import CATCH_UP_S
 
 SPARES = 3  # machines that may be added in the course of a day
 PHASE = 5.0  # seconds in which faults begin
-CATCH_UP = SYNC_TIME + 0.2  # seconds of calm behind a phase
+CALM_S = CATCH_UP_S + 0.2  # seconds of calm behind a phase
 RECOVERY = 15.0  # seconds within which a machine leads once all is mended, at a disk's usual pace
 USUAL_COMMIT = 0.008  # seconds
 STEP = 0.05  # seconds between steps of the operators and the doors
@@ -68,7 +68,7 @@
     one, other = chance.choice(ROLES), chance.choice(ROLES)
     kind = chance.choice(("departure", "standstill", "repair"))
     if kind == "departure":
-        loss = at + SYNC_TIME + chance.choice((0.05, 0.2, chance.uniform(0, 1.0)))
+        loss = at + CATCH_UP_S + chance.choice((0.05, 0.2, chance.uniform(0, 1.0)))
         steps = [(at, "retire", one, 0.1), (loss, chance.choice(("wipe", "aimed")), other, 0.6)]
     elif kind == "standstill":
         frozen = at + chance.uniform(0, 0.3)
@@ -180,7 +180,7 @@
         # A disk that hung is one in trouble until the commit that it was at is done.
         mended = max([cluster.now, *(machine.commit_ends_at for machine in cluster.machines.values())])
         cluster.heal(RECOVERY + mended - cluster.now)
-        until = max(cluster.now, mended) + CATCH_UP
+        until = max(cluster.now, mended) + CALM_S
         while cluster.now < until:
             self.step()
         cluster.heal(RECOVERY)
@@ -305,9 +305,9 @@
         if cluster.machines[machine].replica is None or not self.spares or self.disk_lost:
             return
         self.add_spare()
-        self.successor_synced_at = cluster.now + SYNC_TIME
+        self.successor_synced_at = cluster.now + CATCH_UP_S
         self.phase_ends = max(self.phase_ends, self.successor_synced_at + 1.0)
-        cluster.schedule(SYNC_TIME, lambda: cluster.leave(machine))
+        cluster.schedule(CATCH_UP_S, lambda: cluster.leave(machine))
 
         def look() -> None:
             replica = cluster.machines[machine].replica
@@ -319,7 +319,7 @@
             else:
                 cluster.schedule(0.02, look)
 
-        cluster.schedule(SYNC_TIME + 0.01, look)
+        cluster.schedule(CATCH_UP_S + 0.01, look)
 
     def remove(self, machine: str) -> None:
         """A process that is down is not started again if its disk may be lost, else it is."""
--- a/ivymux/simulation/fault_schedules.py
+++ b/ivymux/simulation/fault_schedules.py
@@ -31,7 +31,7 @@
 
 ReplicaFactory = Callable[[DurableState, float], Replica]
 RANDOM_FAULT_KINDS = ("kill", "wipe", "cut", "one", "link", "loss", "slow", "stuck", "all", "calm", "aimed")
-CATCH_UP_S = 4.5  # after which a restarted machine counts as recovered
+CALM_S = 4.5  # between faults, long enough for a restarted machine to catch up
 
 
 def play_random_schedule(seed: int, make_replica: ReplicaFactory = Replica) -> CoreCluster:
@@ -59,7 +59,7 @@
         for machine in cluster.machines.values():
             machine.disk.commit_s = USUAL_COMMIT_S
         cluster.heal()
-        cluster.run_for(CATCH_UP_S)
+        cluster.run_for(CALM_S)
         cluster.read_all()
     callers.verify_kept_answers()
     return cluster
--- a/ivymux/simulation/loss_scenarios.py
+++ b/ivymux/simulation/loss_scenarios.py
@@ -1,6 +1,6 @@
 """Scenarios of planned departures, second losses and slow disks over simulated core machines.
 
-Each takes a seed, plays one case to its end and raises `Broken` where a promise was not kept.
+Each scenario takes a seed, runs to its end and raises GuaranteeViolation if the core breaks a guarantee.
 """
 
 from __future__ import annotations
@@ -8,50 +8,60 @@
 from ivymux.config_store.history import ChangeOutcome
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
-from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
+from ivymux.simulation.core_cluster import USUAL_COMMIT_S, CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import ReplicaFactory
 
 PRIMARY, BACKUP, WITNESS = "primary", "backup", "witness"
 ROLES = (PRIMARY, BACKUP, WITNESS)
-SETTLE = 5.0  # seconds for which a successor is up before its predecessor leaves
-SYNC_TIME = 4.0  # seconds after which the operators count a machine as back
-DOWN = 0.6  # seconds for which machines are without power
-WATCHED = 10.0  # seconds for which a core is watched once all machines are up
-HANGS = 30.0  # seconds of a commit on a disk that hangs
-PATIENT = 3.0  # seconds that a change may wait where one disk hangs
-LED_SHARE = 0.95  # of these, with a leader
-RECOVERY = 15.0  # seconds within which the operators want service after a loss
-
-
-def started(seed: int, count: int, spares: int = 0, make_replica: ReplicaFactory = Replica) -> CoreCluster:
-    """A core of `count` members with one change acknowledged; `spares` more machines are not up yet."""
+SUCCESSOR_HEAD_START_S = 5.0  # between the start of a successor and its predecessor's exit
+CATCH_UP_S = 4.0  # after which operators count a restarted machine as recovered
+DOWNTIME_S = 0.6  # of machines without power
+OBSERVATION_S = 10.0  # for which the core is observed once all machines are up
+HANGING_COMMIT_S = 30.0  # duration of a commit on a hanging disk
+MAX_CHANGE_WAIT_S = 3.0  # for a change while one disk hangs
+MIN_LED_SHARE = 0.95  # of the observation, with a primary
+RECOVERY_TIMEOUT_S = 15.0  # within which operators expect service after a loss
+
+
+def start_cluster(
+    seed: int, count: int, spares: int = 0, make_replica: ReplicaFactory = Replica
+) -> CoreCluster:
+    """Start a core of `count` members and have one change acknowledged; `spares` machines stay down.
+
+    Raises GuaranteeViolation if they form no core.
+    """
     cluster = CoreCluster(seed, count + spares, make_replica)
     for number in range(count):
         cluster.start_at(cluster.random.uniform(0, 0.3), f"m{number}")
     cluster.run_for(1.0)
     if not cluster.run_until(lambda: len(cluster.member_addresses()) == count, 10.0):
-        raise GuaranteeViolation(f"{count} machines are no core: {cluster.log[-4:]}")
-    change(cluster, 1)
+        raise GuaranteeViolation(f"{count} machines form no core: {cluster.log[-4:]}")
+    put_until_acknowledged(cluster, 1)
     return cluster
 
 
-def change(cluster: CoreCluster, version: int, most: float = 10.0) -> float:
-    """Have a change taken; seconds until it was acknowledged.  Raises Broken."""
+def put_until_acknowledged(cluster: CoreCluster, version: int, timeout_s: float = 10.0) -> float:
+    """Send a change to all machines until it is acknowledged; returns the seconds that took.
+
+    Raises GuaranteeViolation after `timeout_s` seconds.
+    """
     began = cluster.now
     while cluster.highest_acknowledged < version:
-        if cluster.now - began > most:
-            raise GuaranteeViolation(f"version {version} is not taken in {most} s: {cluster.log[-6:]}")
+        if cluster.now - began > timeout_s:
+            raise GuaranteeViolation(
+                f"version {version} is not stored within {timeout_s} s: {cluster.log[-6:]}"
+            )
         for machine in cluster.machines:
             cluster.put(machine, version, f"v{version}")
         cluster.run_for(0.02)
     return cluster.now - began
 
 
-def holding(cluster: CoreCluster, role: str, number: int = 0) -> str:
-    """The address of a machine that has a role."""
-    leader = cluster.machines[cluster.primaries()[0]].replica
-    assert leader is not None and leader.led_epoch is not None
-    record = leader.led_epoch
+def machine_with_role(cluster: CoreCluster, role: str, number: int = 0) -> str:
+    """Return the address of the machine with a role; `number` selects one of several witnesses."""
+    primary = cluster.machines[cluster.primaries()[0]].replica
+    assert primary is not None and primary.led_epoch is not None
+    record = primary.led_epoch
     if role == PRIMARY:
         return address_of(record.primary)
     if role == BACKUP:
@@ -65,39 +75,39 @@
 def departure(
     seed: int, count: int, role: str, victim: str, delay: float, make_replica: ReplicaFactory = Replica
 ) -> CoreCluster:
-    """A machine leaves for good, its successor is up; then another that has a role loses its disk.
+    """A machine with a successor leaves for good; then the machine with the role `victim` loses its disk.
 
-    `delay`: seconds from the end of the process that leaves to the loss.
+    `delay` is the time from the exit to the loss, in seconds.  Raises GuaranteeViolation.
     """
-    cluster = started(seed, count, 1, make_replica)
+    cluster = start_cluster(seed, count, 1, make_replica)
     cluster.start(f"m{count}")
-    cluster.run_for(SETTLE)
-    change(cluster, 2)
-    leaving = holding(cluster, role)
-    lost = holding(cluster, victim, seed)
+    cluster.run_for(SUCCESSOR_HEAD_START_S)
+    put_until_acknowledged(cluster, 2)
+    leaving = machine_with_role(cluster, role)
+    lost = machine_with_role(cluster, victim, seed)
     cluster.leave(leaving, for_good=True)
     if not cluster.run_until(lambda: cluster.machines[leaving].replica is None, 20.0):
-        raise GuaranteeViolation(f"{leaving} does not end")
+        raise GuaranteeViolation(f"{leaving} does not exit")
     cluster.run_for(delay)
     if lost == leaving:
         lost = next(iter(sorted(set(cluster.machines) - {leaving})))
     cluster.wipe(lost)
-    cluster.run_for(DOWN)
+    cluster.run_for(DOWNTIME_S)
     cluster.start(lost)
-    cluster.heal(RECOVERY)
+    cluster.heal(RECOVERY_TIMEOUT_S)
     cluster.read_all()
     return cluster
 
 
 def slow_repair(
-    seed: int, count: int, commit_s: float, delay: float = SYNC_TIME, make_replica: ReplicaFactory = Replica
+    seed: int, count: int, commit_s: float, delay: float = CATCH_UP_S, make_replica: ReplicaFactory = Replica
 ) -> CoreCluster:
     """A machine returns with an empty slow disk, then another loses its disk and the rest lose power.
 
-    `commit_s`: seconds of a commit on the slow disk, before its own luck.  Raises Broken where nobody leads
-    in time, or the core is led for too small a part of what follows.
+    `commit_s` is the mean duration of a commit on the slow disk.  Raises GuaranteeViolation if there is no
+    primary in time, or for too small a share of the observation.
     """
-    cluster = started(seed, count, 0, make_replica)
+    cluster = start_cluster(seed, count, 0, make_replica)
     machines = list(cluster.machines)
     first = cluster.random.choice(machines)
     cluster.wipe(first)
@@ -111,135 +121,146 @@
             cluster.wipe(machine)
         else:
             cluster.kill(machine)
-    cluster.run_for(DOWN)
+    cluster.run_for(DOWNTIME_S)
     for machine in machines:
         cluster.start(machine)
-    cluster.heal(RECOVERY + 8 * commit_s)
-    led = 0
-    steps = round(WATCHED / 0.05)
+    cluster.heal(RECOVERY_TIMEOUT_S + 8 * commit_s)
+    led_steps = 0
+    steps = round(OBSERVATION_S / 0.05)
     for _ in range(steps):
         cluster.run_for(0.05)
-        led += bool(cluster.primaries())
-    if led < LED_SHARE * steps:
-        raise GuaranteeViolation(f"led for {led / steps:.2f} of {WATCHED:g} s: {cluster.log[-12:]}")
+        led_steps += bool(cluster.primaries())
+    if led_steps < MIN_LED_SHARE * steps:
+        raise GuaranteeViolation(
+            f"a primary for {led_steps / steps:.2f} of {OBSERVATION_S:g} s: {cluster.log[-12:]}"
+        )
     return cluster
 
 
 def two_operators(seed: int, count: int, delay: float, make_replica: ReplicaFactory = Replica) -> CoreCluster:
-    """Two texts under one number, sent at once to two machines; the leader is lost `delay` seconds later.
+    """Two texts are sent under one version at once; the primary is killed `delay` seconds later.
 
-    Both are sent again to any machine until each has a clear answer, then again behind a hundred further
-    changes and a lost disk.  `Cores` sees to it that one number has one text.
+    Both are repeated at any machine until each has a definite answer, and again after a hundred changes and a
+    lost disk.  CoreCluster checks that the version has one text.  Raises GuaranteeViolation.
     """
-    cluster = started(seed, count, 0, make_replica)
+    cluster = start_cluster(seed, count, 0, make_replica)
     texts = ("seven by a", "seven by b")
-    leader = cluster.primaries()[0]
+    primary = cluster.primaries()[0]
     for text in texts:
-        cluster.put(leader, 7, text)
+        cluster.put(primary, 7, text)
     cluster.run_for(delay)
-    cluster.kill(leader)
+    cluster.kill(primary)
     cluster.run_for(cluster.random.uniform(0.0, 1.5))
-    cluster.start(leader)
+    cluster.start(primary)
     send_until_clear(cluster, 7, texts)
     for version in range(8, 108):
-        change(cluster, version)
-    cluster.wipe(holding(cluster, cluster.random.choice(ROLES)))
-    cluster.run_for(DOWN)
-    cluster.heal(RECOVERY)
+        put_until_acknowledged(cluster, version)
+    cluster.wipe(machine_with_role(cluster, cluster.random.choice(ROLES)))
+    cluster.run_for(DOWNTIME_S)
+    cluster.heal(RECOVERY_TIMEOUT_S)
     send_until_clear(cluster, 7, texts)
     cluster.read_all()
     return cluster
 
 
-def send_until_clear(cluster: CoreCluster, version: int, texts: tuple[str, ...], most: float = 15.0) -> None:
-    """Until one of the texts is told to be taken, and all others to conflict with it.  Raises Broken."""
-    until = cluster.now + most
-    told: dict[str, ChangeOutcome] = {}
-    checked = cluster.on_change_outcome
+def send_until_clear(
+    cluster: CoreCluster, version: int, texts: tuple[str, ...], timeout_s: float = 15.0
+) -> None:
+    """Send texts until one is answered as stored and the others as conflicts.  Raises GuaranteeViolation."""
+    deadline = cluster.now + timeout_s
+    outcome_by_text: dict[str, ChangeOutcome] = {}
+    check_outcome = cluster.on_change_outcome
 
-    def noted(version_told: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
-        checked(version_told, text, outcome, known)
-        if version_told == version:
-            told[text] = outcome
+    def record_outcome(answered_version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
+        check_outcome(answered_version, text, outcome, known)
+        if answered_version == version:
+            outcome_by_text[text] = outcome
 
-    cluster.on_change_outcome = noted  # type: ignore[method-assign, assignment]
-    while set(told) != set(texts):
-        if cluster.now > until:
-            raise GuaranteeViolation(f"no clear answer to version {version} in {most} s: {told}")
+    cluster.on_change_outcome = record_outcome  # type: ignore[method-assign, assignment]
+    while set(outcome_by_text) != set(texts):
+        if cluster.now > deadline:
+            raise GuaranteeViolation(
+                f"no definite answer to version {version} within {timeout_s} s: {outcome_by_text}"
+            )
         for text in texts:
             cluster.put(cluster.random.choice(list(cluster.machines)), version, text)
         cluster.run_for(0.02)
-    cluster.on_change_outcome = checked  # type: ignore[method-assign]
-    outcomes = sorted(outcome.value for outcome in told.values())
+    cluster.on_change_outcome = check_outcome  # type: ignore[method-assign]
+    outcomes = sorted(outcome.value for outcome in outcome_by_text.values())
     if outcomes != sorted([ChangeOutcome.STORED.value, *[ChangeOutcome.CONFLICT.value] * (len(texts) - 1)]):
         raise GuaranteeViolation(f"version {version} with {len(texts)} texts: {outcomes}")
 
 
-def planned_end(
+def planned_exit(
     seed: int, count: int, role: str, make_replica: ReplicaFactory = Replica
 ) -> tuple[float, float]:
-    """Seconds until a process that was told to end has, and the longest that a change meanwhile waits."""
-    cluster = started(seed, count, 0, make_replica)
-    leaving = holding(cluster, role)
+    """Ask a machine to exit; returns the seconds until its process ends and the longest wait of a change.
+
+    Raises GuaranteeViolation.
+    """
+    cluster = start_cluster(seed, count, 0, make_replica)
+    leaving = machine_with_role(cluster, role)
     cluster.leave(leaving)
-    began, ended, longest, version = cluster.now, 0.0, 0.0, 2
+    began, exited_after, longest_wait, version = cluster.now, 0.0, 0.0, 2
     while cluster.now < began + 2.0:
-        longest = max(longest, change(cluster, version))
+        longest_wait = max(longest_wait, put_until_acknowledged(cluster, version))
         version += 1
-        if not ended and cluster.machines[leaving].replica is None:
-            ended = cluster.now - began
-    if not ended:
-        raise GuaranteeViolation(f"a {role} that was told to end is there after 2 s")
-    return ended, longest
+        if not exited_after and cluster.machines[leaving].replica is None:
+            exited_after = cluster.now - began
+    if not exited_after:
+        raise GuaranteeViolation(f"a {role} that was asked to exit still runs after 2 s")
+    return exited_after, longest_wait
 
 
 def hanging_backup(
     seed: int, count: int, delay: float, victim: str = PRIMARY, make_replica: ReplicaFactory = Replica
 ) -> tuple[CoreCluster, float]:
-    """The backup's disk hangs while its process is well; a while later a machine loses its disk.
+    """The backup's disk hangs while its process runs; later the machine in the role `victim` loses its disk.
 
-    `delay`: seconds from the change that waits for the backup until it is started anew, `victim`: the role of
-    the machine that is lost once it is back.  Also the seconds that the change waited.  Raises Broken.
+    `delay` is the time from the change that waits for the backup to the restart of the backup, in seconds.
+    Returns the cluster and the seconds that the change waited.  Raises GuaranteeViolation.
     """
-    cluster = started(seed, count, 0, make_replica)
-    stuck = holding(cluster, BACKUP)
+    cluster = start_cluster(seed, count, 0, make_replica)
+    stuck = machine_with_role(cluster, BACKUP)
     cluster.run_for(cluster.random.uniform(0.0, 1.0))
-    cluster.machines[stuck].disk.commit_s = HANGS
-    waited = change(cluster, 2)
-    if waited > PATIENT:
+    cluster.machines[stuck].disk.commit_s = HANGING_COMMIT_S
+    waited = put_until_acknowledged(cluster, 2)
+    if waited > MAX_CHANGE_WAIT_S:
         raise GuaranteeViolation(f"a change waited {waited:.1f} s for a backup whose disk hangs")
-    if holding(cluster, BACKUP) == stuck:
-        raise GuaranteeViolation(f"{stuck} is the backup on")
+    if machine_with_role(cluster, BACKUP) == stuck:
+        raise GuaranteeViolation(f"{stuck} is still the backup")
     cluster.run_for(delay)
-    lost = holding(cluster, victim, seed)
-    cluster.machines[stuck].disk.commit_s = cluster.machines[
-        lost
-    ].disk.commit_s  # else two would be lost at once
+    lost = machine_with_role(cluster, victim, seed)
+    # Restore the disk's usual speed before the loss: the core tolerates only one lost disk at a time.
+    cluster.machines[stuck].disk.commit_s = cluster.machines[lost].disk.commit_s
     cluster.kill(stuck)
     cluster.start(stuck)
-    cluster.run_for(SYNC_TIME)
+    cluster.run_for(CATCH_UP_S)
     cluster.wipe(lost)
-    cluster.run_for(DOWN)
+    cluster.run_for(DOWNTIME_S)
     cluster.start(lost)
-    cluster.heal(RECOVERY)
+    cluster.heal(RECOVERY_TIMEOUT_S)
     cluster.read_all()
     return cluster, waited
 
 
 def hanging_disks(seed: int, count: int, make_replica: ReplicaFactory = Replica) -> int:
-    """All disks but the primary's hang for a while: epochs that were tried meanwhile.  Raises Broken."""
-    cluster = started(seed, count, 0, make_replica)
-    leader = holding(cluster, PRIMARY)
-    others = [machine for machine in cluster.machines if machine != leader]
+    """All disks but the primary's hang for a while; returns the number of epochs tried meanwhile.
+
+    Raises GuaranteeViolation.
+    """
+    cluster = start_cluster(seed, count, 0, make_replica)
+    primary = machine_with_role(cluster, PRIMARY)
+    others = [machine for machine in cluster.machines if machine != primary]
     for machine in others:
-        cluster.machines[machine].disk.commit_s = HANGS
-    began = len(cluster.log)
-    cluster.put(leader, 2, "v2")
-    cluster.run_for(HANGS)
-    tried = sum("tries epoch" in line for line in cluster.log[began:])
+        cluster.machines[machine].disk.commit_s = HANGING_COMMIT_S
+    first_line = len(cluster.log)
+    cluster.put(primary, 2, "v2")
+    cluster.run_for(HANGING_COMMIT_S)
+    tried_epochs = sum("tries epoch" in line for line in cluster.log[first_line:])
     for machine in others:
-        cluster.machines[machine].disk.commit_s = 0.008
-    cluster.run_for(HANGS)
-    change(cluster, 3, RECOVERY)
+        cluster.machines[machine].disk.commit_s = USUAL_COMMIT_S
+    cluster.run_for(HANGING_COMMIT_S)
+    put_until_acknowledged(cluster, 3, RECOVERY_TIMEOUT_S)
     cluster.read_all()
-    return tried
+    return tried_epochs
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -22,13 +22,13 @@
     PRIMARY,
     ROLES,
     WITNESS,
-    change,
     departure,
     hanging_backup,
     hanging_disks,
-    holding,
+    machine_with_role,
+    put_until_acknowledged,
     slow_repair,
-    started,
+    start_cluster,
 )
 
 DELAYS = (0.0, 0.5, 1.0, 3.0)
@@ -66,15 +66,15 @@
 @pytest.mark.parametrize("role", ROLES)
 def test_a_change_during_a_planned_end_is_answered_within_half_a_second(role: str) -> None:
     for seed in range(10):
-        cluster = started(seed, 3 + seed % 3)
-        cluster.leave(holding(cluster, role))
-        assert change(cluster, 2) < 0.5
+        cluster = start_cluster(seed, 3 + seed % 3)
+        cluster.leave(machine_with_role(cluster, role))
+        assert put_until_acknowledged(cluster, 2) < 0.5
 
 
 def test_a_primary_and_a_backup_that_end_at_once_hand_over_to_a_third_machine() -> None:
     for seed in range(10):
-        cluster = started(seed, 4)
-        for machine in (holding(cluster, PRIMARY), holding(cluster, BACKUP)):
+        cluster = start_cluster(seed, 4)
+        for machine in (machine_with_role(cluster, PRIMARY), machine_with_role(cluster, BACKUP)):
             cluster.leave(machine, for_good=True)
         cluster.run_for(1.0)
         assert all(cluster.machines[m].replica is None for m in cluster.removed_machines)
@@ -82,9 +82,9 @@
 
 
 def test_a_machine_with_the_only_other_copy_stays_until_its_grace_is_over() -> None:
-    cluster = started(1, 3)
-    leaving = holding(cluster, BACKUP)
-    cluster.kill(holding(cluster, WITNESS))
+    cluster = start_cluster(1, 3)
+    leaving = machine_with_role(cluster, BACKUP)
+    cluster.kill(machine_with_role(cluster, WITNESS))
     cluster.leave(leaving)
     cluster.run_for(3.0)
     assert cluster.machines[leaving].replica is not None and cluster.primaries()
@@ -93,9 +93,9 @@
 
 
 def test_the_primary_serves_reads_while_a_member_with_a_slow_disk_joins() -> None:
-    cluster = started(2, 3)
-    leader = holding(cluster, PRIMARY)
-    away = holding(cluster, WITNESS)
+    cluster = start_cluster(2, 3)
+    leader = machine_with_role(cluster, PRIMARY)
+    away = machine_with_role(cluster, WITNESS)
     cluster.wipe(away)
     cluster.machines[away].disk.commit_s = 1.0
     cluster.run_for(0.5)
@@ -137,7 +137,7 @@
 
 def test_two_texts_under_one_version_are_not_both_confirmed() -> None:
     for seed in range(20):
-        cluster = started(seed, 3)
+        cluster = start_cluster(seed, 3)
         leader = cluster.primaries()[0]
         for text in ("seven by a", "seven by b"):  # at the same instant, by two operators
             cluster.put(leader, 7, text)
@@ -149,18 +149,18 @@
 
 
 def test_a_repeated_change_is_recognised_after_lost_primaries_and_a_hundred_changes() -> None:
-    cluster = started(3, 3)
+    cluster = start_cluster(3, 3)
     operator = Operator(cluster)
     for version in range(10, 115):
         assert operator.put(version, f"v{version}") is ChangeOutcome.STORED
-    cluster.wipe(holding(cluster, PRIMARY))
+    cluster.wipe(machine_with_role(cluster, PRIMARY))
     cluster.run_for(1.0)
     cluster.heal()
     assert operator.put(10, "v10") is ChangeOutcome.STORED
     assert operator.put(60, "other") is ChangeOutcome.CONFLICT
     assert operator.put(9, "never taken") is ChangeOutcome.SUPERSEDED
     cluster.run_for(4.0)
-    cluster.wipe(holding(cluster, PRIMARY))
+    cluster.wipe(machine_with_role(cluster, PRIMARY))
     cluster.run_for(1.0)
     cluster.heal()
     assert operator.put(114, "v114") is ChangeOutcome.STORED
@@ -170,9 +170,9 @@
 def test_a_text_that_only_a_lost_primary_had_does_not_conflict_with_another() -> None:
     """Only the primary's disk holds the first text; after its loss another text is stored, and stays."""
     for seed in range(20):
-        cluster = started(seed, 3)
-        leader = holding(cluster, PRIMARY)
-        backup = holding(cluster, BACKUP)
+        cluster = start_cluster(seed, 3)
+        leader = machine_with_role(cluster, PRIMARY)
+        backup = machine_with_role(cluster, BACKUP)
         cluster.cut_links = {(leader, backup)}
         assert cluster.put(leader, 5, "first")
         cluster.run_for(0.05)
@@ -215,7 +215,7 @@
 
 
 def test_the_checker_detects_two_texts_confirmed_under_one_version() -> None:
-    cluster = started(1, 3)
+    cluster = start_cluster(1, 3)
     cluster.on_change_outcome(7, "a", ChangeOutcome.STORED)
     with pytest.raises(GuaranteeViolation):
         cluster.on_change_outcome(7, "b", ChangeOutcome.STORED)
@@ -225,17 +225,17 @@
 
 
 def test_a_thousand_changes_while_machines_are_down_in_turn() -> None:
-    cluster = started(5, 4)
+    cluster = start_cluster(5, 4)
     away: dict[str, int] = {}
     for version in range(2, 1002):
         if version % 100 == 50:
-            victim = holding(cluster, ROLES[version // 100 % 3])
+            victim = machine_with_role(cluster, ROLES[version // 100 % 3])
             cluster.wipe(victim) if version % 300 == 50 else cluster.kill(victim)
             away[victim] = version + 60
         for machine in [m for m, until in away.items() if until <= version]:
             cluster.start(machine)
             del away[machine]
-        change(cluster, version)
+        put_until_acknowledged(cluster, version)
     assert away and cluster.read(cluster.heal()) == 1001
     operator = Operator(cluster)
     for known in (2, 500, 1001):
@@ -244,8 +244,8 @@
 
 
 def test_a_new_backup_that_restarts_twice_during_its_transfer_catches_up() -> None:
-    cluster = started(6, 3)
-    lost = holding(cluster, BACKUP)
+    cluster = start_cluster(6, 3)
+    lost = machine_with_role(cluster, BACKUP)
     send = cluster.send
     interrupted: list[str] = []
 
@@ -258,9 +258,9 @@
 
     cluster.send = cut_short  # type: ignore[method-assign]
     cluster.kill(lost)
-    change(cluster, 2, most=8.0)
+    put_until_acknowledged(cluster, 2, timeout_s=8.0)
     assert len(interrupted) == 2
-    cluster.wipe(holding(cluster, PRIMARY))
+    cluster.wipe(machine_with_role(cluster, PRIMARY))
     assert cluster.read(cluster.heal()) == 2
 
 
