--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -1,4 +1,4 @@
-"""The control side over real processes: planned ends, second losses, one text for each number."""
+"""The core over real processes: planned shutdowns, double losses, one text for each version."""
 
 from __future__ import annotations
 
@@ -12,66 +12,66 @@
 from ivymux.simulation.local_cluster import LocalCluster, build_configuration, local_cluster
 
 
-def texts(version: int) -> tuple[dict[str, Any], dict[str, Any]]:
-    """Two configurations of one number."""
+def two_configurations(version: int) -> tuple[dict[str, Any], dict[str, Any]]:
+    """Two configurations with the same version."""
     return build_configuration(version), build_configuration(version, read="desk")
 
 
-async def told(cluster: LocalCluster, body: Any) -> dict[str, Any]:
+async def put(cluster: LocalCluster, body: Any) -> dict[str, Any]:
     status, answer = await cluster.put_configuration(body)
     return {"status": status, **json.loads(answer)}
 
 
-def test_two_operators_with_one_number_at_two_machines(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_two_operators_send_one_version_to_two_machines(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=0) as cluster:
             await cluster.start_all(initial_start=True)
             await cluster.put_configuration(build_configuration(1))
-            first, second = texts(7)
-            at_once = await asyncio.gather(
+            first, second = two_configurations(7)
+            results = await asyncio.gather(
                 cluster.put_configuration(first, [cluster.core_ips[0], cluster.core_ips[1]]),
                 cluster.put_configuration(second, [cluster.core_ips[2], cluster.core_ips[1]]),
             )
-            assert sorted(status for status, _ in at_once) == [200, 409]
-            taken, other = (first, second) if at_once[0][0] == 200 else (second, first)
+            assert sorted(status for status, _ in results) == [200, 409]
+            accepted, rejected = (first, second) if results[0][0] == 200 else (second, first)
             await cluster.kill(cluster.primary_ip())
-            assert (await told(cluster, taken))["outcome"] == "taken"
-            refused = await told(cluster, other)
+            assert (await put(cluster, accepted))["outcome"] == "taken"
+            refused = await put(cluster, rejected)
             assert refused["status"] == 409 and "higher version" in refused["error"]
-            assert json.loads(await cluster.read_configuration()) == taken
+            assert json.loads(await cluster.read_configuration()) == accepted
             await cluster.put_configuration(build_configuration(9))
-            assert (await told(cluster, taken))["outcome"] == "taken"  # however late
-            unknown = await told(cluster, build_configuration(8))
+            assert (await put(cluster, accepted))["outcome"] == "taken"  # also after a later version
+            unknown = await put(cluster, build_configuration(8))
             assert (unknown["outcome"], unknown["held_version"]) == ("superseded", 9)
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_planned_ends_one_after_another_and_then_a_lost_disk(tmp_path: Path) -> None:
-    """The leader leaves for good, then who leads then; each hands over before it ends."""
+def test_two_planned_shutdowns_in_a_row_and_then_a_lost_disk(tmp_path: Path) -> None:
+    """The leader leaves for good, then its successor does; each hands over before it ends."""
 
-    async def day() -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, core_count=5, proxy_count=0) as cluster:
             await cluster.start_all(initial_start=True)
             await cluster.put_configuration(build_configuration(1))
             while "5 members" not in (tmp_path / "log.txt").read_text():
                 await asyncio.sleep(0.05)
-            gone: list[str] = []
+            left: list[str] = []
             for version in (2, 3):
                 leaving = cluster.primary_ip()
                 ended = asyncio.create_task(cluster.kill(leaving, signal.SIGTERM))
                 cluster.core_ips.remove(leaving)
-                gone.append(leaving)
+                left.append(leaving)
                 began = time.monotonic()
-                assert (await told(cluster, build_configuration(version)))["outcome"] == "taken"
-                assert time.monotonic() - began < 2.0  # far less in simulated time: bench.control
+                assert (await put(cluster, build_configuration(version)))["outcome"] == "taken"
+                assert time.monotonic() - began < 2.0  # bench.control measures far less, in simulated time
                 await ended
             lost = cluster.primary_ip()
-            assert lost not in gone
+            assert lost not in left
             await cluster.wipe(lost)
             assert json.loads(await cluster.read_configuration()) == build_configuration(3)
             await cluster.start(lost)
-            assert (await told(cluster, build_configuration(4)))["outcome"] == "taken"
+            assert (await put(cluster, build_configuration(4)))["outcome"] == "taken"
             assert "could take over" not in (tmp_path / "log.txt").read_text()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
--- a/tests/system/test_conversations.py
+++ b/tests/system/test_conversations.py
@@ -1,4 +1,4 @@
-"""Actions with a caller's key over real processes: one run each, the same answer, one backend a caller."""
+"""Keyed actions over real processes: each runs once, retries get the same answer, callers keep a backend."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 async def act(
-    cluster: LocalCluster, door: int, key: str, path: str = "/sign/1", body: bytes = b"yes", **more: str
+    cluster: LocalCluster, proxy: int, key: str, path: str = "/sign/1", body: bytes = b"yes", **more: str
 ) -> str:
-    """One try of an action; what its caller is told."""
+    """Try an action once, and summarise the answer that its caller gets."""
     answer = await cluster.send_request(
-        cluster.proxy_ips[door],
+        cluster.proxy_ips[proxy],
         "POST",
         path,
         content=body,
@@ -30,11 +30,11 @@
     return f"{answer.status_code}{after}{kept} {answer.text.strip()}"
 
 
-async def ended(cluster: LocalCluster, door: int, key: str) -> str:
-    """The same, once its end is known to the core: that is told behind its answer."""
-    while (told := await act(cluster, door, key)).startswith("409"):
+async def settled(cluster: LocalCluster, proxy: int, key: str) -> str:
+    """The same, once the core knows that the action has ended, which it learns after the answer was sent."""
+    while (outcome := await act(cluster, proxy, key)).startswith("409"):
         await asyncio.sleep(0.02)
-    return told
+    return outcome
 
 
 async def started(cluster: LocalCluster, *desks: str) -> list[Backend]:
@@ -42,27 +42,27 @@
     made = [await cluster.start_backend(name, "desk") for name in desks]
     await cluster.start_backend("i-archive", "archive")
     await cluster.put_configuration(build_configuration(1))
-    for door in cluster.proxy_ips:
-        await cluster.wait_until_ready(door)
-        await cluster.wait_until_served(door)
-        await cluster.wait_until_served(door, "/sign/0")
+    for proxy in cluster.proxy_ips:
+        await cluster.wait_until_ready(proxy)
+        await cluster.wait_until_served(proxy)
+        await cluster.wait_until_served(proxy, "/sign/0")
     for desk in made:
         desk.ran.clear()
     return made
 
 
 def test_an_action_runs_once(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
-    said: list[str] = []
+    summary: list[str] = []
 
-    async def day() -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
             (desk,) = await started(cluster, "i-desk")
 
             async def say(what: str, *tries: str) -> None:
-                said.append(f"{what}: {' | '.join(tries)}; runs {len(desk.ran)}")
+                summary.append(f"{what}: {' | '.join(tries)}; runs {len(desk.ran)}")
                 desk.ran.clear()
 
-            await say("twice, at two doors", await act(cluster, 0, '"a"'), await ended(cluster, 1, '"a"'))
+            await say("twice, at two doors", await act(cluster, 0, '"a"'), await settled(cluster, 1, '"a"'))
             await say("the same key bare", await act(cluster, 1, "a"))
             await say("another body", await act(cluster, 0, '"a"', body=b"no"))
             await say("another path", await act(cluster, 1, '"a"', "/sign/2"))
@@ -77,28 +77,28 @@
             desk.gate.set()
             await say("while the first is at work", second, await first)
             desk.gate = None
-            await say("and then", await ended(cluster, 1, '"b"'))
+            await say("and then", await settled(cluster, 1, '"b"'))
             desk.plan = lambda ran: CLOSE
-            await say("its answer is lost", await act(cluster, 0, '"c"'), await ended(cluster, 1, '"c"'))
+            await say("its answer is lost", await act(cluster, 0, '"c"'), await settled(cluster, 1, '"c"'))
             desk.plan = lambda ran: Backend.whole(500, ran.id, b"no ink")
-            await say("the backend fails", await act(cluster, 0, '"d"'), await ended(cluster, 1, '"d"'))
+            await say("the backend fails", await act(cluster, 0, '"d"'), await settled(cluster, 1, '"d"'))
             desk.plan = lambda ran: Backend.whole(503, ran.id, more="Not-Executed: 1\r\n")
             refused = await act(cluster, 0, '"e"')
             desk.ran.clear()
             desk.plan = lambda ran: None
-            await say("it did not run at first", refused, await ended(cluster, 1, '"e"'))
+            await say("it did not run at first", refused, await settled(cluster, 1, '"e"'))
             await say("a read is no action", (await cluster.wait_until_served(cluster.proxy_ips[0])).text)
 
-    asyncio.run(day())
-    assert said == snapshot
+    asyncio.run(scenario())
+    assert summary == snapshot
 
 
-def test_what_was_answered_outlives_the_leader_and_then_all(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_an_answered_action_survives_the_loss_of_the_leader_and_of_all_processes(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
             (desk,) = await started(cluster, "i-desk")
             assert await act(cluster, 0, '"a"') == "200 desk /sign/1"
-            assert await ended(cluster, 1, '"a"') == "200 (kept) desk /sign/1"
+            assert await settled(cluster, 1, '"a"') == "200 (kept) desk /sign/1"
             desk.plan = lambda ran: CLOSE
             assert (await act(cluster, 0, '"lost"')).startswith("502")
             desk.plan = lambda ran: None
@@ -106,34 +106,34 @@
             log = (tmp_path / "log.txt").read_text()
             leader = log.split("is in force: primary ")[-1].split(",")[0]
             await cluster.kill(leader)
-            while (told := await act(cluster, 1, '"a"')).startswith(("503", "no")):
+            while (outcome := await act(cluster, 1, '"a"')).startswith(("503", "no")):
                 await asyncio.sleep(0.02)
-            assert told == "200 (kept) desk /sign/1"
+            assert outcome == "200 (kept) desk /sign/1"
             await cluster.start(leader)
             for ip in (*cluster.core_ips, *cluster.proxy_ips):
                 await cluster.kill(ip)
             await cluster.start_all()
-            for door in range(2):
-                await cluster.wait_until_ready(cluster.proxy_ips[door])
-                while (told := await act(cluster, door, '"a"')).startswith(("503", "no")):
+            for proxy in range(2):
+                await cluster.wait_until_ready(cluster.proxy_ips[proxy])
+                while (outcome := await act(cluster, proxy, '"a"')).startswith(("503", "no")):
                     await asyncio.sleep(0.02)
-                assert told == "200 (kept) desk /sign/1"
-                assert (await act(cluster, door, '"lost"')).startswith("502 whether this action ran")
+                assert outcome == "200 (kept) desk /sign/1"
+                assert (await act(cluster, proxy, '"lost"')).startswith("502 whether this action ran")
             assert len(desk.ran) == ran
-            # The one that leads now loses its disk, and comes back empty.
+            # The current leader loses its disk, and comes back empty.
             log = (tmp_path / "log.txt").read_text()
             leader = log.split("is in force: primary ")[-1].split(",")[0]
             await cluster.wipe(leader)
             await cluster.start(leader)
-            while (told := await act(cluster, 0, '"a"')).startswith(("503", "no")):
+            while (outcome := await act(cluster, 0, '"a"')).startswith(("503", "no")):
                 await asyncio.sleep(0.02)
-            assert told == "200 (kept) desk /sign/1" and len(desk.ran) == ran
+            assert outcome == "200 (kept) desk /sign/1" and len(desk.ran) == ran
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_a_conversation_stays_with_its_backend_at_every_door(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_a_conversation_stays_with_its_backend_at_every_proxy(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
             desks = await started(cluster, "i-one", "i-two", "i-three")
             settings = {"settings_version": 3, "conversation_header": "X-Matter"}
@@ -152,19 +152,19 @@
                 await asyncio.sleep(0.02)
             for n in range(40):
                 matter = f"matter-{n % 8}"
-                told = await act(cluster, n % 2, f'"k-{n}"', f"/sign/{n}", X_Matter=matter)
-                assert told.startswith("200")
+                outcome = await act(cluster, n % 2, f'"k-{n}"', f"/sign/{n}", X_Matter=matter)
+                assert outcome.startswith("200")
                 (by,) = [d.instance for d in desks if any(r.target == f"/sign/{n}" for r in d.ran)]
                 used.setdefault(matter, set()).add(by)
             assert all(len(by) == 1 for by in used.values()) and len(set.union(*used.values())) > 1
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_a_door_that_dies_behind_the_run_leaves_what_is_not_known(tmp_path: Path) -> None:
-    """The backend has run it, and its door is gone before the answer is kept: no other door sends it."""
+def test_an_action_whose_proxy_dies_before_the_answer_has_an_unknown_outcome(tmp_path: Path) -> None:
+    """A backend runs the action, but the proxy dies before it stores the answer: no proxy sends it again."""
 
-    async def day() -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
             (desk,) = await started(cluster, "i-desk")
             desk.gate = asyncio.Event()
@@ -175,7 +175,7 @@
             desk.gate.set()
             assert await first == "no answer"
             assert (await act(cluster, 1, '"a"')).startswith("409 come back")
-            assert (await ended(cluster, 1, '"a"')).startswith("502 whether this action ran is not known")
+            assert (await settled(cluster, 1, '"a"')).startswith("502 whether this action ran is not known")
             assert len(desk.ran) == 1
 
-    asyncio.run(day())
+    asyncio.run(scenario())
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -1,4 +1,4 @@
-"""Clients that leave before their answer, over real processes: what goes on at backends, what does not."""
+"""Clients that leave before their answer, over real processes: which work continues at backends."""
 
 from __future__ import annotations
 
@@ -16,33 +16,34 @@
 from ivymux.simulation.local_cluster import LocalCluster, build_configuration, local_cluster
 from standins.backend import Backend
 
-BOUND = 0.5  # seconds behind a client's leaving by which work for it has ended
-ROUNDS = 3  # what else a machine does makes one later, never sooner
-LONG = 30_000  # milliseconds that these clients would wait: no deadline ends the work in their place
+MAX_CANCEL_DELAY_S = 0.5  # from a client's departure to the end of the work for it
+ROUNDS = 3  # the fastest counts, as other load can only slow one down
+CLIENT_TIMEOUT_MS = 30_000  # so long that no deadline ends the work
 
 
-def patient(version: int) -> dict[str, Any]:
-    """The lab's configuration, with deadlines that do not end what these tests look at."""
-    made = build_configuration(version)
-    for route in made["route_table"]:
-        route["deadline"] = f"{LONG}ms"
-    return made
+def with_long_deadlines(version: int) -> dict[str, Any]:
+    """The cluster's configuration, with deadlines too long to end the work in these tests."""
+    configuration = build_configuration(version)
+    for route in configuration["route_table"]:
+        route["deadline"] = f"{CLIENT_TIMEOUT_MS}ms"
+    return configuration
 
 
-class Leaver:
-    """A client on one connection, which leaves it with its requests unanswered."""
+class DepartingClient:
+    """A client that closes its connection before its requests are answered."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def at(cls, door: str) -> Leaver:
-        return cls(*await asyncio.open_connection(door, 8520))
+    async def connect(cls, proxy: str) -> DepartingClient:
+        return cls(*await asyncio.open_connection(proxy, 8520))
 
     def ask(self, id: str, method: str = "GET", path: str = "/read/1", more: str = "") -> None:
         self.writer.write(
             f"{method} {path} HTTP/1.1\r\nHost: minutes.example\r\nTry-Id: {id}\r\n{more}"
-            f"Time-Remaining: {LONG}\r\nAuthorization: Bearer key-one\r\nContent-Length: 0\r\n\r\n".encode()
+            f"Time-Remaining: {CLIENT_TIMEOUT_MS}\r\n"
+            f"Authorization: Bearer key-one\r\nContent-Length: 0\r\n\r\n".encode()
         )
 
     def leave(self, how: str) -> None:
@@ -56,14 +57,14 @@
 
 @asynccontextmanager
 async def working(folder: Path) -> AsyncIterator[tuple[LocalCluster, str, Backend]]:
-    """A door before one backend of both services' work, whose requests take until its gate opens."""
+    """A proxy with one backend per service, whose requests take until their shared gate opens."""
     async with local_cluster(folder, proxy_count=1) as cluster:
         await cluster.start_all(initial_start=True)
         archive, desk = (
             await cluster.start_backend("i-archive", "archive"),
             await cluster.start_backend("i-desk", "desk"),
         )
-        await cluster.put_configuration(patient(1))
+        await cluster.put_configuration(with_long_deadlines(1))
         await cluster.wait_until_ready(cluster.proxy_ips[0])
         await cluster.wait_until_served(cluster.proxy_ips[0])
         await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/0")
@@ -72,13 +73,13 @@
         yield cluster, cluster.proxy_ips[0], archive
 
 
-async def runs(backend: Backend, id: str) -> None:
+async def wait_until_runs(backend: Backend, id: str) -> None:
     while not any(ran.id == id for ran in backend.ran):
         await asyncio.sleep(0.005)
 
 
-async def is_dropped(backend: Backend, id: str) -> float:
-    """Seconds until a backend has dropped a request."""
+async def wait_until_dropped(backend: Backend, id: str) -> float:
+    """Wait until a backend has dropped a request, and return the seconds that took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     async with asyncio.timeout(10):
@@ -87,60 +88,65 @@
     return loop.time() - began
 
 
-async def departed(cluster: LocalCluster, door: str) -> bool:
-    """Whether a door has met a client's leaving, by its metrics."""
-    text = (await cluster.http_client.get(f"http://{door}:7343/metrics")).text
+async def has_departure(cluster: LocalCluster, proxy: str) -> bool:
+    """Whether a proxy's metrics count a client's departure."""
+    text = (await cluster.http_client.get(f"http://{proxy}:7343/metrics")).text
     return "ivymux_proxy_departed_requests_total 1\n" in text
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_work_for_a_repeatable_request_ends_as_its_client_leaves(tmp_path: Path, how: str) -> None:
-    async def day() -> None:
-        async with working(tmp_path) as (_, door, backend):
+def test_work_for_an_idempotent_request_ends_when_its_client_leaves(tmp_path: Path, how: str) -> None:
+    async def scenario() -> None:
+        async with working(tmp_path) as (_, proxy, backend):
             took = []
             for n in range(ROUNDS):
-                client = await Leaver.at(door)
+                client = await DepartingClient.connect(proxy)
                 client.ask(f"left-{n}")
-                await runs(backend, f"left-{n}")
+                await wait_until_runs(backend, f"left-{n}")
                 client.leave(how)
-                took.append(await is_dropped(backend, f"left-{n}"))
-            assert min(took) < BOUND and not backend.finished
+                took.append(await wait_until_dropped(backend, f"left-{n}"))
+            assert min(took) < MAX_CANCEL_DELAY_S and not backend.finished
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_work_ends_as_clients_leave_a_door_that_ends_itself(tmp_path: Path) -> None:
-    """Also for a request behind another one on its connection."""
+def test_work_ends_when_clients_leave_a_proxy_that_is_shutting_down(tmp_path: Path) -> None:
+    """Also for a pipelined request behind another one."""
 
-    async def day() -> None:
-        async with working(tmp_path) as (cluster, door, backend):
-            client = await Leaver.at(door)
+    async def scenario() -> None:
+        async with working(tmp_path) as (cluster, proxy, backend):
+            client = await DepartingClient.connect(proxy)
             client.ask("first")
             client.ask("second")
-            await runs(backend, "first")
-            await runs(backend, "second")
-            cluster.send_signal(door, signal.SIGTERM)
-            while await cluster.is_ready(door):
+            await wait_until_runs(backend, "first")
+            await wait_until_runs(backend, "second")
+            cluster.send_signal(proxy, signal.SIGTERM)
+            while await cluster.is_ready(proxy):
                 await asyncio.sleep(0.005)
             client.leave("close")
             assert (
-                max(await asyncio.gather(is_dropped(backend, "first"), is_dropped(backend, "second"))) < BOUND
+                max(
+                    await asyncio.gather(
+                        wait_until_dropped(backend, "first"), wait_until_dropped(backend, "second")
+                    )
+                )
+                < MAX_CANCEL_DELAY_S
             )
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("more", ["", 'Idempotency-Key: "a"\r\n'])
-def test_an_action_that_may_run_runs_on_without_its_client(tmp_path: Path, more: str) -> None:
-    """To cut it off would leave nobody knowing whether it ran; with a key its answer is there for a retry."""
+def test_an_action_that_may_have_begun_continues_without_its_client(tmp_path: Path, more: str) -> None:
+    """Cancelling it would leave its outcome unknown; with a key, a retry gets the stored answer."""
 
-    async def day() -> None:
-        async with working(tmp_path) as (cluster, door, backend):
-            client = await Leaver.at(door)
+    async def scenario() -> None:
+        async with working(tmp_path) as (cluster, proxy, backend):
+            client = await DepartingClient.connect(proxy)
             client.ask("action", "POST", "/sign/1", more)
-            await runs(backend, "action")
+            await wait_until_runs(backend, "action")
             client.leave("close")
-            while not await departed(cluster, door):
+            while not await has_departure(cluster, proxy):
                 await asyncio.sleep(0.005)
             assert backend.gate is not None
             backend.gate.set()
@@ -149,11 +155,11 @@
             assert "action" not in backend.dropped
             if more:
                 while (
-                    again := await cluster.send_request(door, "POST", "/sign/1", Idempotency_Key='"a"')
+                    again := await cluster.send_request(proxy, "POST", "/sign/1", Idempotency_Key='"a"')
                 ) is not None:
                     if again.status_code == 200:
                         break
                 assert again is not None and again.headers["idempotent-replayed"] == "true"
                 assert [ran.id for ran in backend.ran].count("action") == 1
 
-    asyncio.run(day())
+    asyncio.run(scenario())
--- a/tests/system/test_offsets.py
+++ b/tests/system/test_offsets.py
@@ -1,6 +1,6 @@
 """Connections to backends that break at each byte of a request and of an answer, over real processes.
 
-What may not be repeated arrives whole once at the most, and every success is its own request's whole answer.
+A non-idempotent request arrives complete at most once, and a success is its own request's complete answer.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
     """Where a connection breaks, once."""
 
     of_answer: bool
-    offset: int  # bytes that have come, or gone
-    reset: bool = True  # else it is closed
-    late: bool = False  # not at all: so many bytes of the answer before go ahead of the next one
+    offset: int  # bytes received of a request, or sent of an answer
+    reset: bool = True  # otherwise the connection is closed
+    late: bool = False  # no break: `offset` bytes of the previous answer precede the next one
 
 
 class BreakingBackend(Backend):
-    """Breaks a connection at a byte of a request or of its answer, once for each time that it is armed."""
+    """Breaks a connection at a byte of a request or of its answer, once each time it is armed."""
 
     armed: Break | None = None
-    whole_runs: Counter[str]
+    complete_runs: Counter[str]
     request_size = 0
-    before = b""  # the last answer
+    previous_answer = b""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open.add(writer)
@@ -60,20 +60,20 @@
         lines = head.decode("latin-1").split("\r\n")
         target = lines[0].split(" ")[1]
         id = next(line.partition(":")[2].strip() for line in lines if line.lower().startswith("try-id:"))
-        self.whole_runs[id] += 1
+        self.complete_runs[id] += 1
         self.request_size = max(self.request_size, len(head))
         answer = self.whole(200, id, f"{self.service} {target}".encode(), f"Server-Seal: seal-{id}\r\n")
         armed, self.armed = self.armed, None
         if armed is None:
             writer.write(answer)
         elif armed.late:
-            writer.write(self.before[: armed.offset] + answer)
+            writer.write(self.previous_answer[: armed.offset] + answer)
         else:
             writer.write(answer[: armed.offset])
             if armed.offset < len(answer):
                 await writer.drain()
                 self.end(writer, armed.reset)
-        self.before = answer
+        self.previous_answer = answer
 
     @staticmethod
     def end(writer: asyncio.StreamWriter, reset: bool) -> None:
@@ -84,28 +84,30 @@
 
 
 async def breaking_desk(cluster: LocalCluster) -> BreakingBackend:
-    made = BreakingBackend("i-desk", "desk", "127.0.0.1", "hall")
-    made.whole_runs = Counter()
-    await made.start()
-    cluster.backends.append(made)
-    cluster.heartbeat_tasks["i-desk"] = asyncio.get_running_loop().create_task(cluster.send_heartbeats(made))
-    return made
+    backend = BreakingBackend("i-desk", "desk", "127.0.0.1", "hall")
+    backend.complete_runs = Counter()
+    await backend.start()
+    cluster.backends.append(backend)
+    cluster.heartbeat_tasks["i-desk"] = asyncio.get_running_loop().create_task(
+        cluster.send_heartbeats(backend)
+    )
+    return backend
 
 
 def check(answer: httpx.Response | None, id: str, target: str, desk: BreakingBackend) -> None:
-    """One try's outcome, as its client and the backend have seen it."""
+    """Check the outcome of one try against what its client and the backend observed."""
     assert answer is not None and answer.status_code in (200, 502, 503, 504), answer
-    assert desk.whole_runs[id] <= 1
+    assert desk.complete_runs[id] <= 1
     if answer.status_code == 200:
-        assert desk.whole_runs[id] == 1
+        assert desk.complete_runs[id] == 1
         assert (answer.text, answer.headers["server-seal"]) == (f"desk {target}", f"seal-{id}")
         assert answer.headers["try-id"] == id
     elif answer.status_code == 503:
-        assert desk.whole_runs[id] == 0  # it says that the request has not run
+        assert desk.complete_runs[id] == 0  # 503 means that the request was not executed
 
 
 def test_connections_that_break_at_each_byte(tmp_path: Path) -> None:
-    async def day() -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=1, timeout_s=100.0) as cluster:
             await cluster.start_all(initial_start=True)
             desk = await breaking_desk(cluster)
@@ -122,17 +124,17 @@
 
             size = len(desk.whole(200, "a-000", b"desk /sign/a-000", "Server-Seal: seal-a-000\r\n"))
             statuses: Counter[tuple[str, int]] = Counter()
-            plans = [("request", Break(False, 0, reset), desk.request_size) for reset in (True, False)]
-            plans += [("answer", Break(True, 0, reset), size + 1) for reset in (True, False)]
-            plans += [("late", Break(True, 0, late=True), size + 1)]
-            for number, (name, kind, offsets) in enumerate(plans):
+            cases = [("request", Break(False, 0, reset), desk.request_size) for reset in (True, False)]
+            cases += [("answer", Break(True, 0, reset), size + 1) for reset in (True, False)]
+            cases += [("late", Break(True, 0, late=True), size + 1)]
+            for number, (name, kind, offsets) in enumerate(cases):
                 for offset in range(1, offsets):
                     desk.armed = replace(kind, offset=offset)
                     statuses[name, await ask(f"{number}-{offset:03d}")] += 1
-                    # The next one may come on the same connection, where it is kept.
-                    while await ask(f"{number}+{offset:03d}") == 503:  # the backend is left alone for a while
-                        desk.whole_runs.pop(f"{number}+{offset:03d}", None)
-            assert statuses["answer", 200] == 2  # where the last byte was there
+                    # The next request may use the same connection, if that is kept.
+                    while await ask(f"{number}+{offset:03d}") == 503:  # the backend is avoided for a while
+                        desk.complete_runs.pop(f"{number}+{offset:03d}", None)
+            assert statuses["answer", 200] == 2  # only those whose last byte was sent
             assert statuses["late", 200] >= 1 and statuses["request", 200] == 0, statuses
 
-    asyncio.run(day())
+    asyncio.run(scenario())
--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path over real processes on loopback, as an operator, backends and clients see it."""
+"""The system end to end, over real processes on loopback, as operators, backends and clients see it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 from standins.backend import CLOSE, Backend, Ran
 
 
-def test_a_calm_day(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
-    said: list[str] = []
+def test_normal_operation(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
+    summary: list[str] = []
 
-    async def day() -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            await cluster.start(cluster.proxy_ips[0], initial_start=True)  # a door before any core machine
+            await cluster.start(
+                cluster.proxy_ips[0], initial_start=True
+            )  # a proxy that starts before any core machine
             for ip in reversed(cluster.core_ips):
                 await cluster.start(ip, initial_start=True)
             await cluster.start(cluster.proxy_ips[1], initial_start=True)
@@ -35,15 +37,15 @@
                 ("a later one, invalid", json.dumps(build_configuration(9, read="nobody")).encode()),
                 ("an older one", json.dumps(build_configuration(3, read="desk")).encode()),
             ):  # fmt: skip
-                status, told = await cluster.put_configuration(
-                    body, cluster.core_ips[len(said) % 3 :] + cluster.core_ips
+                status, response = await cluster.put_configuration(
+                    body, cluster.core_ips[len(summary) % 3 :] + cluster.core_ips
                 )
-                said.append(f"PUT /configuration, {name} -> {status} {told.decode()}")
-            said.append(f"GET /configuration -> as sent: {await cluster.read_configuration() == text}")
-            for door in cluster.proxy_ips:
-                await cluster.wait_until_ready(door)
-                await cluster.wait_until_served(door)
-                await cluster.wait_until_served(door, "/sign/1")
+                summary.append(f"PUT /configuration, {name} -> {status} {response.decode()}")
+            summary.append(f"GET /configuration -> as sent: {await cluster.read_configuration() == text}")
+            for proxy in cluster.proxy_ips:
+                await cluster.wait_until_ready(proxy)
+                await cluster.wait_until_served(proxy)
+                await cluster.wait_until_served(proxy, "/sign/1")
             archive.ran.clear()
             desk.ran.clear()
             answer = await cluster.send_request(
@@ -58,9 +60,9 @@
             assert answer is not None
             (ran,) = desk.ran
             sealed = "server-seal" in answer.headers
-            said.append(f"POST /sign/9?x=1 -> {answer.status_code} {answer.text}; seal {sealed}")
+            summary.append(f"POST /sign/9?x=1 -> {answer.status_code} {answer.text}; seal {sealed}")
             kept = sorted(set(ran.headers) - {"accept", "accept-encoding", "user-agent", "host"})
-            said.append(
+            summary.append(
                 f"the backend sees {ran.method} {ran.target}, {kept}, tenant {ran.headers['tenant-name']}"
             )
             for what, path, key in (
@@ -69,19 +71,19 @@
             ):
                 refused = await cluster.send_request(cluster.proxy_ips[0], path=path, key=key)
                 assert refused is not None
-                said.append(f"{what} -> {refused.status_code}")
+                summary.append(f"{what} -> {refused.status_code}")
             status, _ = await cluster.put_configuration(build_configuration(12, read="desk", sign="desk"))
-            said.append(f"PUT /configuration, read goes to the desk -> {status}")
-            for door in cluster.proxy_ips:
-                await cluster.wait_until_routed_to(door, "desk")
-            said.append("both doors send it there")
+            summary.append(f"PUT /configuration, read goes to the desk -> {status}")
+            for proxy in cluster.proxy_ips:
+                await cluster.wait_until_routed_to(proxy, "desk")
+            summary.append("both doors send it there")
 
-    asyncio.run(day())
-    assert said == snapshot
+    asyncio.run(scenario())
+    assert summary == snapshot
 
 
-def test_a_backend_that_leaves_and_one_at_its_old_address(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_a_backend_that_quiesces_and_a_new_one_at_its_address(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=1) as cluster:
             await cluster.start_all(initial_start=True)
             old, other = (
@@ -93,12 +95,12 @@
             while not (old.ran and other.ran):
                 await cluster.send_request(cluster.proxy_ips[0])
             cluster.heartbeat_tasks["i-old"].cancel()
-            await cluster.send_heartbeat(old, "quiescing")  # once it is acknowledged the doors have heard
+            await cluster.send_heartbeat(old, "quiescing")  # acknowledged only once the proxies know of it
             before = len(old.ran)
             for _ in range(20):
                 assert (await cluster.wait_until_served(cluster.proxy_ips[0])).status_code == 200
             assert len(old.ran) == before
-            # A backend of another service at its address: what was meant for the old one never runs there.
+            # A backend of another service takes over the address: no request for the old one runs there.
             port = int(old.address.rpartition(":")[2])
             old.stop()
             other.plan = lambda ran: Backend.whole(503, ran.id, more="Not-Executed: 1\r\n")
@@ -108,17 +110,17 @@
             refused = await cluster.send_request(cluster.proxy_ips[0])
             assert refused is not None and refused.status_code == 503 and "retry-after" in refused.headers
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_answers_are_told_apart_and_failures_promise_nothing(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_answers_match_their_requests_and_failures_are_not_reported_as_not_run(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=1) as cluster:
             await cluster.start_all(initial_start=True)
             desk = await cluster.start_backend("i-desk", "desk")
             await cluster.put_configuration(build_configuration(1, sign="desk"))
             await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/0")
-            # A second answer to the first request, in the place where the next one is due.
+            # A second answer to the first request arrives where the answer to the next one is due.
             desk.plan = lambda ran: (
                 desk.answer(ran) + Backend.whole(200, "try-before", b"no", "Server-Seal: x\r\n")
             )
@@ -131,8 +133,8 @@
 
             desk.plan = late
             assert (await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/7")).text == "desk /sign/7"
-            for spoilt in (
-                lambda ran: Backend.whole(503, ran.id),  # says nothing of not having run
+            for faulty in (
+                lambda ran: Backend.whole(503, ran.id),  # without the header Not-Executed
                 lambda ran: Backend.whole(200, ran.id, b"no seal"),
                 lambda ran: Backend.whole(
                     200, ran.id, b"zip", "Server-Seal: x\r\nContent-Encoding: gzip\r\n"
@@ -141,16 +143,16 @@
                 lambda ran: b"what is this" + CLOSE,
                 lambda ran: CLOSE,
             ):
-                desk.plan = spoilt
+                desk.plan = faulty
                 before = len(desk.ran)
-                told = await cluster.send_request(cluster.proxy_ips[0], "DELETE", "/sign/8")
-                assert told is not None and told.status_code == 502 and len(desk.ran) == before + 1
+                response = await cluster.send_request(cluster.proxy_ips[0], "DELETE", "/sign/8")
+                assert response is not None and response.status_code == 502 and len(desk.ran) == before + 1
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_a_lost_leader_and_a_whole_loss(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_the_configuration_survives_a_lost_leader_and_a_loss_of_all_processes(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=1) as cluster:
             await cluster.start_all(initial_start=True)
             await cluster.start_backend("i-archive", "archive")
@@ -164,7 +166,7 @@
             await cluster.start(leader)
             assert (await cluster.put_configuration(build_configuration(8), [leader]))[0] == 200
             assert json.loads(await cluster.read_configuration())["config_version"] == 8
-            # The one that leads now loses its disk while every other machine loses power.
+            # The current leader loses its disk while all other machines lose power.
             log = (tmp_path / "log.txt").read_text()
             leader = log.split("is in force: primary ")[-1].split(",")[0]
             for ip in (*cluster.core_ips, *cluster.proxy_ips):
@@ -175,18 +177,18 @@
             await cluster.wait_until_served(cluster.proxy_ips[0])
             assert (await cluster.put_configuration(build_configuration(9)))[0] == 200
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_a_core_machine_that_starts_late_joins_the_core_that_there_is(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_a_core_machine_that_starts_late_joins_the_existing_core(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=1) as cluster:
             late = cluster.core_ips[2]
             for ip in (*cluster.core_ips[:2], *cluster.proxy_ips):
                 await cluster.start(ip, initial_start=True)
             text = json.dumps(build_configuration(3)).encode()
             assert (await cluster.put_configuration(text, cluster.core_ips[:2]))[0] == 200
-            # Its first start too, and it is a seed: it founds nothing, and soon answers as the others do.
+            # Its first start, as a seed: it does not found a second core, and soon answers like the others.
             await cluster.start(late, initial_start=True)
             while (await cluster.call_core("GET", late, "/configuration"))[0] != 200:
                 await asyncio.sleep(0.02)
@@ -195,20 +197,20 @@
             assert json.loads(await cluster.read_configuration())["config_version"] == 6
             log = (tmp_path / "log.txt").read_text()
             epochs = re.findall(r"epoch (\d+) is in force", log)
-            assert len(set(epochs)) == len(epochs)  # one core: no number was made twice
+            assert len(set(epochs)) == len(epochs)  # a single core: no epoch number was used twice
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_a_door_that_ends_finishes_what_it_has(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_a_proxy_that_shuts_down_finishes_its_requests(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=1) as cluster:
             await cluster.start_all(initial_start=True)
             archive = await cluster.start_backend("i-archive", "archive")
             await cluster.put_configuration(build_configuration(1))
             await cluster.wait_until_served(cluster.proxy_ips[0])
             archive.gate = asyncio.Event()
-            held = asyncio.get_running_loop().create_task(cluster.send_request(cluster.proxy_ips[0]))
+            pending = asyncio.get_running_loop().create_task(cluster.send_request(cluster.proxy_ips[0]))
             before = len(archive.ran)
             while len(archive.ran) == before:
                 await asyncio.sleep(0.01)
@@ -217,28 +219,28 @@
             while await cluster.is_ready(cluster.proxy_ips[0]):
                 await asyncio.sleep(0.01)
             archive.gate.set()
-            answer = await held
+            answer = await pending
             assert (
                 answer is not None and answer.status_code == 200 and answer.headers["connection"] == "close"
             )
             assert await process.wait() == 0
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_settings_that_cannot_be_read_end_the_start_with_one_line(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_invalid_settings_stop_the_start_with_a_single_line(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
             path = cluster.write_settings(cluster.proxy_ips[0], True)
             path.write_text(path.read_text().replace("7355", "seven"))
             await cluster.start(cluster.core_ips[0], initial_start=True)
             import sys
 
-            door = await asyncio.create_subprocess_exec(
+            process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "ivymux", "proxy", "--settings", str(path),
                 stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
             )  # fmt: skip
-            told, _ = await door.communicate()
-            assert door.returncode == 2 and told.count(b"\n") == 1 and b"inner_port_range" in told
+            output, _ = await process.communicate()
+            assert process.returncode == 2 and output.count(b"\n") == 1 and b"inner_port_range" in output
 
-    asyncio.run(day())
+    asyncio.run(scenario())
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -1,4 +1,4 @@
-"""Trials over real processes: one caller fails at every door, nobody else does; what ends them."""
+"""Trials over real processes: requests of one caller fail at every proxy, no others do; what ends a trial."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ivymux.trial_command import summary_line
 from standins.backend import Backend
 
-CALLERS = {"clerks": "key-one", "clerks-hall": "key-one-more", "chairs": "key-two"}  # two begin alike
+CALLERS = {"clerks": "key-one", "clerks-hall": "key-one-more", "chairs": "key-two"}  # two share a prefix
 
 
 def configuration() -> dict[str, Any]:
@@ -27,15 +27,15 @@
     return made
 
 
-async def begun(cluster: LocalCluster) -> Backend:
+async def started_cluster(cluster: LocalCluster) -> Backend:
     await cluster.start_all(initial_start=True)
     await cluster.start_backend("i-read", "archive")
     desk = await cluster.start_backend("i-desk", "desk")
     await cluster.put_configuration(configuration())
-    for door in cluster.proxy_ips:
-        await cluster.wait_until_ready(door)
-        await cluster.wait_until_served(door)
-        await cluster.wait_until_served(door, "/sign/first")
+    for proxy in cluster.proxy_ips:
+        await cluster.wait_until_ready(proxy)
+        await cluster.wait_until_served(proxy)
+        await cluster.wait_until_served(proxy, "/sign/first")
     desk.ran.clear()
     return desk
 
@@ -43,13 +43,13 @@
 async def start(
     cluster: LocalCluster, name: str, caller: str = "clerks", core: int = 0, **more: Any
 ) -> dict[str, Any]:
-    """Start a trial, and wait until it is in force at both doors."""
+    """Start a trial, and wait until it is in force at both proxies."""
     body = {"caller": caller, "by": "ann", "why": "to see it fail", **more}
     status, answer = await cluster.call_core("PUT", cluster.core_ips[core], f"/trials/{name}", body)
     assert status == 200, answer
-    while len((told := await report(cluster, name, core))["in_force_at"]) < 2:
+    while len((result := await report(cluster, name, core))["in_force_at"]) < 2:
         await asyncio.sleep(0.02)
-    return told
+    return result
 
 
 async def report(cluster: LocalCluster, name: str, core: int = 0) -> dict[str, Any]:
@@ -67,9 +67,11 @@
     assert status == 200
 
 
-async def met(cluster: LocalCluster, door: int, caller: str, path: str = "/read/1", **headers: str) -> str:
+async def answer_to(
+    cluster: LocalCluster, proxy: int, caller: str, path: str = "/read/1", **headers: str
+) -> str:
     key = CALLERS.get(caller, caller)
-    answer = await cluster.send_request(cluster.proxy_ips[door], "GET", path, key, b"", **headers)
+    answer = await cluster.send_request(cluster.proxy_ips[proxy], "GET", path, key, b"", **headers)
     if answer is None:
         return "closed"
     after = answer.headers.get("retry-after")
@@ -78,20 +80,22 @@
     )
 
 
-def test_an_evening_of_trials(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
-    said: list[str] = []
+def test_trials_affect_only_their_caller(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
+    summary: list[str] = []
 
-    async def day() -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            desk = await begun(cluster)
+            desk = await started_cluster(cluster)
 
             async def show(
                 title: str, path: str = "/read/1", callers: tuple[str, ...] = tuple(CALLERS)
             ) -> None:
-                said.append(title)
-                for door in range(2):
+                summary.append(title)
+                for proxy in range(2):
                     for caller in callers:
-                        said.append(f"  {caller} at door {door}: {await met(cluster, door, caller, path)}")
+                        summary.append(
+                            f"  {caller} at door {proxy}: {await answer_to(cluster, proxy, caller, path)}"
+                        )
 
             for body, what in (
                 ({}, "nothing"), ({"caller": "clerk"}, "no tenant"), ({"caller": "*"}, "all"),
@@ -105,7 +109,7 @@
             ):  # fmt: skip
                 sent = {"by": "ann", "why": "to see it fail", **body} if body else {}
                 status, answer = await cluster.call_core("PUT", cluster.core_ips[0], "/trials/t", sent)
-                said.append(f"{what}: {status} {json.loads(answer)['error']}")
+                summary.append(f"{what}: {status} {json.loads(answer)['error']}")
             sent = {"caller": "clerks", "by": "ann", "why": "to see it fail", "dry_run": True}
             assert (await cluster.call_core("PUT", cluster.core_ips[0], "/trials/dry", sent))[0] == 200
             assert (await cluster.call_core("GET", cluster.core_ips[0], "/trials/dry"))[0] == 404
@@ -115,7 +119,7 @@
             status, answer = await cluster.call_core(
                 "PUT", cluster.core_ips[1], "/trials/other", {"caller": "clerks", "by": "ann", "why": "more"}
             )
-            said.append(f"the same caller once more: {status} {json.loads(answer)['error']}")
+            summary.append(f"the same caller once more: {status} {json.loads(answer)['error']}")
             again = {
                 "caller": "clerks",
                 "by": "ann",
@@ -125,13 +129,13 @@
             }
             assert (await cluster.call_core("PUT", cluster.core_ips[2], "/trials/t-refuse", again))[
                 0
-            ] == 200  # its answer was lost
+            ] == 200  # a retry after a lost answer
             assert (await cluster.call_core("DELETE", cluster.core_ips[1], "/trials/t-refuse", {}))[0] == 400
             while (await report(cluster, "t-refuse", 1))["caught"] < 2:
                 await asyncio.sleep(0.02)
             await end(cluster, "t-refuse", 1)
             await show("ended")
-            said.append(summary_line(await report(cluster, "t-refuse", 2)))
+            summary.append(summary_line(await report(cluster, "t-refuse", 2)))
 
             await start(
                 cluster, "t-key", key_digest=key_digest(b"key-one-b")[:20], route="sign", does="close"
@@ -147,35 +151,36 @@
             await start(cluster, "t-lose", does="lose", route="sign")
             await show("run, and its answer lost", "/sign/2", ("clerks", "chairs"))
             assert len(desk.ran) == 4
-            said.append(
-                f"an action with a key: {await met(cluster, 0, 'clerks', '/sign/k', Idempotency_Key='k')}"
-            )
+            keyed = await answer_to(cluster, 0, "clerks", "/sign/k", Idempotency_Key="k")
+            summary.append(f"an action with a key: {keyed}")
             await end(cluster, "t-lose")
-            told = await met(cluster, 1, "clerks", "/sign/k", Idempotency_Key="k")
-            said.append(f"sent again behind the trial: {told}")
+            result = await answer_to(cluster, 1, "clerks", "/sign/k", Idempotency_Key="k")
+            summary.append(f"sent again behind the trial: {result}")
             assert len(desk.ran) == 5
 
             await start(cluster, "t-delay", does="delay", delay="400ms")
             began = asyncio.get_running_loop().time()
-            assert (await met(cluster, 0, "chairs")).startswith("200")
+            assert (await answer_to(cluster, 0, "chairs")).startswith("200")
             quick = asyncio.get_running_loop().time() - began
-            assert (await met(cluster, 0, "clerks")).startswith("200")
+            assert (await answer_to(cluster, 0, "clerks")).startswith("200")
             assert asyncio.get_running_loop().time() - began - quick >= 0.4
             await end(cluster, "t-delay")
             status, answer = await cluster.call_core("GET", cluster.core_ips[0], "/trials")
-            told = json.loads(answer)
-            said.append(f"on the board: {[t['name'] for t in told['past']]}, running {told['running']}")
+            result = json.loads(answer)
+            summary.append(
+                f"on the board: {[t['name'] for t in result['past']]}, running {result['running']}"
+            )
             log = (tmp_path / "log.txt").read_text()
             assert not any(key in log for key in CALLERS.values()) and key_digest(b"key-one") not in log
 
-    asyncio.run(day())
-    assert said == snapshot
+    asyncio.run(scenario())
+    assert summary == snapshot
 
 
-def test_a_trial_outlives_the_leader_and_a_door_and_ends_with_its_time(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_a_trial_survives_the_loss_of_the_leader_and_a_proxy_and_ends_on_time(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path, timeout_s=60.0) as cluster:
-            await begun(cluster)
+            await started_cluster(cluster)
             await start(cluster, "t", lasts="30s")
             leader = cluster.primary_ip()
             await cluster.kill(leader)
@@ -185,36 +190,36 @@
             core = next(n for n, ip in enumerate(cluster.core_ips) if ip != leader)
             while len((await report(cluster, "t", core))["in_force_at"]) < 2:
                 await asyncio.sleep(0.02)
-            for door in range(2):
-                assert (await met(cluster, door, "clerks")).startswith("503")
-                assert (await met(cluster, door, "clerks-hall")).startswith("200")
+            for proxy in range(2):
+                assert (await answer_to(cluster, proxy, "clerks")).startswith("503")
+                assert (await answer_to(cluster, proxy, "clerks-hall")).startswith("200")
             await end(cluster, "t", core)
             await start(cluster, "short", core=core, lasts="2s")
-            while "ended" not in (told := await report(cluster, "short", core)):
+            while "ended" not in (result := await report(cluster, "short", core)):
                 await asyncio.sleep(0.02)
-            assert told["ended_by"] == "ivymux" and told["ended"] - told["at"] < 2.0 + LEASE_S
-            assert (await met(cluster, 0, "clerks")).startswith("200")
+            assert result["ended_by"] == "ivymux" and result["ended"] - result["at"] < 2.0 + LEASE_S
+            assert (await answer_to(cluster, 0, "clerks")).startswith("200")
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_doors_that_hear_no_core_let_a_trial_go(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_proxies_without_a_core_end_a_trial(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            await begun(cluster)
+            await started_cluster(cluster)
             await start(cluster, "t")
             for ip in cluster.core_ips:
                 await cluster.kill(ip)
             gone = asyncio.get_running_loop().time()
-            while not (await met(cluster, 0, "clerks")).startswith("200"):
+            while not (await answer_to(cluster, 0, "clerks")).startswith("200"):
                 await asyncio.sleep(0.02)
             assert asyncio.get_running_loop().time() - gone < LEASE_S + 0.5
             for ip in cluster.core_ips:
                 await cluster.start(ip)
-            while not (await met(cluster, 0, "clerks")).startswith(
+            while not (await answer_to(cluster, 0, "clerks")).startswith(
                 "503"
-            ):  # the core is back, and holds to it
+            ):  # the core is back and the trial in force again
                 await asyncio.sleep(0.02)
-            assert (await met(cluster, 0, "chairs")).startswith("200")
+            assert (await answer_to(cluster, 0, "chairs")).startswith("200")
 
-    asyncio.run(day())
+    asyncio.run(scenario())
