--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -17,17 +17,17 @@
 from ivymux.transport.connection import Connector, TransportError
 from ivymux.transport.frames import Message
 
-ACQUIRE_TIMEOUT_S = 1.5  # a leader that is lost is replaced within one second
+ACQUIRE_TIMEOUT_S = 1.5  # long enough for a lost leader to be replaced
 ACQUIRE_TIME_PART = 0.5  # of the time that the client has left, the most spent on acquiring
 END_TIMEOUT_S = 8.0
-CALL_TIMEOUT_S = 0.9
+CALL_TIMEOUT_S = 0.9  # of one core machine
 CALL_RETRY_PAUSE_S = 0.05
 # Beyond its client's deadline, after which an action that was not ended counts as unknown.
 LIFETIME_MARGIN_S = 2.0
 MAX_TASKS = 2000  # claims and ends in progress
 NOT_CLAIMED_RETRY_AFTER_S = 0.5
 
-Go = Callable[[Answer | None], None]
+Go = Callable[[Answer | None], None]  # called with None if the action may be sent, else with its answer
 
 
 class ActionClaims:
--- a/ivymux/proxy/answer_policy.py
+++ b/ivymux/proxy/answer_policy.py
@@ -15,6 +15,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyAnswerPolicy(AnswerPolicy):
+    """The answer policy of the system's own protocol between proxies, backends and clients."""
+
     def outcome(self, status: int, not_started: bool) -> Outcome:
         """Only `Not-Executed` and 421 mean that a backend did not execute a request."""
         if status == 421 or (not_started and status in (400, 408, 429, 503)):
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -21,6 +21,8 @@
 
 
 class CoreConnection:
+    """Keeps the connection to one registry, and applies its messages to the proxy."""
+
     def __init__(self, proxy: Proxy, ip: str) -> None:
         self.proxy, self.ip = proxy, ip
         self.config_version, self.zone = -1, ""  # as the registry reports them
--- a/ivymux/proxy/counter_holders.py
+++ b/ivymux/proxy/counter_holders.py
@@ -33,6 +33,8 @@
 
 
 class CounterHolders:
+    """The present proxies, and which of them holds a name."""
+
     def __init__(self, me: str, now: float, first_start: bool = False) -> None:
         """`first_start`: the whole system starts for the first time, so there are no earlier counts."""
         self.me, self.first_start, self.started_at = me, first_start, now
--- a/ivymux/proxy/failure_reports.py
+++ b/ivymux/proxy/failure_reports.py
@@ -40,6 +40,8 @@
 
 
 class FailureReporter:
+    """Collects failures of backends, and reports them to the core in batches."""
+
     def __init__(
         self,
         success_count: Callable[[], int],
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -43,6 +43,8 @@
 
 
 class ProxyFrontend:
+    """The frontend for clients of the proxy, over HTTP/1.1."""
+
     allows_half_close = False
     closes_after_refusal = False
     header_too_large_status = 431
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -31,6 +31,8 @@
 
 
 class KeyedRequests:
+    """Prepares requests with keys, and keeps the homes of their conversations."""
+
     def __init__(
         self, connectors: Callable[[], list[Connector]], backends: Callable[[], Iterable[Backend]]
     ) -> None:
--- a/ivymux/proxy/lease_counts.py
+++ b/ivymux/proxy/lease_counts.py
@@ -101,6 +101,8 @@
 
 
 class LeaseCounts:
+    """The counts that this proxy holds, by tenant."""
+
     def __init__(self, holders: CounterHolders, incarnation: int) -> None:
         self.store = Store(MAX_NAMES)
         self.holders, self.incarnation = holders, incarnation
--- a/ivymux/proxy/membership_view.py
+++ b/ivymux/proxy/membership_view.py
@@ -29,6 +29,8 @@
 
 @dataclass(slots=True)
 class Backend:
+    """A backend, with the state that all registries' reports add up to."""
+
     id: str
     service: str
     address: str
@@ -68,6 +70,8 @@
 
 
 class MembershipView:
+    """Backends and proxies as all registries report them."""
+
     def __init__(self) -> None:
         self.backends: dict[str, Backend] = {}
         self.by_number: dict[int, Backend] = {}
--- a/ivymux/proxy/name_tables.py
+++ b/ivymux/proxy/name_tables.py
@@ -17,6 +17,8 @@
 
 @dataclass(slots=True)
 class NameTables:
+    """The numbers in use, with the classes and plans that they stand for."""
+
     class_numbers: dict[str, int] = field(default_factory=dict)  # by route
     classes: list[i.RequestClass] = field(default_factory=list)
     plan_numbers: dict[str, int] = field(default_factory=dict)  # by tenant
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -77,6 +77,8 @@
 
 
 class Proxy:
+    """One proxy process; `runtime.program` starts, reloads and stops it."""
+
     def __init__(self, settings: Settings, waiting: socket.socket | None = None) -> None:
         """`waiting`: a socket that already listens, on which clients may wait."""
         self.settings = settings
@@ -383,7 +385,7 @@
         refusals_due = time.monotonic() - self.refusals_logged_at > LOG_INTERVAL_S
         if refusals_due and (line := refusals.log_line()):
             self.refusals_logged_at = time.monotonic()
-            log.info(f"{line}; retries denied by the retry budget: {self.gateway.denied_retries}.")
+            log.info(f"{line}; further tries spared {self.gateway.denied_retries}.")
         departures_due = time.monotonic() - self.departures_logged_at > LOG_INTERVAL_S
         if departures_due and (line := departures.log_line()):
             self.departures_logged_at = time.monotonic()
--- a/ivymux/proxy/trial_client.py
+++ b/ivymux/proxy/trial_client.py
@@ -40,6 +40,8 @@
 
 
 class TrialClient:
+    """Applies trial sets, decides on requests, and renews the lease while a trial runs."""
+
     def __init__(
         self, zone: str, id: str, host: Host, connectors: Callable[[], list[Connector]],
         system_time: Callable[[float], float], samples: Iterable[tuple[float, int, int]],
--- a/tests/system/test_conversations.py
+++ b/tests/system/test_conversations.py
@@ -38,17 +38,18 @@
 
 
 async def started(cluster: LocalCluster, *desks: str) -> list[Backend]:
+    """Start the cluster with these backends of the service `desk`, and return them once all proxies serve."""
     await cluster.start_all(initial_start=True)
-    made = [await cluster.start_backend(name, "desk") for name in desks]
+    backends = [await cluster.start_backend(name, "desk") for name in desks]
     await cluster.start_backend("i-archive", "archive")
     await cluster.put_configuration(build_configuration(1))
     for proxy in cluster.proxy_ips:
         await cluster.wait_until_ready(proxy)
         await cluster.wait_until_served(proxy)
         await cluster.wait_until_served(proxy, "/sign/0")
-    for desk in made:
-        desk.ran.clear()
-    return made
+    for backend in backends:
+        backend.ran.clear()
+    return backends
 
 
 def test_an_action_runs_once(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
@@ -58,15 +59,15 @@
         async with local_cluster(tmp_path) as cluster:
             (desk,) = await started(cluster, "i-desk")
 
-            async def say(what: str, *tries: str) -> None:
-                summary.append(f"{what}: {' | '.join(tries)}; runs {len(desk.ran)}")
+            async def note(title: str, *outcomes: str) -> None:
+                summary.append(f"{title}: {' | '.join(outcomes)}; runs {len(desk.ran)}")
                 desk.ran.clear()
 
-            await say("twice, at two doors", await act(cluster, 0, '"a"'), await settled(cluster, 1, '"a"'))
-            await say("the same key bare", await act(cluster, 1, "a"))
-            await say("another body", await act(cluster, 0, '"a"', body=b"no"))
-            await say("another path", await act(cluster, 1, '"a"', "/sign/2"))
-            await say(
+            await note("twice, at two doors", await act(cluster, 0, '"a"'), await settled(cluster, 1, '"a"'))
+            await note("the same key bare", await act(cluster, 1, "a"))
+            await note("another body", await act(cluster, 0, '"a"', body=b"no"))
+            await note("another path", await act(cluster, 1, '"a"', "/sign/2"))
+            await note(
                 "no key in the quotes, two keys", await act(cluster, 0, '""'), await act(cluster, 0, 'a" "b')
             )
             desk.gate = asyncio.Event()
@@ -75,19 +76,19 @@
                 await asyncio.sleep(0.01)
             second = await act(cluster, 1, '"b"')
             desk.gate.set()
-            await say("while the first is at work", second, await first)
+            await note("while the first is at work", second, await first)
             desk.gate = None
-            await say("and then", await settled(cluster, 1, '"b"'))
+            await note("and then", await settled(cluster, 1, '"b"'))
             desk.plan = lambda ran: CLOSE
-            await say("its answer is lost", await act(cluster, 0, '"c"'), await settled(cluster, 1, '"c"'))
+            await note("its answer is lost", await act(cluster, 0, '"c"'), await settled(cluster, 1, '"c"'))
             desk.plan = lambda ran: Backend.whole(500, ran.id, b"no ink")
-            await say("the backend fails", await act(cluster, 0, '"d"'), await settled(cluster, 1, '"d"'))
+            await note("the backend fails", await act(cluster, 0, '"d"'), await settled(cluster, 1, '"d"'))
             desk.plan = lambda ran: Backend.whole(503, ran.id, more="Not-Executed: 1\r\n")
             refused = await act(cluster, 0, '"e"')
             desk.ran.clear()
             desk.plan = lambda ran: None
-            await say("it did not run at first", refused, await settled(cluster, 1, '"e"'))
-            await say("a read is no action", (await cluster.wait_until_served(cluster.proxy_ips[0])).text)
+            await note("it did not run at first", refused, await settled(cluster, 1, '"e"'))
+            await note("a read is no action", (await cluster.wait_until_served(cluster.proxy_ips[0])).text)
 
     asyncio.run(scenario())
     assert summary == snapshot
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -57,7 +57,7 @@
 
 @asynccontextmanager
 async def working(folder: Path) -> AsyncIterator[tuple[LocalCluster, str, Backend]]:
-    """A proxy with one backend per service, whose requests take until their shared gate opens."""
+    """A proxy with one backend per service; both record together, and answer once a shared gate opens."""
     async with local_cluster(folder, proxy_count=1) as cluster:
         await cluster.start_all(initial_start=True)
         archive, desk = (
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -19,15 +19,16 @@
 
 
 def configuration() -> dict[str, Any]:
-    made = build_configuration(1)
-    made["tenant_table"] = [
+    built = build_configuration(1)
+    built["tenant_table"] = [
         {"name": name, "api_keys": [key, f"{key}-b"], "rate_per_s": 500, "burst_size": 500}
         for name, key in CALLERS.items()
     ]
-    return made
+    return built
 
 
 async def started_cluster(cluster: LocalCluster) -> Backend:
+    """Start the cluster, wait until all proxies serve, and return the backend of the service `desk`."""
     await cluster.start_all(initial_start=True)
     await cluster.start_backend("i-read", "archive")
     desk = await cluster.start_backend("i-desk", "desk")
@@ -40,19 +41,19 @@
     return desk
 
 
-async def start(
+async def start_trial(
     cluster: LocalCluster, name: str, caller: str = "clerks", core: int = 0, **more: Any
 ) -> dict[str, Any]:
     """Start a trial, and wait until it is in force at both proxies."""
     body = {"caller": caller, "by": "ann", "why": "to see it fail", **more}
     status, answer = await cluster.call_core("PUT", cluster.core_ips[core], f"/trials/{name}", body)
     assert status == 200, answer
-    while len((result := await report(cluster, name, core))["in_force_at"]) < 2:
+    while len((result := await trial_report(cluster, name, core))["in_force_at"]) < 2:
         await asyncio.sleep(0.02)
     return result
 
 
-async def report(cluster: LocalCluster, name: str, core: int = 0) -> dict[str, Any]:
+async def trial_report(cluster: LocalCluster, name: str, core: int = 0) -> dict[str, Any]:
     while True:
         status, answer = await cluster.call_core("GET", cluster.core_ips[core], f"/trials/{name}")
         if status == 200:
@@ -60,7 +61,7 @@
         await asyncio.sleep(0.02)
 
 
-async def end(cluster: LocalCluster, name: str, core: int = 0) -> None:
+async def end_trial(cluster: LocalCluster, name: str, core: int = 0) -> None:
     status, _ = await cluster.call_core(
         "DELETE", cluster.core_ips[core], f"/trials/{name}", {"by": "bo", "why": "enough"}
     )
@@ -114,7 +115,7 @@
             assert (await cluster.call_core("PUT", cluster.core_ips[0], "/trials/dry", sent))[0] == 200
             assert (await cluster.call_core("GET", cluster.core_ips[0], "/trials/dry"))[0] == 404
 
-            await start(cluster, "t-refuse", status=429, retry_after="2s")
+            await start_trial(cluster, "t-refuse", status=429, retry_after="2s")
             await show("refused")
             status, answer = await cluster.call_core(
                 "PUT", cluster.core_ips[1], "/trials/other", {"caller": "clerks", "by": "ann", "why": "more"}
@@ -131,40 +132,40 @@
                 0
             ] == 200  # a retry after a lost answer
             assert (await cluster.call_core("DELETE", cluster.core_ips[1], "/trials/t-refuse", {}))[0] == 400
-            while (await report(cluster, "t-refuse", 1))["caught"] < 2:
+            while (await trial_report(cluster, "t-refuse", 1))["caught"] < 2:
                 await asyncio.sleep(0.02)
-            await end(cluster, "t-refuse", 1)
+            await end_trial(cluster, "t-refuse", 1)
             await show("ended")
-            summary.append(summary_line(await report(cluster, "t-refuse", 2)))
+            summary.append(summary_line(await trial_report(cluster, "t-refuse", 2)))
 
-            await start(
+            await start_trial(
                 cluster, "t-key", key_digest=key_digest(b"key-one-b")[:20], route="sign", does="close"
             )
             await show(
                 "its connection closed, of one key on one route", "/sign/1", ("clerks", "key-one-b", "chairs")
             )
             await show("and on the other", "/read/1", ("clerks", "key-one-b"))
-            await end(cluster, "t-key")
+            await end_trial(cluster, "t-key")
             assert sum("key-one-b" in str(ran.headers) for ran in desk.ran) == 0 and len(desk.ran) == 4
 
             desk.ran.clear()
-            await start(cluster, "t-lose", does="lose", route="sign")
+            await start_trial(cluster, "t-lose", does="lose", route="sign")
             await show("run, and its answer lost", "/sign/2", ("clerks", "chairs"))
             assert len(desk.ran) == 4
             keyed = await answer_to(cluster, 0, "clerks", "/sign/k", Idempotency_Key="k")
             summary.append(f"an action with a key: {keyed}")
-            await end(cluster, "t-lose")
+            await end_trial(cluster, "t-lose")
             result = await answer_to(cluster, 1, "clerks", "/sign/k", Idempotency_Key="k")
             summary.append(f"sent again behind the trial: {result}")
             assert len(desk.ran) == 5
 
-            await start(cluster, "t-delay", does="delay", delay="400ms")
+            await start_trial(cluster, "t-delay", does="delay", delay="400ms")
             began = asyncio.get_running_loop().time()
             assert (await answer_to(cluster, 0, "chairs")).startswith("200")
             quick = asyncio.get_running_loop().time() - began
             assert (await answer_to(cluster, 0, "clerks")).startswith("200")
             assert asyncio.get_running_loop().time() - began - quick >= 0.4
-            await end(cluster, "t-delay")
+            await end_trial(cluster, "t-delay")
             status, answer = await cluster.call_core("GET", cluster.core_ips[0], "/trials")
             result = json.loads(answer)
             summary.append(
@@ -181,21 +182,21 @@
     async def scenario() -> None:
         async with local_cluster(tmp_path, timeout_s=60.0) as cluster:
             await started_cluster(cluster)
-            await start(cluster, "t", lasts="30s")
+            await start_trial(cluster, "t", lasts="30s")
             leader = cluster.primary_ip()
             await cluster.kill(leader)
             await cluster.kill(cluster.proxy_ips[0])
             await cluster.start(cluster.proxy_ips[0])
             await cluster.wait_until_ready(cluster.proxy_ips[0])
             core = next(n for n, ip in enumerate(cluster.core_ips) if ip != leader)
-            while len((await report(cluster, "t", core))["in_force_at"]) < 2:
+            while len((await trial_report(cluster, "t", core))["in_force_at"]) < 2:
                 await asyncio.sleep(0.02)
             for proxy in range(2):
                 assert (await answer_to(cluster, proxy, "clerks")).startswith("503")
                 assert (await answer_to(cluster, proxy, "clerks-hall")).startswith("200")
-            await end(cluster, "t", core)
-            await start(cluster, "short", core=core, lasts="2s")
-            while "ended" not in (result := await report(cluster, "short", core)):
+            await end_trial(cluster, "t", core)
+            await start_trial(cluster, "short", core=core, lasts="2s")
+            while "ended" not in (result := await trial_report(cluster, "short", core)):
                 await asyncio.sleep(0.02)
             assert result["ended_by"] == "ivymux" and result["ended"] - result["at"] < 2.0 + LEASE_S
             assert (await answer_to(cluster, 0, "clerks")).startswith("200")
@@ -207,7 +208,7 @@
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
             await started_cluster(cluster)
-            await start(cluster, "t")
+            await start_trial(cluster, "t")
             for ip in cluster.core_ips:
                 await cluster.kill(ip)
             gone = asyncio.get_running_loop().time()
