--- a/ivymux/simulation/control_plane.py
+++ b/ivymux/simulation/control_plane.py
@@ -1,9 +1,9 @@
-"""Worst days of the control side in simulated time: planned ends, replacements, cuts, frozen processes.
+"""Simulates the core under planned exits, replacements, network faults and frozen processes, in virtual time.
 
-A day has phases.  In each, faults come at their times while operators send changes and doors claim actions;
-then all is mended, a machine must lead, and what the operators count as time to catch up goes by.  Disks are
-lost as often as is to be borne: one in a phase, a replaced machine's counts.  All else comes in any number.
-What holds is checked from outside: `Cores` and `Callers` say what.
+A run has phases.  In each, faults start at their offsets while operators send changes and proxies claim
+actions; then all faults end, a primary has to be elected, and the machines get the time to catch up that
+operators allow.  At most one disk is lost in a phase, including that of a replaced machine; the other faults
+are not limited.  CoreCluster and ActionCallers check the guarantees from outside.
 """
 
 from __future__ import annotations
@@ -15,126 +15,130 @@
 from ivymux.config_store.history import ChangeOutcome
 from ivymux.config_store.records import address_of
 from ivymux.config_store.replica import Replica
-from ivymux.simulation.core_cluster import EXIT_GRACE_S, CoreCluster, GuaranteeViolation
+from ivymux.simulation.core_cluster import EXIT_GRACE_S, USUAL_COMMIT_S, CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import ActionCallers, ReplicaFactory
 from ivymux.simulation.loss_scenarios import CATCH_UP_S
 
-SPARES = 3  # machines that may be added in the course of a day
-PHASE = 5.0  # seconds in which faults begin
-CALM_S = CATCH_UP_S + 0.2  # seconds of calm behind a phase
-RECOVERY = 15.0  # seconds within which a machine leads once all is mended, at a disk's usual pace
-USUAL_COMMIT = 0.008  # seconds
-STEP = 0.05  # seconds between steps of the operators and the doors
-ONE_MACHINE = (
+SPARES = 3  # machines that may be added during a run
+FAULT_WINDOW_S = 5.0  # of a phase, in which faults start
+CALM_S = CATCH_UP_S + 0.2  # without faults after a phase
+RECOVERY_TIMEOUT_S = 15.0  # until there is a primary after all faults ended, on disks of usual speed
+STEP_S = 0.05  # time scale of the steps of the operators and the proxies
+SINGLE_MACHINE_FAULTS = (
     "kill", "power", "wipe", "leave", "retire", "replace", "cut", "out", "in", "slow", "hang", "freeze",
     "full",
 )  # fmt: skip
-ALL_MACHINES = ("kill all", "power all", "aimed", "halves", "loss")
-ROLES = ("primary", "backup", "primary", "backup", "m0", "m1", "m2", "m3", "m4")
+CLUSTER_FAULTS = ("kill all", "power all", "aimed", "halves", "loss")
+TARGETS = ("primary", "backup", "primary", "backup", "m0", "m1", "m2", "m3", "m4")
 MAX_FAULTS = 4  # in one phase
-SEQUENCES = 0.4  # part of the phases whose faults are drawn as a sequence
+SEQUENCE_SHARE = 0.4  # of the phases, whose faults are drawn as a sequence
 
 
 @dataclass(frozen=True, slots=True)
 class ControlFault:
-    """In a phase, so many seconds from its begin, something happens to a machine and lasts for a while.
+    """A fault of a machine, `offset_s` seconds after the start of a phase.
 
-    `machine`: an address, or the role of who has it then.
+    `machine` is an address, or the role of the machine that is affected.
     """
 
     phase: int
-    at: float
+    offset_s: float
     kind: str
     machine: str
-    lasts: float
+    duration_s: float
 
     @staticmethod
-    def read(text: str) -> ControlFault:
-        """As it is printed."""
-        phase, at, kind, machine, lasts = text.split(":")
-        return ControlFault(int(phase), float(at), kind.replace("_", " "), machine, float(lasts))
+    def parse(text: str) -> ControlFault:
+        """Parse the printed form, `phase:offset:kind:machine:duration`."""
+        phase, offset_s, kind, machine, duration_s = text.split(":")
+        return ControlFault(int(phase), float(offset_s), kind.replace("_", " "), machine, float(duration_s))
 
     def __str__(self) -> str:
-        return f"{self.phase}:{self.at:.3f}:{self.kind.replace(' ', '_')}:{self.machine}:{self.lasts:.2f}"
+        kind = self.kind.replace(" ", "_")
+        return f"{self.phase}:{self.offset_s:.3f}:{kind}:{self.machine}:{self.duration_s:.2f}"
 
 
-def drawn_sequence(chance: random.Random, phase: int) -> list[ControlFault]:
-    """Faults that come one behind the other where promises are hardest to keep.
+def draw_sequence(chance: random.Random, phase: int) -> list[ControlFault]:
+    """Draw a sequence of faults that is hard to tolerate.
 
-    A departure and then a lost disk; a primary that stands still while another takes over on a slow disk; a
-    machine that comes back into the core as another is cut off.
+    A departure followed by a lost disk, a primary that freezes while another takes over on a slow disk, or a
+    machine that rejoins the core while another is isolated.
     """
-    at = chance.uniform(0.1, 2.0)
-    one, other = chance.choice(ROLES), chance.choice(ROLES)
+    offset_s = chance.uniform(0.1, 2.0)
+    one, other = chance.choice(TARGETS), chance.choice(TARGETS)
     kind = chance.choice(("departure", "standstill", "repair"))
     if kind == "departure":
-        loss = at + CATCH_UP_S + chance.choice((0.05, 0.2, chance.uniform(0, 1.0)))
-        steps = [(at, "retire", one, 0.1), (loss, chance.choice(("wipe", "aimed")), other, 0.6)]
+        loss = offset_s + CATCH_UP_S + chance.choice((0.05, 0.2, chance.uniform(0, 1.0)))
+        steps = [(offset_s, "retire", one, 0.1), (loss, chance.choice(("wipe", "aimed")), other, 0.6)]
     elif kind == "standstill":
-        frozen = at + chance.uniform(0, 0.3)
-        steps = [(at, "slow", other, 4.0), (frozen, "freeze", "primary", chance.uniform(0.6, 2.0))]
+        frozen = offset_s + chance.uniform(0, 0.3)
+        steps = [(offset_s, "slow", other, 4.0), (frozen, "freeze", "primary", chance.uniform(0.6, 2.0))]
         if chance.random() < 0.5:
             steps.append((frozen + chance.uniform(0, 2.0), "kill all", one, 0.4))
     else:
-        returned = at + 0.5 + chance.uniform(0.0, 0.2)
+        returned = offset_s + 0.5 + chance.uniform(0.0, 0.2)
         steps = [
-            (at, "wipe", one, 0.5),
+            (offset_s, "wipe", one, 0.5),
             (returned, chance.choice(("cut", "in", "out", "halves")), other, 3.0),
         ]
-    return [ControlFault(phase, round(t, 3), kind, role, round(lasts, 2)) for t, kind, role, lasts in steps]
+    return [
+        ControlFault(phase, round(t, 3), kind, role, round(duration_s, 2))
+        for t, kind, role, duration_s in steps
+    ]
 
 
-def drawn_faults(chance: random.Random, phases: int) -> list[ControlFault]:
-    """Faults of a day; half of them close behind another, where second losses are worst."""
+def draw_faults(chance: random.Random, phases: int) -> list[ControlFault]:
+    """Draw the faults of a run, many of them shortly after another, when a second loss does most harm."""
     faults = []
     for phase in range(phases):
-        if chance.random() < SEQUENCES:
-            faults += drawn_sequence(chance, phase)
+        if chance.random() < SEQUENCE_SHARE:
+            faults += draw_sequence(chance, phase)
             continue
-        at = chance.uniform(0.1, 2.0)
+        offset_s = chance.uniform(0.1, 2.0)
         for _ in range(chance.randint(1, MAX_FAULTS)):
-            kind = chance.choice(ONE_MACHINE if chance.random() < 0.8 else ALL_MACHINES)
-            # Around a lease's length is where a vote may be forgotten, or given twice.
-            lasts = chance.choice((0.1, 0.4, round(chance.uniform(0.6, 1.4), 2), 1.5, 3.0, 8.0))
-            faults.append(ControlFault(phase, round(at, 3), kind, chance.choice(ROLES), lasts))
+            kind = chance.choice(SINGLE_MACHINE_FAULTS if chance.random() < 0.8 else CLUSTER_FAULTS)
+            # Durations close to the lease time may make a replica forget a lease grant, or give two.
+            duration_s = chance.choice((0.1, 0.4, round(chance.uniform(0.6, 1.4), 2), 1.5, 3.0, 8.0))
+            faults.append(ControlFault(phase, round(offset_s, 3), kind, chance.choice(TARGETS), duration_s))
             gaps = (chance.uniform(0, 0.1), chance.uniform(0.6, 1.2), chance.uniform(0, 2.5))
-            at = min(PHASE, at + chance.choice(gaps))
+            offset_s = min(FAULT_WINDOW_S, offset_s + chance.choice(gaps))
     return faults
 
 
 class Operators:
-    """Two that change the configuration at any machine, lose answers, send again, also what is long past."""
+    """Two operators that send changes to any machine, miss answers, and repeat open and answered changes."""
 
     def __init__(self, cluster: CoreCluster, chance: random.Random) -> None:
         self.cluster, self.chance = cluster, chance
         self.version = 0
-        self.open: dict[tuple[int, str], int] = {}  # changes without a clear answer, and how often sent
-        self.settled: list[tuple[int, str, ChangeOutcome]] = []
-        checked = cluster.on_change_outcome
+        self.unanswered: dict[tuple[int, str], int] = {}  # changes without a received answer
+        self.answered: list[tuple[int, str, ChangeOutcome]] = []
+        check_outcome = cluster.on_change_outcome
 
-        def answered(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
-            checked(version, text, outcome, known)
-            if chance.random() < 0.7 and self.open.pop((version, text), None) is not None:
-                self.settled.append((version, text, outcome))
+        def on_change_outcome(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
+            check_outcome(version, text, outcome, known)
+            if chance.random() < 0.7 and self.unanswered.pop((version, text), None) is not None:
+                self.answered.append((version, text, outcome))
 
-        cluster.on_change_outcome = answered  # type: ignore[method-assign]
+        cluster.on_change_outcome = on_change_outcome  # type: ignore[method-assign]
 
     def step(self) -> None:
+        """Send new changes and repeat earlier ones, at random."""
         chance, machines = self.chance, list(self.cluster.machines)
-        if chance.random() < 0.3 and len(self.open) < 8:
+        if chance.random() < 0.3 and len(self.unanswered) < 8:
             self.version += chance.randint(0, 2)
             for name in chance.choice((("a",), ("b",), ("a", "b"))):
-                self.open[(self.version, f"{self.version} by {name}")] = 0
-        for version, text in list(self.open):
+                self.unanswered[(self.version, f"{self.version} by {name}")] = 0
+        for version, text in list(self.unanswered):
             if chance.random() < 0.5:
                 self.cluster.put(chance.choice(machines), version, text)
-        if self.settled and chance.random() < 0.1:  # one that was answered before, at any machine
-            version, text, _ = chance.choice(self.settled)
+        if self.answered and chance.random() < 0.1:  # repeat an answered change
+            version, text, _ = chance.choice(self.answered)
             self.cluster.put(chance.choice(machines), version, text)
 
 
-class ControlDay:
-    """One day, played from its numbers alone.  Raises Broken."""
+class ControlPlaneRun:
+    """One run, which depends only on its seed, its size and its faults."""
 
     def __init__(
         self, seed: int, count: int, faults: tuple[ControlFault, ...], make_replica: ReplicaFactory
@@ -145,56 +149,58 @@
         self.spares = [f"m{n}" for n in range(count, count + SPARES)]
         self.operators = Operators(self.cluster, self.chance)
         self.callers = ActionCallers(self.cluster, self.chance)
-        self.disk_lost = False  # in this phase
+        self.is_disk_lost = False  # in this phase
         self.phase_ends = 0.0
         self.successor_synced_at = 0.0
-        self.successors: set[str] = set()  # machines that have come in this phase in the place of others
+        self.successors: set[str] = set()  # machines that replaced others in this phase
 
     def play(self) -> CoreCluster:
+        """Play all phases and return the cluster.  Raises GuaranteeViolation."""
         cluster = self.cluster
-        cluster.removed_machines |= set(self.spares)  # nobody has added them yet
+        cluster.removed_machines |= set(self.spares)  # until they are added
         for number in range(self.count):
             cluster.start_at(self.chance.uniform(0, 0.4), f"m{number}")
         cluster.run_for(2.0)
         phases = sorted({fault.phase for fault in self.faults})
         for phase in phases:
             self.play_phase([fault for fault in self.faults if fault.phase == phase])
-        slowest = max((fault.lasts for fault in self.faults), default=0.0)
-        self.callers.verify_kept_answers(
-            5.0 + 2 * slowest
-        )  # a commit that hangs when a phase ends may last for that long
+        slowest = max((fault.duration_s for fault in self.faults), default=0.0)
+        # A commit that hangs at the end of a phase may take that long.
+        self.callers.verify_kept_answers(5.0 + 2 * slowest)
         return cluster
 
     def play_phase(self, faults: list[ControlFault]) -> None:
+        """Inject the faults of a phase, then end them all and let the machines catch up."""
         cluster = self.cluster
-        self.disk_lost = False
+        self.is_disk_lost = False
         self.successors.clear()
         began = cluster.now
-        self.phase_ends = began + max(fault.at + fault.lasts for fault in faults) + 0.5
+        self.phase_ends = began + max(fault.offset_s + fault.duration_s for fault in faults) + 0.5
         for fault in faults:
-            cluster.schedule(fault.at, lambda fault=fault: self.strike(fault))  # type: ignore[misc]
+            cluster.schedule(fault.offset_s, lambda fault=fault: self.inject(fault))  # type: ignore[misc]
         while cluster.now < self.phase_ends:
             self.step()
         for machine in cluster.machines.values():
-            machine.disk.commit_s, machine.disk.is_full = USUAL_COMMIT, False
-        # A disk that hung is one in trouble until the commit that it was at is done.
-        mended = max([cluster.now, *(machine.commit_ends_at for machine in cluster.machines.values())])
-        cluster.heal(RECOVERY + mended - cluster.now)
-        until = max(cluster.now, mended) + CALM_S
-        while cluster.now < until:
+            machine.disk.commit_s, machine.disk.is_full = USUAL_COMMIT_S, False
+        # A hanging disk recovers only when its running commit ends.
+        recovered_at = max([cluster.now, *(machine.commit_ends_at for machine in cluster.machines.values())])
+        cluster.heal(RECOVERY_TIMEOUT_S + recovered_at - cluster.now)
+        calm_ends = max(cluster.now, recovered_at) + CALM_S
+        while cluster.now < calm_ends:
             self.step()
-        cluster.heal(RECOVERY)
+        cluster.heal(RECOVERY_TIMEOUT_S)
 
     def step(self) -> None:
-        self.cluster.run_for(STEP * self.chance.uniform(0.2, 1.5))
+        """Advance the time a little and let operators and proxies act."""
+        self.cluster.run_for(STEP_S * self.chance.uniform(0.2, 1.5))
         self.operators.step()
         self.callers.step()
         self.cluster.read_all()
 
-    # --- faults ----------------------------------------------------------------------------------------
+    # --- faults ---------------------------------------------------------------------------------------
 
-    def victim(self, fault: ControlFault) -> str:
-        """The address that a fault is meant for."""
+    def target_of(self, fault: ControlFault) -> str:
+        """Return the address of the machine that a fault affects."""
         if fault.machine not in ("primary", "backup"):
             present = [m for m in self.cluster.machines if m not in self.cluster.removed_machines]
             return fault.machine if fault.machine in present else present[0]
@@ -205,52 +211,54 @@
         newest = max(leading, key=lambda record: record.number)
         return address_of(newest.primary if fault.machine == "primary" else newest.backup)
 
-    def may_lose_disk(self) -> bool:
-        """Whether one more disk may be lost in this phase; it counts as lost then.
+    def reserve_disk_loss(self) -> bool:
+        """Return whether a disk may be lost now; if so, it counts as the lost disk of this phase.
 
-        A machine that is replaced counts as lost until its successor has had SYNC_TIME.
+        A replaced machine counts as lost until its successor has been up for CATCH_UP_S.
         """
-        if self.disk_lost or self.cluster.now < self.successor_synced_at:
+        if self.is_disk_lost or self.cluster.now < self.successor_synced_at:
             return False
-        self.disk_lost = True
+        self.is_disk_lost = True
         return True
 
-    def strike(self, fault: ControlFault) -> None:
+    def inject(self, fault: ControlFault) -> None:
+        """Apply a fault and schedule its end; a disk that must not be lost is only restarted."""
         cluster = self.cluster
-        if fault.kind in ALL_MACHINES:
-            self.strike_all(fault)
+        if fault.kind in CLUSTER_FAULTS:
+            self.inject_cluster_fault(fault)
             return
-        machine = self.victim(fault)
+        machine = self.target_of(fault)
         if machine in self.successors:
-            return  # what it replaces counts as lost until it has caught up: no more is to be borne
+            return  # the machine that it replaces counts as lost until it has caught up
         kind = fault.kind
-        if kind in ("wipe", "replace") and not self.may_lose_disk():
+        if kind in ("wipe", "replace") and not self.reserve_disk_loss():
             kind = "kill"
         if kind in ("kill", "power"):
             cluster.kill(machine)
-            self.back(machine, fault.lasts)
+            self.restart_after(machine, fault.duration_s)
         elif kind == "wipe":
             cluster.wipe(machine)
-            self.back(machine, fault.lasts)
+            self.restart_after(machine, fault.duration_s)
         elif kind == "leave":
             cluster.leave(machine)
-            self.back_after_end(machine, fault.lasts)
+            self.restart_after_exit(machine, fault.duration_s)
         elif kind == "retire":
             self.retire(machine)
         elif kind == "replace":
-            self.replace(machine, fault.lasts)
+            self.replace(machine, fault.duration_s)
         elif kind in ("cut", "out", "in"):
             cluster.isolate(machine, outward=kind != "in", inward=kind != "out")
-            cluster.schedule(fault.lasts, cluster.cut_links.clear)
+            cluster.schedule(fault.duration_s, cluster.cut_links.clear)
         elif kind in ("slow", "hang"):
-            self.slow_disk(machine, 0.3 if kind == "slow" else fault.lasts, fault.lasts)
+            self.slow_disk(machine, 0.3 if kind == "slow" else fault.duration_s, fault.duration_s)
         elif kind == "freeze":
             cluster.freeze(machine)
-            cluster.schedule(fault.lasts, lambda: cluster.thaw(machine))
+            cluster.schedule(fault.duration_s, lambda: cluster.thaw(machine))
         elif kind == "full":
-            self.fill_disk(machine, fault.lasts)
+            self.fill_disk(machine, fault.duration_s)
 
-    def strike_all(self, fault: ControlFault) -> None:
+    def inject_cluster_fault(self, fault: ControlFault) -> None:
+        """Apply a fault that affects all machines or links, and schedule its end."""
         cluster = self.cluster
         if fault.kind == "halves":
             machines = [m for m in cluster.machines if m not in cluster.removed_machines]
@@ -258,24 +266,24 @@
             for one, other in itertools.permutations(machines, 2):
                 if (one in half) != (other in half):
                     cluster.cut_links.add((one, other))
-            cluster.schedule(fault.lasts, cluster.cut_links.clear)
+            cluster.schedule(fault.duration_s, cluster.cut_links.clear)
             return
         if fault.kind == "loss":
             cluster.loss_rate = 0.2
-            cluster.schedule(fault.lasts, self.end_loss)
+            cluster.schedule(fault.duration_s, self.end_loss)
             return
-        victim = self.victim(fault)
+        victim = self.target_of(fault)
         for machine in list(cluster.machines):
             cluster.kill(machine)
-            self.back(machine, min(fault.lasts, 1.5))
-        if fault.kind == "aimed" and self.may_lose_disk():
+            self.restart_after(machine, min(fault.duration_s, 1.5))
+        if fault.kind == "aimed" and self.reserve_disk_loss():
             cluster.wipe(victim)
 
     def end_loss(self) -> None:
         self.cluster.loss_rate = 0.0
 
-    def back(self, machine: str, after: float) -> None:
-        """The process starts again, unless its machine is gone for good."""
+    def restart_after(self, machine: str, after: float) -> None:
+        """Restart a process after a delay, unless its machine was removed meanwhile."""
 
         def start() -> None:
             if machine not in self.cluster.removed_machines:
@@ -283,12 +291,12 @@
 
         self.cluster.schedule(after, start)
 
-    def back_after_end(self, machine: str, after: float) -> None:
-        """The same, once a planned end is over."""
-        self.back(machine, EXIT_GRACE_S + 0.1 + after)
+    def restart_after_exit(self, machine: str, after: float) -> None:
+        """Restart a process `after` seconds after the grace time of its exit."""
+        self.restart_after(machine, EXIT_GRACE_S + 0.1 + after)
 
-    def add_spare(self) -> None:
-        """A new machine, at another address, where there is one left."""
+    def start_spare(self) -> None:
+        """Start a spare machine at a new address, if one is left."""
         if self.spares:
             spare = self.spares.pop(0)
             self.successors.add(spare)
@@ -296,77 +304,79 @@
             self.cluster.start(spare)
 
     def retire(self, machine: str) -> None:
-        """A planned replacement: the successor first, and then the end, for good where nothing is held.
+        """Replace a machine as planned: start the successor, then let the machine exit.
 
-        A process that still holds a copy at the end of its grace takes a disk with it: then the operators
-        start it again, unless a disk may be lost.
+        The machine is removed for good if its replica allowed the exit.  If it was killed with a needed
+        copy, its disk counts as lost: it is restarted, unless a disk may be lost.
         """
         cluster = self.cluster
-        if cluster.machines[machine].replica is None or not self.spares or self.disk_lost:
+        if cluster.machines[machine].replica is None or not self.spares or self.is_disk_lost:
             return
-        self.add_spare()
+        self.start_spare()
         self.successor_synced_at = cluster.now + CATCH_UP_S
         self.phase_ends = max(self.phase_ends, self.successor_synced_at + 1.0)
         cluster.schedule(CATCH_UP_S, lambda: cluster.leave(machine))
 
-        def look() -> None:
+        def remove_once_exited() -> None:
             replica = cluster.machines[machine].replica
-            if replica is None:  # it ended in time, or was lost meanwhile
-                self.remove(machine)
+            if replica is None:  # it exited, or was killed meanwhile
+                self.remove_or_restart(machine)
             elif replica.leaving_since is not None and replica.may_exit():
                 cluster.removed_machines.add(machine)
                 cluster.kill(machine)
             else:
-                cluster.schedule(0.02, look)
+                cluster.schedule(0.02, remove_once_exited)
 
-        cluster.schedule(CATCH_UP_S + 0.01, look)
+        cluster.schedule(CATCH_UP_S + 0.01, remove_once_exited)
 
-    def remove(self, machine: str) -> None:
-        """A process that is down is not started again if its disk may be lost, else it is."""
-        if self.may_lose_disk():
+    def remove_or_restart(self, machine: str) -> None:
+        """Remove a machine that is down if its disk may be lost; otherwise restart it."""
+        if self.reserve_disk_loss():
             self.cluster.removed_machines.add(machine)
         else:
-            self.back(machine, 0.3)
+            self.restart_after(machine, 0.3)
 
     def replace(self, machine: str, after: float) -> None:
-        """A machine is gone for good, an empty one comes later at another address."""
+        """Remove a machine for good and start an empty one later at another address."""
         if not self.spares:
             self.cluster.wipe(machine)
-            self.back(machine, after)
+            self.restart_after(machine, after)
             return
         self.cluster.removed_machines.add(machine)
         self.cluster.kill(machine)
-        self.cluster.schedule(min(after, 3.0), self.add_spare)
+        self.cluster.schedule(min(after, 3.0), self.start_spare)
 
-    def slow_disk(self, machine: str, commit_s: float, lasts: float) -> None:
+    def slow_disk(self, machine: str, commit_s: float, duration_s: float) -> None:
+        """Slow down the commits of a disk for `duration_s` seconds."""
         disk = self.cluster.machines[machine].disk
         disk.commit_s = commit_s
 
-        def usual() -> None:
-            disk.commit_s = USUAL_COMMIT
+        def restore() -> None:
+            disk.commit_s = USUAL_COMMIT_S
 
-        self.cluster.schedule(lasts, usual)
+        self.cluster.schedule(duration_s, restore)
 
-    def fill_disk(self, machine: str, lasts: float) -> None:
+    def fill_disk(self, machine: str, duration_s: float) -> None:
+        """Fill a disk for `duration_s` seconds, and restart the process afterwards."""
         disk = self.cluster.machines[machine].disk
         disk.is_full = True
 
-        def room() -> None:
+        def free_space() -> None:
             disk.is_full = False
-            self.back(machine, 0.3)
+            self.restart_after(machine, 0.3)
 
-        self.cluster.schedule(lasts, room)
+        self.cluster.schedule(duration_s, free_space)
 
 
 @dataclass(frozen=True, slots=True)
-class Control:
-    """A world for `explore`: days of the control side."""
+class ControlPlaneWorld:
+    """Random runs of the core for `explore`, with the faults of this module."""
 
     make_replica: ReplicaFactory = Replica
     name: str = "control"
 
     def draw(self, chance: random.Random) -> tuple[str, ...]:
-        faults = drawn_faults(chance, chance.randint(1, 3))
+        faults = draw_faults(chance, chance.randint(1, 3))
         return (f"seed:{chance.randrange(1 << 30)}:{chance.choice((3, 3, 4, 5))}", *map(str, faults))
 
     def play(self, events: tuple[str, ...]) -> str:
@@ -377,9 +387,9 @@
                 _, seed_text, count_text = event.split(":")
                 seed, count = int(seed_text), int(count_text)
             else:
-                faults.append(ControlFault.read(event))
+                faults.append(ControlFault.parse(event))
         try:
-            ControlDay(seed, count, tuple(faults), self.make_replica).play()
+            ControlPlaneRun(seed, count, tuple(faults), self.make_replica).play()
         except GuaranteeViolation as error:
             return str(error)
         return ""
--- a/ivymux/simulation/exploration.py
+++ b/ivymux/simulation/exploration.py
@@ -13,7 +13,7 @@
 
 from ivymux.config_store.replica import Replica
 from ivymux.registry import outlier_detection
-from ivymux.simulation.control_plane import Control
+from ivymux.simulation.control_plane import ControlPlaneWorld
 from ivymux.simulation.core_cluster import GuaranteeViolation
 from ivymux.simulation.event_queue import START
 from ivymux.simulation.fault_schedules import FAULT_TARGETS, Fault, ReplicaFactory, run_two_changes
@@ -174,7 +174,7 @@
         return ""
 
 
-WORLDS: tuple[Callable[[], World], ...] = (Core, Control, Trials, Quotas, Cuts, Doubts)
+WORLDS: tuple[Callable[[], World], ...] = (Core, ControlPlaneWorld, Trials, Quotas, Cuts, Doubts)
 
 
 @dataclass(frozen=True, slots=True)
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -25,7 +25,7 @@
 from ivymux.proxy.counter_holders import CounterHolders
 from ivymux.proxy.lease_counts import LeaseCounts, TenantUsage
 from ivymux.registry import outlier_detection
-from ivymux.simulation.control_plane import Control
+from ivymux.simulation.control_plane import ControlPlaneWorld
 from ivymux.simulation.core_cluster import CoreCluster, Disk
 from ivymux.simulation.exploration import Core, Cuts, Doubts, Quotas, Trials, World
 from orchidhill import interface as i
@@ -329,19 +329,19 @@
     "reads without a lease": lambda: contextlib.nullcontext(Core(Sure)),
     "an epoch without a majority": lambda: contextlib.nullcontext(Core(Alone)),
     "a backup that does not write": lambda: contextlib.nullcontext(Core(Deaf)),
-    "a member that leaves without handing over": lambda: contextlib.nullcontext(Control(Abrupt)),
-    "changes of an epoch below the promise": lambda: contextlib.nullcontext(Control(Unfenced)),
-    "a change known by its number alone": lambda: contextlib.nullcontext(Control(NumbersOnly)),
-    "a backup without the history": lambda: contextlib.nullcontext(Control(NewestOnly)),
-    "a change behind one that was lost": lambda: contextlib.nullcontext(Control(Skipping)),
-    "changes behind a state that is fixed": lambda: contextlib.nullcontext(Control(Unfixed)),
-    "members let out by hearsay": lambda: contextlib.nullcontext(Control(Hearsay)),
-    "claims on one disk": lambda: contextlib.nullcontext(Control(OnOneDisk)),
-    "a book that is not repaired": lambda: contextlib.nullcontext(Control(Unrepaired)),
-    "no lease": lambda: contextlib.nullcontext(Control(Sure)),
-    "no majority on a day of the control side": lambda: any_majority(Control()),
-    "an epoch whose backup has not the state": lambda: contextlib.nullcontext(Control(Unbacked)),
-    "an answer before the own disk": lambda: contextlib.nullcontext(Control(Early)),
+    "a member that leaves without handing over": lambda: contextlib.nullcontext(ControlPlaneWorld(Abrupt)),
+    "changes of an epoch below the promise": lambda: contextlib.nullcontext(ControlPlaneWorld(Unfenced)),
+    "a change known by its number alone": lambda: contextlib.nullcontext(ControlPlaneWorld(NumbersOnly)),
+    "a backup without the history": lambda: contextlib.nullcontext(ControlPlaneWorld(NewestOnly)),
+    "a change behind one that was lost": lambda: contextlib.nullcontext(ControlPlaneWorld(Skipping)),
+    "changes behind a state that is fixed": lambda: contextlib.nullcontext(ControlPlaneWorld(Unfixed)),
+    "members let out by hearsay": lambda: contextlib.nullcontext(ControlPlaneWorld(Hearsay)),
+    "claims on one disk": lambda: contextlib.nullcontext(ControlPlaneWorld(OnOneDisk)),
+    "a book that is not repaired": lambda: contextlib.nullcontext(ControlPlaneWorld(Unrepaired)),
+    "no lease": lambda: contextlib.nullcontext(ControlPlaneWorld(Sure)),
+    "no majority on a day of the control side": lambda: any_majority(ControlPlaneWorld()),
+    "an epoch whose backup has not the state": lambda: contextlib.nullcontext(ControlPlaneWorld(Unbacked)),
+    "an answer before the own disk": lambda: contextlib.nullcontext(ControlPlaneWorld(Early)),
     "a majority of one": lambda: any_majority(Core()),
     "a trial's lease from its hearing": lambda: swapped(Trials(), RequestMatcher, renew_lease=by_hearing),
     "a lease of twice its length": lambda: swapped(
@@ -363,14 +363,16 @@
 
 # Days of the control side show these too, one in thousands: `python -m bench.explore --rare`.
 RARE: dict[str, Seeded] = {
-    "a lease of one epoch's members": lambda: contextlib.nullcontext(Control(OneEpochsLease)),
-    "votes for a primary below the promise": lambda: contextlib.nullcontext(Control(Wavering)),
-    "a leader with an abandoned state": lambda: contextlib.nullcontext(Control(Stateless)),
-    "one promise for two candidates": lambda: contextlib.nullcontext(Control(Unregistered)),
-    "a lease that is not waited out": lambda: contextlib.nullcontext(Control(Hasty)),
-    "votes forgotten with a restart": lambda: contextlib.nullcontext(Control(Fresh)),
-    "promises that are on no disk": lambda: contextlib.nullcontext(Control(Forgetful)),
-    "a wiped machine that votes as the old one": lambda: swapped(Control(), CoreCluster, wipe=same_name),
+    "a lease of one epoch's members": lambda: contextlib.nullcontext(ControlPlaneWorld(OneEpochsLease)),
+    "votes for a primary below the promise": lambda: contextlib.nullcontext(ControlPlaneWorld(Wavering)),
+    "a leader with an abandoned state": lambda: contextlib.nullcontext(ControlPlaneWorld(Stateless)),
+    "one promise for two candidates": lambda: contextlib.nullcontext(ControlPlaneWorld(Unregistered)),
+    "a lease that is not waited out": lambda: contextlib.nullcontext(ControlPlaneWorld(Hasty)),
+    "votes forgotten with a restart": lambda: contextlib.nullcontext(ControlPlaneWorld(Fresh)),
+    "promises that are on no disk": lambda: contextlib.nullcontext(ControlPlaneWorld(Forgetful)),
+    "a wiped machine that votes as the old one": lambda: swapped(
+        ControlPlaneWorld(), CoreCluster, wipe=same_name
+    ),
 }
 
 # Those that these worlds did not show, in 1,500 to 4,000 days of the core, 400 of cuts.  Random schedules
