--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from bench.common import figure, parser, report
-from ivymux.simulation.event_queue import START
-from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
+from ivymux.simulation.event_queue import START_TIME
+from ivymux.simulation.quota_sharing import DistributedQuotaSimulation, QuotaSimulation, Tenant, quota_plan
 
 DOORS = (11, 85, 300, 1000)
 SECONDS = 15.0
@@ -29,7 +29,7 @@
         return lambda s: rate * part * (9.0 if hot and FLOOD[0] <= s < FLOOD[1] else 1.0)
 
     return [
-        Tenant(plan(f"t{n}", rate, rate), asks(rate, part, flood and n == HOT))
+        Tenant(quota_plan(f"t{n}", rate, rate), asks(rate, part, flood and n == HOT))
         for n, (rate, part) in enumerate(TENANTS)
     ]
 
@@ -37,7 +37,7 @@
 def used(tenant: Tenant) -> float:
     """Of what the rule leaves beyond the quota, the part that was used in the worst 5 s."""
     whole = 5 * tenant.plan.rate + tenant.plan.burst
-    return (tenant.most(5.0) - whole) / (tenant.allowed() - whole)
+    return (tenant.max_sent_within(5.0) - whole) / (tenant.allowed_within_window() - whole)
 
 
 def at_rate(rate: float, part: float) -> Callable[[float], float]:
@@ -47,29 +47,31 @@
 def one_cut(case: tuple[float, float, int]) -> float:
     """Two of eight doors are cut off for 8 s: of all requests of the 4 s behind, the part given up."""
     rate, part, seed = case
-    made = HeldByDoors(8, [Tenant(plan(f"t{n}", rate, rate), at_rate(rate, part)) for n in range(8)], seed)
+    made = DistributedQuotaSimulation(
+        8, [Tenant(quota_plan(f"t{n}", rate, rate), at_rate(rate, part)) for n in range(8)], seed
+    )
     cut = 3.0 + 1.1 * seed
     for door in (2 * seed % 8, (2 * seed + 1) % 8):
-        made.at(START + cut, lambda door=door: made.cut(door))  # type: ignore[misc]
-        made.at(START + cut + 8.0, lambda door=door: made.back(door))  # type: ignore[misc]
-    made.run(cut + 14.0)
-    return sum(t.refused_part(cut + 8.0, cut + 12.0) for t in made.tenants) / len(made.tenants)
+        made.schedule_at(START_TIME + cut, lambda door=door: made.partition(door))  # type: ignore[misc]
+        made.schedule_at(START_TIME + cut + 8.0, lambda door=door: made.reconnect(door))  # type: ignore[misc]
+    made.run_until(cut + 14.0)
+    return sum(t.failed_share(cut + 8.0, cut + 12.0) for t in made.tenants) / len(made.tenants)
 
 
 def many_cuts(seed: int) -> float:
     """Doors cut off again and again while two of eight tenants flood: used of what the rule leaves."""
     chance = random.Random(seed)
     asks = [at_rate(33.0, 9.0), at_rate(33.0, 0.7)]
-    tenants = [Tenant(plan(f"t{n}", 33.0, 33.0), asks[n >= 2]) for n in range(8)]
-    made = HeldByDoors(chance.choice((6, 11, 16)), tenants, seed)
+    tenants = [Tenant(quota_plan(f"t{n}", 33.0, 33.0), asks[n >= 2]) for n in range(8)]
+    made = DistributedQuotaSimulation(chance.choice((6, 11, 16)), tenants, seed)
     for _ in range(chance.randint(1, 4)):
         door, at = chance.randrange(len(made.ids)), chance.uniform(3.0, 12.0)
         for _ in range(chance.randint(1, 3)):
             back = at + chance.uniform(0.05, 6.0)
-            made.at(START + at, lambda door=door: made.cut(door))  # type: ignore[misc]
-            made.at(START + back, lambda door=door: made.back(door))  # type: ignore[misc]
+            made.schedule_at(START_TIME + at, lambda door=door: made.partition(door))  # type: ignore[misc]
+            made.schedule_at(START_TIME + back, lambda door=door: made.reconnect(door))  # type: ignore[misc]
             at = back + chance.uniform(0.05, 4.0)
-    made.run(28.0)
+    made.run_until(28.0)
     return max(used(t) for t in made.tenants)
 
 
@@ -99,20 +101,20 @@
         lost: list[float] = []
         for seed in seeds:
             for trouble in ("", "flood", "lost counts"):
-                made = Doors(count, tenants(trouble != ""), seed)
+                made = QuotaSimulation(count, tenants(trouble != ""), seed)
                 if trouble == "lost counts":
-                    made.at(START + 6.0, made.lose_counts)
-                made.run(seconds)
+                    made.schedule_at(START_TIME + 6.0, made.lose_counts)
+                made.run_until(seconds)
                 most = max(used(t) for t in made.tenants)
                 if most > 1:
                     raise AssertionError(f"{count} doors, seed {seed}, {trouble}: a quota was passed")
                 (lost if trouble == "lost counts" else worst).append(most)
                 if not trouble:
-                    asked = sum(t.asked for t in made.tenants)
-                    calls.append(made.calls.total() / asked)
-                    refused.append(sum(t.given_up for t in made.tenants) / asked)
+                    asked = sum(t.requested for t in made.tenants)
+                    calls.append(made.counter_calls.total() / asked)
+                    refused.append(sum(t.failed for t in made.tenants) / asked)
                 quiet = [t for n, t in enumerate(made.tenants) if n != HOT]
-                given_up = sum(t.given_up for t in quiet) / sum(t.asked for t in quiet)
+                given_up = sum(t.failed for t in quiet) / sum(t.requested for t in quiet)
                 ratios[f"{count} doors, seed {seed}, {trouble or 'calm'}: others refused in their quota"] = (
                     given_up
                 )
--- a/bench/servers.py
+++ b/bench/servers.py
@@ -12,34 +12,38 @@
 from typing import Any
 
 from bench.common import figure, parser, report
-from ivymux.simulation.backend_selection import Floor, Kind
-from ivymux.simulation.event_queue import START
+from ivymux.simulation.backend_selection import BackendSelectionSimulation, ServiceLoad
+from ivymux.simulation.event_queue import START_TIME
 from orchidhill import proxy_gateway
 
 DOORS = (11, 85, 300, 1000)
-KINDS = [Kind(0.22, 254.0, 64), Kind(0.29, 85.0, 28, repeatable=False), Kind(0.55, 90.0, 63)]
+KINDS = [
+    ServiceLoad(0.22, 254.0, 64),
+    ServiceLoad(0.29, 85.0, 28, is_repeatable=False),
+    ServiceLoad(0.55, 90.0, 63),
+]
 SECONDS = 14.0
 FAILING = (5.0, 10.0)  # seconds in which one server in sixteen fails all that it is sent
 FORMS = ("", ", one order for all", ", failures not told")
 
 
-def play(doors: int, seed: int, form: str) -> Floor:
+def play(doors: int, seed: int, form: str) -> BackendSelectionSimulation:
     turns, proxy_gateway.ROTATION_S = (
         proxy_gateway.ROTATION_S,
         proxy_gateway.ROTATION_S if form != FORMS[1] else 0.0,
     )
     try:
-        floor = Floor(doors, KINDS, seed, shared=form != FORMS[2])
+        simulation = BackendSelectionSimulation(doors, KINDS, seed, shares_failures=form != FORMS[2])
     finally:
         proxy_gateway.ROTATION_S = turns
 
     def fail() -> None:
-        for machine in floor.machines[::16]:
-            machine.fails_until = START + FAILING[1]
+        for backend in simulation.backends[::16]:
+            backend.fails_until = START_TIME + FAILING[1]
 
-    floor.at(START + FAILING[0], fail)
-    floor.run(SECONDS)
-    return floor
+    simulation.schedule_at(START_TIME + FAILING[0], fail)
+    simulation.run_until(SECONDS)
+    return simulation
 
 
 def main() -> None:
@@ -50,18 +54,21 @@
             runs = [play(doors, seed, form) for seed in ((1,) if args.quick else (1, 2, 3))]
             name = f"{doors} doors{form}: "
             figures |= {
-                name + "late in the first 3 s": figure([r.late(0.0, 3.0) for r in runs], "of requests"),
+                name + "late in the first 3 s": figure([r.late_share(0.0, 3.0) for r in runs], "of requests"),
                 name + "late from 3 s to the failures": figure(
-                    [r.late(3.0, 4.5) for r in runs], "of requests"
+                    [r.late_share(3.0, 4.5) for r in runs], "of requests"
                 ),
                 name + "most at one server in the first second": figure(
-                    [max(r.first.values()) for r in runs], "requests"
+                    [max(r.first_second_requests.values()) for r in runs], "requests"
                 ),
-                name + "never served": figure([r.failed / r.asked for r in runs], "of requests"),
-                name + "new connections": figure([r.connections / r.asked for r in runs], "of requests"),
-                name + "begun again": figure([r.again / r.asked for r in runs], "of requests"),
+                name + "never served": figure([r.failed / r.requested for r in runs], "of requests"),
+                name + "new connections": figure(
+                    [r.opened_connections / r.requested for r in runs], "of requests"
+                ),
+                name + "begun again": figure([r.retries / r.requested for r in runs], "of requests"),
             }
-    load = f"{sum(k.rate for k in KINDS):.0f} requests a second, {sum(k.servers for k in KINDS)} servers"
+    rate, backends = sum(k.request_rate for k in KINDS), sum(k.backends for k in KINDS)
+    load = f"{rate:.0f} requests a second, {backends} servers"
     report(args, load, figures, {})
 
 
--- a/ivymux/simulation/backend_selection.py
+++ b/ivymux/simulation/backend_selection.py
@@ -1,8 +1,8 @@
-"""Doors of the system before their servers, simulated: which server each takes, and what that costs.
+"""Simulates proxies that select backends, and measures the latencies, retries and connections.
 
-No clock and no socket: a run has the same figures on every machine.  Servers of one service differ in speed,
-work on two requests at once and queue a few more; doors know what they have sent themselves and, where it is
-shared, what others have met.  Time is in seconds.
+It uses no clock and no sockets, so results are the same on every machine.  Backends of a service differ in
+speed, work on a few requests at once and queue a few more.  Proxies know the requests that they sent and, if
+failures are shared, the backends that were ejected.  Times are in seconds.
 """
 
 from __future__ import annotations
@@ -16,188 +16,219 @@
 from ivymux.proxy.failure_reports import indicates_backend_failure
 from ivymux.proxy.module_settings import module_settings
 from ivymux.registry.outlier_detection import OutlierDetector
-from ivymux.simulation.event_queue import START, Clocked
+from ivymux.simulation.event_queue import START_TIME, EventQueue
 from orchidhill import interface as i
 from orchidhill.interface import Outcome
 from orchidhill.proxy_gateway import ProxyGateway, ProxyRules
 
-TERMS = ProxyRules(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
-HOP = 0.001  # one way between a door and a server
-TOLD = 0.035  # from a failure at a door to all doors' knowing, where several met it
-SLOTS, QUEUE = 2, 6
-FAILS_AFTER = 0.01  # seconds in which a failing server answers
-KEPT = 10.0  # seconds that an idle connection is kept
+RULES = ProxyRules(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
+HOP_S = 0.001  # one way between a proxy and a backend
+EJECTION_DELAY_S = 0.035  # from a failure report to the ejection at all proxies
+SLOTS, MAX_QUEUED = 2, 6  # of a backend: concurrent and queued requests
+FAILURE_RESPONSE_S = 0.01  # until a failing backend answers
+IDLE_CONNECTION_S = 10.0  # for which an idle connection is kept open
 ZONES = 4
-AIM = 4.0  # times the mean work
+TARGET_LATENCY_FACTOR = 4.0  # of the mean work of a request
 
 
 @dataclass(slots=True)
-class Kind:
-    """A service's requests, one class each; seconds, and requests a second over all doors."""
+class ServiceLoad:
+    """The requests of a service, which have one class, and its number of backends."""
 
-    work: float
-    rate: float
-    servers: int
-    repeatable: bool = True
+    work_s: float  # mean of a request
+    request_rate: float  # requests a second at all proxies
+    backends: int
+    is_repeatable: bool = True
 
 
 @dataclass(slots=True)
-class Machine:
-    """One server."""
+class Backend:
+    """A simulated backend."""
 
-    kind: int
-    pace: float
-    at_work: int = 0
+    service: int
+    work_factor: float  # relative to the mean work of the service
+    busy_slots: int = 0
     queue: deque[Callable[[], None]] = field(default_factory=deque)
     fails_until: float = 0.0
 
 
 @dataclass(slots=True)
-class Asked:
-    kind: int
-    door: int
-    began: float
-    out: int = 0  # attempts so far
-    server: int = 0
+class OpenRequest:
+    """A request without a final answer."""
 
+    service: int
+    proxy: int
+    started_at: float
+    attempts: int = 0
+    backend: int = 0  # number of the backend that has the last attempt
 
-class Floor(Clocked):
-    def __init__(self, doors: int, kinds: list[Kind], seed: int, shared: bool = True) -> None:
+
+class BackendSelectionSimulation(EventQueue):
+    """`proxies` proxies in front of the backends of several services, with a constant load."""
+
+    def __init__(
+        self, proxies: int, services: list[ServiceLoad], seed: int, shares_failures: bool = True
+    ) -> None:
         super().__init__()
-        self.random, self.kinds, self.shared = random.Random(seed), kinds, shared
-        self.number = itertools.count(1)
-        self.machines = [
-            Machine(n, self.random.lognormvariate(0.0, 0.25))
-            for n, kind in enumerate(kinds)
-            for _ in range(kind.servers)
+        self.random, self.services, self.shares_failures = random.Random(seed), services, shares_failures
+        self.request_ids = itertools.count(1)
+        self.backends = [
+            Backend(n, self.random.lognormvariate(0.0, 0.25))
+            for n, service in enumerate(services)
+            for _ in range(service.backends)
         ]
-        self.weights = [self.random.gammavariate(4.0, 1.0) for _ in range(doors)]
-        self.doors = [self.door(n) for n in range(doors)]
+        self.weights = [self.random.gammavariate(4.0, 1.0) for _ in range(proxies)]
+        self.proxies = [self.create_proxy(n) for n in range(proxies)]
         self.outliers = OutlierDetector()
-        self.idle: dict[tuple[int, int], list[float]] = {}  # connections, by door and server, since when
-        self.open: dict[int, Asked] = {}
-        self.took: list[tuple[float, float]] = []  # when it began, its time over the mean work
-        self.connections = self.failed = self.again = self.asked = 0
-        self.first: dict[int, int] = {}  # servers' requests of the first second
-        for n in range(len(kinds)):
-            self.next(n)
-
-    def door(self, n: int) -> ProxyGateway:
-        made = ProxyGateway(module_settings(), self.random.getrandbits(64), TERMS)
+        # Times since which connections are idle, by proxy and backend.
+        self.idle_connections: dict[tuple[int, int], list[float]] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.latencies: list[tuple[float, float]] = []  # start, and duration relative to the mean work
+        self.opened_connections = self.failed = self.retries = self.requested = 0
+        self.first_second_requests: dict[int, int] = {}  # by backend
+        for n in range(len(services)):
+            self.schedule_next_request(n)
+
+    def create_proxy(self, n: int) -> ProxyGateway:
+        """Create the decision module of proxy `n`, which has every ZONES-th backend in its zone."""
+        proxy = ProxyGateway(module_settings(), self.random.getrandbits(64), RULES)
         classes = tuple(
             i.RequestClass(
-                f"k{k}", AIM * kind.work, 20 * kind.work,
-                i.Effect.SAFE if kind.repeatable else i.Effect.UNSAFE, i.Scope.ALL, 0.0, 1.0, 0.2, False,
+                f"k{k}", TARGET_LATENCY_FACTOR * service.work_s, 20 * service.work_s,
+                i.Effect.SAFE if service.is_repeatable else i.Effect.UNSAFE, i.Scope.ALL, 0.0, 1.0, 0.2,
+                False,
             )
-            for k, kind in enumerate(self.kinds)
+            for k, service in enumerate(self.services)
         )  # fmt: skip
         entries = tuple(
-            i.Entry(m + 1, (m - n) % ZONES and 1, 0.0, i.State.READY, 0, 0, float(SLOTS), machine.kind)
-            for m, machine in enumerate(self.machines)
+            i.Entry(m + 1, (m - n) % ZONES and 1, 0.0, i.State.READY, 0, 0, float(SLOTS), backend.service)
+            for m, backend in enumerate(self.backends)
         )
         plans = (i.Plan("", 0.0, 0.0, 0, 1.0, 2.0, 0.0, 0.0, 0.0, 0.0),)
         for event in (i.Classes(classes), i.Plans(plans), i.Members(i.Listing.DELTA, 1, entries)):
-            made.handle(self.now, event)
-        return made
-
-    # --- doors ---------------------------------------------------------------------------------------
-
-    def next(self, kind: int) -> None:
-        def come() -> None:
-            self.asked += 1
-            door = self.random.choices(range(len(self.doors)), self.weights)[0]
-            number, aim = next(self.number), self.kinds[kind].work
-            self.open[number] = Asked(kind, door, self.now)
-            write = not self.kinds[kind].repeatable
-            self.tell(door, i.Request(number, kind, 0, 0, 20 * aim, 1.0, 1, 0, False, write, kind, 2))
-            self.next(kind)
+            proxy.handle(self.now, event)
+        return proxy
+
+    # --- proxies -------------------------------------------------------------------------------------
+
+    def schedule_next_request(self, service: int) -> None:
+        """Schedule the next request of a service, at an exponentially distributed interval."""
+
+        def on_arrival() -> None:
+            self.requested += 1
+            proxy = self.random.choices(range(len(self.proxies)), self.weights)[0]
+            number, work_s = next(self.request_ids), self.services[service].work_s
+            self.open_requests[number] = OpenRequest(service, proxy, self.now)
+            is_write = not self.services[service].is_repeatable
+            self.dispatch(
+                proxy, i.Request(number, service, 0, 0, 20 * work_s, 1.0, 1, 0, False, is_write, service, 2)
+            )
+            self.schedule_next_request(service)
 
-        self.at(self.now + self.random.expovariate(self.kinds[kind].rate), come)
+        self.schedule_at(self.now + self.random.expovariate(self.services[service].request_rate), on_arrival)
 
-    def tell(self, door: int, event: i.Event) -> None:
-        for action in self.doors[door].handle(self.now, event):
+    def dispatch(self, proxy: int, event: i.Event) -> None:
+        """Let a proxy handle an event, and execute its actions."""
+        for action in self.proxies[proxy].handle(self.now, event):
             if isinstance(action, i.Send):
-                self.send(door, action)
+                self.send(proxy, action)
             elif isinstance(action, i.SetTimer):
                 fired = i.Fired(action.token)
-                self.at(action.at, lambda e=fired: self.tell(door, e))  # type: ignore[misc]
+                self.schedule_at(action.at, lambda e=fired: self.dispatch(proxy, e))  # type: ignore[misc]
             elif isinstance(action, i.Cancel):
-                asked = self.open[action.request]
-                self.ended(action.request, asked.out - 1, asked.server, Outcome.CANCELLED)
+                request = self.open_requests[action.request]
+                self.on_attempt_end(action.request, request.attempts - 1, request.backend, Outcome.CANCELLED)
             elif isinstance(action, i.Refuse | i.Fail):
-                del self.open[action.request]
+                del self.open_requests[action.request]
                 self.failed += 1
 
-    def send(self, door: int, action: i.Send) -> None:
-        asked, server = self.open[action.request], action.backend - 1
-        attempt, asked.out, asked.server = asked.out, asked.out + 1, action.backend
-        self.again += attempt > 0
-        if self.now < START + 1:
-            self.first[server] = self.first.get(server, 0) + 1
-        idle = self.idle.setdefault((door, server), [])
-        while idle and idle[0] < self.now - KEPT:
+    def send(self, proxy: int, action: i.Send) -> None:
+        """Send an attempt to a backend, on an idle connection if there is one."""
+        request, backend_index = self.open_requests[action.request], action.backend - 1
+        attempt, request.attempts, request.backend = request.attempts, request.attempts + 1, action.backend
+        self.retries += attempt > 0
+        if self.now < START_TIME + 1:
+            self.first_second_requests[backend_index] = self.first_second_requests.get(backend_index, 0) + 1
+        idle = self.idle_connections.setdefault((proxy, backend_index), [])
+        while idle and idle[0] < self.now - IDLE_CONNECTION_S:
             idle.pop(0)
         if idle:
             idle.pop()
         else:
-            self.connections += 1
-        self.at(self.now + HOP, lambda: self.arrive(action.request, attempt, server, door))
-
-    # --- servers ---------------------------------------------------------------------------------------
-
-    def arrive(self, number: int, attempt: int, server: int, door: int) -> None:
-        machine = self.machines[server]
-
-        def over(outcome: Outcome) -> None:
-            self.idle[door, server].append(self.now)
-            self.at(self.now + HOP, lambda: self.ended(number, attempt, server + 1, outcome))
-
-        def begin() -> None:
-            machine.at_work += 1
-            kind = self.kinds[machine.kind]
-            failing = self.now < machine.fails_until
-            work = FAILS_AFTER if failing else kind.work * machine.pace * self.random.gammavariate(4.0, 0.25)
-            self.at(self.now + work, lambda: done(Outcome.ERROR if failing else Outcome.OK))
-
-        def done(outcome: Outcome) -> None:
-            machine.at_work -= 1
-            if machine.queue:
-                machine.queue.popleft()()
-            over(outcome)
-
-        if machine.at_work < SLOTS:
-            begin()
-        elif len(machine.queue) < QUEUE:
-            machine.queue.append(begin)
+            self.opened_connections += 1
+        self.schedule_at(
+            self.now + HOP_S,
+            lambda: self.on_request_arrival(action.request, attempt, backend_index, proxy),
+        )
+
+    # --- backends --------------------------------------------------------------------------------------
+
+    def on_request_arrival(self, number: int, attempt: int, backend_index: int, proxy: int) -> None:
+        """Let a backend work on an attempt at once or from its queue, or reject it if the queue is full."""
+        backend = self.backends[backend_index]
+
+        def answer(outcome: Outcome) -> None:
+            self.idle_connections[proxy, backend_index].append(self.now)
+            self.schedule_at(
+                self.now + HOP_S, lambda: self.on_attempt_end(number, attempt, backend_index + 1, outcome)
+            )
+
+        def start_work() -> None:
+            backend.busy_slots += 1
+            service = self.services[backend.service]
+            is_failing = self.now < backend.fails_until
+            work_s = FAILURE_RESPONSE_S
+            if not is_failing:
+                work_s = service.work_s * backend.work_factor * self.random.gammavariate(4.0, 0.25)
+            outcome = Outcome.ERROR if is_failing else Outcome.OK
+            self.schedule_at(self.now + work_s, lambda: finish_work(outcome))
+
+        def finish_work(outcome: Outcome) -> None:
+            backend.busy_slots -= 1
+            if backend.queue:
+                backend.queue.popleft()()
+            answer(outcome)
+
+        if backend.busy_slots < SLOTS:
+            start_work()
+        elif len(backend.queue) < MAX_QUEUED:
+            backend.queue.append(start_work)
         else:
-            over(Outcome.FULL)
+            answer(Outcome.FULL)
 
-    def ended(self, number: int, attempt: int, backend: int, outcome: Outcome) -> None:
-        asked = self.open.get(number)
-        if asked is None or attempt != asked.out - 1 or asked.server != backend:
-            return  # it was given up before
+    def on_attempt_end(self, number: int, attempt: int, backend: int, outcome: Outcome) -> None:
+        """End the current attempt of a request and pass its outcome to the proxy."""
+        request = self.open_requests.get(number)
+        if request is None or attempt != request.attempts - 1 or request.backend != backend:
+            return  # the attempt was cancelled before
         if outcome is Outcome.OK:
-            del self.open[number]
-            self.took.append((asked.began, (self.now - asked.began) / self.kinds[asked.kind].work))
-        elif self.shared and indicates_backend_failure(outcome, 500):
-            self.doubt(asked.door, backend)
-        asked.server = 0
-        self.tell(
-            asked.door,
+            del self.open_requests[number]
+            duration_s = self.now - request.started_at
+            self.latencies.append((request.started_at, duration_s / self.services[request.service].work_s))
+        elif self.shares_failures and indicates_backend_failure(outcome, 500):
+            self.report_failure(request.proxy, backend)
+        request.backend = 0
+        self.dispatch(
+            request.proxy,
             i.Finished(number, attempt, backend, outcome, outcome is Outcome.OK, 0.0, 0, 0, ()),
         )
 
-    def doubt(self, door: int, backend: int) -> None:
-        kind = self.machines[backend - 1].kind
-        peers = [str(n + 1) for n, machine in enumerate(self.machines) if machine.kind == kind]
-        span = self.outliers.report(str(door), str(backend), 1, len(self.doors), peers, self.now)
-        if span:
-            for n in range(len(self.doors)):
-                self.at(self.now + TOLD, lambda n=n: self.tell(n, i.Shun(backend, span)))  # type: ignore[misc]
-
-    # --- what it came to -------------------------------------------------------------------------------
-
-    def late(self, since: float, until: float) -> float:
-        """Share of the requests of a span that were not answered inside their aim."""
-        inside = [took for began, took in self.took if since <= began - START < until]
-        return sum(took > AIM for took in inside) / max(1, len(inside))
+    def report_failure(self, proxy: int, backend: int) -> None:
+        """Report a failure to the outlier detector; an ejection reaches all proxies after a delay."""
+        service = self.backends[backend - 1].service
+        peers = [str(n + 1) for n, peer in enumerate(self.backends) if peer.service == service]
+        ejection_s = self.outliers.report(str(proxy), str(backend), 1, len(self.proxies), peers, self.now)
+        if ejection_s:
+            event = i.Shun(backend, ejection_s)
+            for n in range(len(self.proxies)):
+                self.schedule_at(self.now + EJECTION_DELAY_S, lambda n=n: self.dispatch(n, event))  # type: ignore[misc]
+
+    # --- results -------------------------------------------------------------------------------
+
+    def late_share(self, since: float, until: float) -> float:
+        """Return the share of answers later than the target latency, of requests started between two times.
+
+        The times are in seconds since the start.
+        """
+        latencies = [latency for started, latency in self.latencies if since <= started - START_TIME < until]
+        return sum(latency > TARGET_LATENCY_FACTOR for latency in latencies) / max(1, len(latencies))
--- a/ivymux/simulation/event_queue.py
+++ b/ivymux/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""The clock of a model: what happens at which time, in one order.  Pure; time is in seconds."""
+"""Runs the events of a simulation in order of virtual time, without a clock or I/O."""
 
 from __future__ import annotations
 
@@ -6,22 +6,25 @@
 import itertools
 from collections.abc import Callable
 
-START = 1_000_000.0  # system time at which a run begins
+START_TIME = 1_000_000.0  # virtual system time at the start of a run, in seconds
 
 
-class Clocked:
+class EventQueue:
+    """Events by time; events at the same time run in the order in which they were scheduled."""
+
     def __init__(self) -> None:
-        self.now = START
+        self.now = START_TIME
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when, next(self.order), what))
+    def schedule_at(self, time: float, callback: Callable[[], None]) -> None:
+        """Run a callback at an absolute virtual time."""
+        heapq.heappush(self.events, (time, next(self.order), callback))
 
-    def run(self, seconds: float) -> None:
-        """Until so many seconds behind the start."""
-        until = START + seconds
-        while self.events and self.events[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.events)
-            what()
-        self.now = until
+    def run_until(self, elapsed_s: float) -> None:
+        """Run all events up to `elapsed_s` seconds after START_TIME."""
+        end = START_TIME + elapsed_s
+        while self.events and self.events[0][0] <= end:
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
+        self.now = end
--- a/ivymux/simulation/exploration.py
+++ b/ivymux/simulation/exploration.py
@@ -15,9 +15,9 @@
 from ivymux.registry import outlier_detection
 from ivymux.simulation.control_plane import ControlPlaneWorld
 from ivymux.simulation.core_cluster import GuaranteeViolation
-from ivymux.simulation.event_queue import START
+from ivymux.simulation.event_queue import START_TIME
 from ivymux.simulation.fault_schedules import FAULT_TARGETS, Fault, ReplicaFactory, run_two_changes
-from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
+from ivymux.simulation.quota_sharing import DistributedQuotaSimulation, QuotaSimulation, Tenant, quota_plan
 from ivymux.simulation.trial_model import Happening, Run, drawn
 
 Events = tuple[str, ...]
@@ -83,6 +83,12 @@
         return broken[0] if broken else ""
 
 
+def quota_violation(tenant: Tenant) -> str:
+    """Describe by how much a tenant exceeded its quota within 5 s; empty if it did not."""
+    sent, allowed = tenant.max_sent_within(5.0), tenant.allowed_within_window()
+    return f"{sent} in 5 s, {allowed:.0f} are allowed" if sent > allowed else ""
+
+
 @dataclass(frozen=True, slots=True)
 class Quotas:
     """A tenant that floods eight doors while who holds its counts is lost (quota_sharing.py)."""
@@ -98,17 +104,21 @@
 
     def play(self, events: Events) -> str:
         seed = next((int(e.removeprefix("seed:")) for e in events if e.startswith("seed:")), 0)
-        tenant = Tenant(plan("t", 30.0, 30.0), lambda s: 20.0 if s < 1.0 else 180.0)
-        doors = Doors(8, [tenant], seed)
+        tenant = Tenant(quota_plan("t", 30.0, 30.0), lambda s: 20.0 if s < 1.0 else 180.0)
+        doors = QuotaSimulation(8, [tenant], seed)
         for event in events:
             at, _, kind = event.partition(":")
             if kind == "counts":
-                doors.at(START + float(at), doors.lose_counts)
+                doors.schedule_at(START_TIME + float(at), doors.lose_counts)
             elif kind == "all":
-                doors.at(START + float(at), lambda: doors.lose_all(0.6))
-        doors.run(FLOODED)
-        most = tenant.most(5.0)
-        return f"{most} in 5 s, {tenant.allowed():.0f} are allowed" if most > tenant.allowed() else ""
+                doors.schedule_at(START_TIME + float(at), lambda: doors.restart_all_proxies(0.6))
+        doors.run_until(FLOODED)
+        most = tenant.max_sent_within(5.0)
+        return (
+            f"{most} in 5 s, {tenant.allowed_within_window():.0f} are allowed"
+            if most > tenant.allowed_within_window()
+            else ""
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,16 +137,20 @@
     def play(self, events: Events) -> str:
         """Of each event: when a door is cut off, which, and for how many seconds."""
         seed = next((int(e.removeprefix("seed:")) for e in events if e.startswith("seed:")), 0)
-        tenant = Tenant(plan("t", 30.0, 30.0), lambda s: 20.0 if s < 1.0 else 180.0)
-        made = HeldByDoors(CUT_DOORS, [tenant], seed)
+        tenant = Tenant(quota_plan("t", 30.0, 30.0), lambda s: 20.0 if s < 1.0 else 180.0)
+        made = DistributedQuotaSimulation(CUT_DOORS, [tenant], seed)
         for event in events:
             if not event.startswith("seed:"):
                 at, door, lasts = (float(part) for part in event.split(":"))
-                made.at(START + at, lambda n=int(door): made.cut(n))  # type: ignore[misc]
-                made.at(START + at + lasts, lambda n=int(door): made.back(n))  # type: ignore[misc]
-        made.run(FLOODED + 4.0)
-        most = tenant.most(5.0)
-        return f"{most} in 5 s, {tenant.allowed():.0f} are allowed" if most > tenant.allowed() else ""
+                made.schedule_at(START_TIME + at, lambda n=int(door): made.partition(n))  # type: ignore[misc]
+                made.schedule_at(START_TIME + at + lasts, lambda n=int(door): made.reconnect(n))  # type: ignore[misc]
+        made.run_until(FLOODED + 4.0)
+        most = tenant.max_sent_within(5.0)
+        return (
+            f"{most} in 5 s, {tenant.allowed_within_window():.0f} are allowed"
+            if most > tenant.allowed_within_window()
+            else ""
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/ivymux/simulation/quota_sharing.py
+++ b/ivymux/simulation/quota_sharing.py
@@ -1,8 +1,8 @@
-"""Doors of the system that share tenants' quotas, simulated: their decision modules, one counter, tenants.
+"""Simulates proxies that share tenants' quotas: decision modules, the distributed counter and tenants.
 
-No clock and no socket: a run has the same figures on every machine.  Time is in seconds, what tenants ask for
-in requests.  What is measured is what the users' rule on quotas looks at: the most that was sent on within
-any span of its window.
+It uses no clock and no sockets, so results are the same on every machine.  Times are in seconds, load in
+requests.  The measure is that of the quota rule: the most requests sent to backends within any span of the
+quota window.
 """
 
 from __future__ import annotations
@@ -16,249 +16,279 @@
 from ivymux.proxy.counter_holders import CounterHolders
 from ivymux.proxy.lease_counts import LeaseCounts
 from ivymux.proxy.module_settings import module_settings
-from ivymux.simulation.event_queue import START, Clocked
+from ivymux.simulation.event_queue import START_TIME, EventQueue
 from orchidhill import interface as i
 from orchidhill.proxy_gateway import ProxyGateway, ProxyRules
 
-TERMS = ProxyRules(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
-ROUND_TRIP = 0.004  # of a call to the counter
-NOTICED = 1.0  # seconds after which it is noticed that a door is cut off
-TOLD = 0.3  # seconds within which doors hear what the core tells
-TIMEOUT = 0.25  # of a call that nobody answers
-WORK = 0.1  # of a request at its server
+RULES = ProxyRules(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
+COUNTER_ROUND_TRIP_S = 0.004  # of a call to the counter
+PARTITION_DETECTION_S = 1.0  # after which a partitioned proxy is removed from the members
+MAX_MEMBER_UPDATE_DELAY_S = 0.3  # from a change of the members until all proxies have it
+MAX_CONFIGURATION_DELAY_S = 0.02  # from a change of the configuration until all proxies have it
+COUNTER_TIMEOUT_S = 0.25  # of a call without an answer
+BACKEND_WORK_S = 0.1  # of a request at its backend
 CLASSES = tuple(
     i.RequestClass(name, 0.3, 1.2, effect, i.Scope.ALL, 0.0, 1.0, 0.1, False)
     for name, effect in (("read", i.Effect.SAFE), ("sign", i.Effect.UNSAFE))
 )
-FREE = i.Plan("", 0.0, 0.0, 0, 1.0, 2.0, 0.0, 0.0, 0.0, 0.0)
+UNLIMITED_PLAN = i.Plan("", 0.0, 0.0, 0, 1.0, 2.0, 0.0, 0.0, 0.0, 0.0)
 
 
-def plan(name: str, rate: float, burst: float) -> i.Plan:
+def quota_plan(name: str, rate: float, burst: float) -> i.Plan:
+    """Create a plan with a quota of `rate` requests a second and a bucket of `burst` requests."""
     return i.Plan(name, rate, burst, 0, 1.0, 2.0, 0.0, 0.0, 0.0, 0.0)
 
 
 @dataclass(slots=True)
 class Tenant:
-    """One tenant: its quota, and how much it asks for over time."""
+    """A tenant, its quota, its load over time and the outcome of its requests."""
 
     plan: i.Plan
-    asks: Callable[[float], float]  # requests a second, by seconds since the start
-    sent: list[float] = field(default_factory=list)  # when its requests were sent on
-    asked: int = 0
-    given_up: int = 0  # requests whose last try was refused
-    given_up_at: list[float] = field(default_factory=list)
-    asked_at: list[float] = field(default_factory=list)
-    refused: Counter[str] = field(default_factory=Counter)  # tries, by cause
-
-    def most(self, span: float) -> int:
-        """The most that was sent on within any span."""
+    request_rate: Callable[[float], float]  # requests a second, by seconds since the start
+    sent_at: list[float] = field(default_factory=list)  # times at which requests were sent to backends
+    requested: int = 0
+    failed: int = 0  # requests whose last attempt was refused
+    failed_at: list[float] = field(default_factory=list)
+    requested_at: list[float] = field(default_factory=list)
+    refused: Counter[str] = field(default_factory=Counter)  # attempts, by cause
+
+    def max_sent_within(self, span_s: float) -> int:
+        """Return the most requests sent to backends within any span of `span_s` seconds."""
         inside: deque[float] = deque()
-        most = 0
-        for at in self.sent:
+        max_sent = 0
+        for at in self.sent_at:
             inside.append(at)
-            while inside[0] <= at - span:
+            while inside[0] <= at - span_s:
                 inside.popleft()
-            most = max(most, len(inside))
-        return most
-
-    def refused_part(self, start: float, end: float) -> float:
-        """Of the requests asked between two times after the start, the part that was given up."""
-        asked, given_up = (
-            sum(START + start <= at < START + end for at in times)
-            for times in (self.asked_at, self.given_up_at)
+            max_sent = max(max_sent, len(inside))
+        return max_sent
+
+    def failed_share(self, start: float, end: float) -> float:
+        """Return the share of failed requests between two times, in seconds since the start."""
+        requested, failed = (
+            sum(START_TIME + start <= at < START_TIME + end for at in times)
+            for times in (self.requested_at, self.failed_at)
         )
-        return given_up / max(1, asked)
+        return failed / max(1, requested)
 
-    def allowed(self, terms: ProxyRules = TERMS) -> float:
-        whole = self.plan.rate * terms.quota_window + self.plan.burst
-        return whole * (1 + terms.quota_excess) + terms.quota_slack
+    def allowed_within_window(self, rules: ProxyRules = RULES) -> float:
+        """Return the most requests that the quota rule allows within a quota window."""
+        quota = self.plan.rate * rules.quota_window + self.plan.burst
+        return quota * (1 + rules.quota_excess) + rules.quota_slack
 
 
-def alone(id: str, now: float, age: float = 100.0, first: bool = False) -> CounterHolders:
-    made = CounterHolders(id, now, first)
-    made.update_proxies({id: now - age}, now)
-    return made
+def single_holder(id: str, now: float, age: float = 100.0, first: bool = False) -> CounterHolders:
+    """Create the holders of a single proxy, which joined `age` seconds ago and holds all counts."""
+    holders = CounterHolders(id, now, first)
+    holders.update_proxies({id: now - age}, now)
+    return holders
 
 
-class Doors(Clocked):
-    def __init__(self, count: int, tenants: list[Tenant], seed: int, tries: int = 3) -> None:
+class QuotaSimulation(EventQueue):
+    """Proxies that share quotas over one holder of all counts."""
+
+    def __init__(self, count: int, tenants: list[Tenant], seed: int, max_attempts: int = 3) -> None:
         super().__init__()
         self.random = random.Random(seed)
-        self.tenants, self.tries = tenants, tries
-        self.counts = LeaseCounts(alone("one", START, first=True), 1)
-        self.number = itertools.count(1)
-        self.calls: Counter[int] = Counter()
-        self.dark_until = START
-        self.waiting: dict[int, tuple[Tenant, int, int]] = {}  # whose, which try, at which door
+        self.tenants, self.max_attempts = tenants, max_attempts
+        self.counts = LeaseCounts(single_holder("one", START_TIME, first=True), 1)
+        self.request_ids = itertools.count(1)
+        self.counter_calls: Counter[int] = Counter()
+        self.down_until = START_TIME
+        self.open_requests: dict[int, tuple[Tenant, int, int]] = {}  # tenant, attempt, proxy; by request id
         self.weights = [self.random.gammavariate(4.0, 1.0) for _ in range(count)]
-        # A door's calls and their answers keep their order.
-        self.way = [ROUND_TRIP / 2 * (0.5 + self.random.random()) for _ in range(count)]
-        self.doors: list[ProxyGateway] = [self.door(count) for _ in range(count)]
+        # One delay for each proxy, so that its calls and their answers keep their order.
+        self.link_delay_s = [COUNTER_ROUND_TRIP_S / 2 * (0.5 + self.random.random()) for _ in range(count)]
+        self.proxies: list[ProxyGateway] = [self.create_proxy(count) for _ in range(count)]
         for tenant in tenants:
-            self.next(tenant)
+            self.schedule_next_request(tenant)
 
-    def door(self, count: int) -> ProxyGateway:
-        made = ProxyGateway(module_settings(), self.random.getrandbits(64), TERMS)
-        servers = tuple(i.Entry(n, 0, 0.0, i.State.READY, 0, 0, 1e6, 0) for n in (1, 2))
-        plans = (FREE, *(t.plan for t in self.tenants))
+    def create_proxy(self, count: int) -> ProxyGateway:
+        """Create the decision module of one of `count` proxies, with all plans and two backends."""
+        proxy = ProxyGateway(module_settings(), self.random.getrandbits(64), RULES)
+        backends = tuple(i.Entry(n, 0, 0.0, i.State.READY, 0, 0, 1e6, 0) for n in (1, 2))
+        plans = (UNLIMITED_PLAN, *(t.plan for t in self.tenants))
         for event in (
-            i.Classes(CLASSES), i.Plans(plans), i.Doors(count), i.Members(i.Listing.DELTA, 1, servers)
+            i.Classes(CLASSES), i.Plans(plans), i.Doors(count), i.Members(i.Listing.DELTA, 1, backends)
         ):  # fmt: skip
-            made.handle(self.now, event)
-        return made
+            proxy.handle(self.now, event)
+        return proxy
 
-    # --- what happens -----------------------------------------------------------------------------------
+    # --- requests -----------------------------------------------------------------------------------
 
-    def next(self, tenant: Tenant) -> None:
-        rate = tenant.asks(self.now - START)
+    def schedule_next_request(self, tenant: Tenant) -> None:
+        """Schedule a tenant's next request, at an exponentially distributed interval."""
+        rate = tenant.request_rate(self.now - START_TIME)
 
-        def come() -> None:
+        def on_arrival() -> None:
             if rate > 0:
-                tenant.asked += 1
-                tenant.asked_at.append(self.now)
-                self.ask(tenant, 1)
-            self.next(tenant)
+                tenant.requested += 1
+                tenant.requested_at.append(self.now)
+                self.send_request(tenant, 1)
+            self.schedule_next_request(tenant)
 
-        self.at(self.now + (self.random.expovariate(rate) if rate > 0 else 0.05), come)
+        self.schedule_at(self.now + (self.random.expovariate(rate) if rate > 0 else 0.05), on_arrival)
 
-    def ask(self, tenant: Tenant, tried: int) -> None:
-        if self.now < self.dark_until:
+    def send_request(self, tenant: Tenant, attempt: int) -> None:
+        """Send an attempt of a request to a random proxy; it is lost while all proxies are down."""
+        if self.now < self.down_until:
             return
-        where = self.random.choices(range(len(self.doors)), self.weights)[0]
-        number, index = next(self.number), self.tenants.index(tenant) + 1
-        self.waiting[number] = tenant, tried, where
+        proxy_index = self.random.choices(range(len(self.proxies)), self.weights)[0]
+        number, index = next(self.request_ids), self.tenants.index(tenant) + 1
+        self.open_requests[number] = tenant, attempt, proxy_index
         request = i.Request(
-            number, 0, index, index, 1.2 - 0.2 * (tried - 1), 1.0, len(self.doors), 0, False, False, 0, 1
+            number, 0, index, index, 1.2 - 0.2 * (attempt - 1), 1.0, len(self.proxies), 0, False, False, 0, 1
         )
-        self.tell(where, request)
+        self.dispatch(proxy_index, request)
 
-    def change(self, tenant: Tenant, made: i.Plan) -> None:
-        """A configuration with another quota reaches all doors within some milliseconds."""
-        tenant.plan = made
-        plans = (FREE, *(t.plan for t in self.tenants))
-        for n in range(len(self.doors)):
-            self.at(self.now + 0.02 * self.random.random(), lambda n=n: self.tell(n, i.Plans(plans)))  # type: ignore[misc]
+    def change_quota(self, tenant: Tenant, plan: i.Plan) -> None:
+        """Change a tenant's quota; the new configuration reaches each proxy with its own delay."""
+        tenant.plan = plan
+        plans = (UNLIMITED_PLAN, *(t.plan for t in self.tenants))
+        for n in range(len(self.proxies)):
+            at = self.now + MAX_CONFIGURATION_DELAY_S * self.random.random()
+            self.schedule_at(at, lambda n=n: self.dispatch(n, i.Plans(plans)))  # type: ignore[misc]
 
-    # --- troubles ------------------------------------------------------------------------------------------
+    # --- faults --------------------------------------------------------------------------------------------
 
     def lose_counts(self) -> None:
-        """Who held the counts is gone; another door is named that knows nothing of them."""
-        self.lost(100.0)
-
-    def lost(self, age: float) -> None:
-        self.counts = LeaseCounts(alone("another", self.now, age), self.counts.incarnation + 1)
-
-    def lose_all(self, dark: float) -> None:
-        """All doors are killed, and serve again after `dark` seconds; what comes meanwhile is given up."""
-        self.lost(0.0)
-        self.waiting.clear()
-        self.dark_until = self.now + dark
-        self.at(self.dark_until, self.again)
-
-    def again(self) -> None:
-        self.doors = [self.door(len(self.doors)) for _ in self.doors]
-
-    def tell(self, n: int, event: i.Event) -> None:
-        for action in self.doors[n].handle(self.now, event):
-            self.act(n, self.doors[n], action)
-
-    def tell_same(self, n: int, door: ProxyGateway, event: i.Event) -> None:
-        """What a door asked for, unless it has been killed since."""
-        if self.doors[n] is door and self.now >= self.dark_until:
-            self.tell(n, event)
-
-    def act(self, n: int, door: ProxyGateway, action: i.Action) -> None:
+        """Replace the holder of the counts by another proxy, which has none of them."""
+        self.replace_counts(100.0)
+
+    def replace_counts(self, age: float) -> None:
+        """Start with empty counts at a holder that joined `age` seconds ago."""
+        self.counts = LeaseCounts(single_holder("another", self.now, age), self.counts.incarnation + 1)
+
+    def restart_all_proxies(self, downtime_s: float) -> None:
+        """Kill all proxies and start them after `downtime_s` seconds; requests meanwhile are lost."""
+        self.replace_counts(0.0)
+        self.open_requests.clear()
+        self.down_until = self.now + downtime_s
+        self.schedule_at(self.down_until, self.start_all_proxies)
+
+    def start_all_proxies(self) -> None:
+        """Replace all proxies by new ones."""
+        self.proxies = [self.create_proxy(len(self.proxies)) for _ in self.proxies]
+
+    # --- decision modules ---------------------------------------------------------------------------------
+
+    def dispatch(self, n: int, event: i.Event) -> None:
+        """Let a proxy handle an event, and execute its actions."""
+        for action in self.proxies[n].handle(self.now, event):
+            self.execute(n, self.proxies[n], action)
+
+    def dispatch_if_running(self, n: int, proxy: ProxyGateway, event: i.Event) -> None:
+        """Deliver a result that a proxy waits for, unless it was killed meanwhile."""
+        if self.proxies[n] is proxy and self.now >= self.down_until:
+            self.dispatch(n, event)
+
+    def execute(self, n: int, proxy: ProxyGateway, action: i.Action) -> None:
+        """Execute an action of proxy `n`; a refused request is repeated up to `max_attempts` times."""
         if isinstance(action, i.Count):
-            self.at(self.now + self.way[n], lambda: self.add(n, door, action))
+            self.schedule_at(self.now + self.link_delay_s[n], lambda: self.count(n, proxy, action))
         elif isinstance(action, i.SetTimer):
-            self.at(action.at, lambda: self.tell_same(n, door, i.Fired(action.token)))
+            self.schedule_at(action.at, lambda: self.dispatch_if_running(n, proxy, i.Fired(action.token)))
         elif isinstance(action, i.Send):
-            tenant = self.waiting[action.request][0]
-            tenant.sent.append(self.now)
-            ended = i.Finished(action.request, 0, action.backend, i.Outcome.OK, True, WORK, 0, 0, ())
-            self.at(self.now + WORK, lambda: self.tell_same(n, door, ended))
+            tenant = self.open_requests[action.request][0]
+            tenant.sent_at.append(self.now)
+            finished = i.Finished(
+                action.request, 0, action.backend, i.Outcome.OK, True, BACKEND_WORK_S, 0, 0, ()
+            )
+            self.schedule_at(self.now + BACKEND_WORK_S, lambda: self.dispatch_if_running(n, proxy, finished))
         elif isinstance(action, i.Refuse):
-            tenant, tried, _ = self.waiting.pop(action.request)
+            tenant, attempt, _ = self.open_requests.pop(action.request)
             tenant.refused[action.why.name] += 1
-            if tried >= self.tries:
-                tenant.given_up += 1
-                tenant.given_up_at.append(self.now)
+            if attempt >= self.max_attempts:
+                tenant.failed += 1
+                tenant.failed_at.append(self.now)
             else:
-                self.at(self.now + action.retry_after + 0.002, lambda: self.ask(tenant, tried + 1))
+                self.schedule_at(
+                    self.now + action.retry_after + 0.002, lambda: self.send_request(tenant, attempt + 1)
+                )
 
-    def add(self, n: int, door: ProxyGateway, count: i.Count) -> None:
-        """One order for all calls of a name, as their holder has it."""
-        if self.now < self.dark_until:
+    def count(self, n: int, proxy: ProxyGateway, count: i.Count) -> None:
+        """Execute a call to the counter; its holder executes all calls for a total in one order."""
+        if self.now < self.down_until:
             return
-        self.calls[n] += 1
-        self.counted(n, door, count, self.counts)
+        self.counter_calls[n] += 1
+        self.answer_count(n, proxy, count, self.counts)
 
-    def counted(self, n: int, door: ProxyGateway, count: i.Count, counts: LeaseCounts) -> None:
+    def answer_count(self, n: int, proxy: ProxyGateway, count: i.Count, counts: LeaseCounts) -> None:
+        """Add a call to the counts and send the total to the proxy."""
         total = counts.add(count, f"door {n}", self.now)
-        told = i.Counted(count.name, i.Outcome.OK, total, ROUND_TRIP, counts.incarnation)
-        self.at(self.now + self.way[n], lambda: self.tell_same(n, door, told))
+        answer = i.Counted(count.name, i.Outcome.OK, total, COUNTER_ROUND_TRIP_S, counts.incarnation)
+        self.schedule_at(self.now + self.link_delay_s[n], lambda: self.dispatch_if_running(n, proxy, answer))
 
 
-class HeldByDoors(Doors):
-    """Each door holds what its own list of doors says that it holds; doors are cut off and come back."""
+class DistributedQuotaSimulation(QuotaSimulation):
+    """Proxies that hold the counts themselves, each by its own list of members; they may be partitioned."""
 
     def __init__(self, count: int, tenants: list[Tenant], seed: int) -> None:
         ids = [f"d{n}" for n in range(count)]
-        self.ids, self.cut_off = ids, dict[int, float]()  # since when
-        long_ago = START - 100.0
-        self.lists = [CounterHolders(id, long_ago, first_start=True) for id in ids]
-        self.came = dict.fromkeys(ids, long_ago)  # the doors that the core hears
-        for holders in self.lists:
-            holders.update_proxies(self.came, long_ago)
+        self.ids, self.partitioned_at = ids, dict[int, float]()  # by proxy
+        long_ago = START_TIME - 100.0
+        self.member_lists = [CounterHolders(id, long_ago, first_start=True) for id in ids]
+        self.joined_at = dict.fromkeys(ids, long_ago)  # the members, as the core knows them
+        for holders in self.member_lists:
+            holders.update_proxies(self.joined_at, long_ago)
             holders.first_start = False
-        self.held = [LeaseCounts(holders, number + 1) for number, holders in enumerate(self.lists)]
+        self.counts_by_proxy = [
+            LeaseCounts(holders, number + 1) for number, holders in enumerate(self.member_lists)
+        ]
         super().__init__(count, tenants, seed)
 
-    def cut(self, n: int) -> None:
-        """Nobody hears a door any more, and it hears nobody; both are noticed if it lasts."""
-        self.cut_off[n] = self.now
-        self.at(self.now + NOTICED, lambda at=self.now: self.lose(n, at))  # type: ignore[misc]
+    def partition(self, n: int) -> None:
+        """Cut the connections of a proxy; the members change if this lasts."""
+        self.partitioned_at[n] = self.now
+        self.schedule_at(self.now + PARTITION_DETECTION_S, lambda at=self.now: self.detect_partition(n, at))  # type: ignore[misc]
 
-    def lose(self, n: int, cut_at: float) -> None:
-        if self.cut_off.get(n) != cut_at:
+    def detect_partition(self, n: int, partitioned_at: float) -> None:
+        """Remove a proxy from the members, if it has been partitioned since `partitioned_at`."""
+        if self.partitioned_at.get(n) != partitioned_at:
             return
-        self.came.pop(self.ids[n], None)
-        self.tell_lists()
-        alone = {id: came for id, came in self.came.items() if id != self.ids[n]}
-        self.lists[n].update_proxies(alone, self.now)
-
-    def back(self, n: int) -> None:
-        """It is heard again: as one that has just come, where it was given up."""
-        if self.cut_off.pop(n, None) is None:
+        self.joined_at.pop(self.ids[n], None)
+        self.publish_members()
+        others = {id: joined_at for id, joined_at in self.joined_at.items() if id != self.ids[n]}
+        self.member_lists[n].update_proxies(others, self.now)
+
+    def reconnect(self, n: int) -> None:
+        """End a partition; a proxy that was removed from the members joins anew."""
+        if self.partitioned_at.pop(n, None) is None:
             return
-        if self.ids[n] in self.came:
-            self.hear(n)  # on the connections that it still has
+        if self.ids[n] in self.joined_at:
+            self.update_member_list(n)  # its connections are still open
         else:
-            self.came[self.ids[n]] = self.now
-            self.tell_lists()
-
-    def tell_lists(self) -> None:
-        """The core's word reaches each door that it hears, at a time of its own."""
-        for n in range(len(self.lists)):
-            self.at(self.now + TOLD * self.random.random(), lambda n=n: self.hear(n))  # type: ignore[misc]
-
-    def hear(self, n: int) -> None:
-        if n not in self.cut_off:
-            self.lists[n].update_proxies(self.came, self.now)
-
-    def add(self, n: int, door: ProxyGateway, count: i.Count) -> None:
-        began = self.now - self.way[n]
-        name = self.lists[n].find_holder(count.name, count.customer, began - count.since)
-        at = self.ids.index(name) if name is not None else n
-        self.calls[n] += 1
-        if at != n and (n in self.cut_off or at in self.cut_off):
-            late = i.Counted(count.name, i.Outcome.TIMEOUT, 0.0, TIMEOUT)
-            self.at(began + TIMEOUT, lambda: self.tell_same(n, door, late))
+            self.joined_at[self.ids[n]] = self.now
+            self.publish_members()
+
+    def publish_members(self) -> None:
+        """Send the members to all proxies, with a random delay for each."""
+        for n in range(len(self.member_lists)):
+            at = self.now + MAX_MEMBER_UPDATE_DELAY_S * self.random.random()
+            self.schedule_at(at, lambda n=n: self.update_member_list(n))  # type: ignore[misc]
+
+    def update_member_list(self, n: int) -> None:
+        """Update the member list of a proxy, unless it is partitioned."""
+        if n not in self.partitioned_at:
+            self.member_lists[n].update_proxies(self.joined_at, self.now)
+
+    def count(self, n: int, proxy: ProxyGateway, count: i.Count) -> None:
+        """Execute a call to the counter at the holder by the caller's list, if the holder's list agrees."""
+        began = self.now - self.link_delay_s[n]
+        holder_id = self.member_lists[n].find_holder(count.name, count.customer, began - count.since)
+        holder = self.ids.index(holder_id) if holder_id is not None else n
+        self.counter_calls[n] += 1
+        if holder != n and (n in self.partitioned_at or holder in self.partitioned_at):
+            timeout = i.Counted(count.name, i.Outcome.TIMEOUT, 0.0, COUNTER_TIMEOUT_S)
+            self.schedule_at(began + COUNTER_TIMEOUT_S, lambda: self.dispatch_if_running(n, proxy, timeout))
         elif (
-            name is None
-            or self.lists[at].find_holder(count.name, count.customer, self.now - count.since) != self.ids[at]
+            holder_id is None
+            or self.member_lists[holder].find_holder(count.name, count.customer, self.now - count.since)
+            != holder_id
         ):
-            failed = i.Counted(count.name, i.Outcome.CONNECT_FAILED, 0.0, ROUND_TRIP)
-            self.at(self.now + self.way[n], lambda: self.tell_same(n, door, failed))
+            failed = i.Counted(count.name, i.Outcome.CONNECT_FAILED, 0.0, COUNTER_ROUND_TRIP_S)
+            self.schedule_at(
+                self.now + self.link_delay_s[n], lambda: self.dispatch_if_running(n, proxy, failed)
+            )
         else:
-            self.counted(n, door, count, self.held[at])
+            self.answer_count(n, proxy, count, self.counts_by_proxy[holder])
--- a/tests/proxy/test_lease_counts.py
+++ b/tests/proxy/test_lease_counts.py
@@ -9,8 +9,8 @@
 from ivymux.proxy.counter_holders import CounterHolders
 from ivymux.proxy.lease_counts import LeaseCounts
 from ivymux.proxy.name_tables import customer_number
-from ivymux.simulation.event_queue import START
-from ivymux.simulation.quota_sharing import Doors, HeldByDoors, Tenant, plan
+from ivymux.simulation.event_queue import START_TIME
+from ivymux.simulation.quota_sharing import DistributedQuotaSimulation, QuotaSimulation, Tenant, quota_plan
 from orchidhill.interface import Count
 
 
@@ -156,15 +156,15 @@
     assert available(counts, 11.0, 11.0) == pytest.approx(left)
 
 
-def partitioned_and_reconnected(seed: int, part: float) -> HeldByDoors:
+def partitioned_and_reconnected(seed: int, part: float) -> DistributedQuotaSimulation:
     """Eight tenants at eight proxies, two of which are partitioned at 3 s + 1.1 s per seed, for 8 s."""
-    tenants = [Tenant(plan(f"t{n}", 33.0, 33.0), lambda s: part * 33.0) for n in range(8)]
-    simulation = HeldByDoors(8, tenants, seed)
-    at = START + 3.0 + 1.1 * seed
+    tenants = [Tenant(quota_plan(f"t{n}", 33.0, 33.0), lambda s: part * 33.0) for n in range(8)]
+    simulation = DistributedQuotaSimulation(8, tenants, seed)
+    at = START_TIME + 3.0 + 1.1 * seed
     for proxy in (2 * seed % 8, (2 * seed + 1) % 8):
-        simulation.at(at, lambda proxy=proxy: simulation.cut(proxy))  # type: ignore[misc]
-        simulation.at(at + 8.0, lambda proxy=proxy: simulation.back(proxy))  # type: ignore[misc]
-    simulation.run(3.0 + 1.1 * seed + 12.0)
+        simulation.schedule_at(at, lambda proxy=proxy: simulation.partition(proxy))  # type: ignore[misc]
+        simulation.schedule_at(at + 8.0, lambda proxy=proxy: simulation.reconnect(proxy))  # type: ignore[misc]
+    simulation.run_until(3.0 + 1.1 * seed + 12.0)
     return simulation
 
 
@@ -172,19 +172,19 @@
 def test_tenants_within_their_quotas_are_served_when_proxies_reconnect(seed: int) -> None:
     """Late grants used to drain full buckets: 0.08 to 0.16 of requests were refused, 0.24 of one tenant's."""
     simulation, back = partitioned_and_reconnected(seed, 0.8), 3.0 + 1.1 * seed + 8.0
-    assert max(t.refused_part(back, back + 3.0) for t in simulation.tenants) < 1 / 20
+    assert max(t.failed_share(back, back + 3.0) for t in simulation.tenants) < 1 / 20
 
 
 @pytest.mark.parametrize("seed", [0, 1])
 def test_a_quota_holds_while_partitioned_proxies_grant_their_shares(seed: int) -> None:
     """Three of eight grant theirs; with nothing reserved for them, 51 more were sent than the rule allows."""
-    tenant = Tenant(plan("hot", 99.0, 99.0), lambda s: 99.0 * HOT(s))
-    simulation = HeldByDoors(8, [tenant], seed)
+    tenant = Tenant(quota_plan("hot", 99.0, 99.0), lambda s: 99.0 * HOT(s))
+    simulation = DistributedQuotaSimulation(8, [tenant], seed)
     for proxy in range(seed, seed + 3):
-        simulation.at(START + 3.5, lambda proxy=proxy: simulation.cut(proxy))  # type: ignore[misc]
-        simulation.at(START + 10.5, lambda proxy=proxy: simulation.back(proxy))  # type: ignore[misc]
-    simulation.run(11.5)
-    assert tenant.most(5.0) <= tenant.allowed()
+        simulation.schedule_at(START_TIME + 3.5, lambda proxy=proxy: simulation.partition(proxy))  # type: ignore[misc]
+        simulation.schedule_at(START_TIME + 10.5, lambda proxy=proxy: simulation.reconnect(proxy))  # type: ignore[misc]
+    simulation.run_until(11.5)
+    assert tenant.max_sent_within(5.0) <= tenant.allowed_within_window()
 
 
 HOT: Callable[[float], float] = lambda s: 9.0 if 3.0 <= s < 9.0 else 0.6  # noqa: E731  # times its rate
@@ -195,35 +195,39 @@
     proxies: int, rate: float, burst: float
 ) -> None:
     """When each proxy corrected for overflow on its own, 75 proxies sent 4.1 times the quota."""
-    tenant = Tenant(plan("hot", rate, burst), lambda s: rate * HOT(s))
-    Doors(proxies, [tenant], 1).run(10.0)
+    tenant = Tenant(quota_plan("hot", rate, burst), lambda s: rate * HOT(s))
+    QuotaSimulation(proxies, [tenant], 1).run_until(10.0)
     whole = 5 * rate + burst
-    assert 0.95 * whole < tenant.most(5.0) <= whole + 0.2 * (tenant.allowed() - whole)
+    assert (
+        0.95 * whole < tenant.max_sent_within(5.0) <= whole + 0.2 * (tenant.allowed_within_window() - whole)
+    )
 
 
 @pytest.mark.parametrize("times", [1, 2])
 def test_a_quota_holds_when_its_counts_are_lost(times: int) -> None:
     for trouble in ("counts", "doors"):
-        tenant = Tenant(plan("hot", 33.0, 33.0), lambda s: 33.0 * HOT(s))
-        simulation = Doors(11, [tenant], 2)
+        tenant = Tenant(quota_plan("hot", 33.0, 33.0), lambda s: 33.0 * HOT(s))
+        simulation = QuotaSimulation(11, [tenant], 2)
         lose = (
             simulation.lose_counts
             if trouble == "counts"
-            else lambda simulation=simulation: simulation.lose_all(0.6)
+            else lambda simulation=simulation: simulation.restart_all_proxies(0.6)
         )
         for loss in range(times):
-            simulation.at(START + 6.0 + 1.2 * loss, lose)
-        simulation.run(10.0)
-        assert tenant.most(5.0) <= tenant.allowed(), trouble
-        assert len([at for at in tenant.sent if at > START + 8.0]) > 2 * 33.0 * 0.8, trouble
+            simulation.schedule_at(START_TIME + 6.0 + 1.2 * loss, lose)
+        simulation.run_until(10.0)
+        assert tenant.max_sent_within(5.0) <= tenant.allowed_within_window(), trouble
+        assert len([at for at in tenant.sent_at if at > START_TIME + 8.0]) > 2 * 33.0 * 0.8, trouble
 
 
 def test_a_quota_that_changes_within_a_window_holds_with_its_new_value() -> None:
-    tenant = Tenant(plan("hot", 260.0, 260.0), lambda s: 150.0 * HOT(s))
-    simulation = Doors(40, [tenant], 3)
-    simulation.at(START + 1.0, lambda: simulation.change(tenant, plan("hot", 150.0, 150.0)))
-    simulation.run(10.0)
-    assert tenant.most(5.0) <= tenant.allowed()
+    tenant = Tenant(quota_plan("hot", 260.0, 260.0), lambda s: 150.0 * HOT(s))
+    simulation = QuotaSimulation(40, [tenant], 3)
+    simulation.schedule_at(
+        START_TIME + 1.0, lambda: simulation.change_quota(tenant, quota_plan("hot", 150.0, 150.0))
+    )
+    simulation.run_until(10.0)
+    assert tenant.max_sent_within(5.0) <= tenant.allowed_within_window()
 
 
 def test_tenants_with_long_names_that_end_alike_have_separate_counts() -> None:
