--- a/bench/evening.py
+++ b/bench/evening.py
@@ -14,24 +14,24 @@
 from typing import Any
 
 from bench.common import figure, html, parser, report
-from ivymux.simulation.conversation_load import Evening, Play, Size
+from ivymux.simulation.conversation_load import LoadRecord, LoadSettings, LoadTest
 from ivymux.simulation.local_cluster import local_cluster
 
 NEVER = ("doubled", "answered and without effect", "refused and with effect")
 
 
-def play(size: Size, seed: int, folder: Path) -> Evening:
-    evening = Evening(size, seed)
+def play(settings: LoadSettings, seed: int, folder: Path) -> LoadRecord:
+    record = LoadRecord(settings, seed)
 
     async def run() -> None:
-        async with local_cluster(folder, 3, size.doors, timeout_s=size.seconds + 120) as cluster:
-            await Play(cluster, evening).run()
+        async with local_cluster(folder, 3, settings.proxies, timeout_s=settings.duration_s + 120) as cluster:
+            await LoadTest(cluster, record).run()
 
     asyncio.run(run())
-    return evening
+    return record
 
 
-def page(evening: Evening, found: dict[str, Any]) -> str:
+def page(record: LoadRecord, found: dict[str, Any]) -> str:
     """An HTML page: nodes over time, conversations by backend, each partner's latency."""
     import matplotlib
 
@@ -39,19 +39,20 @@
     from matplotlib import pyplot as plt
 
     figure_, axes = plt.subplots(3, 1, figsize=(11, 11))
-    axes[0].step([t for t, _ in evening.serving], [n for _, n in evening.serving], where="post")
-    for at, kind, _ in evening.what:
+    axes[0].step([t for t, _ in record.serving_proxies], [n for _, n in record.serving_proxies], where="post")
+    for at, kind, _ in record.faults:
         axes[0].axvline(at, color="tab:red" if kind in ("kill", "leader") else "0.85", linewidth=0.8)
     axes[0].set(title="doors in service; red: a kill, the lost leader", xlabel="s", ylim=(0, None))
     by: dict[str, int] = {}
-    for seen in evening.by.values():
-        for _, backend in seen:
+    for effects in record.effects.values():
+        for _, backend in effects:
             by[backend] = by.get(backend, 0) + 1
     axes[1].bar(range(len(by)), list(by.values()))
     axes[1].set_xticks(range(len(by)), list(by), rotation=70, fontsize=6)
     axes[1].set(title="effects by backend")
-    partners = sorted({t.partner for t in evening.told})
-    spent = [[1000 * t.took for t in evening.told if t.partner == p and t.end == "done"] for p in partners]
+    partners = sorted({action.partner for action in record.actions})
+    done = [action for action in record.actions if action.outcome == "done"]
+    spent = [[1000 * action.took_s for action in done if action.partner == p] for p in partners]
     axes[2].boxplot(spent, tick_labels=partners, whis=(1, 99), showfliers=False)
     axes[2].set(title="ms to an answer, each partner (1, 25, 50, 75, 99 of 100)", yscale="log")
     figure_.tight_layout()
@@ -64,17 +65,17 @@
     arguments.add_argument("--seed", type=int, default=1)
     arguments.add_argument("--page", type=Path)
     args = arguments.parse_args()
-    size = Size(seconds=20.0 if args.quick else args.seconds)
+    settings = LoadSettings(duration_s=20.0 if args.quick else args.seconds)
     with tempfile.TemporaryDirectory() as folder:
-        evening = play(size, args.seed, Path(folder))
-    found = evening.report()
+        record = play(settings, args.seed, Path(folder))
+    found = record.report()
     if args.page is not None:
-        args.page.write_text(page(evening, found))
+        args.page.write_text(page(record, found))
     for name in NEVER:
         if found[name]:
             raise AssertionError(f"{name}: {found[name]}")
     figures = {n: figure([v], "") for n, v in found.items() if isinstance(v, int | float)}
-    load = f"{size.seconds:.0f} s, {found['troubles']}, reads {found['reads']}"
+    load = f"{settings.duration_s:.0f} s, {found['troubles']}, reads {found['reads']}"
     report(args, load, figures, {})
 
 
--- a/ivymux/simulation/conversation_load.py
+++ b/ivymux/simulation/conversation_load.py
@@ -1,7 +1,7 @@
-"""A busy evening: conversations that act, repeat and read while doors, backends and the leader come and go.
+"""Conversation load test: conversations act, retry and read while proxies, backends and the primary fail.
 
-Real processes on loopback, stand-in backends that write down each effect.  What it tells at its end it knows
-from outside: what callers were told, and which actions had an effect how often.
+Real processes on loopback, and stand-in backends that record each effect.  The report compares two outside
+observations: what callers were answered, and how often each action had an effect.
 """
 
 from __future__ import annotations
@@ -19,97 +19,117 @@
 from standins.backend import Backend, Ran
 
 HOST = "minutes.example"
-SERVICES = ("archive", "desk", "store")  # the first is read, the others take actions
+SERVICES = ("archive", "desk", "store")  # the first serves reads, the others actions
 ACTIONS = ("desk", "store")
-TRIES, PATIENCE = 12, 8.0  # of one action, and seconds
-TRY = 1.5  # seconds that a client waits for one answer
-EVERY = 2.0  # seconds between troubles
-FROZEN = 1.2
-LEAST_DOORS = 4
-UNKNOWN = "not known"
-SETTLED = 1.5  # seconds within which all doors have heard of a backend
-KINDS = ("join", "leave", "kill", "freeze", "release")
+MAX_ATTEMPTS, MAX_ACTION_S = 12, 8.0  # of one action
+ATTEMPT_TIMEOUT_S = 1.5
+MAX_READ_ATTEMPTS = 3
+DEFAULT_RETRY_AFTER_S = 0.1
+MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.05, 1.0
+FAULT_INTERVAL_S = 2.0
+FREEZE_S = 1.2
+MIN_SERVING_PROXIES = 4
+OUTCOME_UNKNOWN_TEXT = "not known"  # in the answer to an action whose outcome is unknown for good
+PROPAGATION_S = 1.5  # time within which all proxies know a change of the backends
+FAULT_KINDS = ("join", "leave", "kill", "freeze", "release")
+# Weights by which conversations are assigned to partners: the first two partners have most of them.
+BUSY_PARTNER_WEIGHTS, PARTNER_WEIGHT = [8.0, 6.0], 1.0
 
 
 @dataclass
-class Size:
-    seconds: float = 600.0
-    doors: int = 8
-    backends: int = 4  # of each service
+class LoadSettings:
+    """Size of a load test."""
+
+    duration_s: float = 600.0
+    proxies: int = 8
+    backends_per_service: int = 4
     conversations: int = 300
     partners: int = 8
-    pause: float = 4.0  # seconds between what one conversation does
-    work: float = 0.03
+    pause_s: float = 4.0  # mean time between two steps of one conversation
+    work_s: float = 0.03  # that a backend takes for a request
 
 
 @dataclass
-class Told:
-    """One action, as its caller has seen it."""
+class Action:
+    """One action with its idempotency key, as its caller observed it."""
 
     partner: str
     conversation: str
     key: str
-    began: float
-    end: str = ""  # done, unknown, refused
-    took: float = 0.0
-    tries: int = 0
+    began_at: float
+    outcome: str = ""  # done, unknown, refused
+    took_s: float = 0.0
+    attempts: int = 0
 
 
 @dataclass
-class Evening:
-    size: Size
+class LoadRecord:
+    """What was observed in a load test; times in seconds from its beginning."""
+
+    settings: LoadSettings
     seed: int
-    told: list[Told] = field(default_factory=list)
-    reads: Counter[str] = field(default_factory=Counter)
-    what: list[tuple[float, str, str]] = field(default_factory=list)  # troubles: when, kind, machine
-    serving: list[tuple[float, int]] = field(default_factory=list)
-    by: dict[str, list[tuple[float, str]]] = field(default_factory=lambda: defaultdict(list))
-    effects: Counter[str] = field(default_factory=Counter)
-    lives: dict[str, list[float]] = field(default_factory=dict)  # backends: in service from, until
+    actions: list[Action] = field(default_factory=list)
+    read_counts: Counter[str] = field(default_factory=Counter)
+    faults: list[tuple[float, str, str]] = field(default_factory=list)  # time, kind, machine
+    serving_proxies: list[tuple[float, int]] = field(default_factory=list)  # time, number
+    # Time and backend of each effect, by conversation and service.
+    effects: dict[str, list[tuple[float, str]]] = field(default_factory=lambda: defaultdict(list))
+    effect_counts: Counter[str] = field(default_factory=Counter)  # by action key
+    backend_lifetimes: dict[str, list[float]] = field(default_factory=dict)  # in service from, until
 
     def report(self) -> dict[str, Any]:
-        """What it showed: figures by name."""
-        done = [t for t in self.told if t.end == "done"]
-        shares = {}
-        for partner in sorted({t.partner for t in self.told}):
-            own = [t for t in self.told if t.partner == partner]
-            shares[partner] = sum(t.end == "done" for t in own) / len(own)
-        moved = sum(self.moved(seen) for seen in self.by.values())
+        """Return the figures by name."""
+        done = [action for action in self.actions if action.outcome == "done"]
+        refused = [action for action in self.actions if action.outcome == "refused"]
+        shares = self.answered_shares()
+        moved = sum(self.count_needless_moves(effects) for effects in self.effects.values())
+        times_ms = sorted(1000 * action.took_s for action in done)
         return {
-            "actions": len(self.told),
+            "actions": len(self.actions),
             "answered": len(done),
-            "said to be unknown": sum(t.end == "unknown" for t in self.told),
-            "refused, not run": sum(t.end == "refused" for t in self.told),
-            "doubled": sum(n > 1 for n in self.effects.values()),
-            "answered and without effect": sum(not self.effects[t.key] for t in done),
-            "refused and with effect": sum(
-                bool(self.effects[t.key]) for t in self.told if t.end == "refused"
-            ),
+            "said to be unknown": sum(action.outcome == "unknown" for action in self.actions),
+            "refused, not run": len(refused),
+            "doubled": sum(count > 1 for count in self.effect_counts.values()),
+            "answered and without effect": sum(not self.effect_counts[action.key] for action in done),
+            "refused and with effect": sum(bool(self.effect_counts[action.key]) for action in refused),
             "share answered, least partner": min(shares.values(), default=0.0),
             "share answered, most over least": max(shares.values()) / max(1e-9, min(shares.values())),
             "effects at another backend without need": moved,
-            "effects": sum(self.effects.values()),
-            "reads": dict(self.reads),
-            "troubles": dict(Counter(kind for _, kind, _ in self.what)),
-            "tries of an action, mean": sum(t.tries for t in self.told) / max(1, len(self.told)),
-            "ms, median": 1000 * sorted(t.took for t in done)[len(done) // 2] if done else 0.0,
-            "ms, 99 of 100": 1000 * sorted(t.took for t in done)[int(0.99 * len(done))] if done else 0.0,
+            "effects": sum(self.effect_counts.values()),
+            "reads": dict(self.read_counts),
+            "troubles": dict(Counter(kind for _, kind, _ in self.faults)),
+            "tries of an action, mean": sum(a.attempts for a in self.actions) / max(1, len(self.actions)),
+            "ms, median": times_ms[len(done) // 2] if done else 0.0,
+            "ms, 99 of 100": times_ms[int(0.99 * len(done))] if done else 0.0,
         }
 
-    def moved(self, seen: list[tuple[float, str]]) -> int:
-        """Effects of one conversation and service at another backend than its last, with no backend that came
-        or left since then.
+    def answered_shares(self) -> dict[str, float]:
+        """Return the share of answered actions of each partner."""
+        shares = {}
+        for partner in sorted({action.partner for action in self.actions}):
+            actions = [action for action in self.actions if action.partner == partner]
+            shares[partner] = sum(action.outcome == "done" for action in actions) / len(actions)
+        return shares
+
+    def count_needless_moves(self, effects: list[tuple[float, str]]) -> int:
+        """Count the effects at another backend than the previous one although no backend joined or left.
+
+        `effects` are those of one conversation at one service.  A change of the backends counts from
+        `PROPAGATION_S` before the previous effect until `PROPAGATION_S` after this one.
         """
         count = 0
-        for (since, one), (at, other) in itertools.pairwise(seen):
-            changed = any(
-                since - SETTLED < edge < at + SETTLED for life in self.lives.values() for edge in life
+        for (previous_at, previous), (at, backend) in itertools.pairwise(effects):
+            is_membership_changed = any(
+                previous_at - PROPAGATION_S < change < at + PROPAGATION_S
+                for lifetime in self.backend_lifetimes.values()
+                for change in lifetime
             )
-            count += one != other and not changed
+            count += previous != backend and not is_membership_changed
         return count
 
 
-def document(size: Size) -> dict[str, Any]:
+def build_configuration(settings: LoadSettings) -> dict[str, Any]:
+    """Build the configuration: one route for each service, one tenant for each partner."""
     return {
         "config_version": 1,
         "route_table": [
@@ -123,158 +143,188 @@
         "service_table": [{"name": name} for name in SERVICES],
         "tenant_table": [
             {"name": f"partner-{n}", "api_keys": [f"key-{n}"], "rate_per_s": 400, "burst_size": 400}
-            for n in range(size.partners)
+            for n in range(settings.partners)
         ],
     }  # fmt: skip
 
 
-class Play:
-    def __init__(self, cluster: LocalCluster, evening: Evening) -> None:
-        self.cluster, self.evening, self.size = cluster, evening, evening.size
-        self.chance = random.Random(evening.seed)
-        self.numbers = itertools.count(1)
-        self.serving: list[str] = []
+class LoadTest:
+    """Runs conversations and faults on one cluster and fills a record."""
+
+    def __init__(self, cluster: LocalCluster, record: LoadRecord) -> None:
+        self.cluster, self.record, self.settings = cluster, record, record.settings
+        self.rng = random.Random(record.seed)
+        self.action_numbers = itertools.count(1)
+        self.serving_proxies: list[str] = []
         self.backends: dict[str, list[Backend]] = {name: [] for name in SERVICES}
-        self.began = time.monotonic()
+        self.began_at = time.monotonic()
 
     def now(self) -> float:
-        return time.monotonic() - self.began
+        """Return the seconds since the beginning of the test."""
+        return time.monotonic() - self.began_at
 
     async def run(self) -> None:
-        cluster, size = self.cluster, self.size
+        """Start the cluster, run the test and count the effects."""
+        settings = self.settings
+        await self.prepare()
+        self.serving_proxies = list(self.cluster.proxy_ips)
+        self.began_at = time.monotonic()
+        for lifetime in self.record.backend_lifetimes.values():
+            lifetime[0] = -1e9  # long before the first effect: the backend's start is no change
+        end = self.began_at + settings.duration_s
+        weights = BUSY_PARTNER_WEIGHTS + [PARTNER_WEIGHT] * (settings.partners - len(BUSY_PARTNER_WEIGHTS))
+        partners = self.rng.choices(range(settings.partners), weights, k=settings.conversations)
+        faults = asyncio.create_task(self.inject_faults(end))
+        async with asyncio.TaskGroup() as group:
+            for number, partner in enumerate(partners):
+                group.create_task(self.run_conversation(number, partner, end))
+        await faults
+        for backend in self.cluster.backends:
+            for ran in backend.ran:
+                if key := ran.headers.get("idempotency-key"):
+                    self.record.effect_counts[key] += 1
+
+    async def prepare(self) -> None:
+        """Start machines and backends, configure the core and wait until all proxies are ready."""
+        cluster = self.cluster
         await cluster.start_all(initial_start=True)
         for service in SERVICES:
-            for n in range(size.backends):
-                await self.add(await cluster.start_backend(f"i-{service}-{n}", service))
-        await cluster.put_configuration(document(size))
-        settings = {"settings_version": 1, "conversation_header": "X-Conversation"}
-        while (await cluster.call_core("PUT", cluster.core_ips[0], "/conversations", settings))[0] != 200:
+            for n in range(self.settings.backends_per_service):
+                self.add_backend(await cluster.start_backend(f"i-{service}-{n}", service))
+        await cluster.put_configuration(build_configuration(self.settings))
+        conversation_settings = {"settings_version": 1, "conversation_header": "X-Conversation"}
+        while True:
+            core_ip = cluster.core_ips[0]
+            status, _ = await cluster.call_core("PUT", core_ip, "/conversations", conversation_settings)
+            if status == 200:
+                break
             await asyncio.sleep(0.05)
-        for door in cluster.proxy_ips:
-            await cluster.wait_until_ready(door)
-        self.serving = list(cluster.proxy_ips)
-        self.began = time.monotonic()
-        for life in self.evening.lives.values():
-            life[0] = -1e9
-        until = self.began + size.seconds
-        weights = [8.0, 6.0] + [1.0] * (size.partners - 2)
-        partners = self.chance.choices(range(size.partners), weights, k=size.conversations)
-        troubles = asyncio.create_task(self.troubles(until))
-        async with asyncio.TaskGroup() as group:
-            for n, partner in enumerate(partners):
-                group.create_task(self.conversation(n, partner, until))
-        await troubles
-        for backends in cluster.backends:
-            for ran in backends.ran:
-                if key := ran.headers.get("idempotency-key"):
-                    self.evening.effects[key] += 1
+        for ip in cluster.proxy_ips:
+            await cluster.wait_until_ready(ip)
 
-    async def add(self, backend: Backend) -> None:
-        backend.work = self.size.work
+    def add_backend(self, backend: Backend) -> None:
+        """Include a started backend in the test and record its effects."""
+        backend.work = self.settings.work_s
         self.backends[backend.service].append(backend)
-        self.evening.lives[backend.instance] = [self.now()]
-        backend.plan = lambda ran, backend=backend: self.seen(ran, backend)  # type: ignore[misc]
+        self.record.backend_lifetimes[backend.instance] = [self.now()]
+        backend.plan = lambda ran, backend=backend: self.on_run(ran, backend)  # type: ignore[misc]
 
-    def seen(self, ran: Ran, backend: Backend) -> bytes | None:
+    def on_run(self, ran: Ran, backend: Backend) -> bytes | None:
+        """Record an action's effect; None lets the backend answer as usual."""
         if (name := ran.headers.get("x-conversation")) and "idempotency-key" in ran.headers:
-            self.evening.by[f"{name} {backend.service}"].append((self.now(), backend.instance))
+            effect = self.now(), backend.instance
+            self.record.effects[f"{name} {backend.service}"].append(effect)
         return None
 
     # --- callers ---------------------------------------------------------------------------------------
 
-    async def conversation(self, number: int, partner: int, until: float) -> None:
-        chance = random.Random(f"{self.evening.seed} {number}")
-        await asyncio.sleep(chance.uniform(0, self.size.pause))
-        while time.monotonic() < until:
-            if chance.random() < 0.5:
-                await self.act(f"c-{number}", partner, chance.choice(ACTIONS), chance)
+    async def run_conversation(self, number: int, partner: int, end: float) -> None:
+        rng = random.Random(f"{self.record.seed} {number}")
+        await asyncio.sleep(rng.uniform(0, self.settings.pause_s))
+        while time.monotonic() < end:
+            if rng.random() < 0.5:
+                await self.perform_action(f"c-{number}", partner, rng.choice(ACTIONS), rng)
             else:
-                await self.read(partner, chance)
-            await asyncio.sleep(self.size.pause * chance.uniform(0.5, 1.5))
+                await self.read(partner, rng)
+            await asyncio.sleep(self.settings.pause_s * rng.uniform(0.5, 1.5))
 
-    async def read(self, partner: int, chance: random.Random) -> None:
-        for _ in range(3):
-            answer = await self.cluster.send_request(
-                chance.choice(self.serving), path="/archive/1", key=f"key-{partner}"
-            )
+    async def read(self, partner: int, rng: random.Random) -> None:
+        for _ in range(MAX_READ_ATTEMPTS):
+            proxy_ip = rng.choice(self.serving_proxies)
+            answer = await self.cluster.send_request(proxy_ip, path="/archive/1", key=f"key-{partner}")
             if answer is not None and answer.status_code == 200:
-                self.evening.reads["answered"] += 1
+                self.record.read_counts["answered"] += 1
                 return
             await asyncio.sleep(0.05)
-        self.evening.reads["not answered"] += 1
-
-    async def act(self, name: str, partner: int, service: str, chance: random.Random) -> None:
-        """One action, repeated as a client does that has a key: after anything but an answer."""
-        key = f"{name}-{next(self.numbers)}"
-        told = Told(f"partner-{partner}", name, key, self.now())
-        self.evening.told.append(told)
-        began = time.monotonic()
-        told.end = "refused"
-        while told.tries < TRIES and time.monotonic() - began < PATIENCE:
-            told.tries += 1
+        self.record.read_counts["not answered"] += 1
+
+    async def perform_action(self, name: str, partner: int, service: str, rng: random.Random) -> None:
+        """Send one action under its key and retry it until it succeeds or its outcome is unknown for good."""
+        key = f"{name}-{next(self.action_numbers)}"
+        action = Action(f"partner-{partner}", name, key, self.now())
+        self.record.actions.append(action)
+        began_at = time.monotonic()
+        action.outcome = "refused"
+        while action.attempts < MAX_ATTEMPTS and time.monotonic() - began_at < MAX_ACTION_S:
+            action.attempts += 1
             answer = await self.cluster.send_request(
-                chance.choice(self.serving), "POST", f"/{service}/{key}", f"key-{partner}", b"yes",
-                Idempotency_Key=key, X_Conversation=name, Time_Remaining=str(int(TRY * 1000)),
+                rng.choice(self.serving_proxies), "POST", f"/{service}/{key}", f"key-{partner}", b"yes",
+                Idempotency_Key=key, X_Conversation=name, Time_Remaining=str(int(ATTEMPT_TIMEOUT_S * 1000)),
             )  # fmt: skip
-            told.took = time.monotonic() - began
+            action.took_s = time.monotonic() - began_at
             if answer is not None and answer.status_code < 300:
-                told.end = "done"
+                action.outcome = "done"
                 return
             if answer is None or answer.status_code not in (429, 503):
-                told.end = "unknown"  # it may have run; only an answer takes that back
-            if answer is not None and answer.status_code == 502 and UNKNOWN in answer.text:
+                action.outcome = "unknown"  # it may have run; a later refusal does not change that
+            if answer is not None and answer.status_code == 502 and OUTCOME_UNKNOWN_TEXT in answer.text:
                 return
-            after = float(answer.headers.get("retry-after", 0.1)) if answer is not None else 0.1
-            await asyncio.sleep(min(1.0, max(0.05, after)))
+            retry_after_s = DEFAULT_RETRY_AFTER_S
+            if answer is not None:
+                retry_after_s = float(answer.headers.get("retry-after", DEFAULT_RETRY_AFTER_S))
+            await asyncio.sleep(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s)))
 
-    # --- troubles ----------------------------------------------------------------------------------------
+    # --- faults ------------------------------------------------------------------------------------------
 
-    async def troubles(self, until: float) -> None:
+    async def inject_faults(self, end: float) -> None:
+        """Inject a fault every `FAULT_INTERVAL_S`; once, in the second half, the primary is killed."""
         number = 0
-        lost_leader = False
-        while (left := until - time.monotonic()) > EVERY:
-            await asyncio.sleep(EVERY)
+        is_primary_killed = False
+        while (remaining := end - time.monotonic()) > FAULT_INTERVAL_S:
+            await asyncio.sleep(FAULT_INTERVAL_S)
             number += 1
-            if not lost_leader and left < self.size.seconds / 2:
-                lost_leader = True
-                await self.lose_leader()
+            if not is_primary_killed and remaining < self.settings.duration_s / 2:
+                is_primary_killed = True
+                await self.restart_primary()
                 continue
-            await self.trouble(self.chance.choice(KINDS), number)
-            self.evening.serving.append((self.now(), len(self.serving)))
+            await self.inject_fault(self.rng.choice(FAULT_KINDS), number)
+            self.record.serving_proxies.append((self.now(), len(self.serving_proxies)))
 
-    async def trouble(self, kind: str, number: int) -> None:
-        cluster = self.cluster
-        down = [d for d in cluster.proxy_ips if d not in self.serving]
-        if kind == "join" or (kind != "release" and len(self.serving) <= LEAST_DOORS):
-            if not down:
+    async def inject_fault(self, kind: str, number: int) -> None:
+        """Inject one fault and record it; a proxy joins instead where too few serve."""
+        stopped = [ip for ip in self.cluster.proxy_ips if ip not in self.serving_proxies]
+        has_few_proxies = len(self.serving_proxies) <= MIN_SERVING_PROXIES
+        if kind == "join" or (kind != "release" and has_few_proxies):
+            if not stopped:
                 return
-            kind, door = "join", self.chance.choice(down)
-            await cluster.kill(door)
-            await cluster.start(door)
-            await cluster.wait_until_ready(door)
-            self.serving.append(door)
+            kind, machine = "join", self.rng.choice(stopped)
+            await self.restart_proxy(machine)
         elif kind == "release":
-            service = self.chance.choice(SERVICES)
-            old = self.backends[service].pop(0)
-            door = f"i-{service}-new-{number}"
-            await self.add(await cluster.replace_backend(old, door))
-            self.evening.lives[old.instance].append(self.now())
+            machine = await self.replace_backend(number)
         else:
-            door = self.chance.choice(self.serving)
+            machine = self.rng.choice(self.serving_proxies)
             if kind == "freeze":
-                cluster.send_signal(door, signal.SIGSTOP)
-                self.serving.remove(door)
-                await asyncio.sleep(FROZEN)
-                cluster.send_signal(door, signal.SIGCONT)
-                self.serving.append(door)
+                await self.freeze_proxy(machine)
             else:
-                self.serving.remove(door)
-                cluster.send_signal(door, signal.SIGTERM if kind == "leave" else signal.SIGKILL)
-        self.evening.what.append((self.now(), kind, door))
-
-    async def lose_leader(self) -> None:
-        leader = self.cluster.primary_ip()
-        await self.cluster.kill(leader)
-        self.evening.what.append((self.now(), "leader", leader))
-        await asyncio.sleep(EVERY)
-        await self.cluster.start(leader)
+                self.serving_proxies.remove(machine)
+                self.cluster.send_signal(machine, signal.SIGTERM if kind == "leave" else signal.SIGKILL)
+        self.record.faults.append((self.now(), kind, machine))
+
+    async def restart_proxy(self, ip: str) -> None:
+        await self.cluster.kill(ip)
+        await self.cluster.start(ip)
+        await self.cluster.wait_until_ready(ip)
+        self.serving_proxies.append(ip)
+
+    async def replace_backend(self, number: int) -> str:
+        """Replace the oldest backend of a service and return the new one's name."""
+        service = self.rng.choice(SERVICES)
+        old = self.backends[service].pop(0)
+        name = f"i-{service}-new-{number}"
+        self.add_backend(await self.cluster.replace_backend(old, name))
+        self.record.backend_lifetimes[old.instance].append(self.now())
+        return name
+
+    async def freeze_proxy(self, ip: str) -> None:
+        self.cluster.send_signal(ip, signal.SIGSTOP)
+        self.serving_proxies.remove(ip)
+        await asyncio.sleep(FREEZE_S)
+        self.cluster.send_signal(ip, signal.SIGCONT)
+        self.serving_proxies.append(ip)
+
+    async def restart_primary(self) -> None:
+        primary_ip = self.cluster.primary_ip()
+        await self.cluster.kill(primary_ip)
+        self.record.faults.append((self.now(), "leader", primary_ip))
+        await asyncio.sleep(FAULT_INTERVAL_S)
+        await self.cluster.start(primary_ip)
--- a/tests/system/test_conversation_load.py
+++ b/tests/system/test_conversation_load.py
@@ -7,22 +7,27 @@
 
 import pytest
 
-from ivymux.simulation.conversation_load import Evening, Play, Size
+from ivymux.simulation.conversation_load import LoadRecord, LoadSettings, LoadTest
 from ivymux.simulation.local_cluster import local_cluster
 
 
 @pytest.mark.alone
 def test_no_action_runs_twice_or_is_answered_wrongly(tmp_path: Path) -> None:
-    size = Size(seconds=20.0, doors=6, backends=3, conversations=100)
-    evening = Evening(size, 11)
+    settings = LoadSettings(duration_s=20.0, proxies=6, backends_per_service=3, conversations=100)
+    record = LoadRecord(settings, 11)
 
     async def scenario() -> None:
-        async with local_cluster(tmp_path, 3, size.doors, timeout_s=110.0) as cluster:
-            await Play(cluster, evening).run()
+        async with local_cluster(tmp_path, 3, settings.proxies, timeout_s=110.0) as cluster:
+            await LoadTest(cluster, record).run()
 
     asyncio.run(scenario())
-    found = evening.report()
-    assert found["actions"] > 100 and found["answered"] > 0.8 * found["actions"], found
-    assert found["doubled"] == found["answered and without effect"] == found["refused and with effect"] == 0
-    assert found["effects at another backend without need"] == 0
-    assert {"leader", "release"} <= set(found["troubles"]), found
+    figures = record.report()
+    assert figures["actions"] > 100 and figures["answered"] > 0.8 * figures["actions"], figures
+    assert (
+        figures["doubled"]
+        == figures["answered and without effect"]
+        == figures["refused and with effect"]
+        == 0
+    )
+    assert figures["effects at another backend without need"] == 0
+    assert {"leader", "release"} <= set(figures["troubles"]), figures
