--- a/ivymux/simulation/exploration.py
+++ b/ivymux/simulation/exploration.py
@@ -18,7 +18,7 @@
 from ivymux.simulation.event_queue import START_TIME
 from ivymux.simulation.fault_schedules import FAULT_TARGETS, Fault, ReplicaFactory, run_two_changes
 from ivymux.simulation.quota_sharing import DistributedQuotaSimulation, QuotaSimulation, Tenant, quota_plan
-from ivymux.simulation.trial_model import Happening, Run, drawn
+from ivymux.simulation.trial_model import TrialEvent, TrialRun, draw_events
 
 Events = tuple[str, ...]
 STEPS = 40  # of the core's run in which faults are placed
@@ -73,14 +73,14 @@
     name: str = "trials"
 
     def draw(self, chance: random.Random) -> Events:
-        happenings = sorted(drawn(chance), key=lambda h: h.at)
-        return (f"seed:{chance.randrange(1 << 30)}", *map(str, happenings))
+        trial_events = sorted(draw_events(chance), key=lambda event: event.at)
+        return (f"seed:{chance.randrange(1 << 30)}", *map(str, trial_events))
 
     def play(self, events: Events) -> str:
         seed = next((int(e.removeprefix("seed:")) for e in events if e.startswith("seed:")), 0)
-        happenings = tuple(Happening.read(e) for e in events if not e.startswith("seed:"))
-        broken = Run(seed, happenings=happenings).play().broken
-        return broken[0] if broken else ""
+        trial_events = tuple(TrialEvent.parse(e) for e in events if not e.startswith("seed:"))
+        violations = TrialRun(seed, events=trial_events).play().violations
+        return violations[0] if violations else ""
 
 
 def quota_violation(tenant: Tenant) -> str:
--- a/ivymux/simulation/trial_model.py
+++ b/ivymux/simulation/trial_model.py
@@ -1,8 +1,8 @@
-"""A model of trials under faults: a core that holds the board, registries and doors that are cut off, start
-anew and hear late; requests at every door all the while.  Pure: one seed, one evening.
+"""Simulates fault-injection trials in virtual time: registries and proxies copy the trials of the core.
 
-What is checked is what callers could see: nobody but the caller of a trial is ever caught, and nobody once
-the trial has ended for longer than the lease, whatever a door has heard.
+Registries and proxies are partitioned, proxies restart, and messages are late, while requests arrive at every
+proxy.  The checks use what callers could observe: a trial affects only the requests that it is meant for, and
+none later than one lease after its end, whatever messages a proxy has received.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 
 from ivymux.fault_injection.request_matcher import LEASE_S, RENEWAL_INTERVAL_S, RequestMatcher
 from ivymux.fault_injection.trial_set import (
@@ -27,20 +28,22 @@
     start_trial,
 )
 
-SECONDS = 30.0
-STEP = 0.1  # seconds between requests at a door
-REGISTRIES, DOORS = 3, 5
-CALLERS = ("kava", "kava-hearts", "kava hearts", "derwent")  # some begin alike
-SKEW = 0.5  # seconds that a door's system time may be off
-HELD_UP = 6.0  # seconds for which a cut may hold a message up
-MAX_FAR = 0.3  # seconds of an ordinary message
-READ = 0.4
+RUN_S = 30.0
+REQUEST_INTERVAL_S = 0.1  # between requests at a proxy
+REGISTRIES, PROXIES = 3, 5
+CALLERS = ("kava", "kava-hearts", "kava hearts", "derwent")  # some are prefixes of others
+MAX_CLOCK_SKEW_S = 0.5  # of the system time of a proxy
+MAX_HOLD_UP_S = 6.0  # for which a partition may delay a message
+MAX_DELAY_S = 0.3  # of a message without a partition
+READ_INTERVAL_S = 0.4  # between reads of the trials by a registry
 
 
 @dataclass(frozen=True, slots=True)
-class Caught:
+class Injection:
+    """A request that a proxy selected for a trial's fault."""
+
     at: float
-    door: int
+    proxy: int
     trial: Trial
     tenant: str
     key: bytes
@@ -48,207 +51,230 @@
 
 
 @dataclass(slots=True)
-class Known:
-    """What a registry knows."""
+class RegistryState:
+    """The copy of the trials at a registry."""
 
-    board: TrialSet = field(default_factory=TrialSet)
-    read_at: float = -1e9
+    trials: TrialSet = field(default_factory=TrialSet)
+    read_at: float = -1e9  # start of the last read from the core
 
 
 @dataclass(frozen=True, slots=True)
-class Happening:
-    """An operator's act or a trouble, `at:kind:seed`; what it is in detail is drawn by a seed of its own."""
+class TrialEvent:
+    """An operator's action or a fault, printed as `at:kind:seed`; its own seed determines the details."""
 
     at: float
     kind: str  # operate, trouble
     seed: int
 
     @staticmethod
-    def read(text: str) -> Happening:
-        """As it is printed."""
+    def parse(text: str) -> TrialEvent:
+        """Parse the printed form."""
         at, kind, seed = text.split(":")
-        return Happening(float(at), kind, int(seed))
+        return TrialEvent(float(at), kind, int(seed))
 
     def __str__(self) -> str:
         return f"{self.at:.2f}:{self.kind}:{self.seed}"
 
 
-def drawn(chance: random.Random) -> tuple[Happening, ...]:
+def draw_events(chance: random.Random) -> tuple[TrialEvent, ...]:
+    """Draw the events of a run, in random order of time."""
     kinds = ["operate"] * 8 + ["trouble"] * 14
-    return tuple(Happening(chance.uniform(0, SECONDS), kind, chance.randrange(1 << 30)) for kind in kinds)
+    return tuple(TrialEvent(chance.uniform(0, RUN_S), kind, chance.randrange(1 << 30)) for kind in kinds)
 
 
 @dataclass
-class Run:
+class TrialRun:
+    """One run, which depends only on its seed and its events."""
+
     seed: int
-    happenings: tuple[Happening, ...] | None = None  # drawn where there are none
-    caught: list[Caught] = field(default_factory=list)
-    asked: int = 0
-    core: TrialSet = field(default_factory=TrialSet)
-    begun: dict[str, float] = field(default_factory=dict)  # when a trial came on the board
-    gone: dict[str, float] = field(default_factory=dict)  # and when it was off it
-    broken: list[str] = field(default_factory=list)
+    events: tuple[TrialEvent, ...] | None = None  # drawn by the seed if None
+    injections: list[Injection] = field(default_factory=list)
+    requests: int = 0
+    core_trials: TrialSet = field(default_factory=TrialSet)
+    started_at: dict[str, float] = field(default_factory=dict)  # time at the core, by name of the trial
+    ended_at: dict[str, float] = field(default_factory=dict)  # time at the core, by name of the trial
+    violations: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.chance = random.Random(self.seed)
         self.now = 0.0
         self.order = itertools.count()
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.registries = [Known() for _ in range(REGISTRIES)]
-        self.skew = [self.chance.uniform(-SKEW, SKEW) for _ in range(DOORS)]
-        self.doors = [self.door() for _ in range(DOORS)]
-        self.cut: dict[tuple[str, int], float] = {}  # until when a registry or a door hears nobody
-        self.names = itertools.count()
-
-    def door(self) -> RequestMatcher:
-        made = RequestMatcher("hall")
-        made.update_keys(key for _, key in self.keys())
-        return made
-
-    def keys(self) -> list[tuple[str, bytes]]:
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self.registries = [RegistryState() for _ in range(REGISTRIES)]
+        self.clock_skew_s = [self.chance.uniform(-MAX_CLOCK_SKEW_S, MAX_CLOCK_SKEW_S) for _ in range(PROXIES)]
+        self.matchers = [self.create_matcher() for _ in range(PROXIES)]
+        self.blocked_until: dict[tuple[str, int], float] = {}  # by kind and number of the place
+        self.trial_numbers = itertools.count()
+
+    def create_matcher(self) -> RequestMatcher:
+        """Create the matcher of a proxy that has just started."""
+        matcher = RequestMatcher("hall")
+        matcher.update_keys(key for _, key in self.caller_keys())
+        return matcher
+
+    def caller_keys(self) -> list[tuple[str, bytes]]:
+        """Return each caller with each of its API keys."""
         return [(caller, f"{caller}/{n}".encode()) for caller in CALLERS for n in range(2)]
 
     # --- time and messages -----------------------------------------------------------------------------
 
-    def later(self, wait: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (self.now + wait, next(self.order), what))
+    def schedule(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Run a callback after `delay_s` seconds of virtual time."""
+        heapq.heappush(self.scheduled, (self.now + delay_s, next(self.order), callback))
 
-    def send(self, place: tuple[str, int], what: Callable[[], None]) -> None:
-        """A message to or from a place: late, held up by a cut, or lost."""
-        far = self.chance.uniform(0.001, MAX_FAR)
-        held = self.cut.get(place, 0.0) - self.now
-        if held > 0:
+    def send(self, place: tuple[str, int], on_delivery: Callable[[], None]) -> None:
+        """Send a message to or from a place; a partition of the place delays or drops it."""
+        delay_s = self.chance.uniform(0.001, MAX_DELAY_S)
+        blocked_s = self.blocked_until.get(place, 0.0) - self.now
+        if blocked_s > 0:
             if self.chance.random() < 0.5:
                 return
-            far += min(held, HELD_UP)
-        self.later(far, what)
+            delay_s += min(blocked_s, MAX_HOLD_UP_S)
+        self.schedule(delay_s, on_delivery)
 
-    def play(self) -> Run:
+    def play(self) -> TrialRun:
+        """Play the run to its end; `violations` then lists what the checks found."""
         for number in range(REGISTRIES):
-            self.later(self.chance.uniform(0, READ), lambda n=number: self.reading(n))  # type: ignore[misc]
-        for number in range(DOORS):
-            self.later(self.chance.uniform(0, RENEWAL_INTERVAL_S), lambda n=number: self.asking(n))  # type: ignore[misc]
-            self.later(self.chance.uniform(0, STEP), lambda n=number: self.request(n))  # type: ignore[misc]
-        for thing in drawn(self.chance) if self.happenings is None else self.happenings:
-            act = self.operate if thing.kind == "operate" else self.trouble
-            self.later(thing.at, lambda a=act, t=thing: a(random.Random(t.seed)))  # type: ignore[misc]
-        while self.queue:
-            self.now, _, what = heapq.heappop(self.queue)
-            if self.now > SECONDS:
+            self.schedule(self.chance.uniform(0, READ_INTERVAL_S), lambda n=number: self.read_core(n))  # type: ignore[misc]
+        for number in range(PROXIES):
+            self.schedule(self.chance.uniform(0, RENEWAL_INTERVAL_S), lambda n=number: self.renew_lease(n))  # type: ignore[misc]
+            self.schedule(self.chance.uniform(0, REQUEST_INTERVAL_S), lambda n=number: self.send_request(n))  # type: ignore[misc]
+        for event in draw_events(self.chance) if self.events is None else self.events:
+            act = self.operate if event.kind == "operate" else self.inject_fault
+            self.schedule(event.at, lambda a=act, e=event: a(random.Random(e.seed)))  # type: ignore[misc]
+        while self.scheduled:
+            self.now, _, callback = heapq.heappop(self.scheduled)
+            if self.now > RUN_S:
                 break
-            what()
+            callback()
         return self
 
     # --- the core --------------------------------------------------------------------------------------
 
-    def change(self, board: TrialSet) -> None:
-        for trial in self.core.running:
-            if trial not in board.running:
-                self.gone[trial.name] = self.now
-        for trial in board.running:
-            self.begun.setdefault(trial.name, self.now)
-        self.core = board
+    def update_core(self, trials: TrialSet) -> None:
+        """Store a new set of trials at the core and push it to the registries."""
+        for trial in self.core_trials.running:
+            if trial not in trials.running:
+                self.ended_at[trial.name] = self.now
+        for trial in trials.running:
+            self.started_at.setdefault(trial.name, self.now)
+        self.core_trials = trials
         for number in range(REGISTRIES):
-            self.send(("registry", number), lambda n=number, b=board: self.told(n, b))  # type: ignore[misc]
+            self.send(("registry", number), lambda n=number, t=trials: self.on_trials(n, t))  # type: ignore[misc]
 
     def operate(self, chance: random.Random) -> None:
-        if self.core.running and chance.random() < 0.4:
-            self.change(
-                end_trial(self.core, chance.choice(self.core.running).name, "ann", "enough", self.now)
-            )
+        """End a running trial or start a new one, as an operator does."""
+        if self.core_trials.running and chance.random() < 0.4:
+            ending = chance.choice(self.core_trials.running)
+            self.update_core(end_trial(self.core_trials, ending.name, "ann", "enough", self.now))
             return
-        caller, key = chance.choice(self.keys())
+        caller, key = chance.choice(self.caller_keys())
+        name = f"t{next(self.trial_numbers)}"
         trial = Trial(
-            f"t{next(self.names)}", caller, chance.choice((REFUSE, LOSE, CLOSE)), "ann", "to see", self.now,
+            name, caller, chance.choice((REFUSE, LOSE, CLOSE)), "ann", "to see", self.now,
             self.now + chance.choice((0.0, 0.0, 2.0)), chance.uniform(1.0, 12.0),
             key_digest(key) if chance.random() < 0.4 else "", chance.choice(("", "", "sign")),
             share=chance.choice((1.0, 0.3)),
         )  # fmt: skip
         try:
-            self.change(start_trial(self.core, trial))
+            self.update_core(start_trial(self.core_trials, trial))
         except TrialError:
             return
 
     # --- registries -----------------------------------------------------------------------------------
 
-    def told(self, number: int, board: TrialSet) -> None:
-        """A board that was pushed."""
-        known = self.registries[number]
-        if board.version > known.board.version:
-            known.board = board
-            for door in range(DOORS):
-                self.send(("door", door), lambda d=door, b=board: self.pushed(d, b))  # type: ignore[misc]
-
-    def reading(self, number: int) -> None:
-        self.later(READ, lambda: self.reading(number))
-        known, asked = self.registries[number], self.now
-
-        def answer(board: TrialSet) -> None:
-            self.told(number, board)
-            if board.version >= known.board.version:
-                known.read_at = max(known.read_at, asked)
-            for name in expired_trials(board, self.now):
-                if board.version == self.core.version:  # else it is not taken
-                    self.change(end_trial(self.core, name, "ivymux", "its time is over", self.now))
+    def on_trials(self, number: int, trials: TrialSet) -> None:
+        """Take a newer set of trials into a registry, which pushes it to the proxies."""
+        state = self.registries[number]
+        if trials.version > state.trials.version:
+            state.trials = trials
+            for proxy in range(PROXIES):
+                self.send(("door", proxy), lambda p=proxy, t=trials: self.on_pushed_trials(p, t))  # type: ignore[misc]
+
+    def read_core(self, number: int) -> None:
+        """Read the trials at the core regularly, and end those that have expired."""
+        self.schedule(READ_INTERVAL_S, lambda: self.read_core(number))
+        state, sent_at = self.registries[number], self.now
+
+        def on_answer(trials: TrialSet) -> None:
+            self.on_trials(number, trials)
+            if trials.version >= state.trials.version:
+                state.read_at = max(state.read_at, sent_at)
+            for name in expired_trials(trials, self.now):
+                if trials.version == self.core_trials.version:  # otherwise the core rejects the change
+                    self.update_core(
+                        end_trial(self.core_trials, name, "ivymux", "its time is over", self.now)
+                    )
 
         self.send(
             ("registry", number),
-            lambda: self.send(("registry", number), lambda b=self.core: answer(b)),  # type: ignore[misc]
+            lambda: self.send(("registry", number), lambda t=self.core_trials: on_answer(t)),  # type: ignore[misc]
         )
 
-    # --- doors -----------------------------------------------------------------------------------------
+    # --- proxies ---------------------------------------------------------------------------------------
 
-    def pushed(self, number: int, board: TrialSet) -> None:
-        self.doors[number].apply(board, self.now, self.now + self.skew[number])
+    def on_pushed_trials(self, number: int, trials: TrialSet) -> None:
+        """Apply trials that a registry pushed to a proxy."""
+        self.matchers[number].apply(trials, self.now, self.now + self.clock_skew_s[number])
 
-    def asking(self, number: int) -> None:
-        self.later(RENEWAL_INTERVAL_S, lambda: self.asking(number))
-        door, asked = self.doors[number], self.now
-        for at in range(REGISTRIES):
-            self.send(("door", number), lambda n=at: self.question(number, door, n, asked))  # type: ignore[misc]
+    def renew_lease(self, number: int) -> None:
+        """Ask all registries regularly to renew the lease of a proxy."""
+        self.schedule(RENEWAL_INTERVAL_S, lambda: self.renew_lease(number))
+        matcher, sent_at = self.matchers[number], self.now
+        for registry in range(REGISTRIES):
+            request = partial(self.on_renewal_request, number, matcher, registry, sent_at)
+            self.send(("door", number), request)
 
-    def question(self, number: int, door: RequestMatcher, at: int, asked: float) -> None:
-        known = self.registries[at]
-        if known.read_at < 0:
+    def on_renewal_request(self, number: int, matcher: RequestMatcher, registry: int, sent_at: float) -> None:
+        """Answer a proxy with the trials and their age; it ignores the answer if it has restarted."""
+        state = self.registries[registry]
+        if state.read_at < 0:
             return
-        board, age = known.board, self.now - known.read_at
+        trials, age = state.trials, self.now - state.read_at
 
-        def answer() -> None:
-            if self.doors[number] is door:
-                door.apply(board, self.now, self.now + self.skew[number])
-                door.renew_lease(board.version, asked, age)
+        def on_answer() -> None:
+            if self.matchers[number] is matcher:
+                matcher.apply(trials, self.now, self.now + self.clock_skew_s[number])
+                matcher.renew_lease(trials.version, sent_at, age)
 
-        self.send(("door", number), answer)
+        self.send(("door", number), on_answer)
 
-    def request(self, number: int) -> None:
-        self.later(STEP, lambda: self.request(number))
-        tenant, key = self.chance.choice(self.keys())
+    def send_request(self, number: int) -> None:
+        """Send requests of random callers to a proxy regularly, and check those that a trial selects."""
+        self.schedule(REQUEST_INTERVAL_S, lambda: self.send_request(number))
+        tenant, key = self.chance.choice(self.caller_keys())
         route = self.chance.choice(("sign", "read"))
-        name = f"{number}/{self.asked}".encode()
-        self.asked += 1
-        trial = self.doors[number].match(self.now, tenant, key, route, "desk", name)
+        name = f"{number}/{self.requests}".encode()
+        self.requests += 1
+        trial = self.matchers[number].match(self.now, tenant, key, route, "desk", name)
         if trial is not None:
-            self.caught.append(Caught(self.now, number, trial, tenant, key, route))
-            self.judge(self.caught[-1])
-
-    def judge(self, seen: Caught) -> None:
-        trial = seen.trial
-        other = (
-            seen.tenant != trial.caller
-            or (trial.key and key_digest(seen.key) != trial.key)
-            or (trial.route and seen.route != trial.route)
+            self.injections.append(Injection(self.now, number, trial, tenant, key, route))
+            self.check_injection(self.injections[-1])
+
+    def check_injection(self, injection: Injection) -> None:
+        """Record a violation if the request is not one of the trial's, or the trial is not in force."""
+        trial = injection.trial
+        is_unrelated = (
+            injection.tenant != trial.caller
+            or (trial.key and key_digest(injection.key) != trial.key)
+            or (trial.route and injection.route != trial.route)
         )
-        if other:
-            self.broken.append(f"{seen.at:.2f}: another caller was caught by {trial.name}")
-        if seen.at > self.gone.get(trial.name, seen.at) + LEASE_S:
-            self.broken.append(f"{seen.at:.2f}: {trial.name} ended at {self.gone[trial.name]:.2f}")
-        if not trial.at - SKEW <= seen.at <= trial.ends_at + SKEW + 1e-9:
-            self.broken.append(f"{seen.at:.2f}: {trial.name} runs from {trial.at:.2f} to {trial.ends_at:.2f}")
-
-    def trouble(self, chance: random.Random) -> None:
+        if is_unrelated:
+            self.violations.append(f"{injection.at:.2f}: {trial.name} affected another caller")
+        if injection.at > self.ended_at.get(trial.name, injection.at) + LEASE_S:
+            self.violations.append(
+                f"{injection.at:.2f}: {trial.name} ended at {self.ended_at[trial.name]:.2f}"
+            )
+        if not trial.at - MAX_CLOCK_SKEW_S <= injection.at <= trial.ends_at + MAX_CLOCK_SKEW_S + 1e-9:
+            self.violations.append(
+                f"{injection.at:.2f}: {trial.name} runs from {trial.at:.2f} to {trial.ends_at:.2f}"
+            )
+
+    def inject_fault(self, chance: random.Random) -> None:
+        """Restart a proxy, or partition a proxy or a registry for a while."""
         kind = chance.choice(("registry", "door", "anew"))
         if kind == "anew":
-            self.doors[chance.randrange(DOORS)] = self.door()
+            self.matchers[chance.randrange(PROXIES)] = self.create_matcher()
             return
-        number = chance.randrange(REGISTRIES if kind == "registry" else DOORS)
-        self.cut[kind, number] = self.now + chance.uniform(0.5, 10.0)
+        number = chance.randrange(REGISTRIES if kind == "registry" else PROXIES)
+        self.blocked_until[kind, number] = self.now + chance.uniform(0.5, 10.0)
--- a/tests/fault_injection/test_request_matcher.py
+++ b/tests/fault_injection/test_request_matcher.py
@@ -10,7 +10,7 @@
 from ivymux.fault_injection.guard import Guard, GuardError
 from ivymux.fault_injection.request_matcher import LEASE_S, RequestMatcher
 from ivymux.fault_injection.trial_set import REFUSE, Trial, TrialSet, end_trial, key_digest, start_trial
-from ivymux.simulation.trial_model import Run
+from ivymux.simulation.trial_model import TrialRun
 
 KEY, OTHER_KEY = b"key-one", b"key-one-more"
 
@@ -89,9 +89,10 @@
 
 @pytest.mark.parametrize("part", range(4))
 def test_random_runs_inject_faults_only_into_requests_under_a_trial(part: int) -> None:
-    runs = [Run(seed).play() for seed in range(250 * part, 250 * part + 250)]
-    assert not [(run.seed, run.broken) for run in runs if run.broken]
-    assert sum(len(run.caught) for run in runs) > 250 * 20 and sum(bool(run.gone) for run in runs) > 200
+    runs = [TrialRun(seed).play() for seed in range(250 * part, 250 * part + 250)]
+    assert not [(run.seed, run.violations) for run in runs if run.violations]
+    assert sum(len(run.injections) for run in runs) > 250 * 20
+    assert sum(bool(run.ended_at) for run in runs) > 200
 
 
 def test_random_runs_detect_a_lease_that_is_too_long(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -100,10 +101,10 @@
     monkeypatch.setattr(
         RequestMatcher, "renew_lease", lambda self, v, asked, age: true(self, v, asked + age, 0.0)
     )
-    assert any(Run(seed).play().broken for seed in range(200))
+    assert any(TrialRun(seed).play().violations for seed in range(200))
     monkeypatch.setattr(RequestMatcher, "renew_lease", true)
     monkeypatch.setattr(request_matcher, "LEASE_S", 2 * LEASE_S)
-    assert any(Run(seed).play().broken for seed in range(200))
+    assert any(TrialRun(seed).play().violations for seed in range(200))
 
 
 def test_the_guard_trips_when_requests_under_no_trial_fail() -> None:
