--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -68,8 +68,8 @@
     cluster = CoreCluster(11, 6)
     for ip in ("m0", "m1", "m2"):
         cluster.start(ip)
-    leader = cluster.run_until_led(5.0) and cluster.primaries()[0]
-    assert isinstance(leader, str) and cluster.put(leader, 3, "three")
+    primary = cluster.run_until_led(5.0) and cluster.primaries()[0]
+    assert isinstance(primary, str) and cluster.put(primary, 3, "three")
     cluster.run_for(0.5)
     for old, new in (("m0", "m3"), ("m1", "m4"), ("m2", "m5")):
         cluster.start(new)
@@ -82,8 +82,8 @@
 
 
 def members(cluster: CoreCluster) -> set[str]:
-    leaders = cluster.primaries()
-    replica = cluster.machines[leaders[0]].replica if leaders else None
+    primaries = cluster.primaries()
+    replica = cluster.machines[primaries[0]].replica if primaries else None
     if replica is None or replica.led_epoch is None:
         return set()
     return {member.partition("/")[0] for member in replica.led_epoch.members}
@@ -95,8 +95,8 @@
     for seed in range(50):
         cluster = started(seed, count)
         cluster.run_for(1.0)
-        leader = cluster.primaries()[0]
-        cluster.kill(leader)
+        primary = cluster.primaries()[0]
+        cluster.kill(primary)
         began = cluster.now
         assert cluster.run_until_led(10.0)
         first = cluster.primaries()[0]
@@ -111,11 +111,11 @@
     for seed in range(40):
         cluster = started(seed, count)
         cluster.run_for(1.5)
-        leader = cluster.primaries()[0]
+        primary = cluster.primaries()[0]
         for version in (4, 9):
-            cluster.put(leader, version, f"v{version}")
+            cluster.put(primary, version, f"v{version}")
             assert cluster.run_until_acknowledged(version, 2.0)
-        cluster.wipe(leader)
+        cluster.wipe(primary)
         for ip in cluster.machines:
             cluster.kill(ip)
         cluster.run_for(1.0)
@@ -126,11 +126,11 @@
     for seed in range(30):
         cluster = started(seed)
         cluster.run_for(1.0)
-        leader = cluster.primaries()[0]
-        replica = cluster.machines[leader].replica
+        primary = cluster.primaries()[0]
+        replica = cluster.machines[primary].replica
         assert replica is not None and replica.led_epoch is not None
         backup = replica.led_epoch.backup.partition("/")[0]
-        cluster.put(leader, 4, "four")
+        cluster.put(primary, 4, "four")
         assert cluster.run_until_acknowledged(4, 2.0)
         cluster.wipe(backup)
         cluster.run_for(1.2)
@@ -145,11 +145,11 @@
     for seed in range(30):
         cluster = started(seed, 3 + seed % 2)
         cluster.run_for(1.0)
-        leader = cluster.primaries()[0]
+        primary = cluster.primaries()[0]
         for ip in cluster.machines:
-            cluster.cut_links.add((leader, ip))
+            cluster.cut_links.add((primary, ip))
             if not one_way:
-                cluster.cut_links.add((ip, leader))
+                cluster.cut_links.add((ip, primary))
         for step in range(60):
             cluster.run_for(0.1)
             for ip in cluster.machines:
@@ -195,11 +195,11 @@
 def test_changes_are_acknowledged_again_after_a_disk_hung() -> None:
     for seed in range(20):
         cluster = started(seed)
-        leader = cluster.primaries()[0]
-        cluster.machines[leader].disk.commit_s = 8.0
-        cluster.put(leader, 4, "four")
+        primary = cluster.primaries()[0]
+        cluster.machines[primary].disk.commit_s = 8.0
+        cluster.put(primary, 4, "four")
         cluster.run_for(3.0)
-        cluster.machines[leader].disk.commit_s = 0.008
+        cluster.machines[primary].disk.commit_s = 0.008
         cluster.run_for(9.0)
         for ip in cluster.primaries():
             cluster.put(ip, 5, "five")
--- a/tests/config_store/test_idempotency_records.py
+++ b/tests/config_store/test_idempotency_records.py
@@ -140,10 +140,10 @@
     for machine in cluster.machines.values():
         assert machine.replica is not None
         assert machine.replica.record_replication.settings["conversations"].version == 4
-    leader = cluster.machines[cluster.primaries()[0]].replica
-    assert leader is not None and leader.record_replication.limits.retention_s == 3600.0
+    primary = cluster.machines[cluster.primaries()[0]].replica
+    assert primary is not None and primary.record_replication.limits.retention_s == 3600.0
     assert call_primary(cluster, PutSetting("conversations", 3, "older"))["ok"]
-    assert leader.record_replication.settings["conversations"].version == 4
+    assert primary.record_replication.settings["conversations"].version == 4
 
 
 @pytest.mark.parametrize("wrong", [{"k": "claim", "key": ["x"]}, {"k": "claim"}, {"k": "end", "key": "a"}])
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -94,7 +94,7 @@
 
 def test_the_primary_serves_reads_while_a_member_with_a_slow_disk_joins() -> None:
     cluster = start_cluster(2, 3)
-    leader = machine_with_role(cluster, PRIMARY)
+    primary = machine_with_role(cluster, PRIMARY)
     away = machine_with_role(cluster, WITNESS)
     cluster.wipe(away)
     cluster.machines[away].disk.commit_s = 1.0
@@ -102,7 +102,7 @@
     cluster.start(away)
     for _ in range(160):
         cluster.run_for(0.05)
-        assert cluster.primaries() == [leader]
+        assert cluster.primaries() == [primary]
 
 
 # --- one version, one text --------------------------------------------------------------------------------
@@ -114,18 +114,18 @@
     def __init__(self, cluster: CoreCluster) -> None:
         self.cluster = cluster
         self.outcomes: list[tuple[int, str, ChangeOutcome]] = []
-        checked = cluster.on_change_outcome
+        check_outcome = cluster.on_change_outcome
 
-        def answered(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
-            checked(version, text, outcome, known)
+        def on_change_outcome(version: int, text: str, outcome: ChangeOutcome, known: str = "") -> None:
+            check_outcome(version, text, outcome, known)
             self.outcomes.append((version, text, outcome))
 
-        cluster.on_change_outcome = answered  # type: ignore[method-assign]
+        cluster.on_change_outcome = on_change_outcome  # type: ignore[method-assign]
 
-    def put(self, version: int, text: str, most: float = 6.0) -> ChangeOutcome | None:
+    def put(self, version: int, text: str, timeout_s: float = 6.0) -> ChangeOutcome | None:
         self.outcomes.clear()
-        until = self.cluster.now + most
-        while self.cluster.now < until:
+        deadline = self.cluster.now + timeout_s
+        while self.cluster.now < deadline:
             for machine in self.cluster.machines:
                 self.cluster.put(machine, version, text)
             self.cluster.run_for(0.02)
@@ -138,9 +138,9 @@
 def test_two_texts_under_one_version_are_not_both_confirmed() -> None:
     for seed in range(20):
         cluster = start_cluster(seed, 3)
-        leader = cluster.primaries()[0]
+        primary = cluster.primaries()[0]
         for text in ("seven by a", "seven by b"):  # at the same instant, by two operators
-            cluster.put(leader, 7, text)
+            cluster.put(primary, 7, text)
         assert cluster.run_until_acknowledged(7, 2.0)
         operator = Operator(cluster)
         outcomes = {operator.put(7, text) for text in ("seven by a", "seven by b")}
@@ -171,12 +171,12 @@
     """Only the primary's disk holds the first text; after its loss another text is stored, and stays."""
     for seed in range(20):
         cluster = start_cluster(seed, 3)
-        leader = machine_with_role(cluster, PRIMARY)
+        primary = machine_with_role(cluster, PRIMARY)
         backup = machine_with_role(cluster, BACKUP)
-        cluster.cut_links = {(leader, backup)}
-        assert cluster.put(leader, 5, "first")
+        cluster.cut_links = {(primary, backup)}
+        assert cluster.put(primary, 5, "first")
         cluster.run_for(0.05)
-        cluster.kill(leader)
+        cluster.kill(primary)
         cluster.cut_links.clear()
         operator = Operator(cluster)
         assert operator.put(5, "second") is ChangeOutcome.STORED
