--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -53,7 +53,7 @@
     parsed = msgspec.msgpack.encode(Inventory(tuple(listed)))
     blobs = {digest(data): data for data in (routes, compiled, parsed)}
     for number in range(tenants):
-        key_id, key, kept = secret.make(secret.CALLER, 0.0)
+        key_id, key, kept = secret.create_key(secret.CALLER_PREFIX, 0.0)
         made = Tenant(
             hosts=[f"t{number}.example"], plans=plans, customers={"c": CustomerPart(plan="p")},
             keys={key_id: KeyEntry(salt=kept.salt, hash=kept.hash, made=0.0, customer="c")},
--- a/ivymux/admin/app.py
+++ b/ivymux/admin/app.py
@@ -24,8 +24,8 @@
 from ivymux.admin.operations import Desk, Done, InventoryBody, Terms, store_problem
 from ivymux.desired.model import Store, StoreError
 from ivymux.service.site import PlanPart
-from ivymux.tenants.model import CustomerPart, Tenant, shown
-from ivymux.tenants.places import ANYWHERE, Places
+from ivymux.tenants.model import CustomerPart, Tenant, public_document
+from ivymux.tenants.places import ANY_ADDRESS, AddressRules
 from ivymux.tenants.shares import TenantLimits
 
 MAX_BODY = 48 << 20
@@ -72,7 +72,7 @@
 
 
 def member(stored: Any, part: str, name: str) -> Any:
-    members = shown(stored.tenant)[part]
+    members = public_document(stored.tenant)[part]
     if name not in members:
         raise ApiError(404, f"there is no such {part[:-1]}")
     return members[name]
@@ -97,7 +97,7 @@
     async def work(call: Call) -> Done:
         after, limit = page_of(call)
         stored = await call.desk.seen(call.principal, call.name())
-        members = shown(stored.tenant)[part]
+        members = public_document(stored.tenant)[part]
         names = [name for name in sorted(members) if name > after]
         items = [{"name": name, **members[name]} for name in names[:limit]]
         following = cursor(names[limit - 1]) if len(names) > limit else None
@@ -182,7 +182,9 @@
     stored = await call.desk.seen(call.principal, call.name())
     _, limit = page_of(call)
     found = await call.desk.call(call.desk.store.history, stored.uid, limit)
-    return Done(200, {"items": [{"revision": s.revision, "tenant": shown(s.tenant)} for s in found]})
+    return Done(
+        200, {"items": [{"revision": s.revision, "tenant": public_document(s.tenant)} for s in found]}
+    )
 
 
 async def list_admins(call: Call) -> Done:
@@ -223,8 +225,8 @@
 
 
 class Api:
-    def __init__(self, store: Store, places: Places = ANYWHERE) -> None:
-        self.desk = Desk(store, places)
+    def __init__(self, store: Store, address_rules: AddressRules = ANY_ADDRESS) -> None:
+        self.desk = Desk(store, address_rules)
         self.pace = Pace()
         self.watches = 0
         self.document = json.dumps(description()).encode()
@@ -438,13 +440,13 @@
                   {"type": "object", "required": ["name"], "properties": {"name": {"type": "string"}}},
                   creates=True),
         Operation("GET", ONE, "getTenant", "A tenant",
-                  lambda c: seen(c, lambda s: {"name": s.name, **shown(s.tenant)}), READ),
+                  lambda c: seen(c, lambda s: {"name": s.name, **public_document(s.tenant)}), READ),
         Operation("PATCH", ONE, "patchTenant", "Change parts of a tenant", change_of("patch"), CHANGED,
                   OBJECT, merge=True, changes=True),
         Operation("DELETE", ONE, "deleteTenant", "Delete a tenant and all that belongs to it",
                   delete_tenant, DROPPED, changes=True),
         Operation("GET", ONE + "/limits", "getLimits", "What it may take of a front door",
-                  lambda c: seen(c, lambda s: shown(s.tenant)["limits"]), READ),
+                  lambda c: seen(c, lambda s: public_document(s.tenant)["limits"]), READ),
         Operation("PUT", ONE + "/limits", "putLimits", "Other limits", put_member("limits", False), CHANGED,
                   ref(TenantLimits), changes=True),
         Operation("PATCH", ONE + "/limits", "patchLimits", "Some other limits", put_member("limits", True),
@@ -558,9 +560,9 @@
     return problem(ApiError(500, "the program failed; its log says more"))
 
 
-def application(store: Store, places: Places = ANYWHERE) -> Starlette:
-    """The API of one store, for an ASGI server; `places`: where tenants' workers may be."""
-    api = Api(store, places)
+def application(store: Store, address_rules: AddressRules = ANY_ADDRESS) -> Starlette:
+    """The API of one store, for an ASGI server; `address_rules`: where tenants' workers may be."""
+    api = Api(store, address_rules)
     by_path: dict[str, list[Operation]] = {}
     for operation in operations():
         by_path.setdefault(operation.path, []).append(operation)
--- a/ivymux/admin/operations.py
+++ b/ivymux/admin/operations.py
@@ -43,13 +43,13 @@
     RoutesPart,
     Tenant,
     TenantError,
-    check,
+    check_tenant,
     digest,
-    read,
-    shown,
+    parse_tenant,
+    public_document,
     site_of,
 )
-from ivymux.tenants.places import ANYWHERE, Places
+from ivymux.tenants.places import ANY_ADDRESS, AddressRules
 
 EFFECT_WAIT = 5.0  # seconds that an answer waits for front doors to serve what it tells of
 ALIVE = 6.0  # seconds after which a front door that tells nothing is not waited for
@@ -105,8 +105,8 @@
 
 
 class Desk:
-    def __init__(self, store: Store, places: Places = ANYWHERE) -> None:
-        self.store, self.places = store, places
+    def __init__(self, store: Store, address_rules: AddressRules = ANY_ADDRESS) -> None:
+        self.store, self.address_rules = store, address_rules
 
     async def call(self, function: Any, *arguments: Any) -> Any:
         try:
@@ -115,11 +115,11 @@
             store_problem(error)
 
     async def principal(self, key: bytes) -> Principal | None:
-        parts = secret.split(key, secret.ADMIN)
+        parts = secret.split_key(key, secret.ADMIN_PREFIX)
         if parts is None:
             return None
         admin: Admin | None = await self.call(self.store.admin, parts[0])
-        if not secret.fits(admin.kept if admin else None, parts[1], time.time()) or admin is None:
+        if not secret.is_valid_secret(admin.kept if admin else None, parts[1], time.time()) or admin is None:
             return None
         return Principal(admin.id, admin.name, admin.uid)
 
@@ -147,8 +147,8 @@
         self, terms: Terms, name: str, before: Stored | None, edit: Edit, action: str, uid: str
     ) -> Done:
         """Make a change, or tell what it would be."""
-        old = shown(before.tenant) if before is not None else {}
-        new = shown(edit.tenant) if edit.tenant is not None else {}
+        old = public_document(before.tenant) if before is not None else {}
+        new = public_document(edit.tenant) if edit.tenant is not None else {}
         changes = edit.changes or differences(old, new)
         if terms.dry_run:
             return Done(200, {"dry_run": True, "changes": changes}, tag(before.revision) if before else "")
@@ -217,7 +217,7 @@
         self, uid: str, tenant: Tenant, before: Tenant | None, blobs: Mapping[str, bytes]
     ) -> tuple[Tenant, dict[str, bytes], list[Finding]]:
         """A tenant checked in all its parts, with what was compiled.  Raises ApiError."""
-        found = check(tenant)
+        found = check_tenant(tenant)
         refuse(found)
         made: dict[str, bytes] = dict(blobs)
         if not tenant.plans:
@@ -287,7 +287,7 @@
         tenant = read_document(merge({}, patch))
         uid = secrets.token_hex(12)
         tenant, blobs, _ = await self.whole(uid, tenant, None, {})
-        body = {"name": name, **shown(tenant)}
+        body = {"name": name, **public_document(tenant)}
         edit = Edit(tenant, body, 201, blobs, remembered=body)
         return await self.commit(terms, name, None, edit, "create", uid)
 
@@ -307,7 +307,7 @@
 
         async def work(tenant: Tenant) -> Edit:
             made = read_document(merge(msgspec.to_builtins(tenant), checked))
-            return Edit(made, shown(made))
+            return Edit(made, public_document(made))
 
         return await self.change(terms, name, "patch", work)
 
@@ -346,7 +346,7 @@
         async def work(tenant: Tenant) -> Edit:
             if customer not in tenant.customers:
                 raise ApiError(422, "there is no such customer")
-            number, key, kept = secret.make(secret.CALLER, time.time())
+            number, key, kept = secret.create_key(secret.CALLER_PREFIX, time.time())
             entry = KeyEntry(salt=kept.salt, hash=kept.hash, made=kept.made, customer=customer)
             told = {"id": number, "customer": customer, "made": kept.made}
             return Edit(replace(tenant, keys=tenant.keys | {number: entry}), told | {"key": key}, 201,
@@ -369,10 +369,10 @@
             if old is None:
                 raise ApiError(404, "there is no such key")
             now = time.time()
-            fresh, key, kept = secret.make(secret.CALLER, now)
+            fresh, key, kept = secret.create_key(secret.CALLER_PREFIX, now)
             ends = min(old.ends or now + overlap, now + overlap)
             entry = KeyEntry(salt=kept.salt, hash=kept.hash, made=kept.made, customer=old.customer)
-            keys = {k: e for k, e in tenant.keys.items() if e.counts(now)}
+            keys = {k: e for k, e in tenant.keys.items() if e.is_valid_at(now)}
             keys |= {number: replace(old, ends=ends), fresh: entry}
             told = {"id": fresh, "customer": old.customer, "made": now, "replaces": number, "until": ends}
             return Edit(replace(tenant, keys=keys), told | {"key": key}, 201, remembered=told)
@@ -414,7 +414,7 @@
 
         refuse([
             Finding("error", "/text", f"{w.name} has an address that {wrong}: {w.address}")
-            for w in reading.inventory.workers if (wrong := self.places.wrong(w.host, w.port))
+            for w in reading.inventory.workers if (wrong := self.address_rules.violation(w.host, w.port))
         ])  # fmt: skip
         stored = await self.seen(terms.principal, name)
 
@@ -443,7 +443,7 @@
             raise ApiError(409, f"a tenant has at most {MAX_ADMINS} administrators: dismiss one first")
 
         async def work(tenant: Tenant) -> Edit:
-            number, key, kept = secret.make(secret.ADMIN, time.time())
+            number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
             told = {"id": number, "name": who, "made": kept.made}
             changes = [{"path": f"/administrators/{number}", "after": who}]
             admin = Admin(number, who, stored.uid, kept)
@@ -483,7 +483,7 @@
 
 def read_document(document: Any) -> Tenant:
     try:
-        return read(document)
+        return parse_tenant(document)
     except TenantError as error:
         raise problem_of(error.findings) from None
 
--- a/ivymux/cli/admin.py
+++ b/ivymux/cli/admin.py
@@ -55,7 +55,7 @@
         if hosting.admin is None:
             raise ConfigError(f"{path}: admin names no address to listen on")
         config = uvicorn.Config(
-            application(store, hosting.places), host=hosting.admin.host, port=hosting.admin.port,
+            application(store, hosting.address_rules), host=hosting.admin.host, port=hosting.admin.port,
             log_level="warning", access_log=False, server_header=False, limit_concurrency=256,
             timeout_keep_alive=15, timeout_graceful_shutdown=5, h11_max_incomplete_event_size=32 * 1024,
             http="h11", ws="none", lifespan="off",
@@ -84,7 +84,7 @@
         return fail("a name has 1 to 100 printable characters")
     try:
         _, store = opened(args.file)
-        number, key, kept = secret.make(secret.ADMIN, time.time())
+        number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
         try:
             store.appoint(Admin(number, args.name, "", kept), time.time())
         finally:
--- a/ivymux/desired/etcd/keys.py
+++ b/ivymux/desired/etcd/keys.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ivymux.desired.model import Audit, StoreDamaged
-from ivymux.tenants.model import Tenant, digest, texts
+from ivymux.tenants.model import Tenant, digest, text_digests
 
 PIECE = 512 * 1024  # bytes of a text in one key
 MAX_TEXT = 64 << 20  # bytes that a text may have unpacked
@@ -145,7 +145,9 @@
 def head_of(name: str, uid: str, revision: int, created: float, tenant: Tenant) -> tuple[Head, bytes]:
     """A tenant's head and its document."""
     body = packed(tenant)
-    return Head(name, uid, revision, created, digest(body), sorted(texts(tenant)), list(tenant.hosts)), body
+    return Head(
+        name, uid, revision, created, digest(body), sorted(text_digests(tenant)), list(tenant.hosts)
+    ), body
 
 
 def pieces(data: bytes) -> tuple[Place, list[bytes]]:
--- a/ivymux/desired/model.py
+++ b/ivymux/desired/model.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ivymux.tenants.model import Tenant
-from ivymux.tenants.secret import Kept
+from ivymux.tenants.secret import StoredKey
 
 Role = Literal["operator", "tenant"]
 
@@ -69,7 +69,7 @@
     id: str
     name: str  # whose it is, for the audit record
     uid: str
-    kept: Kept
+    kept: StoredKey
 
     @property
     def role(self) -> Role:
--- a/ivymux/desired/sqlite.py
+++ b/ivymux/desired/sqlite.py
@@ -29,7 +29,7 @@
     StoreError,
     StoreFull,
 )
-from ivymux.tenants.model import Tenant, texts
+from ivymux.tenants.model import Tenant, text_digests
 
 HISTORY = 50  # revisions kept of a tenant
 MAX_AUDIT = 100_000
@@ -278,7 +278,7 @@
                    (change.uid, revision, change.name, created, body))  # fmt: skip
         for name, data in change.blobs.items():
             db.execute("INSERT OR IGNORE INTO blobs VALUES (?, ?)", (name, data))
-        for name in texts(tenant):
+        for name in text_digests(tenant):
             if not db.execute("SELECT 1 FROM blobs WHERE digest = ?", (name,)).fetchone():
                 raise StoreError("a text that the tenant names is not there")
             db.execute("INSERT OR IGNORE INTO uses VALUES (?, ?, ?)", (change.uid, revision, name))
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -28,7 +28,7 @@
 from ivymux.tally.local import LocalCounter
 from ivymux.tally.store import Store
 from ivymux.tenants.model import Tenant, callers_of, site_of
-from ivymux.tenants.places import ANYWHERE, Places
+from ivymux.tenants.places import ANY_ADDRESS, AddressRules
 from ivymux.tenants.secret import TenantCallers
 from ivymux.tenants.shares import Share, Shares
 from orchidhill import interface as i
@@ -60,7 +60,7 @@
     counter_timeout_s: float = 0.25  # for one call
     gateway_number: int = 0  # among the gateways that share the counter
     wall_clock: Callable[[], float] = time.time  # common to the gateways that share the counter
-    places: Places = ANYWHERE  # where workers may be
+    address_rules: AddressRules = ANY_ADDRESS  # for workers
     host_lookups: HostLookups | None = None  # None: the system resolver, without a limit for each tenant
     refusal_log: RefusalLog | None = None  # shared by all tenants; None: one for each tenant
 
@@ -167,7 +167,7 @@
         )  # fmt: skip
         self.tenant, self.revision = tenant, revision
         self.frontend = None if tenant.suspended or self.is_leaving else frontend
-        self.shares.change(self.share, tenant.limits, now)
+        self.shares.change_limits(self.share, tenant.limits, now)
         self.close_idle_generations()
         if has_new_workers:
             await self.update_members(generation, addresses)
@@ -199,14 +199,14 @@
     async def allowed_addresses(self, inventory: Inventory) -> dict[str, Address]:
         """Return the known addresses of workers without those that are not allowed."""
         found = await self.resolver.known(inventory.workers)
-        places = self.gateway_settings.places
-        if not (places.networks or places.own):
+        rules = self.gateway_settings.address_rules
+        if not (rules.networks or rules.own_addresses):
             return found
         allowed = {}
         for number, (name, address) in enumerate(found.items()):
             if number % ADDRESSES_PER_STEP == ADDRESSES_PER_STEP - 1:
                 await asyncio.sleep(0)
-            if not places.wrong(address.host, address.port):
+            if not rules.violation(address.host, address.port):
                 allowed[name] = address
         self.misplaced_count = len(found) - len(allowed)
         return allowed
@@ -302,7 +302,7 @@
         if not self.close_idle_generations() or self.share.open:
             return False
         self.local_counts = Store(0)
-        self.shares.leave(self.share)
+        self.shares.remove(self.share)
         return True
 
     @property
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -27,8 +27,8 @@
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.server import TallyServer
 from ivymux.tally.store import Store as TallyStore
-from ivymux.tenants.model import Tenant, Whole
-from ivymux.tenants.shares import SPAN, Shares
+from ivymux.tenants.model import Tenant, missing_parts
+from ivymux.tenants.shares import SPAN_S, Shares
 
 CLOSE_IDLE_PERIOD_S = 1.0  # between searches for replaced decision modules without open requests
 LOOKUP_REFRESH_PERIOD_S = LIFE / 2
@@ -57,7 +57,7 @@
             hosting.file.name, hosting.file.tally.doors, max_body_bytes, max_answer_bytes,
             max(max_answer_bytes, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)) // 4),
             min(limits.tenant_upstream, bounds.max_backend_connections), tuple(hosting.file.trusted_proxies),
-            places=hosting.places, host_lookups=self.host_lookups, refusal_log=refusal_log,
+            address_rules=hosting.address_rules, host_lookups=self.host_lookups, refusal_log=refusal_log,
         )  # fmt: skip
         self.tally: TallyServer | None = None  # a counter service that runs in this process
         self.shares = Shares()
@@ -124,20 +124,20 @@
             return
         tenant = stored.tenant
         if hosted is None:
-            share = self.shares.make(tenant.limits, time.monotonic())
+            share = self.shares.create(tenant.limits, time.monotonic())
             hosted = HostedTenant(stored.uid, stored.name, self.settings, self.shares, share)
             self.tenants[stored.uid] = hosted
         self.problems.pop(stored.uid, None)
-        lacks = Whole.of(tenant).lacks
+        missing = missing_parts(tenant)
         try:
-            if lacks:
-                raise UnservableState(f"it lacks {', '.join(lacks)}")
+            if missing:
+                raise UnservableState(f"it lacks {', '.join(missing)}")
             compiled = await self.read_blob(stored.uid, tenant.routes.compiled, Compiled)
             inventory = await self.read_blob(stored.uid, tenant.inventory.parsed, Inventory)
             await hosted.apply_state(tenant, stored.revision, compiled, inventory, time.monotonic())
         except (UnservableState, ConfigError) as error:
             self.problems[stored.uid] = str(error)
-            if not lacks:
+            if not missing:
                 log.error("cannot apply a new state, a tenant stays as it was: %s", error)
         self.assign_host_names(hosted, tenant)
 
@@ -179,7 +179,7 @@
         usage = {
             uid: {
                 "served": float(hosted.served_count),
-                "refused": float(hosted.share.refused),
+                "refused": float(hosted.share.refused_count),
                 "open": float(hosted.share.open),
             }
             for uid, hosted in self.tenants.items()
@@ -224,9 +224,9 @@
         """Divide the CPU among the active tenants once in each span."""
         last_cpu_s = time.process_time()
         while True:
-            await asyncio.sleep(SPAN)
+            await asyncio.sleep(SPAN_S)
             cpu_s = time.process_time()
-            self.shares.look(time.monotonic(), cpu_s - last_cpu_s)
+            self.shares.end_span(time.monotonic(), cpu_s - last_cpu_s)
             last_cpu_s = cpu_s
             self.leaving_tenants = [t for t in self.leaving_tenants if not t.finish_leaving()]
             if time.monotonic() >= self.closed_idle_at + CLOSE_IDLE_PERIOD_S:
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -83,7 +83,7 @@
         share = self.share
         share.open -= 1
         if self.held_bytes:
-            share.held -= self.held_bytes
+            share.held_bytes -= self.held_bytes
             self.client.server.held_bytes -= self.held_bytes
             self.held_bytes = 0
         if (call := self.call) is not None and call.on_finished is not None:
@@ -169,14 +169,14 @@
     def on_body(self, body: bytes) -> None:
         super().on_body(body)
         if (share := self.body_share) is not None:
-            share.held += len(body)
-            if share.held > share.most_held:
+            share.held_bytes += len(body)
+            if share.held_bytes > share.max_held_bytes:
                 raise BadRequest("too much is held of this tenant", 429)
 
     def release_body(self) -> None:
         if self.held_bytes:
             if self.body_share is not None:
-                self.body_share.held -= self.held_bytes
+                self.body_share.held_bytes -= self.held_bytes
             self.server.held_bytes -= self.held_bytes
             self.held_bytes = 0
         self.body = []
@@ -195,10 +195,10 @@
             self.identify_caller()  # the tenant's state changed while the request was being received
         caller, share = self.caller, tenant.share
         if caller is None:
-            server.shares.strangers += 1
+            server.shares.unauthenticated_count += 1
             assert self.key_error is not None
             raise self.key_error
-        if wait_s := server.shares.ask(share, time.monotonic()):
+        if wait_s := server.shares.admit(share, time.monotonic()):
             server.refusal_log.record(GATEWAY)
             exchange.reply(server.hosted_frontend.share_exceeded(wait_s))
             return
@@ -208,10 +208,10 @@
                 self.peer_address,
             )  # fmt: skip
         except BaseException:
-            server.shares.over(share)
+            server.shares.release(share)
             raise
         if isinstance(call, Answer):
-            server.shares.over(share)
+            server.shares.release(share)
             exchange.reply(call)
             return
         generation = tenant.generation
--- a/ivymux/hosting/site.py
+++ b/ivymux/hosting/site.py
@@ -12,7 +12,7 @@
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.service.site import MAX_ANSWERS, SiteError, address, bounded
 from ivymux.tally.engine import RedisPart, check
-from ivymux.tenants.places import Places
+from ivymux.tenants.places import AddressRules
 
 PREFIX = re.compile(r"/([A-Za-z0-9_.-]{1,64}/){1,8}")
 
@@ -77,12 +77,12 @@
     tally_listen: Address | None = None
 
     @property
-    def places(self) -> Places:
+    def address_rules(self) -> AddressRules:
         """The addresses that tenants' workers may have."""
         redis = self.file.tally.redis
         nodes = [parse_address(node) for node in redis.nodes] if redis is not None else []
         own_addresses = (self.listen, self.admin, self.tally, self.tally_listen, *nodes)
-        return Places.of(
+        return AddressRules.parse(
             self.file.worker_networks, ((a.host, a.port) for a in own_addresses if a is not None)
         )
 
--- a/ivymux/tenants/__init__.py
+++ b/ivymux/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""What a hosted installation decides of its tenants: their settings, keys, and shares of the door.  Pure."""
+"""A tenant's desired state, its keys, its share of a gateway and the rules for its workers' addresses."""
--- a/ivymux/tenants/merge.py
+++ b/ivymux/tenants/merge.py
@@ -1,4 +1,4 @@
-"""JSON Merge Patch (RFC 7396), and what is other between two documents.  Pure."""
+"""JSON Merge Patch (RFC 7396) and the differences between two JSON documents.  Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def merge(target: Any, patch: Any) -> Any:
-    """The target with a patch: objects are merged, None removes, all else replaces.  Changes neither."""
+    """Return the target with a patch applied: objects are merged, None removes, other values replace.
+
+    Neither argument is changed.
+    """
     if not isinstance(patch, dict):
         return patch
     result = dict(target) if isinstance(target, dict) else {}
@@ -20,26 +23,29 @@
     return result
 
 
-def pointer(place: tuple[str, ...]) -> str:
-    """A place as a JSON pointer (RFC 6901)."""
-    return "".join("/" + part.replace("~", "~0").replace("/", "~1") for part in place)
+def pointer(path: tuple[str, ...]) -> str:
+    """Return the JSON pointer (RFC 6901) of a path of member names."""
+    return "".join("/" + part.replace("~", "~0").replace("/", "~1") for part in path)
+
 
+def differences(before: Any, after: Any, path: tuple[str, ...] = ()) -> list[dict[str, Any]]:
+    """Return the places where two documents differ, at most MAX_DIFFERENCES.
 
-def differences(before: Any, after: Any, place: tuple[str, ...] = ()) -> list[dict[str, Any]]:
-    """Where two documents differ: `path`, and `before` and `after` where there was or is something."""
+    Each entry has a `path`, and `before` and `after` if the document had or has a value there.
+    """
     if before == after and type(before) is type(after):
         return []
     if isinstance(before, dict) and isinstance(after, dict):
         found: list[dict[str, Any]] = []
         for name in sorted(before.keys() | after.keys()):
-            here = (*place, name)
+            member_path = (*path, name)
             if name not in after:
-                found.append({"path": pointer(here), "before": before[name]})
+                found.append({"path": pointer(member_path), "before": before[name]})
             elif name not in before:
-                found.append({"path": pointer(here), "after": after[name]})
+                found.append({"path": pointer(member_path), "after": after[name]})
             else:
-                found += differences(before[name], after[name], here)
+                found += differences(before[name], after[name], member_path)
             if len(found) >= MAX_DIFFERENCES:
                 break
         return found[:MAX_DIFFERENCES]
-    return [{"path": pointer(place), "before": before, "after": after}]
+    return [{"path": pointer(path), "before": before, "after": after}]
--- a/ivymux/tenants/model.py
+++ b/ivymux/tenants/model.py
@@ -1,20 +1,23 @@
-"""A tenant's desired state: one document, changed and checked as a whole.  Pure.
+"""A tenant's desired state: one document that is changed and checked as a whole.  Pure.
 
-Large texts (descriptions, inventories) stand beside it, named by their digests; the document holds no secret.
+Large texts (route descriptions, inventories) are stored beside it under their digests.  The document contains
+no secrets.
+
+The docstrings of the structs that `Tenant` contains are descriptions in the OpenAPI document of the
+administration API.
 """
 
 from __future__ import annotations
 
 import re
 from collections.abc import Mapping
-from dataclasses import dataclass
 from hashlib import sha256
 from typing import Any, Literal
 
 import msgspec
 
 from ivymux.data_plane.limits import ConfigError
-from ivymux.inventory.change_policy import Limits as JudgeLimits
+from ivymux.inventory.change_policy import Limits as InventoryChangeLimits
 from ivymux.service.callers import Caller, CallerError, customer_number
 from ivymux.service.site import CallersPart as SiteCallers
 from ivymux.service.site import (
@@ -30,7 +33,7 @@
     checked,
 )
 from ivymux.service.site import LimitsPart as SiteLimits
-from ivymux.tenants.secret import Kept
+from ivymux.tenants.secret import StoredKey
 from ivymux.tenants.shares import TenantLimits
 
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
@@ -43,7 +46,7 @@
     plan: str
 
 
-class KeyEntry(Kept, frozen=True):
+class KeyEntry(StoredKey, frozen=True):
     """A caller's key, as kept."""
 
     customer: str = ""
@@ -64,7 +67,7 @@
     form: Literal["csv", "yaml"] = "csv"
     digest: str = ""
     parsed: str = ""  # the digest of `Inventory` as MessagePack
-    limits: JudgeLimits = JudgeLimits()
+    limits: InventoryChangeLimits = InventoryChangeLimits()
 
 
 class Tenant(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -82,11 +85,11 @@
     defaults: DefaultsPart = DefaultsPart()
     keyed: KeyedPart = KeyedPart()
     reports: list[str] = []
-    suspended: bool = False  # answered with 503 and not served
+    suspended: bool = False  # its requests are answered with 503
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One thing that keeps a change from being served, or that may be a slip; `path` is a JSON pointer."""
+    """An error or a warning about a tenant's state; `path` is a JSON pointer."""
 
     level: Literal["error", "warning"]
     path: str
@@ -95,25 +98,25 @@
 
 
 class TenantError(ValueError):
-    """A document that can't be a tenant's."""
+    """Raised for a document that is no valid tenant."""
 
     def __init__(self, findings: list[Finding]) -> None:
         self.findings = findings[:MAX_FINDINGS]
         super().__init__(findings[0].text if findings else "it can't be taken")
 
 
-def texts(tenant: Tenant) -> set[str]:
-    """The digests of all that stands beside a tenant's document."""
-    named = (tenant.routes.compiled, tenant.inventory.digest, tenant.inventory.parsed)
-    return {*tenant.routes.files.values(), *(name for name in named if name)}
+def text_digests(tenant: Tenant) -> set[str]:
+    """Return the digests of all texts that a tenant's document refers to."""
+    digests = (tenant.routes.compiled, tenant.inventory.digest, tenant.inventory.parsed)
+    return {*tenant.routes.files.values(), *(name for name in digests if name)}
 
 
 def digest(data: bytes) -> str:
     return sha256(data).hexdigest()
 
 
-def read(document: Any) -> Tenant:
-    """A JSON document as a tenant.  Raises TenantError, with the place."""
+def parse_tenant(document: Any) -> Tenant:
+    """Convert a JSON document to a tenant.  Raises TenantError with the path of the first error."""
     try:
         return msgspec.convert(document, Tenant)
     except msgspec.ValidationError as error:
@@ -122,8 +125,8 @@
         raise TenantError([Finding("error", path, text or str(error))]) from None
 
 
-def shown(tenant: Tenant) -> dict[str, Any]:
-    """A tenant's document as anyone with a right to it may see it: of keys neither salt nor hash."""
+def public_document(tenant: Tenant) -> dict[str, Any]:
+    """Return a tenant's document for API answers, without the salts and hashes of its keys."""
     document: dict[str, Any] = msgspec.to_builtins(tenant)
     for entry in document["keys"].values():
         del entry["salt"], entry["hash"]
@@ -131,7 +134,7 @@
 
 
 def site_of(tenant: Tenant) -> Site:
-    """The settings that a front door of one tenant has.  Raises ConfigError."""
+    """Return the settings that a gateway for this tenant alone would have.  Raises ConfigError."""
     return checked(SiteFile(
         description=DescriptionPart(file=tenant.routes.main or "-", base=tenant.routes.base, watch=0.0),
         callers=SiteCallers(header=tenant.header), plans=tenant.plans, inventory=InventoryPart(file="-"),
@@ -140,40 +143,40 @@
     ))  # fmt: skip
 
 
-def callers_of(tenant: Tenant, plans: Mapping[str, int]) -> dict[str, tuple[Kept, Caller]]:
-    """The callers by their keys' ids."""
-    made: dict[str, Caller] = {}
-    found: dict[str, tuple[Kept, Caller]] = {}
-    for number, key in tenant.keys.items():
-        caller = made.get(key.customer)
+def callers_of(tenant: Tenant, plans: Mapping[str, int]) -> dict[str, tuple[StoredKey, Caller]]:
+    """Return the stored keys with their callers, by key id; `plans` maps names to numbers."""
+    callers: dict[str, Caller] = {}
+    found: dict[str, tuple[StoredKey, Caller]] = {}
+    for key_id, key in tenant.keys.items():
+        caller = callers.get(key.customer)
         if caller is None:
             plan = plans[tenant.customers[key.customer].plan]
-            made[key.customer] = caller = Caller(key.customer, customer_number(key.customer), plan)
-        found[number] = key, caller
+            callers[key.customer] = caller = Caller(key.customer, customer_number(key.customer), plan)
+        found[key_id] = key, caller
     return found
 
 
-def check(tenant: Tenant) -> list[Finding]:
-    """What keeps a tenant from being served, seen from its document alone."""
+def check_tenant(tenant: Tenant) -> list[Finding]:
+    """Return the errors of a tenant that can be found from its document alone."""
     found: list[Finding] = []
 
     def error(path: str, text: str) -> None:
         found.append(Finding("error", path, text))
 
-    for field, most in (
+    for field, limit in (
         ("hosts", MAX_HOSTS), ("plans", MAX_PLANS), ("customers", MAX_CUSTOMERS), ("keys", MAX_KEYS)
     ):  # fmt: skip
-        if len(getattr(tenant, field)) > most:
-            error(f"/{field}", f"there are {len(getattr(tenant, field))}; {most} are taken")
+        if len(getattr(tenant, field)) > limit:
+            error(f"/{field}", f"there are {len(getattr(tenant, field))}; {limit} are taken")
     seen: set[str] = set()
-    for at, host in enumerate(tenant.hosts):
+    for index, host in enumerate(tenant.hosts):
         if len(host) > 253 or not HOST.fullmatch(host):
             error(
-                f"/hosts/{at}",
+                f"/hosts/{index}",
                 f"{host[:80]!r} is no host name: small letters and no port",
             )
         if host in seen:
-            error(f"/hosts/{at}", f"{host!r} stands twice")
+            error(f"/hosts/{index}", f"{host!r} stands twice")
         seen.add(host)
     for name in tenant.plans:
         if not NAME.fullmatch(name):
@@ -187,39 +190,35 @@
         other = numbers.setdefault(customer_number(name), name)
         if other != name:
             error(f"/customers/{name[:80]}", f"has the number of {other!r}: rename it")
-    for number, key in tenant.keys.items():
+    for key_id, key in tenant.keys.items():
         if key.customer not in tenant.customers:
-            error(f"/keys/{number}/customer", f"there is no customer {key.customer[:80]!r}")
+            error(f"/keys/{key_id}/customer", f"there is no customer {key.customer[:80]!r}")
     limits = tenant.limits
-    for field, least, top in (
+    for field, minimum, maximum in (
         ("requests", 0.1, 1e6), ("burst", 1, 1e6), ("open", 1, 100_000), ("connections", 1, 100_000),
         ("held_mb", 0.01, 65_536), ("weight", 0.01, 1000), ("cpu", 0.001, 1),
     ):  # fmt: skip
         try:
-            bounded(f"limits.{field}", getattr(limits, field), least, top)
-        except ConfigError as wrong:
-            error(f"/limits/{field}", str(wrong))
+            bounded(f"limits.{field}", getattr(limits, field), minimum, maximum)
+        except ConfigError as invalid:
+            error(f"/limits/{field}", str(invalid))
     if tenant.plans:
         try:
             site_of(tenant)
-        except (ConfigError, CallerError) as wrong:
-            place, _, text = str(wrong).partition(" ")
+        except (ConfigError, CallerError) as invalid:
+            place, _, text = str(invalid).partition(" ")
             path = "/" + place.rstrip(":").replace(".", "/")
-            error(path, text if text.startswith("is ") else str(wrong))
+            error(path, text if text.startswith("is ") else str(invalid))
     return found
 
 
-@dataclass(frozen=True, slots=True)
-class Whole:
-    """Whether a tenant can be served at all; what it lacks where it can't."""
-
-    lacks: tuple[str, ...]
+def missing_parts(tenant: Tenant) -> tuple[str, ...]:
+    """Return the names of the parts that a tenant still needs to be served.
 
-    @classmethod
-    def of(cls, tenant: Tenant) -> Whole:
-        """A tenant that was just made lacks parts; it is answered with 503 until it has all."""
-        parts = (
-            ("hosts", tenant.hosts), ("plans", tenant.plans), ("routes", tenant.routes.compiled),
-            ("inventory", tenant.inventory.parsed),
-        )  # fmt: skip
-        return cls(tuple(name for name, part in parts if not part))
+    A new tenant lacks parts; its requests are answered with 503 until it has them all.
+    """
+    parts = (
+        ("hosts", tenant.hosts), ("plans", tenant.plans), ("routes", tenant.routes.compiled),
+        ("inventory", tenant.inventory.parsed),
+    )  # fmt: skip
+    return tuple(name for name, part in parts if not part)
--- a/ivymux/tenants/names.py
+++ b/ivymux/tenants/names.py
@@ -1,4 +1,4 @@
-"""Names of counts that no other tenant can reach.  Pure."""
+"""Names of a tenant's counters in a counter service that several tenants use.  Pure."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def counter_name(uid: str, name: int) -> int:
-    """A tenant's name of a count on a tally that tenants share.
+    """Return the shared name of a tenant's counter, which no other tenant can produce.
 
-    A tenant's module only knows its own names; what goes out is keyed with the uid, which no request carries
-    and no API shows.  So is that of a tenant of the same name made later: it inherits no count.
+    The name is hashed with the tenant's uid as the key.  No request carries the uid and no API shows it.  A
+    later tenant of the same name has another uid and so inherits no counts.
     """
     return int.from_bytes(blake2b(b"%d" % name, digest_size=8, key=uid.encode()[:64]).digest(), "little")
--- a/ivymux/tenants/places.py
+++ b/ivymux/tenants/places.py
@@ -1,7 +1,8 @@
-"""Where an installation lets its tenants' workers be.  Pure.
+"""Rules for the addresses that an installation allows for its tenants' workers.  Pure.
 
-Tenants write their lists of workers themselves.  Without a bound one could have the front door ask what only
-it can reach: its own listeners, the administration API, a metadata service, another tenant's machines.
+Tenants write their inventories themselves.  Without these rules a tenant could make the gateway send requests
+to what only the gateway can reach: its own listeners, the administration API, a cloud's metadata service or
+another tenant's machines.
 """
 
 from __future__ import annotations
@@ -10,50 +11,55 @@
 from dataclasses import dataclass
 from ipaddress import IPv4Address, IPv4Network, IPv6Address, IPv6Network, ip_address, ip_network
 
-Network = IPv4Network | IPv6Network
-Ip = IPv4Address | IPv6Address
+IpNetwork = IPv4Network | IPv6Network
+IpAddress = IPv4Address | IPv6Address
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
-    """`networks`: all that are allowed, empty for any; `own`: hosts and ports of the installation itself."""
+class AddressRules:
+    """The allowed networks (none: any), and the hosts and ports of the installation itself."""
 
-    networks: tuple[Network, ...] = ()
-    own: tuple[tuple[str, int], ...] = ()
+    networks: tuple[IpNetwork, ...] = ()
+    own_addresses: tuple[tuple[str, int], ...] = ()
 
     @classmethod
-    def of(cls, networks: Iterable[str], own: Iterable[tuple[str, int]]) -> Places:
-        """Raises ValueError for what is no network."""
-        return cls(tuple(ip_network(text) for text in networks), tuple(own))
+    def parse(cls, networks: Iterable[str], own_addresses: Iterable[tuple[str, int]]) -> AddressRules:
+        """Build rules from networks as text.  Raises ValueError for an invalid network."""
+        return cls(tuple(ip_network(text) for text in networks), tuple(own_addresses))
 
-    def wrong(self, host: str, port: int) -> str:
-        """Why no worker may be at an address; empty where one may.  A name is judged once it is known."""
+    def violation(self, host: str, port: int) -> str:
+        """Return why a worker may not have an address, or an empty text if it may.
+
+        A host name passes here; its addresses are checked once they are resolved.
+        """
         try:
-            found: Ip = ip_address(host)
+            address: IpAddress = ip_address(host)
         except ValueError:
-            return "is the installation's own" if host == "localhost" and self.ours(None, port) else ""
-        if isinstance(found, IPv6Address) and found.ipv4_mapped is not None:
-            found = found.ipv4_mapped  # reaches the same machine under another spelling
-        if self.ours(found, port):
+            is_own = host == "localhost" and self.is_own(None, port)
+            return "is the installation's own" if is_own else ""
+        if isinstance(address, IPv6Address) and address.ipv4_mapped is not None:
+            address = address.ipv4_mapped  # another spelling of the same IPv4 address
+        if self.is_own(address, port):
             return "is the installation's own"
-        if self.networks and not any(found in network for network in self.networks):
+        if self.networks and not any(address in network for network in self.networks):
             return "is in no network that this installation allows"
         return ""
 
-    def ours(self, found: Ip | None, port: int) -> bool:
-        for host, listens in self.own:
-            if port != listens:
+    def is_own(self, address: IpAddress | None, port: int) -> bool:
+        """Return whether an address, or loopback for None, is one of the installation's own."""
+        for own_host, own_port in self.own_addresses:
+            if port != own_port:
                 continue
             try:
-                mine = ip_address(host if host != "localhost" else "127.0.0.1")
+                own = ip_address(own_host if own_host != "localhost" else "127.0.0.1")
             except ValueError:
-                continue  # a name, of a tally that runs elsewhere: what it stands for is not known here
-            # What listens everywhere listens on loopback and on each address of the machine; only the
-            # first can be told apart from here, the rest is for `worker_networks`.
-            here = found is None or found.is_loopback or found.is_unspecified
-            if found == mine or (here and (mine.is_unspecified or mine.is_loopback)):
+                continue  # the host name of a counter service elsewhere, whose addresses are not known here
+            # A listener on all interfaces is reached by loopback and by each address of the machine.  Only
+            # loopback can be recognized here; `worker_networks` has to exclude the other addresses.
+            is_local = address is None or address.is_loopback or address.is_unspecified
+            if address == own or (is_local and (own.is_unspecified or own.is_loopback)):
                 return True
         return False
 
 
-ANYWHERE = Places()
+ANY_ADDRESS = AddressRules()
--- a/ivymux/tenants/secret.py
+++ b/ivymux/tenants/secret.py
@@ -1,7 +1,10 @@
-"""Keys: made once, kept as salted hashes, compared in constant time.  Pure but for the system's randomness.
+"""API keys: created once, stored as salted hashes, compared in constant time.
 
-A key is `PREFIX_ID_SECRET`.  The id finds its entry; only the secret is secret.  It has 256 random bits, so
-one round of SHA-256 over salt and secret is as hard to turn back as the key is to guess.
+A key has the form `PREFIX_ID_SECRET`.  The id finds the stored entry; only the secret must stay confidential.
+The secret has 256 random bits, so one round of SHA-256 over salt and secret is as hard to invert as guessing
+the key.
+
+Pure except for the system's random numbers.
 """
 
 from __future__ import annotations
@@ -16,70 +19,79 @@
 
 from ivymux.service.callers import MAX_KEY, Caller
 
-CALLER, ADMIN = "iv", "ivadm"
-FORM = re.compile(rb"(iv|ivadm)_([0-9a-f]{16})_([A-Za-z0-9_-]{43})")
-NOBODY = "0" * 64
-MAX_MET = 2048  # keys of a tenant that are known by their hash
+CALLER_PREFIX, ADMIN_PREFIX = "iv", "ivadm"
+KEY_PATTERN = re.compile(rb"(iv|ivadm)_([0-9a-f]{16})_([A-Za-z0-9_-]{43})")
+NO_SECRET_HASH = "0" * 64  # compared where there is no entry, so that both cases take the same time
+MAX_CACHED_KEYS = 2048  # of one tenant
+
 
+class StoredKey(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """What is stored of a key.
 
-class Kept(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is kept of a key.  `ends`: Unix time from which on it no longer counts, 0 for never."""
+    `made` and `ends` are Unix times; the key expires at `ends`, or never if it is 0.
+    """
 
     salt: str
     hash: str
     made: float
     ends: float = 0.0
 
-    def counts(self, now: float) -> bool:
+    def is_valid_at(self, now: float) -> bool:
         return not self.ends or now < self.ends
 
 
-def hashed(salt: str, secret: bytes) -> str:
+def hash_secret(salt: str, secret: bytes) -> str:
     return sha256(bytes.fromhex(salt) + secret).hexdigest()
 
 
-def make(prefix: str, now: float) -> tuple[str, str, Kept]:
-    """A new key: its id, the key itself, which is shown once, and what is kept of it."""
-    number, secret, salt = secrets.token_hex(8), secrets.token_urlsafe(32), secrets.token_hex(16)
-    return number, f"{prefix}_{number}_{secret}", Kept(salt, hashed(salt, secret.encode()), now)
+def create_key(prefix: str, now: float) -> tuple[str, str, StoredKey]:
+    """Create a key; return its id, the key itself, and what to store of it."""
+    key_id, secret, salt = secrets.token_hex(8), secrets.token_urlsafe(32), secrets.token_hex(16)
+    return key_id, f"{prefix}_{key_id}_{secret}", StoredKey(salt, hash_secret(salt, secret.encode()), now)
 
 
-def split(key: bytes, prefix: str) -> tuple[str, bytes] | None:
-    """A key's id and secret; None for what can't be one."""
-    if len(key) > MAX_KEY or (found := FORM.fullmatch(key)) is None or found[1] != prefix.encode():
+def split_key(key: bytes, prefix: str) -> tuple[str, bytes] | None:
+    """Return a key's id and secret, or None if it is malformed or has another prefix."""
+    if len(key) > MAX_KEY or (parts := KEY_PATTERN.fullmatch(key)) is None or parts[1] != prefix.encode():
         return None
-    return found[2].decode(), found[3]
+    return parts[2].decode(), parts[3]
 
 
-def fits(kept: Kept | None, secret: bytes, now: float) -> bool:
-    """Whether a secret is that of an entry.  Takes as long where there is none."""
-    salt, wanted = (kept.salt, kept.hash) if kept is not None else ("00" * 16, NOBODY)
-    same = hmac.compare_digest(hashed(salt, secret), wanted)
-    return same and kept is not None and kept.counts(now)
+def is_valid_secret(stored: StoredKey | None, secret: bytes, now: float) -> bool:
+    """Return whether a secret belongs to a stored key that is valid.
+
+    Takes the same time without an entry, so that the time does not reveal which ids exist.
+    """
+    salt, expected_hash = (stored.salt, stored.hash) if stored is not None else ("00" * 16, NO_SECRET_HASH)
+    is_equal = hmac.compare_digest(hash_secret(salt, secret), expected_hash)
+    return is_equal and stored is not None and stored.is_valid_at(now)
 
 
 class TenantCallers:
-    """One tenant's keys at a front door."""
+    """The keys of one tenant's callers; `clock` returns Unix time."""
 
-    def __init__(self, keys: Mapping[str, tuple[Kept, Caller]], clock: Callable[[], float]) -> None:
-        self.keys, self.clock = keys, clock  # the clock tells Unix time
-        self.met: dict[bytes, tuple[Kept, Caller]] = {}  # keys that fitted before, by their hash
+    def __init__(self, keys: Mapping[str, tuple[StoredKey, Caller]], clock: Callable[[], float]) -> None:
+        self.keys, self.clock = keys, clock
+        self.cache: dict[bytes, tuple[StoredKey, Caller]] = {}  # verified keys, by the hash of the whole key
 
     def find(self, key: bytes) -> Caller | None:
-        """Whose key it is.  One that fitted before is found by its hash, which tells nothing of the key."""
+        """Return the caller of a valid key.
+
+        A key that was verified before is found by its hash; the cache does not contain the key itself.
+        """
         if len(key) > MAX_KEY:
             return None
-        name = sha256(key).digest()
-        found = self.met.get(name)
+        cache_name = sha256(key).digest()
+        found = self.cache.get(cache_name)
         if found is None:
-            parts = split(key, CALLER)
+            parts = split_key(key, CALLER_PREFIX)
             if parts is None:
                 return None
             found = self.keys.get(parts[0])
-            if not fits(found[0] if found else None, parts[1], self.clock()) or found is None:
+            if not is_valid_secret(found[0] if found else None, parts[1], self.clock()) or found is None:
                 return None
-            if len(self.met) >= MAX_MET:
-                self.met.clear()
-            self.met[name] = found
-        kept, caller = found
-        return caller if not kept.ends or kept.counts(self.clock()) else None
+            if len(self.cache) >= MAX_CACHED_KEYS:
+                self.cache.clear()
+            self.cache[cache_name] = found
+        stored, caller = found
+        return caller if not stored.ends or stored.is_valid_at(self.clock()) else None
--- a/tests/admin/calling.py
+++ b/tests/admin/calling.py
@@ -19,7 +19,7 @@
 from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants import secret
-from ivymux.tenants.places import ANYWHERE, Places
+from ivymux.tenants.places import ANY_ADDRESS, AddressRules
 from tests.routes.describing import described
 from tests.service.doors import PATHS
 
@@ -84,9 +84,9 @@
 
 
 @contextlib.asynccontextmanager
-async def calling(store: Store, places: Places = ANYWHERE) -> AsyncIterator[Caller]:
-    number, key, kept = secret.make(secret.ADMIN, time.time())
+async def calling(store: Store, address_rules: AddressRules = ANY_ADDRESS) -> AsyncIterator[Caller]:
+    number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
     store.appoint(Admin(number, "olga", "", kept), time.time())
-    transport = httpx.ASGITransport(application(store, places), raise_app_exceptions=False)
+    transport = httpx.ASGITransport(application(store, address_rules), raise_app_exceptions=False)
     async with httpx.AsyncClient(transport=transport, base_url="http://admin.example", timeout=30) as client:
         yield Caller(client, key)
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -17,7 +17,7 @@
 from ivymux.admin.authorization import ApiError, Pace, expected
 from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.tenants.secret import FORM
+from ivymux.tenants.secret import KEY_PATTERN
 from tests.admin.calling import Caller, serving
 from tests.hosting.fixtures import hosting
 from tests.routes.describing import described, operation
@@ -150,7 +150,9 @@
             texts = [(await olga.call("GET", f"{T}{p}")).text for p in ("", "/keys", "/audit", "/history")]
             for text in texts:
                 assert key not in text and "salt" not in text and "hash" not in text
-            assert (secret := FORM.fullmatch(key.encode())) and secret[3] not in kept  # it may hold a `_`
+            assert (secret := KEY_PATTERN.fullmatch(key.encode())) and secret[
+                3
+            ] not in kept  # it may hold a `_`
             assert (await olga.change("DELETE", f"{path}/{number}")).status_code == 204
             assert (await olga.call("GET", f"{path}/{number}")).status_code == 404
 
--- a/tests/desired/test_copying.py
+++ b/tests/desired/test_copying.py
@@ -11,8 +11,8 @@
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.model import Admin, StoreDamaged, StoreError
 from ivymux.desired.sqlite import SqliteStore, restore
-from ivymux.tenants.model import texts
-from ivymux.tenants.secret import ADMIN, make
+from ivymux.tenants.model import text_digests
+from ivymux.tenants.secret import ADMIN_PREFIX, create_key
 from standins.etcd import serving
 from tests.desired.etcds import access, begin, stored
 from tests.desired.promises import change, put
@@ -27,13 +27,13 @@
         assert one.history(found.uid, 99) == other.history(found.uid, 99)
         assert one.admins(found.uid) == other.admins(found.uid)
         for state in one.history(found.uid, 99):
-            for name in texts(state.tenant):
+            for name in text_digests(state.tenant):
                 assert one.blob(name, found.uid) == other.blob(name, found.uid) is not None
     assert one.admins("") == other.admins("") and one.admins("")
 
 
 def test_from_etcd_to_a_file_and_into_another_etcd(tmp_path: Path) -> None:
-    number, _, kept = make(ADMIN, 0.0)
+    number, _, kept = create_key(ADMIN_PREFIX, 0.0)
     with stored() as (_, store):
         at = put(store, "a", add_admins=[Admin(number, "ann", "u-a", kept)])
         made, blobs, _key = tenant("a", [2])
@@ -63,7 +63,7 @@
 
 def test_from_a_file_into_etcd_and_back(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
-    number, _, kept = make(ADMIN, 0.0)
+    number, _, kept = create_key(ADMIN_PREFIX, 0.0)
     store.appoint(Admin(number, "olga", "", kept), 1000.0)
     at = put(store, "a")
     put(store, "a", at)
@@ -115,7 +115,7 @@
         good = (tmp_path / "copy.db").read_bytes()
         found = store.get("a")
         assert found is not None
-        name = sorted(texts(found.tenant))[0]
+        name = sorted(text_digests(found.tenant))[0]
         key = store.keys.blob("u-a", name)
         from ivymux.desired.etcd.wire import Delete, Txn
 
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -22,8 +22,8 @@
     StoreError,
     StoreFull,
 )
-from ivymux.tenants.model import digest, texts
-from ivymux.tenants.secret import ADMIN, FORM, make
+from ivymux.tenants.model import digest, text_digests
+from ivymux.tenants.secret import ADMIN_PREFIX, KEY_PATTERN, create_key
 from standins.etcd import Server, serving
 from tests.desired import promises
 from tests.desired.etcds import access, begin, stored
@@ -51,14 +51,14 @@
 
 def test_all_of_a_tenant_goes_with_it_and_nothing_of_another() -> None:
     with stored() as (server, store):
-        number, _, kept = make(ADMIN, 0.0)
+        number, _, kept = create_key(ADMIN_PREFIX, 0.0)
         answer = Answered("f", 201, b"{}", "1")
         admin = Admin(number, "ann", "u-a", kept)
         at = put(store, "a", add_admins=[admin], repeat=("k", answer))
         put(store, "b")
         found = store.get("a")
         assert found is not None and store.repeated("k") == answer and store.admin(number) == admin
-        names = texts(found.tenant)
+        names = text_digests(found.tenant)
         assert all(store.blob(name, "u-a") for name in names) and store.admins("u-a") == [admin]
         assert not any(store.blob(name, "u-other") for name in names)
         store.commit(change("a", None, at))
@@ -69,7 +69,7 @@
         left = [n for n in server.etcd.names if server.etcd.seen(n, server.etcd.revision)]
         assert not [n for n in left if b"u-a" in n and b"audit-of" not in n], left
         others = store.get("b")
-        assert others is not None and all(store.blob(name, "u-b") for name in texts(others.tenant))
+        assert others is not None and all(store.blob(name, "u-b") for name in text_digests(others.tenant))
 
 
 def test_history_audit_and_texts_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -86,7 +86,7 @@
         blobs_kept = store.range(etcd_range(store, "blobs/u-a/")).kvs
         # Routes and what was compiled of them are the same; a list, what was read of it and a document each.
         assert len(blobs_kept) == 2 + 3 * 3
-        assert all(store.blob(n, "u-a") for s in store.history("u-a", 9) for n in texts(s.tenant))
+        assert all(store.blob(n, "u-a") for s in store.history("u-a", 9) for n in text_digests(s.tenant))
         assert server.etcd.calls["/v3/kv/txn"] < 8 * 8
 
 
@@ -321,19 +321,19 @@
         now = other.commit(change("a", old, last, blobs=old_texts))
         found = store.get("a")
         assert found is not None and found.revision == now
-        assert all(store.blob(name, "u-a") for name in texts(found.tenant))
+        assert all(store.blob(name, "u-a") for name in text_digests(found.tenant))
         other.close()
 
 
 def test_no_secret_is_in_etcd() -> None:
     with stored() as (server, store):
         made, blobs, shown = tenant("a", [1])
-        number, admin_key, kept = make(ADMIN, 0.0)
+        number, admin_key, kept = create_key(ADMIN_PREFIX, 0.0)
         store.commit(change("a", made, blobs=blobs, add_admins=[Admin(number, "ann", "u-a", kept)]))
         import zlib
 
         values = [v.value or b"" for vs in server.etcd.versions.values() for v in vs]
         opened = [zlib.decompress(v) if v[:1] == b"\x78" else v for v in values]
         for key in (shown, admin_key):
-            assert (secret := FORM.fullmatch(key.encode()))  # it may hold a `_` itself
+            assert (secret := KEY_PATTERN.fullmatch(key.encode()))  # it may hold a `_` itself
             assert not [v for v in opened if secret[3] in v]
--- a/tests/desired/test_sqlite.py
+++ b/tests/desired/test_sqlite.py
@@ -26,8 +26,8 @@
     StoreFull,
 )
 from ivymux.desired.sqlite import SqliteStore, restore, verify
-from ivymux.tenants.model import texts
-from ivymux.tenants.secret import ADMIN, FORM, make
+from ivymux.tenants.model import text_digests
+from ivymux.tenants.secret import ADMIN_PREFIX, KEY_PATTERN, create_key
 from tests.desired import promises
 from tests.desired.promises import change, put
 from tests.tenants.making import tenant
@@ -50,13 +50,13 @@
 
 def test_what_a_tenant_was_made_of_goes_with_it(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
-    number, _, kept = make(ADMIN, 0.0)
+    number, _, kept = create_key(ADMIN_PREFIX, 0.0)
     answer = Answered("f", 201, b"{}", "1")
     put(store, "a", add_admins=[Admin(number, "ann", "u-a", kept)], repeat=("k", answer))
     put(store, "b")
     found = store.get("a")
     assert found is not None and store.repeated("k") == answer and store.admin(number) is not None
-    names = texts(found.tenant)
+    names = text_digests(found.tenant)
     assert all(store.blob(name, "") for name in names)
     store.commit(change("a", None, 1))
     assert store.get("a") is None and store.history("u-a", 9) == [] and store.admins("u-a") == []
@@ -66,7 +66,7 @@
     assert [(g.name, g.uid) for g in gone] == [("a", "u-a")]
     others = store.get("b")
     assert others is not None
-    assert names == texts(others.tenant)  # alike, and kept as long as one has them
+    assert names == text_digests(others.tenant)  # alike, and kept as long as one has them
     assert all(store.blob(name, "") for name in names)
     store.commit(change("b", None, 2))
     assert not any(store.blob(name, "") for name in names)
@@ -200,13 +200,15 @@
 def test_no_secret_is_in_the_file(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     made, blobs, shown = tenant("a", [1])
-    number, admin_key, kept = make(ADMIN, 0.0)
+    number, admin_key, kept = create_key(ADMIN_PREFIX, 0.0)
     store.commit(change("a", made, blobs=blobs, add_admins=[Admin(number, "ann", "u-a", kept)]))
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     data = (tmp_path / "s.db").read_bytes()
     assert b"u-a" in data
     for key in (shown, admin_key):
-        assert (secret := FORM.fullmatch(key.encode())) and secret[3] not in data  # it may hold a `_` itself
+        assert (secret := KEY_PATTERN.fullmatch(key.encode())) and secret[
+            3
+        ] not in data  # it may hold a `_` itself
     assert (tmp_path / "s.db").stat().st_mode & 0o077 == 0
 
 
@@ -246,7 +248,7 @@
             assert found is not None and found.revision >= answered[path]
             assert store.revision() == found.revision == store.audit("", 1 << 60, 1)[0].revision
             assert store.history("u-a", 1)[0] == found
-            assert all(store.blob(name, "") for name in texts(found.tenant))
+            assert all(store.blob(name, "") for name in text_digests(found.tenant))
             assert store.rows("PRAGMA integrity_check") == [("ok",)]
             store.close()
     assert min(answered.values()) >= 10
--- a/tests/hosting/test_hosting_gateway.py
+++ b/tests/hosting/test_hosting_gateway.py
@@ -241,7 +241,7 @@
                 assert (await fixture.ask(b)).status == 200
             share = fixture.gateway.tenants[a.uid].share
             await until(lambda: share.connections == 0)
-            assert (share.open, share.held) == (0, 0)
+            assert (share.open, share.held_bytes) == (0, 0)
 
     run(test())
 
@@ -334,7 +334,10 @@
             assert a.worker.fleet.seen.total() == 0
             shares = [r.share for r in fixture.gateway.tenants.values()]
             await until(lambda: not any(s.connections for s in shares))
-            assert all((s.open, s.held) == (0, 0) for s in shares) and fixture.gateway.server.held_bytes == 0
+            assert (
+                all((s.open, s.held_bytes) == (0, 0) for s in shares)
+                and fixture.gateway.server.held_bytes == 0
+            )
 
     run(test())
 
@@ -359,7 +362,7 @@
             assert a.worker.fleet.seen.total() == 0
             share = fixture.gateway.tenants[a.uid].share
             await until(lambda: not share.connections)
-            assert (share.open, share.held, share.served) == (0, 0, 0)
+            assert (share.open, share.held_bytes, share.admitted) == (0, 0, 0)
 
     run(test())
 
@@ -403,7 +406,7 @@
                 for turn in range(60):
                     got = await client.ask(a, key=guesses[turn % 4])
                     assert got.status == 401 and got.header("www-authenticate")
-            assert (share.level, share.refused, share.connections) == (6.0, 0, 0)
+            assert (share.tokens, share.refused_count, share.connections) == (6.0, 0, 0)
             open_connections = [
                 await asyncio.open_connection("127.0.0.1", fixture.gateway.port) for _ in range(8)
             ]
@@ -418,7 +421,7 @@
                 )
             refused = [await read_answer(reader) for reader, _ in open_connections[::2]]
             assert {got.status for got in refused} == {401}  # before the body is complete
-            assert (share.held, share.connections, share.open) == (0, 0, 0)
+            assert (share.held_bytes, share.connections, share.open) == (0, 0, 0)
             for _ in range(5):
                 assert (await fixture.ask(a)).status == 200
             for _, writer in open_connections:
@@ -437,12 +440,12 @@
                 async with connect(fixture.gateway) as client:
                     client.writer.write(data[:-2])
                     share = fixture.gateway.tenants[a.uid].share
-                    await until(lambda share=share: share.held)  # type: ignore[misc]
+                    await until(lambda share=share: share.held_bytes)  # type: ignore[misc]
                     plan = PlanPart(rate=50.0, burst=50.0 + len(keys))
                     fixture.change(a, plans={"q": plan, "p": plan}, keys=keys)
                     await fixture.gateway.follow()
                     assert (await client.raw(data[-2:])).status == status
                 await until(lambda share=share: not share.connections)  # type: ignore[misc]
-                assert (share.open, share.held) == (0, 0)
+                assert (share.open, share.held_bytes) == (0, 0)
 
     run(test())
--- a/tests/hosting/test_places.py
+++ b/tests/hosting/test_places.py
@@ -14,7 +14,7 @@
 from ivymux.hosting import host_lookups, hosting_gateway
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants.model import InventoryRef, digest
-from ivymux.tenants.places import Places
+from ivymux.tenants.places import AddressRules
 from standins.worker import Fleet
 from standins.worker import Worker as StandIn
 from tests.admin.calling import calling
@@ -49,13 +49,13 @@
     ],
 )
 def test_addresses_that_workers_may_have(host: str, port: int, why: str) -> None:
-    places = Places.of(["10.0.0.0/8"], [("127.0.0.1", 8081), ("0.0.0.0", 8080), ("10.9.9.9", 2379)])
-    found = places.wrong(host, port)
+    rules = AddressRules.parse(["10.0.0.0/8"], [("127.0.0.1", 8081), ("0.0.0.0", 8080), ("10.9.9.9", 2379)])
+    found = rules.violation(host, port)
     assert (why in found) if why else not found
-    named = Places.of([], [("tally.example", 6400), ("localhost", 8081)])
-    assert not named.wrong("10.0.0.1", 6400) and named.wrong("127.0.0.1", 8081)
-    free = Places.of([], [("0.0.0.0", 8080)])
-    assert not free.wrong("192.168.0.1", 8080) and free.wrong("127.0.0.1", 8080)
+    named = AddressRules.parse([], [("tally.example", 6400), ("localhost", 8081)])
+    assert not named.violation("10.0.0.1", 6400) and named.violation("127.0.0.1", 8081)
+    free = AddressRules.parse([], [("0.0.0.0", 8080)])
+    assert not free.violation("192.168.0.1", 8080) and free.violation("127.0.0.1", 8080)
 
 
 def test_an_inventory_with_a_forbidden_address_is_refused_and_a_name_that_resolves_to_one_is_left_out(
@@ -67,8 +67,8 @@
     async def test() -> None:
         extra = 'worker_networks = ["127.0.0.0/16"]\nadmin = "127.0.0.1:8099"\n'
         async with hosting(tmp_path, "a", follow=0.02, extra=extra) as fixture:
-            a, places = fixture.tenants["a"], fixture.gateway.hosting.places
-            async with calling(fixture.store, places) as client:
+            a, rules = fixture.tenants["a"], fixture.gateway.hosting.address_rules
+            async with calling(fixture.store, rules) as client:
                 for address in ("127.3.0.1:80", "127.0.0.1:8099"):
                     body = {"form": "csv", "text": f"name,address\nw,{address}\n"}
                     got = await client.change("PUT", "/v1/tenants/a/inventory", body)
--- a/tests/hosting/test_redis_counters.py
+++ b/tests/hosting/test_redis_counters.py
@@ -68,4 +68,4 @@
 
 def test_workers_may_not_have_the_address_of_the_counters() -> None:
     text = 'store = "x"\n[tally]\nredis = { nodes = ["127.0.0.1:6379"] }'
-    assert read_hosting(text, "hosting.toml").places.wrong("127.0.0.1", 6379)
+    assert read_hosting(text, "hosting.toml").address_rules.violation("127.0.0.1", 6379)
--- a/tests/tenants/test_merge.py
+++ b/tests/tenants/test_merge.py
@@ -1,4 +1,4 @@
-"""Merge patches and differences."""
+"""JSON merge patches and the differences of documents."""
 
 from __future__ import annotations
 
@@ -38,21 +38,23 @@
 
 
 @pytest.mark.parametrize(("target", "patch", "result"), CASES)
-def test_the_cases_of_the_rfc(target: Any, patch: Any, result: Any) -> None:
+def test_the_examples_of_rfc_7396(target: Any, patch: Any, result: Any) -> None:
     before = json.dumps([target, patch])
     assert merge(target, patch) == result
     assert json.dumps([target, patch]) == before
 
 
 @given(OBJECTS, OBJECTS)
-def test_a_merge_loses_no_field_that_it_does_not_name(target: dict[str, Any], patch: dict[str, Any]) -> None:
+def test_a_merge_keeps_fields_that_the_patch_does_not_name(
+    target: dict[str, Any], patch: dict[str, Any]
+) -> None:
     result = merge(target, patch)
     assert all(result[name] == target[name] for name in target if name not in patch)
     assert merge(result, patch) == result
 
 
 @given(OBJECTS, OBJECTS)
-def test_differences_name_each_place_and_none_where_there_is_none(
+def test_differences_give_each_changed_value_and_none_for_equal_documents(
     before: dict[str, Any], after: dict[str, Any]
 ) -> None:
     found = differences(before, after)
--- a/tests/tenants/test_model.py
+++ b/tests/tenants/test_model.py
@@ -1,4 +1,4 @@
-"""Tenants' documents: what is refused, with its place, and what is shown of keys."""
+"""Tenants' documents: errors with their paths, and what is shown of keys."""
 
 from __future__ import annotations
 
@@ -9,17 +9,24 @@
 
 from ivymux.tenants import secret
 from ivymux.tenants.merge import merge
-from ivymux.tenants.model import TenantError, Whole, check, read, shown, texts
+from ivymux.tenants.model import (
+    TenantError,
+    check_tenant,
+    missing_parts,
+    parse_tenant,
+    public_document,
+    text_digests,
+)
 from tests.tenants.making import tenant
 
-GOOD, TEXTS, KEY = tenant("a", [1])
-DOCUMENT: dict[str, Any] = msgspec.to_builtins(GOOD)
+VALID, TEXTS, KEY = tenant("a", [1])
+DOCUMENT: dict[str, Any] = msgspec.to_builtins(VALID)
 
 
-def test_a_good_one_has_no_findings_and_names_its_texts() -> None:
-    assert read(DOCUMENT) == GOOD and check(GOOD) == [] and Whole.of(GOOD).lacks == ()
-    assert texts(GOOD) == set(TEXTS)
-    assert set(Whole.of(read({})).lacks) == {"hosts", "plans", "routes", "inventory"}
+def test_a_valid_tenant_has_no_findings_and_lists_its_texts() -> None:
+    assert parse_tenant(DOCUMENT) == VALID and check_tenant(VALID) == [] and missing_parts(VALID) == ()
+    assert text_digests(VALID) == set(TEXTS)
+    assert set(missing_parts(parse_tenant({}))) == {"hosts", "plans", "routes", "inventory"}
 
 
 @pytest.mark.parametrize(
@@ -41,8 +48,8 @@
         ({"defaults": {"deadline": 0.0}}, "/defaults/deadline"),
     ],
 )
-def test_each_slip_is_named_with_its_place(patch: dict[str, Any], path: str) -> None:
-    findings = check(read(merge(DOCUMENT, patch)))
+def test_each_error_is_reported_with_its_path(patch: dict[str, Any], path: str) -> None:
+    findings = check_tenant(parse_tenant(merge(DOCUMENT, patch)))
     assert any(f.level == "error" and f.path.startswith(path) and f.text for f in findings), findings
 
 
@@ -56,29 +63,31 @@
         ({"inventory": {"form": "xls"}}, "/inventory/form"),
     ],
 )
-def test_what_has_another_form_is_refused_with_its_place(patch: dict[str, Any], path: str) -> None:
+def test_a_malformed_document_is_refused_with_its_path(patch: dict[str, Any], path: str) -> None:
     with pytest.raises(TenantError) as error:
-        read(merge(DOCUMENT, patch))
+        parse_tenant(merge(DOCUMENT, patch))
     (finding,) = error.value.findings
     assert finding.path.startswith(path) and finding.text
 
 
-def test_keys_are_shown_without_what_is_kept_of_them() -> None:
-    document = msgspec.json.encode(shown(GOOD)).decode()
-    (entry,) = GOOD.keys.values()
+def test_keys_are_shown_without_salt_and_hash() -> None:
+    document = msgspec.json.encode(public_document(VALID)).decode()
+    (entry,) = VALID.keys.values()
     assert entry.salt not in document and entry.hash not in document and entry.customer in document
 
 
-def test_a_key_fits_only_its_own_entry_and_time() -> None:
-    number, key, kept = secret.make(secret.CALLER, 10.0)
-    parts = secret.split(key.encode(), secret.CALLER)
-    assert parts is not None and parts[0] == number
-    assert secret.fits(kept, parts[1], 20.0) and not secret.fits(None, parts[1], 20.0)
-    other = secret.make(secret.CALLER, 10.0)[2]
-    assert not secret.fits(other, parts[1], 20.0)
-    ending = secret.Kept(kept.salt, kept.hash, 10.0, 20.0)
-    assert secret.fits(ending, parts[1], 19.9) and not secret.fits(ending, parts[1], 20.0)
-    assert secret.split(key.encode(), secret.ADMIN) is None
+def test_a_key_is_valid_only_for_its_own_entry_until_it_expires() -> None:
+    key_id, key, stored = secret.create_key(secret.CALLER_PREFIX, 10.0)
+    parts = secret.split_key(key.encode(), secret.CALLER_PREFIX)
+    assert parts is not None and parts[0] == key_id
+    assert secret.is_valid_secret(stored, parts[1], 20.0) and not secret.is_valid_secret(None, parts[1], 20.0)
+    other = secret.create_key(secret.CALLER_PREFIX, 10.0)[2]
+    assert not secret.is_valid_secret(other, parts[1], 20.0)
+    ending = secret.StoredKey(stored.salt, stored.hash, 10.0, 20.0)
+    assert secret.is_valid_secret(ending, parts[1], 19.9) and not secret.is_valid_secret(
+        ending, parts[1], 20.0
+    )
+    assert secret.split_key(key.encode(), secret.ADMIN_PREFIX) is None
     for bad in (b"", b"iv_", key.encode() + b"x", key.encode()[:-1], key.upper().encode(), b"x" * 10_000):
-        assert secret.split(bad, secret.CALLER) is None
-    assert secret.hashed(kept.salt, parts[1]) == kept.hash and parts[1].decode() not in kept.hash
+        assert secret.split_key(bad, secret.CALLER_PREFIX) is None
+    assert secret.hash_secret(stored.salt, parts[1]) == stored.hash and parts[1].decode() not in stored.hash
