--- a/ivymux/admin/app.py
+++ b/ivymux/admin/app.py
@@ -342,7 +342,7 @@
                 elif time.monotonic() - alive > WATCH_ALIVE:
                     yield ": alive\n\n"
                     alive = time.monotonic()
-                await asyncio.sleep(max(WATCH_LOOK, 10 * self.desk.store.look))
+                await asyncio.sleep(max(WATCH_LOOK, 10 * self.desk.store.poll_interval_s))
         finally:
             self.watches -= 1
 
--- a/ivymux/admin/operations.py
+++ b/ivymux/admin/operations.py
@@ -16,14 +16,14 @@
 from ivymux.admin.authorization import ApiError, Principal, patchable, tag
 from ivymux.desired.model import (
     Admin,
-    Answered,
     Change,
     HostTaken,
-    Lost,
+    RevisionConflict,
     Store,
     StoreBusy,
-    Stored,
     StoreDamaged,
+    StoredAnswer,
+    StoredTenant,
     StoreError,
     StoreFull,
 )
@@ -123,9 +123,9 @@
             return None
         return Principal(admin.id, admin.name, admin.uid)
 
-    async def seen(self, principal: Principal, name: str) -> Stored:
+    async def seen(self, principal: Principal, name: str) -> StoredTenant:
         """A tenant; 404 where there is none, or none that the principal may know of."""
-        stored: Stored | None = await self.call(self.store.get, name)
+        stored: StoredTenant | None = await self.call(self.store.get, name)
         if stored is None or not principal.may_see(stored.uid):
             raise ApiError(404, "there is no such tenant")
         return stored
@@ -136,7 +136,7 @@
         """The answer of a creation that was made before."""
         if terms.repeat is None:
             return None
-        found: Answered | None = await self.call(self.store.repeated, terms.repeat[0])
+        found: StoredAnswer | None = await self.call(self.store.answer_of_repeat, terms.repeat[0])
         if found is None:
             return None
         if found.fingerprint != terms.repeat[1]:
@@ -144,7 +144,7 @@
         return Done(found.status, msgspec.json.decode(found.body), found.etag, repeated=True)
 
     async def commit(
-        self, terms: Terms, name: str, before: Stored | None, edit: Edit, action: str, uid: str
+        self, terms: Terms, name: str, before: StoredTenant | None, edit: Edit, action: str, uid: str
     ) -> Done:
         """Make a change, or tell what it would be."""
         old = public_document(before.tenant) if before is not None else {}
@@ -155,7 +155,7 @@
         repeat = None
         if terms.repeat is not None:
             kept = msgspec.json.encode(edit.remembered)
-            repeat = terms.repeat[0], Answered(terms.repeat[1], edit.status, kept, "")
+            repeat = terms.repeat[0], StoredAnswer(terms.repeat[1], edit.status, kept, "")
         change = Change(
             name=name, expected=terms.expected, tenant=edit.tenant, uid=uid, at=time.time(),
             who=f"{terms.principal.name} ({terms.principal.id})", origin=terms.origin, action=action,
@@ -164,14 +164,14 @@
         )  # fmt: skip
         try:
             revision = await self.call(self.store.commit, change)
-        except Lost as lost:
+        except RevisionConflict as lost:
             if terms.repeat is not None and (done := await self.repeated(terms)) is not None:
                 return done  # the same creation, twice at once
             self.lost(terms, uid, lost, before)
         effect = await self.effect(revision)
         return Done(edit.status, edit.body, tag(revision) if edit.tenant is not None else "", effect)
 
-    def lost(self, terms: Terms, uid: str, lost: Lost, before: Stored | None) -> NoReturn:
+    def lost(self, terms: Terms, uid: str, lost: RevisionConflict, before: StoredTenant | None) -> NoReturn:
         """Somebody else was first: tell what is other now."""
         current = lost.current
         if before is None:
@@ -180,13 +180,13 @@
             raise ApiError(404, "there is no such tenant")
         self.outdated(terms, current)
 
-    def outdated(self, terms: Terms, current: Stored) -> NoReturn:
+    def outdated(self, terms: Terms, current: StoredTenant) -> NoReturn:
         raise ApiError(
             412, "it was changed meanwhile: read it again", {"ETag": tag(current.revision)},
             current=tag(current.revision), since=terms.expected,
         )  # fmt: skip
 
-    async def check_expected(self, terms: Terms, stored: Stored) -> None:
+    async def check_expected(self, terms: Terms, stored: StoredTenant) -> None:
         if terms.expected != stored.revision:
             audit = await self.call(self.store.audit, stored.uid, 1 << 60, 20)
             changes = [
@@ -211,7 +211,7 @@
                 return True
             if time.monotonic() >= end:
                 return False
-            await asyncio.sleep(self.store.look)
+            await asyncio.sleep(self.store.poll_interval_s)
 
     async def whole(
         self, uid: str, tenant: Tenant, before: Tenant | None, blobs: Mapping[str, bytes]
--- a/ivymux/cli/admin.py
+++ b/ivymux/cli/admin.py
@@ -86,7 +86,7 @@
         _, store = opened(args.file)
         number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
         try:
-            store.appoint(Admin(number, args.name, "", kept), time.time())
+            store.add_operator(Admin(number, args.name, "", kept), time.time())
         finally:
             store.close()
     except (ConfigError, StoreError) as error:
--- a/ivymux/desired/copying.py
+++ b/ivymux/desired/copying.py
@@ -31,7 +31,7 @@
 from ivymux.desired.etcd.plan import adding, read_state
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Kv, Put, Range, Txn
-from ivymux.desired.model import Admin, Audit, StoreError
+from ivymux.desired.model import Admin, AuditRecord, StoreError
 from ivymux.desired.sqlite import SqliteStore, verify
 from ivymux.tenants.model import Tenant
 
@@ -165,7 +165,7 @@
     columns = "revision, at, who, origin, action, uid, tenant, changes"
     rows = db.execute(f"SELECT {columns} FROM audit").fetchall()
     for revision, at, who, origin, action, uid, tenant, changes in rows:
-        audit = Audit(revision, at, who, origin, action, uid, tenant, msgspec.msgpack.decode(changes))
+        audit = AuditRecord(revision, at, who, origin, action, uid, tenant, msgspec.msgpack.decode(changes))
         put(Put(keys.audit(revision), recorded("", audit)), Put(keys.audit_of(uid, revision), b""))
     for number, name, uid, kept in db.execute("SELECT id, name, uid, kept FROM admins").fetchall():
         found = {"id": number, "name": name, "uid": uid, "kept": msgspec.msgpack.decode(kept)}
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -16,11 +16,11 @@
 from ivymux.desired.etcd.replica import Replica
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.etcd.wire import Compacted, Put, Range, number, put_json, watch_json
-from ivymux.desired.model import Gone, Report, StoreBusy, Stored, StoreError
+from ivymux.desired.model import DeletedTenant, GatewayReport, StoreBusy, StoredTenant, StoreError
 from ivymux.tenants.model import Tenant
 
-LOOK = 1.0  # seconds between reads that the watch is held against
-AGAIN, AGAIN_MAX = 0.1, 2.0  # seconds before a watch that broke off begins anew
+CHECK_INTERVAL_S = 1.0  # seconds between reads that the watch is held against
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 2.0  # seconds before a watch that broke off begins anew
 LIFE = 6  # seconds that a report lives without being renewed
 USAGE = 10.0  # seconds between reports of use
 log = logging.getLogger("ivymux")
@@ -100,17 +100,17 @@
         self.keep()
 
     def watching(self) -> None:
-        wait, stale = AGAIN, "watch" in self.troubles
+        wait, stale = RETRY_DELAY_S, "watch" in self.troubles
         while not self.closed.is_set():
             try:
                 if stale:
                     self.load()
                     stale = False
                 self.watch()
-                wait = AGAIN  # it was ended from here
+                wait = RETRY_DELAY_S  # it was ended from here
                 stale = True
             except Compacted:
-                stale, wait = True, AGAIN
+                stale, wait = True, RETRY_DELAY_S
                 log.info("etcd: the watch fell behind a compaction: all is read anew")
             except StoreError as error:
                 self.trouble("watch", str(error))
@@ -120,7 +120,7 @@
                 self.trouble("watch", "the watch failed; the log says more")
                 stale = True
             self.closed.wait(wait * (0.5 + random.random()))
-            wait = min(AGAIN_MAX, 2 * wait) if stale and "watch" in self.troubles else AGAIN
+            wait = min(MAX_RETRY_DELAY_S, 2 * wait) if stale and "watch" in self.troubles else RETRY_DELAY_S
 
     def watch(self) -> None:
         """Take over what etcd tells, until the watch ends.  Raises StoreError, Compacted."""
@@ -148,7 +148,7 @@
 
     def looking(self) -> None:
         """Hold the watch against reads: one that has gone silent looks like one with nothing to tell."""
-        while not self.closed.wait(LOOK * (0.8 + 0.4 * random.random())):
+        while not self.closed.wait(CHECK_INTERVAL_S * (0.8 + 0.4 * random.random())):
             try:
                 found = self.store.range(Range(self.store.keys.state))
                 with self.lock:
@@ -227,7 +227,7 @@
     def lineage(self) -> str:
         return self.state().lineage
 
-    def hint(self) -> object:
+    def change_hint(self) -> object:
         return self.replica.revision, bool(self.troubles)
 
     def revision(self) -> int:
@@ -236,17 +236,17 @@
             raise StoreBusy(text)
         return self.state().revision
 
-    def since(self, revision: int) -> tuple[int, list[Stored], list[Gone] | None]:
+    def changes_since(self, revision: int) -> tuple[int, list[StoredTenant], list[DeletedTenant] | None]:
         with self.lock:
             now = self.state().revision
-            heads, gone = self.replica.since(revision)
+            heads, gone = self.replica.changes_since(revision)
         return now, [self.stored(head) for head in heads], gone
 
-    def stored(self, head: Head) -> Stored:
+    def stored(self, head: Head) -> StoredTenant:
         body = self.blob(head.body, head.uid)
         if body is None:
             raise StoreBusy("a tenant changed while it was read")
-        return Stored(head.name, head.uid, head.revision, head.created, unpacked(body, Tenant))
+        return StoredTenant(head.name, head.uid, head.revision, head.created, unpacked(body, Tenant))
 
     def blob(self, name: str, uid: str) -> bytes | None:
         data = self.cache.text(name) if self.cache is not None else None
@@ -259,7 +259,7 @@
 
     # --- what it tells -----------------------------------------------------------------------------------
 
-    def report(self, report: Report) -> None:
+    def report(self, report: GatewayReport) -> None:
         """Tell what is served and used: gone when nothing renews it.  Raises StoreError."""
         now, client = time.monotonic(), self.store.client
         if self.lease:
--- a/ivymux/desired/etcd/keys.py
+++ b/ivymux/desired/etcd/keys.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ivymux.desired.model import Audit, StoreDamaged
+from ivymux.desired.model import AuditRecord, StoreDamaged
 from ivymux.tenants.model import Tenant, digest, text_digests
 
 PIECE = 512 * 1024  # bytes of a text in one key
@@ -46,7 +46,7 @@
     """An audit record; `token` tells a commit without an answer whether it was made."""
 
     token: str
-    audit: Audit
+    audit: AuditRecord
 
 
 class Serves(msgspec.Struct, frozen=True):
@@ -169,7 +169,7 @@
     return data
 
 
-def recorded(token: str, audit: Audit) -> bytes:
+def recorded(token: str, audit: AuditRecord) -> bytes:
     """An audit record; of one that is too large the first changes, and how many there were."""
     value = zlib.compress(packed(Recorded(token, audit)))
     if len(value) <= MAX_VALUE:
--- a/ivymux/desired/etcd/plan.py
+++ b/ivymux/desired/etcd/plan.py
@@ -26,10 +26,10 @@
 from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Put, Range, Ranged, Txn
 from ivymux.desired.model import (
     Admin,
-    Audit,
+    AuditRecord,
     Change,
     HostTaken,
-    Lost,
+    RevisionConflict,
     StoreDamaged,
     StoreError,
     StoreFull,
@@ -106,10 +106,13 @@
 
 
 def check(change: Change, seen: Seen) -> None:
-    """Whether a change still fits what is there.  Raises Lost (the store reads its state), HostTaken."""
+    """Check that a change still fits the current state.
+
+    Raises RevisionConflict (without the current tenant, which the store reads) and HostTaken.
+    """
     head = seen.head
     if (head.revision if head else 0) != change.expected or (head and head.uid != change.uid):
-        raise Lost(None)
+        raise RevisionConflict(None)
     for host, uid in seen.hosts.items():
         if uid != change.uid:
             raise HostTaken(host)
@@ -121,12 +124,13 @@
 
 
 def commit(keys: Keys, change: Change, seen: Seen, token: str, lease: int) -> tuple[int, Txn]:
-    """The new revision and the transaction that makes it.  Raises Lost, HostTaken, StoreError."""
+    """The new revision and the transaction that makes it.  Raises RevisionConflict, HostTaken, StoreError."""
     check(change, seen)
     revision = seen.state.revision + 1
     compares = [Compare(keys.state, "MOD", "EQUAL", seen.mod)]
-    audit = Audit(revision, change.at, change.who, change.origin, change.action, change.uid, change.name,
-                  change.changes)  # fmt: skip
+    audit = AuditRecord(
+        revision, change.at, change.who, change.origin, change.action, change.uid, change.name, change.changes
+    )
     operations: list[Range | Put | Delete] = [
         Put(keys.state, packed(msgspec.structs.replace(seen.state, revision=revision))),
         Put(keys.audit(revision), recorded(token, audit)),
@@ -180,12 +184,12 @@
     return made
 
 
-def appoint(keys: Keys, admin: Admin, at: float, state: State | None, mod: int, lineage: str) -> Txn:
+def add_operator(keys: Keys, admin: Admin, at: float, state: State | None, mod: int, lineage: str) -> Txn:
     """Keep an operator's key; where there is no state at all this begins one."""
     now = state or State(0, lineage)
     revision = now.revision + 1
     changes = [{"path": f"/operators/{admin.id}", "after": admin.name}]
-    audit = Audit(revision, at, "command line", "", "appoint", "", "", changes)
+    audit = AuditRecord(revision, at, "command line", "", "appoint", "", "", changes)
     guard = Compare(keys.state, "MOD", "EQUAL", mod) if state else Compare(keys.state, "CREATE", "EQUAL", 0)
     return Txn((guard,), (
         Put(keys.state, packed(msgspec.structs.replace(now, revision=revision))),
--- a/ivymux/desired/etcd/replica.py
+++ b/ivymux/desired/etcd/replica.py
@@ -11,10 +11,10 @@
 
 from ivymux.desired.etcd.keys import Head, Keys, State, unpacked
 from ivymux.desired.etcd.wire import Event, Kv
-from ivymux.desired.model import Gone, StoreError
+from ivymux.desired.model import DeletedTenant, StoreError
 
 MAX_GONE = 10_000  # tenants that went, kept to be told
-STUCK = 2.0  # seconds that a watch may be behind what a read has seen
+MAX_WATCH_LAG_S = 2.0  # seconds that a watch may be behind what a read has seen
 
 
 class OtherState(StoreError):
@@ -26,7 +26,7 @@
     keys: Keys
     state: State | None = None
     heads: dict[str, Head] = field(default_factory=dict)  # by name
-    gone: list[Gone] = field(default_factory=list)
+    gone: list[DeletedTenant] = field(default_factory=list)
     forgot: int = 0  # revision up to which tenants that went are no longer known
     at: int = 0  # the revision of etcd that this is of
     behind_since: float | None = None
@@ -105,13 +105,13 @@
 
     def bury(self, lost: Iterable[Head]) -> None:
         """Keep who went, as of now; the oldest are forgotten."""
-        self.gone += [Gone(head.name, head.uid, self.revision) for head in lost]
+        self.gone += [DeletedTenant(head.name, head.uid, self.revision) for head in lost]
         if len(self.gone) > MAX_GONE:
             surplus = self.gone[: len(self.gone) - MAX_GONE]
             self.forgot = max(g.revision for g in surplus)
             del self.gone[: len(surplus)]
 
-    def since(self, revision: int) -> tuple[list[Head], list[Gone] | None]:
+    def changes_since(self, revision: int) -> tuple[list[Head], list[DeletedTenant] | None]:
         """Heads changed since, and who went since; None, with all heads, where that is not known."""
         if revision < self.forgot:
             return sorted(self.heads.values(), key=order), None
@@ -135,7 +135,7 @@
             return False
         if self.behind_since is None:
             self.behind_since = now
-        return now - self.behind_since >= STUCK
+        return now - self.behind_since >= MAX_WATCH_LAG_S
 
 
 def order(head: Head) -> tuple[int, str]:
--- a/ivymux/desired/etcd/store.py
+++ b/ivymux/desired/etcd/store.py
@@ -43,14 +43,14 @@
 )
 from ivymux.desired.model import (
     Admin,
-    Answered,
-    Audit,
+    AuditRecord,
     Change,
-    Lost,
-    Report,
+    GatewayReport,
+    RevisionConflict,
     StoreBusy,
-    Stored,
     StoreDamaged,
+    StoredAnswer,
+    StoredTenant,
     StoreError,
 )
 from ivymux.tenants.model import Tenant
@@ -64,7 +64,7 @@
 class EtcdStore:
     """Any number of processes on any number of machines may use it."""
 
-    look = 0.1
+    poll_interval_s = 0.1
 
     def __init__(self, access: Access, prefix: str = "/ivymux/") -> None:
         self.keys, self.client = Keys(prefix), Client(access)
@@ -122,14 +122,14 @@
             return None
         return whole(unpacked(found[0].value, Place), [kv.value for kv in found[1:]], name)
 
-    def stored(self, head: Head) -> Stored | None:
+    def stored(self, head: Head) -> StoredTenant | None:
         """A tenant of its head; None where it went meanwhile."""
         body = self.blob(head.body, head.uid)
         if body is None:
             return None
-        return Stored(head.name, head.uid, head.revision, head.created, unpacked(body, Tenant))
+        return StoredTenant(head.name, head.uid, head.revision, head.created, unpacked(body, Tenant))
 
-    def get(self, name: str) -> Stored | None:
+    def get(self, name: str) -> StoredTenant | None:
         if not name or "/" in name:
             return None
         for _ in range(TRIES):
@@ -142,19 +142,19 @@
                 raise StoreDamaged("a tenant's document is not in etcd; restore a backup")
         raise StoreBusy("the tenant changes all the time: try again")
 
-    def page(self, after_name: str, limit: int) -> list[Stored]:
+    def page(self, after_name: str, limit: int) -> list[StoredTenant]:
         begin = self.keys.tenant(after_name) + b"\0" if after_name else self.keys.tenants
         found = self.range(Range(begin, after(self.keys.tenants), limit))
         heads = [unpacked(kv.value, Head) for kv in found.kvs]
         return [stored for head in heads if (stored := self.stored(head)) is not None]
 
-    def repeated(self, key: str) -> Answered | None:
+    def answer_of_repeat(self, key: str) -> StoredAnswer | None:
         index = self.one(self.keys.repeat_id(key))
         found = self.one(self.keys.repeat(index.value.decode(), key)) if index is not None else None
         if found is None:
             return None
         kept = unpacked(found.value, plan.Remembered)
-        return Answered(kept.fingerprint, kept.status, kept.body, kept.etag)
+        return StoredAnswer(kept.fingerprint, kept.status, kept.body, kept.etag)
 
     def admin(self, number: str) -> Admin | None:
         index = self.one(self.keys.admin_id(number))
@@ -167,26 +167,26 @@
         begin = self.keys.all("admins", uid or "-")
         return [unpacked(kv.value, Admin) for kv in self.every(begin, after(begin))[0]]
 
-    def audit(self, uid: str, before: int, limit: int) -> list[Audit]:
+    def audit(self, uid: str, before: int, limit: int) -> list[AuditRecord]:
         if not uid:
             found = self.range(Range(self.keys.audit(0), self.keys.audit(before), limit, descending=True))
             return [read_recorded(kv.value).audit for kv in found.kvs]
         begin, end = self.keys.audit_of(uid, 0), self.keys.audit_of(uid, before)
         listed = self.range(Range(begin, end, limit, descending=True, keys_only=True)).kvs
         numbers = iter([int(plan.tail(kv.key)) for kv in listed])
-        records: list[Audit] = []
+        records: list[AuditRecord] = []
         while part := list(islice(numbers, 50)):
             answer = self.look_up([Range(self.keys.audit(n)) for n in part])
             records += [read_recorded(kv.value).audit for found in answer.ranges for kv in found.kvs]
         return records
 
-    def history(self, uid: str, limit: int) -> list[Stored]:
+    def history(self, uid: str, limit: int) -> list[StoredTenant]:
         begin = self.keys.all("history", uid)
         found = self.range(Range(begin, after(begin), limit, descending=True)).kvs
         heads = [unpacked(kv.value, Head) for kv in found]
         return [stored for head in heads if (stored := self.stored(head)) is not None]
 
-    def reports(self) -> list[Report]:
+    def reports(self) -> list[GatewayReport]:
         """Of front doors that are alive: what one told goes with its lease, by etcd's clock, not by ours."""
         begin = self.keys.all("doors")
         found: dict[bytes, dict[str, Kv]] = {}
@@ -200,7 +200,7 @@
             serves = unpacked(parts["serves"].value, Serves)
             usage = unpacked(parts["usage"].value, dict[str, dict[str, float]]) if "usage" in parts else {}
             name = parts["name"].value.decode()
-            made.append(Report(name, serves.revision, time.time(), usage, serves.problems))
+            made.append(GatewayReport(name, serves.revision, time.time(), usage, serves.problems))
         return sorted(made, key=lambda r: r.door)
 
     # --- changing --------------------------------------------------------------------------------------
@@ -247,8 +247,8 @@
                 unknown.discard(revision)
             try:
                 plan.check(change, seen)
-            except Lost:
-                raise Lost(self.get(change.name)) from None
+            except RevisionConflict:
+                raise RevisionConflict(self.get(change.name)) from None
             self.put_texts(change)
             revision, txn = plan.commit(self.keys, change, seen, token, lease)
             try:
@@ -281,11 +281,11 @@
             if (txn := plan.sweep(self.keys, uid, mod, heads, listed)) is not None:
                 self.transact(txn)
 
-    def appoint(self, admin: Admin, at: float) -> None:
+    def add_operator(self, admin: Admin, at: float) -> None:
         for turn in range(TRIES):
             found = self.range(Range(self.keys.state))
             state, mod = plan.read_state(found) if found.kvs else (None, 0)
-            txn = plan.appoint(self.keys, admin, at, state, mod, secrets.token_hex(16))
+            txn = plan.add_operator(self.keys, admin, at, state, mod, secrets.token_hex(16))
             try:
                 if self.transact(txn).succeeded:
                     return
--- a/ivymux/desired/model.py
+++ b/ivymux/desired/model.py
@@ -37,15 +37,15 @@
         super().__init__(f"the host name {host!r} is not free")
 
 
-class Lost(Exception):
+class RevisionConflict(Exception):
     """The state is no longer the one that a change was made from."""
 
-    def __init__(self, current: Stored | None) -> None:
+    def __init__(self, current: StoredTenant | None) -> None:
         self.current = current
         super().__init__("changed meanwhile")
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredTenant(msgspec.Struct, frozen=True):
     """A tenant as it is kept.  `uid` is its own: one of the same name, made later, has another."""
 
     name: str
@@ -55,7 +55,7 @@
     tenant: Tenant
 
 
-class Gone(msgspec.Struct, frozen=True):
+class DeletedTenant(msgspec.Struct, frozen=True):
     """A tenant that was deleted."""
 
     name: str
@@ -76,7 +76,7 @@
         return "tenant" if self.uid else "operator"
 
 
-class Audit(msgspec.Struct, frozen=True):
+class AuditRecord(msgspec.Struct, frozen=True):
     """Who changed what.  `changes` never hold a secret, nor what is kept of one."""
 
     revision: int
@@ -89,7 +89,7 @@
     changes: list[dict[str, Any]] = []
 
 
-class Answered(msgspec.Struct, frozen=True):
+class StoredAnswer(msgspec.Struct, frozen=True):
     """What a creation was answered with, for its repeats."""
 
     fingerprint: str
@@ -116,10 +116,10 @@
     blobs: Mapping[str, bytes] = {}
     add_admins: Sequence[Admin] = ()
     drop_admins: Sequence[str] = ()
-    repeat: tuple[str, Answered] | None = None  # under which key, and what a repeat is answered with
+    repeat: tuple[str, StoredAnswer] | None = None  # under which key, and what a repeat is answered with
 
 
-class Report(msgspec.Struct, frozen=True):
+class GatewayReport(msgspec.Struct, frozen=True):
     """What a front door tells: up to which revision it serves, and what its tenants used."""
 
     door: str
@@ -129,7 +129,7 @@
     problems: dict[str, str] = {}  # by uid: why a tenant's last state is not served
 
 
-class Base(Protocol):
+class StateReader(Protocol):
     """What every store of a desired state tells.
 
     Calls block for as long as a disk or a network does: they are made from threads.  All raise StoreError.
@@ -146,43 +146,43 @@
     def close(self) -> None: ...
 
 
-class DoorStore(Base, Protocol):
+class GatewayStore(StateReader, Protocol):
     """What a front door needs."""
 
-    def since(self, revision: int) -> tuple[int, list[Stored], list[Gone] | None]:
+    def changes_since(self, revision: int) -> tuple[int, list[StoredTenant], list[DeletedTenant] | None]:
         """The revision, tenants changed since and tenants gone since; None where those are not known that far
         back: then all that is not among the tenants of revision 0 is gone.
         """
 
-    def report(self, report: Report) -> None: ...
+    def report(self, report: GatewayReport) -> None: ...
 
-    def hint(self) -> object:
+    def change_hint(self) -> object:
         """What is other once the state may be; cheap enough for the event loop, and it may miss a change."""
 
 
-class Store(Base, Protocol):
+class Store(StateReader, Protocol):
     """What the administration API needs: what was answered is kept, whatever ends the process."""
 
-    look: float  # seconds between looks for changes that don't burden it
+    poll_interval_s: float  # seconds between looks for changes that don't burden it
 
-    def get(self, name: str) -> Stored | None: ...
+    def get(self, name: str) -> StoredTenant | None: ...
 
-    def page(self, after: str, limit: int) -> list[Stored]: ...
+    def page(self, after: str, limit: int) -> list[StoredTenant]: ...
 
     def commit(self, change: Change) -> int:
-        """The new revision.  Raises Lost, changing nothing."""
+        """The new revision.  Raises RevisionConflict, changing nothing."""
 
-    def repeated(self, key: str) -> Answered | None: ...
+    def answer_of_repeat(self, key: str) -> StoredAnswer | None: ...
 
     def admin(self, number: str) -> Admin | None: ...
 
     def admins(self, uid: str) -> list[Admin]: ...
 
-    def appoint(self, admin: Admin, at: float) -> None:
+    def add_operator(self, admin: Admin, at: float) -> None:
         """Keep an operator's key: the first one comes from the command line."""
 
-    def audit(self, uid: str, before: int, limit: int) -> list[Audit]: ...
+    def audit(self, uid: str, before: int, limit: int) -> list[AuditRecord]: ...
 
-    def history(self, uid: str, limit: int) -> list[Stored]: ...
+    def history(self, uid: str, limit: int) -> list[StoredTenant]: ...
 
-    def reports(self) -> list[Report]: ...
+    def reports(self) -> list[GatewayReport]: ...
--- a/ivymux/desired/sqlite.py
+++ b/ivymux/desired/sqlite.py
@@ -16,16 +16,16 @@
 
 from ivymux.desired.model import (
     Admin,
-    Answered,
-    Audit,
+    AuditRecord,
     Change,
-    Gone,
+    DeletedTenant,
+    GatewayReport,
     HostTaken,
-    Lost,
-    Report,
+    RevisionConflict,
     StoreBusy,
-    Stored,
     StoreDamaged,
+    StoredAnswer,
+    StoredTenant,
     StoreError,
     StoreFull,
 )
@@ -91,7 +91,7 @@
 class SqliteStore:
     """One file and its log; any number of processes on one machine may use it."""
 
-    look = 0.02
+    poll_interval_s = 0.02
 
     def __init__(self, path: Path, busy: float = BUSY) -> None:
         """Open or make it.  Raises StoreError."""
@@ -150,7 +150,7 @@
     def lineage(self) -> str:
         return str(self.rows("SELECT lineage FROM state")[0][0])
 
-    def hint(self) -> object:
+    def change_hint(self) -> object:
         """The log's size and time: each commit adds to it.  None where it can't be seen."""
         try:
             seen = os.stat(self.log)
@@ -161,24 +161,24 @@
     def revision(self) -> int:
         return int(self.rows("SELECT revision FROM state")[0][0])
 
-    def stored(self, rows: list[Any]) -> list[Stored]:
+    def stored(self, rows: list[Any]) -> list[StoredTenant]:
         with told():
             return [
-                Stored(name, uid, revision, created, msgspec.msgpack.decode(body, type=Tenant))
+                StoredTenant(name, uid, revision, created, msgspec.msgpack.decode(body, type=Tenant))
                 for name, uid, revision, created, body in rows
             ]
 
-    def get(self, name: str) -> Stored | None:
+    def get(self, name: str) -> StoredTenant | None:
         rows = self.rows(f"SELECT {COLUMNS} FROM tenants WHERE name = ?", name)
         return next(iter(self.stored(rows)), None)
 
-    def page(self, after: str, limit: int) -> list[Stored]:
+    def page(self, after: str, limit: int) -> list[StoredTenant]:
         return self.stored(self.rows(
             f"SELECT {COLUMNS} FROM tenants WHERE name > ? ORDER BY name LIMIT ?",
             after, limit,
         ))  # fmt: skip
 
-    def since(self, revision: int) -> tuple[int, list[Stored], list[Gone] | None]:
+    def changes_since(self, revision: int) -> tuple[int, list[StoredTenant], list[DeletedTenant] | None]:
         with self.lock, told():
             self.db.execute("BEGIN")  # one snapshot for all of it
             try:
@@ -193,16 +193,16 @@
                 ).fetchall()
             finally:
                 self.db.execute("ROLLBACK")
-        return int(now), self.stored(rows), None if whole else [Gone(*row) for row in lost]
+        return int(now), self.stored(rows), None if whole else [DeletedTenant(*row) for row in lost]
 
     def blob(self, name: str, uid: str) -> bytes | None:
         rows = self.rows("SELECT data FROM blobs WHERE digest = ?", name)
         return bytes(rows[0][0]) if rows else None
 
-    def repeated(self, key: str) -> Answered | None:
+    def answer_of_repeat(self, key: str) -> StoredAnswer | None:
         rows = self.rows("SELECT answer FROM repeats WHERE key = ?", key)
         with told():
-            return msgspec.msgpack.decode(rows[0][0], type=Answered) if rows else None
+            return msgspec.msgpack.decode(rows[0][0], type=StoredAnswer) if rows else None
 
     def admin(self, number: str) -> Admin | None:
         return next(iter(self.read_admins("id", number)), None)
@@ -216,16 +216,18 @@
             return [msgspec.convert({"id": a, "name": b, "uid": c, "kept": msgspec.msgpack.decode(d)}, Admin)
                     for a, b, c, d in rows]  # fmt: skip
 
-    def audit(self, uid: str, before: int, limit: int) -> list[Audit]:
+    def audit(self, uid: str, before: int, limit: int) -> list[AuditRecord]:
         rows = self.rows(
             "SELECT revision, at, who, origin, action, uid, tenant, changes FROM audit"
             " WHERE (? = '' OR uid = ?) AND revision < ? ORDER BY revision DESC LIMIT ?",
             uid, uid, before, limit,
         )  # fmt: skip
         with told():
-            return [Audit(a, b, c, d, e, f, g, msgspec.msgpack.decode(h)) for a, b, c, d, e, f, g, h in rows]
+            return [
+                AuditRecord(a, b, c, d, e, f, g, msgspec.msgpack.decode(h)) for a, b, c, d, e, f, g, h in rows
+            ]
 
-    def history(self, uid: str, limit: int) -> list[Stored]:
+    def history(self, uid: str, limit: int) -> list[StoredTenant]:
         return self.stored(self.rows(
             f"SELECT {COLUMNS} FROM history WHERE uid = ? ORDER BY revision DESC LIMIT ?",
             uid, limit,
@@ -237,7 +239,7 @@
         with self.writing() as db:
             row = db.execute(f"SELECT {COLUMNS} FROM tenants WHERE name = ?", (change.name,)).fetchone()
             if (row[2] if row else 0) != change.expected or (row and row[1] != change.uid):
-                raise Lost(self.stored([row])[0] if row else None)
+                raise RevisionConflict(self.stored([row])[0] if row else None)
             (revision,) = db.execute(
                 "UPDATE state SET revision = revision + 1 RETURNING revision"
             ).fetchone()  # fmt: skip
@@ -313,7 +315,7 @@
         surplus = "SELECT key FROM repeats ORDER BY at DESC LIMIT -1 OFFSET ?"
         db.execute(f"DELETE FROM repeats WHERE key IN ({surplus})", (MAX_REPEATS,))
 
-    def appoint(self, admin: Admin, at: float) -> None:
+    def add_operator(self, admin: Admin, at: float) -> None:
         """Keep an operator's key: the first one comes from the command line of the machine."""
         with self.writing() as db:
             (revision,) = db.execute("UPDATE state SET revision = revision + 1 RETURNING revision").fetchone()
@@ -326,17 +328,17 @@
 
     # --- what front doors tell -----------------------------------------------------------------------
 
-    def report(self, report: Report) -> None:
+    def report(self, report: GatewayReport) -> None:
         with self.writing() as db:
             db.execute(
                 "INSERT OR REPLACE INTO doors VALUES (?, ?, ?)", (report.door, report.at, packed(report))
             )
             db.execute("DELETE FROM doors WHERE at < ?", (report.at - DOOR_LIFE,))
 
-    def reports(self) -> list[Report]:
+    def reports(self) -> list[GatewayReport]:
         rows = self.rows("SELECT report FROM doors ORDER BY door")
         with told():
-            return [msgspec.msgpack.decode(row[0], type=Report) for row in rows]
+            return [msgspec.msgpack.decode(row[0], type=GatewayReport) for row in rows]
 
     # --- backup --------------------------------------------------------------------------------------
 
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -13,7 +13,7 @@
 
 from ivymux.data_plane.limits import BODY_MEMORY_SHARE, Address, Bounds, ConfigError
 from ivymux.data_plane.refusal_log import RefusalLog
-from ivymux.desired.model import DoorStore, Gone, Report, Stored, StoreError
+from ivymux.desired.model import DeletedTenant, GatewayReport, GatewayStore, StoredTenant, StoreError
 from ivymux.hosting.host_lookups import HostLookups
 from ivymux.hosting.hosted_tenant import GatewaySettings, HostedTenant, UnservableState
 from ivymux.hosting.server import HostedFrontend, HostedServer
@@ -43,7 +43,7 @@
 
     longest = 60.0  # the longest deadline that a route description may set
 
-    def __init__(self, hosting: Hosting, store: DoorStore, folder: Path = Path()) -> None:
+    def __init__(self, hosting: Hosting, store: GatewayStore, folder: Path = Path()) -> None:
         """`folder` is the folder of the installation's file, to which password files are relative."""
         self.folder = folder
         super().__init__()
@@ -102,7 +102,7 @@
         lineage = await asyncio.to_thread(store.lineage)
         if self.lineage and lineage != self.lineage:
             raise StoreError("the desired state was replaced by another one: it is not followed")
-        revision, changed, gone = await asyncio.to_thread(store.since, max(0, self.revision))
+        revision, changed, gone = await asyncio.to_thread(store.changes_since, max(0, self.revision))
         for uid in self.removed_uids(changed, gone):
             self.remove_tenant(uid)
         for stored in changed:
@@ -110,14 +110,14 @@
         self.revision, self.lineage = revision, lineage
         await self.send_report()
 
-    def removed_uids(self, changed: list[Stored], gone: list[Gone] | None) -> list[str]:
+    def removed_uids(self, changed: list[StoredTenant], gone: list[DeletedTenant] | None) -> list[str]:
         """Return the tenants to remove; without a list of deletions, `changed` names all that exist."""
         if gone is not None:
             return [g.uid for g in gone]
         listed = {stored.uid for stored in changed}
         return [uid for uid in self.tenants if uid not in listed]
 
-    async def apply_tenant(self, stored: Stored) -> None:
+    async def apply_tenant(self, stored: StoredTenant) -> None:
         """Switch a tenant to its new state; if that can't be served, keep the old one and record why."""
         hosted = self.tenants.get(stored.uid)
         if hosted is not None and hosted.revision >= stored.revision:
@@ -189,7 +189,7 @@
             for uid, hosted in self.tenants.items() if hosted.misplaced_count
         }  # fmt: skip
         problems |= self.problems
-        report = Report(self.hosting.file.name, self.revision, time.time(), usage, problems)
+        report = GatewayReport(self.hosting.file.name, self.revision, time.time(), usage, problems)
         try:
             await asyncio.to_thread(self.store.report, report)
         except StoreError as error:
@@ -203,7 +203,7 @@
         while True:
             await asyncio.sleep(self.hosting.file.follow)
             # A read needs a thread, which delays a busy event loop, and mostly finds no change.
-            hint = self.store.hint()
+            hint = self.store.change_hint()
             if hint is not None and hint == last_hint and time.monotonic() < read_at + FULL_READ_PERIOD_S:
                 continue
             last_hint, read_at = hint, time.monotonic()
--- a/ivymux/hosting/state_stores.py
+++ b/ivymux/hosting/state_stores.py
@@ -7,7 +7,7 @@
 
 from ivymux.data_plane.limits import ConfigError
 from ivymux.data_plane.passwords import read_password
-from ivymux.desired.model import DoorStore, Store, StoreError
+from ivymux.desired.model import GatewayStore, Store, StoreError
 from ivymux.desired.sqlite import SqliteStore
 from ivymux.hosting.site import EtcdPart, HostingFile
 
@@ -41,7 +41,7 @@
     return EtcdStore(etcd_access(file.etcd, folder), file.etcd.prefix)
 
 
-def open_gateway_store(file: HostingFile, folder: Path) -> DoorStore:
+def open_gateway_store(file: HostingFile, folder: Path) -> GatewayStore:
     """Open the store to follow the desired state.  Raises StoreError if there is no state to start from."""
     if file.etcd is None:
         return SqliteStore(folder / file.store)
--- a/tests/admin/calling.py
+++ b/tests/admin/calling.py
@@ -86,7 +86,7 @@
 @contextlib.asynccontextmanager
 async def calling(store: Store, address_rules: AddressRules = ANY_ADDRESS) -> AsyncIterator[Caller]:
     number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
-    store.appoint(Admin(number, "olga", "", kept), time.time())
+    store.add_operator(Admin(number, "olga", "", kept), time.time())
     transport = httpx.ASGITransport(application(store, address_rules), raise_app_exceptions=False)
     async with httpx.AsyncClient(transport=transport, base_url="http://admin.example", timeout=30) as client:
         yield Caller(client, key)
--- a/tests/admin/test_etcd.py
+++ b/tests/admin/test_etcd.py
@@ -13,7 +13,7 @@
 from ivymux.desired.etcd.store import EtcdStore
 from standins.etcd import Server, serving
 from tests.admin.calling import ROUTES, Caller, calling
-from tests.desired.etcds import access
+from tests.desired.etcd_fixtures import access
 from tests.sockets import run
 
 T = "/v1/tenants/a"
--- a/tests/admin/test_schemathesis.py
+++ b/tests/admin/test_schemathesis.py
@@ -47,7 +47,7 @@
     authorization.RATE = authorization.BURST = 1e6
     store = SqliteStore(tmp_path_factory.mktemp("api") / "desired.db")
     number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
-    store.appoint(Admin(number, "olga", "", kept), time.time())
+    store.add_operator(Admin(number, "olga", "", kept), time.time())
     made, blobs, _ = tenant("a", [9])
     store.commit(Change(name="a", expected=0, tenant=made, uid="u", at=0.0, who="", origin="", action="",
                         blobs=blobs))  # fmt: skip
--- a/tests/desired/etcds.py
+++ b/tests/desired/etcd_fixtures.py
@@ -32,5 +32,5 @@
 def begin(store: EtcdStore, name: str = "olga") -> str:
     """The first operator, as the command line appoints one; its key."""
     number, key, kept = secret.create_key(secret.ADMIN_PREFIX, 0.0)
-    store.appoint(Admin(number, name, "", kept), 1000.0)
+    store.add_operator(Admin(number, name, "", kept), 1000.0)
     return key
--- a/tests/desired/promises.py
+++ b/tests/desired/store_contract.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ivymux.desired.model import Change, Lost, Store
+from ivymux.desired.model import Change, RevisionConflict, Store
 from ivymux.tenants.model import Tenant
 from tests.tenants.making import tenant
 
@@ -21,21 +21,21 @@
     return store.commit(change(name, made, expected, blobs=blobs, **more))
 
 
-def a_change_is_made_from_the_state_it_was_seen_in(store: Store, before: int) -> None:
+def check_optimistic_locking(store: Store, before: int) -> None:
     """`before`: the store's revision, and its audit records."""
     first = put(store, "a")
     assert first == store.revision() == before + 1
     found = store.get("a")
     assert found is not None and found.revision == first and found.uid == "u-a"
     second = put(store, "a", first)
-    with pytest.raises(Lost) as lost:
+    with pytest.raises(RevisionConflict) as lost:
         put(store, "a", first)
     assert lost.value.current is not None and lost.value.current.revision == second
-    with pytest.raises(Lost):
+    with pytest.raises(RevisionConflict):
         put(store, "a")  # creating what is there
-    with pytest.raises(Lost):
+    with pytest.raises(RevisionConflict):
         put(store, "a", second, uid="another")  # one of the same name, made meanwhile
-    with pytest.raises(Lost):
+    with pytest.raises(RevisionConflict):
         store.commit(change("b", None, 1))
     assert store.revision() == second and len(store.audit("", 1 << 60, 10)) == before + 2
     assert [s.revision for s in store.history("u-a", 9)] == [second, first]
--- a/tests/desired/test_copying.py
+++ b/tests/desired/test_copying.py
@@ -14,8 +14,8 @@
 from ivymux.tenants.model import text_digests
 from ivymux.tenants.secret import ADMIN_PREFIX, create_key
 from standins.etcd import serving
-from tests.desired.etcds import access, begin, stored
-from tests.desired.promises import change, put
+from tests.desired.etcd_fixtures import access, begin, stored
+from tests.desired.store_contract import change, put
 from tests.tenants.making import tenant
 
 
@@ -64,7 +64,7 @@
 def test_from_a_file_into_etcd_and_back(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     number, _, kept = create_key(ADMIN_PREFIX, 0.0)
-    store.appoint(Admin(number, "olga", "", kept), 1000.0)
+    store.add_operator(Admin(number, "olga", "", kept), 1000.0)
     at = put(store, "a")
     put(store, "a", at)
     store.backup(tmp_path / "one.db")
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -14,26 +14,26 @@
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.model import (
     Admin,
-    Answered,
     HostTaken,
-    Lost,
+    RevisionConflict,
     StoreBusy,
     StoreDamaged,
+    StoredAnswer,
     StoreError,
     StoreFull,
 )
 from ivymux.tenants.model import digest, text_digests
 from ivymux.tenants.secret import ADMIN_PREFIX, KEY_PATTERN, create_key
 from standins.etcd import Server, serving
-from tests.desired import promises
-from tests.desired.etcds import access, begin, stored
-from tests.desired.promises import change, put
+from tests.desired import store_contract
+from tests.desired.etcd_fixtures import access, begin, stored
+from tests.desired.store_contract import change, put
 from tests.tenants.making import tenant
 
 
 def test_a_change_is_made_from_the_state_it_was_seen_in() -> None:
     with stored() as (_, store):  # the operator's key was the first change
-        promises.a_change_is_made_from_the_state_it_was_seen_in(store, 1)
+        store_contract.check_optimistic_locking(store, 1)
         assert store.get("a/b") is None and store.get("") is None
 
 
@@ -52,18 +52,18 @@
 def test_all_of_a_tenant_goes_with_it_and_nothing_of_another() -> None:
     with stored() as (server, store):
         number, _, kept = create_key(ADMIN_PREFIX, 0.0)
-        answer = Answered("f", 201, b"{}", "1")
+        answer = StoredAnswer("f", 201, b"{}", "1")
         admin = Admin(number, "ann", "u-a", kept)
         at = put(store, "a", add_admins=[admin], repeat=("k", answer))
         put(store, "b")
         found = store.get("a")
-        assert found is not None and store.repeated("k") == answer and store.admin(number) == admin
+        assert found is not None and store.answer_of_repeat("k") == answer and store.admin(number) == admin
         names = text_digests(found.tenant)
         assert all(store.blob(name, "u-a") for name in names) and store.admins("u-a") == [admin]
         assert not any(store.blob(name, "u-other") for name in names)
         store.commit(change("a", None, at))
         assert store.get("a") is None and store.history("u-a", 9) == [] and store.admins("u-a") == []
-        assert store.repeated("k") is None and store.admin(number) is None
+        assert store.answer_of_repeat("k") is None and store.admin(number) is None
         assert not any(store.blob(name, "u-a") for name in names)
         assert [a.action for a in store.audit("u-a", 1 << 60, 9)] == ["test", "test"]  # that it was, stays
         left = [n for n in server.etcd.names if server.etcd.seen(n, server.etcd.revision)]
@@ -275,7 +275,7 @@
                 try:
                     made.append(put(store, "a", found.revision if found else 0, who=str(number)))
                     done += 1
-                except Lost:
+                except RevisionConflict:
                     lost.append(number)
             store.close()
 
--- a/tests/desired/test_replica.py
+++ b/tests/desired/test_replica.py
@@ -10,7 +10,7 @@
 from ivymux.desired.etcd import replica as replica_module
 from ivymux.desired.etcd.cache import Cache, Known
 from ivymux.desired.etcd.keys import Head, Keys, State, packed
-from ivymux.desired.etcd.replica import STUCK, OtherState, Replica
+from ivymux.desired.etcd.replica import MAX_WATCH_LAG_S, OtherState, Replica
 from ivymux.desired.etcd.wire import Event, Kv
 from ivymux.desired.model import StoreDamaged
 
@@ -61,7 +61,7 @@
         assert read.heads == watched.heads
         # Who follows from any revision on ends with the same tenants.
         for begin in range(9, at):
-            changed, gone = watched.since(begin)
+            changed, gone = watched.changes_since(begin)
             assert gone is not None
             uids = {g.uid for g in gone}
             assert not uids & {h.uid for h in heads.values()}
@@ -71,11 +71,11 @@
 def test_a_tenant_of_the_same_name_is_another_one() -> None:
     made = loaded(head("a", 3, "first"))
     made.apply(told(state(11, 11), kv(head("a", 11, "second"), 11)), 11)
-    changed, gone = made.since(9)
+    changed, gone = made.changes_since(9)
     assert gone is not None and [g.uid for g in gone] == ["first"] and [h.uid for h in changed] == ["second"]
     # So is one that a reading of all finds.
     made.load([state(12, 12), kv(head("a", 12, "third"), 12)], 12)
-    gone = made.since(11)[1]
+    gone = made.changes_since(11)[1]
     assert gone is not None and [g.uid for g in gone] == ["second"]
 
 
@@ -84,8 +84,8 @@
     made = loaded(*(head(name, 1) for name in "abcdef"))
     for turn, name in enumerate("abcde", 10):
         made.apply([Event(KEYS.tenant(name), None), *told(state(turn, turn))], turn)
-    assert made.since(9) == ([head("f", 1)], None)
-    gone = made.since(11)[1]
+    assert made.changes_since(9) == ([head("f", 1)], None)
+    gone = made.changes_since(11)[1]
     assert gone is not None and [g.name for g in gone] == ["c", "d", "e"]
 
 
@@ -114,7 +114,7 @@
     assert made.behind(state(1_000_900, 4), 4, 0.0)  # etcd went back: all is to be read
     made.load([state(1_000_900, 4), kv(head("b", 1_000_900), 4)], 4)
     assert made.at == 4 and list(made.heads) == ["b"]
-    gone = made.since(900)[1]
+    gone = made.changes_since(900)[1]
     assert gone is not None and [g.name for g in gone] == ["a"]
 
 
@@ -122,11 +122,11 @@
     made = loaded()
     assert not made.behind(state(9, 9), 20, 0.0)  # others write beside it
     assert not made.behind(state(10, 21), 21, 1.0)  # just now: the watch may be on its way
-    assert not made.behind(state(10, 21), 21, 1.0 + STUCK / 2)
+    assert not made.behind(state(10, 21), 21, 1.0 + MAX_WATCH_LAG_S / 2)
     made.apply(told(state(10, 21)), 21)
-    assert not made.behind(state(10, 21), 25, 1.0 + 2 * STUCK)
+    assert not made.behind(state(10, 21), 25, 1.0 + 2 * MAX_WATCH_LAG_S)
     assert not made.behind(state(11, 26), 26, 10.0)
-    assert made.behind(state(11, 26), 27, 10.0 + STUCK)
+    assert made.behind(state(11, 26), 27, 10.0 + MAX_WATCH_LAG_S)
 
 
 def test_what_cannot_be_read_changes_nothing() -> None:
--- a/tests/desired/test_sqlite.py
+++ b/tests/desired/test_sqlite.py
@@ -17,24 +17,24 @@
 from ivymux.desired import sqlite as sqlite_module
 from ivymux.desired.model import (
     Admin,
-    Answered,
+    GatewayReport,
     HostTaken,
-    Report,
     StoreBusy,
     StoreDamaged,
+    StoredAnswer,
     StoreError,
     StoreFull,
 )
 from ivymux.desired.sqlite import SqliteStore, restore, verify
 from ivymux.tenants.model import text_digests
 from ivymux.tenants.secret import ADMIN_PREFIX, KEY_PATTERN, create_key
-from tests.desired import promises
-from tests.desired.promises import change, put
+from tests.desired import store_contract
+from tests.desired.store_contract import change, put
 from tests.tenants.making import tenant
 
 
 def test_a_change_is_made_from_the_state_it_was_seen_in(tmp_path: Path) -> None:
-    promises.a_change_is_made_from_the_state_it_was_seen_in(SqliteStore(tmp_path / "s.db"), 0)
+    store_contract.check_optimistic_locking(SqliteStore(tmp_path / "s.db"), 0)
 
 
 def test_a_host_name_is_one_tenants(tmp_path: Path) -> None:
@@ -51,17 +51,17 @@
 def test_what_a_tenant_was_made_of_goes_with_it(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     number, _, kept = create_key(ADMIN_PREFIX, 0.0)
-    answer = Answered("f", 201, b"{}", "1")
+    answer = StoredAnswer("f", 201, b"{}", "1")
     put(store, "a", add_admins=[Admin(number, "ann", "u-a", kept)], repeat=("k", answer))
     put(store, "b")
     found = store.get("a")
-    assert found is not None and store.repeated("k") == answer and store.admin(number) is not None
+    assert found is not None and store.answer_of_repeat("k") == answer and store.admin(number) is not None
     names = text_digests(found.tenant)
     assert all(store.blob(name, "") for name in names)
     store.commit(change("a", None, 1))
     assert store.get("a") is None and store.history("u-a", 9) == [] and store.admins("u-a") == []
-    assert store.repeated("k") is None
-    now, changed, gone = store.since(1)
+    assert store.answer_of_repeat("k") is None
+    now, changed, gone = store.changes_since(1)
     assert now == 3 and [s.name for s in changed] == ["b"] and gone is not None
     assert [(g.name, g.uid) for g in gone] == [("a", "u-a")]
     others = store.get("b")
@@ -79,15 +79,15 @@
     store = SqliteStore(tmp_path / "s.db")
     last = 0
     for turn in range(8):
-        last = put(store, "a", last, repeat=(f"k{turn}", Answered("", 201, b"", "")), at=1000.0 + turn)
+        last = put(store, "a", last, repeat=(f"k{turn}", StoredAnswer("", 201, b"", "")), at=1000.0 + turn)
     assert len(store.history("u-a", 99)) == 3 and len(store.audit("", 1 << 60, 99)) == 5
-    assert store.repeated("k7") and store.repeated("k6") and not store.repeated("k5")
+    assert store.answer_of_repeat("k7") and store.answer_of_repeat("k6") and not store.answer_of_repeat("k5")
     assert len(store.rows("SELECT * FROM blobs")) == 4  # the same workers and routes each time
     for name in "bcd":
         made = put(store, name)
         store.commit(change(name, None, made))
-    assert store.since(last)[2] is None  # not known that far back: all that is not listed is gone
-    now, changed, gone = store.since(store.revision())
+    assert store.changes_since(last)[2] is None  # not known that far back: all that is not listed is gone
+    now, changed, gone = store.changes_since(store.revision())
     assert gone == [] and changed == [] and now == store.revision()
 
 
@@ -182,7 +182,7 @@
     found = back.get("a")
     assert found is not None and found.revision <= seen and back.lineage() == lineage
     assert back.revision() > seen  # numbers that were given are not given again
-    assert back.since(seen)[2] is None  # who has followed the other line looks at all of it
+    assert back.changes_since(seen)[2] is None  # who has followed the other line looks at all of it
     (tmp_path / "cut.db").write_bytes((tmp_path / "b1.db").read_bytes()[:5000])
     with pytest.raises(StoreDamaged):
         restore(tmp_path / "cut.db", tmp_path / "s.db")
@@ -190,10 +190,10 @@
 
 def test_front_doors_tell_and_are_forgotten(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
-    store.report(Report("one", 3, 1000.0, {"u": {"served": 5.0}}))
-    store.report(Report("two", 4, 1010.0))
+    store.report(GatewayReport("one", 3, 1000.0, {"u": {"served": 5.0}}))
+    store.report(GatewayReport("two", 4, 1010.0))
     assert [(r.door, r.revision) for r in store.reports()] == [("one", 3), ("two", 4)]
-    store.report(Report("two", 5, 1010.0 + sqlite_module.DOOR_LIFE))
+    store.report(GatewayReport("two", 5, 1010.0 + sqlite_module.DOOR_LIFE))
     assert [(r.door, r.revision) for r in store.reports()] == [("two", 5)]
 
 
@@ -216,7 +216,7 @@
 import sys
 from pathlib import Path
 from ivymux.desired.sqlite import SqliteStore
-from tests.desired.promises import put
+from tests.desired.store_contract import put
 store = SqliteStore(Path(sys.argv[1]))
 found = store.get("a")
 last = found.revision if found else 0
@@ -265,11 +265,11 @@
 def test_a_hint_is_other_after_each_commit(tmp_path: Path) -> None:
     """A front door looks only where it differs, and once a second all the same."""
     store, other = SqliteStore(tmp_path / "s.db"), SqliteStore(tmp_path / "s.db")
-    last, seen = 0, [store.hint()]
+    last, seen = 0, [store.change_hint()]
     for _ in range(20):
         last = put(other, "a", last)
-        seen.append(store.hint())
+        seen.append(store.change_hint())
     assert None not in seen and len(set(seen)) == len(seen)
-    assert store.hint() == seen[-1]
+    assert store.change_hint() == seen[-1]
     (tmp_path / "s.db-wal").unlink()
-    assert store.hint() is None
+    assert store.change_hint() is None
--- a/tests/desired/test_tls.py
+++ b/tests/desired/test_tls.py
@@ -11,8 +11,8 @@
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.model import StoreError
 from standins.etcd import serving
-from tests.desired.etcds import access, begin
-from tests.desired.promises import put
+from tests.desired.etcd_fixtures import access, begin
+from tests.desired.store_contract import put
 
 
 def test_etcd_by_tls_with_its_own_authority(tmp_path: Path) -> None:
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -21,8 +21,8 @@
 from ivymux.hosting.site import read_hosting
 from standins.etcd import Faults, Server, serving
 from standins.worker import Fleet, Worker
-from tests.desired.etcds import access, begin
-from tests.desired.promises import change
+from tests.desired.etcd_fixtures import access, begin
+from tests.desired.store_contract import change
 from tests.service.doors import read_answer, request
 from tests.sockets import run, until
 from tests.tenants.making import tenant
@@ -102,10 +102,10 @@
 
 @pytest.fixture(autouse=True)
 def shorten_periods(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(follower_module, "LOOK", 0.05)
-    monkeypatch.setattr(follower_module, "AGAIN", 0.02)
-    monkeypatch.setattr(follower_module, "AGAIN_MAX", 0.1)
-    monkeypatch.setattr(replica_module, "STUCK", 0.3)
+    monkeypatch.setattr(follower_module, "CHECK_INTERVAL_S", 0.05)
+    monkeypatch.setattr(follower_module, "RETRY_DELAY_S", 0.02)
+    monkeypatch.setattr(follower_module, "MAX_RETRY_DELAY_S", 0.1)
+    monkeypatch.setattr(replica_module, "MAX_WATCH_LAG_S", 0.3)
 
 
 def test_several_gateways_follow_one_state(tmp_path: Path) -> None:
@@ -204,7 +204,7 @@
             fixture.server.etcd.faults.refuse = True
             restarted = Follower(access(fixture.server, timeout=0.5), "/ivymux/", "d0", tmp_path / "d0")
             await asyncio.to_thread(restarted.start)
-            assert [t.name for t in restarted.since(0)[1]] == ["a"]
+            assert [t.name for t in restarted.changes_since(0)[1]] == ["a"]
             await asyncio.to_thread(restarted.close)
             fixture.server.etcd.faults.refuse = False
             monkeypatch.setattr(follower.store, "blob", blob)
@@ -290,7 +290,7 @@
             await until(lambda: follower.end is not None)
             watch_end = follower.end
             # Thirty reads, 40 ms or more apart, take longer than the time-out of a call.
-            assert 2 * follower.store.client.access.timeout < 30 * 0.8 * follower_module.LOOK
+            assert 2 * follower.store.client.access.timeout < 30 * 0.8 * follower_module.CHECK_INTERVAL_S
             read_count = etcd.calls["/v3/kv/range"]
             await until(lambda: etcd.calls["/v3/kv/range"] > read_count + 30)
             assert follower.end is watch_end and not gateway.store_error
