--- a/bench/parts.py
+++ b/bench/parts.py
@@ -138,9 +138,9 @@
     if kind == "tally":
         from ivymux.data_plane.limits import Address
         from ivymux.tally.server import TallyServer
-        from ivymux.tally.store import Store
+        from ivymux.tally.store import CounterStore
 
-        port = await TallyServer(Store()).start(Address("127.0.0.1", 0))
+        port = await TallyServer(CounterStore()).start(Address("127.0.0.1", 0))
     else:
         idle: deque[Back] = deque()
         host, _, number = address.rpartition(":")
--- a/ivymux/cli/tally.py
+++ b/ivymux/cli/tally.py
@@ -42,13 +42,13 @@
     from ivymux.data_plane.limits import ConfigError
     from ivymux.tally.durable import DurableStore
     from ivymux.tally.server import TallyServer
-    from ivymux.tally.store import Store
+    from ivymux.tally.store import CounterStore
 
     loop, ended = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
     kept = DurableStore(file, names) if file is not None else None
-    server = TallyServer(kept, kept.clock) if kept is not None else TallyServer(Store(names))
+    server = TallyServer(kept, kept.clock) if kept is not None else TallyServer(CounterStore(names))
     tending = loop.create_task(kept.tend()) if kept is not None else None
     try:
         try:
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -26,7 +26,7 @@
 from ivymux.service.frontend import HttpFrontend
 from ivymux.service.site import SCOPES, Site, settings
 from ivymux.tally.local import LocalCounter
-from ivymux.tally.store import Store
+from ivymux.tally.store import CounterStore
 from ivymux.tenants.model import Tenant, callers_of, site_of
 from ivymux.tenants.places import ANY_ADDRESS, AddressRules
 from ivymux.tenants.secret import TenantCallers
@@ -100,7 +100,7 @@
         self.frontend: HttpFrontend | None = None  # None while the tenant's requests are not served
         self.generation: Generation | None = None
         self.former_generations: list[Generation] = []
-        self.local_counts = Store(MAX_COUNTER_NAMES)
+        self.local_counts = CounterStore(MAX_COUNTER_NAMES)
         self.roster = Roster()
         lookups = gateway_settings.host_lookups
         look_up = lookups.for_tenant() if lookups is not None else system
@@ -301,7 +301,7 @@
         """Drop the counts of a leaving tenant once its last request has ended; return whether it has."""
         if not self.close_idle_generations() or self.share.open:
             return False
-        self.local_counts = Store(0)
+        self.local_counts = CounterStore(0)
         self.shares.remove(self.share)
         return True
 
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -26,7 +26,7 @@
 from ivymux.service.site import MAX_ANSWERS
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.server import TallyServer
-from ivymux.tally.store import Store as TallyStore
+from ivymux.tally.store import CounterStore
 from ivymux.tenants.model import Tenant, missing_parts
 from ivymux.tenants.shares import SPAN_S, Shares
 
@@ -240,7 +240,7 @@
         """Connect to the counter that gateways share, if one is configured.  Raises ConfigError."""
         hosting, address = self.hosting, self.hosting.tally
         if hosting.tally_listen is not None:
-            self.tally = TallyServer(TallyStore())
+            self.tally = TallyServer(CounterStore())
             try:
                 port = await self.tally.start(hosting.tally_listen)
             except OSError as error:
--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -15,7 +15,7 @@
 from ivymux.proxy.counter_holders import CounterHolders
 from ivymux.proxy.lease_counts import LeaseCounts
 from ivymux.runtime.log import Log
-from ivymux.tally.store import MAX_AMOUNT, TallyFull
+from ivymux.tally.store import MAX_AMOUNT, CounterFullError
 from ivymux.transport.connection import Connection, Connector
 from ivymux.transport.frames import Message
 from orchidhill.interface import Count, Counted, Late, Outcome
@@ -153,7 +153,7 @@
     def add_locally(self, count: Count, now: float) -> Counted:
         try:
             total = self.counts.add(count, self.me, now)
-        except TallyFull:
+        except CounterFullError:
             return Counted(count.name, Outcome.FULL, 0.0, 0.0)
         return Counted(count.name, Outcome.OK, total, 0.0, self.counts.incarnation)
 
@@ -272,7 +272,7 @@
                 check_non_negative(late),
                 check_non_negative(spread, MAX_SPAN_S),
             )
-            with contextlib.suppress(TallyFull):
+            with contextlib.suppress(CounterFullError):
                 answer["t"] = self.counts.add(count, str(message["by"]), now)
                 answer["b"] = self.counts.incarnation
         connection.send(answer)
--- a/ivymux/proxy/lease_counts.py
+++ b/ivymux/proxy/lease_counts.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 
 from ivymux.proxy.counter_holders import CounterHolders
-from ivymux.tally.store import Store, TallyCall
+from ivymux.tally.store import CounterStore, TallyCall
 from orchidhill.interface import Count
 
 MAX_NAMES = 100_000
@@ -104,12 +104,12 @@
     """The counts that this proxy holds, by tenant."""
 
     def __init__(self, holders: CounterHolders, incarnation: int) -> None:
-        self.store = Store(MAX_NAMES)
+        self.store = CounterStore(MAX_NAMES)
         self.holders, self.incarnation = holders, incarnation
         self.usages: dict[int, TenantUsage] = {}  # by customer
 
     def add(self, count: Count, caller: str, now: float) -> float:
-        """Add an amount and return the total.  Raises TallyFull.
+        """Add an amount and return the total.  Raises CounterFullError.
 
         A name that another proxy may have held begins as if its bucket had been emptied: what was granted
         there is unknown, and the quota must be kept all the same.
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -34,7 +34,7 @@
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.local import LocalCounter
 from ivymux.tally.server import TallyServer
-from ivymux.tally.store import Store
+from ivymux.tally.store import CounterStore
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
 
@@ -88,7 +88,7 @@
         self.random = random.Random(seed)
         told = settings(site, tuple(self.classes.listed))
         self.host = Host(Gateway(told, seed), upstream)
-        self.store = Store()
+        self.store = CounterStore()
         self.tally: TallyServer | None = None
         self.counter: Counter | RedisCounter | None = None
         self.clock = SharedClock(time.time(), time.monotonic())
--- a/ivymux/tally/durable.py
+++ b/ivymux/tally/durable.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from ivymux.tally.journal import JournalError, head, read, record
-from ivymux.tally.store import MAX_LIFE, MAX_NAMES, Store
+from ivymux.tally.store import MAX_LIFE_S, MAX_NAMES, CounterStore
 
 SYNC = 0.1  # seconds between writes to the disk itself
 LOOK = 1.0  # seconds between looks at the file's size
@@ -32,12 +32,12 @@
     """A file that a tally can't be kept in."""
 
 
-class DurableStore(Store):
+class DurableStore(CounterStore):
     """Times are Unix times, as names live on over a restart; a clock that goes back stands still here."""
 
-    def __init__(self, path: Path, most_names: int = MAX_NAMES) -> None:
+    def __init__(self, path: Path, max_names: int = MAX_NAMES) -> None:
         """Go on with what the file holds.  Raises DurableError; one that is no tally's is left as it is."""
-        super().__init__(most_names)
+        super().__init__(max_names)
         self.path, self.incarnation = path, secrets.token_bytes(16)
         self.lives: dict[bytes, float] = {}
         self.pending: list[bytes] = []
@@ -68,8 +68,8 @@
         for name, (total, ends) in found.totals.items():
             if ends > now:
                 self.totals[name], self.lives[name] = total, ends
-                self.ends.append((ends, name))
-        heapq.heapify(self.ends)
+                self.expiries.append((ends, name))
+        heapq.heapify(self.expiries)
 
     def clock(self) -> float:
         self.latest = max(self.latest, time.time())
@@ -79,16 +79,16 @@
         total = super().add(name, amount, life, now)
         ends = self.lives.get(name)
         if ends is None:
-            ends = self.lives[name] = now + min(life, MAX_LIFE)
+            ends = self.lives[name] = now + min(life, MAX_LIFE_S)
         self.pending.append(record(name, total, ends))
         return total
 
     def expire(self, now: float) -> None:
-        while self.ends and self.ends[0][0] <= now:
-            name = heapq.heappop(self.ends)[1]
+        while self.expiries and self.expiries[0][0] <= now:
+            name = heapq.heappop(self.expiries)[1]
             del self.totals[name]
             del self.lives[name]
-            self.made.pop(name, None)
+            self.recent_calls.pop(name, None)
 
     # --- the file ------------------------------------------------------------------------------------------
 
--- a/ivymux/tally/server.py
+++ b/ivymux/tally/server.py
@@ -11,7 +11,7 @@
 import hiredis
 
 from ivymux.data_plane.limits import Address
-from ivymux.tally.store import BadCall, Store, TallyFull, read_call, written
+from ivymux.tally.store import CounterFullError, CounterStore, InvalidCallError, format_total, parse_call
 
 MAX_CONNECTIONS = 512
 MAX_UNREAD = 64 * 1024  # bytes of one call
@@ -66,7 +66,7 @@
 class TallyServer:
     """Serves one store."""
 
-    def __init__(self, store: Store, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(self, store: CounterStore, clock: Callable[[], float] = time.monotonic) -> None:
         """`clock`: the store's seconds; they must not go back."""
         self.store, self.clock = store, clock
         # One that is kept nowhere ends with its process: no other continues its counts.
@@ -96,11 +96,11 @@
         if name != b"TALLY":
             return b"-ERR unknown command\r\n"
         try:
-            read = read_call(call)
-            total = written(self.store.add_once(read, self.clock()))
-        except BadCall as error:
+            read = parse_call(call)
+            total = format_total(self.store.add_once(read, self.clock()))
+        except InvalidCallError as error:
             return f"-ERR {error}\r\n".encode()
-        except TallyFull:
+        except CounterFullError:
             return b"-BUSY no room for a new name\r\n"
         return b"$%d\r\n%s\r\n" % (len(total), total)
 
--- a/ivymux/tally/store.py
+++ b/ivymux/tally/store.py
@@ -1,4 +1,4 @@
-"""Named counts with a life each.  Pure: time is passed in."""
+"""Named counters that expire.  Pure: the time is passed in."""
 
 from __future__ import annotations
 
@@ -9,92 +9,105 @@
 from dataclasses import dataclass
 
 MAX_NAMES = 1_000_000
-MAX_LIFE = 60.0  # seconds; longer ones count as this
+MAX_LIFE_S = 60.0  # longer lives are cut to this
 MAX_AMOUNT = 1e9
-LAST_CALLS = 4  # of a caller for a name, that are known if they come again
-NUMBER = re.compile(rb"-?\d{1,20}(\.\d{1,20})?", re.ASCII)
-LIFE = re.compile(rb"\d{1,15}", re.ASCII)
+REMEMBERED_CALLS = 4  # call numbers kept for each caller of a name, to detect repeated calls
+AMOUNT_PATTERN = re.compile(rb"-?\d{1,20}(\.\d{1,20})?", re.ASCII)
+INTEGER_PATTERN = re.compile(rb"\d{1,15}", re.ASCII)
 
 
-class TallyFull(Exception):
-    """No room for a new name: nothing was added."""
+class CounterFullError(Exception):
+    """The store has its maximum number of names, so a new name was refused and nothing was added."""
 
 
-class BadCall(ValueError):
-    """A call that is none: nothing was added."""
+class InvalidCallError(ValueError):
+    """A call is malformed, and nothing was added."""
 
 
-class Store:
-    """Counts by name; a new name is forgotten after the life that its first call gave it."""
+class CounterStore:
+    """Totals by name; a name expires after the life that its first call set."""
 
-    def __init__(self, most_names: int = MAX_NAMES) -> None:
-        self.most_names = most_names
-        self.incarnation = b""  # of which counts these are a continuation; empty: of its process alone
+    def __init__(self, max_names: int = MAX_NAMES) -> None:
+        self.max_names = max_names
+        # Identifies the set of totals across restarts; empty if the totals end with the process.
+        self.incarnation = b""
         self.totals: dict[bytes, float] = {}
-        self.made: dict[bytes, dict[bytes, deque[bytes]]] = {}  # of each name: the last calls of each caller
-        self.ends: list[tuple[float, bytes]] = []  # a heap: which name ends next
+        self.recent_calls: dict[bytes, dict[bytes, deque[bytes]]] = {}  # numbers by name and caller
+        self.expiries: list[tuple[float, bytes]] = []  # a heap: the next name to expire is first
 
     def flush(self) -> None:
-        """Before answers leave: a store that lasts keeps what changed."""
+        """Save pending changes before replies are sent; does nothing for a store in memory."""
 
     def add_once(self, call: TallyCall, now: float) -> float:
-        """The same for a call that may have been made before: then the total as it is."""
+        """Add a call's amount unless the call is a repetition, and return the total.
+
+        Raises CounterFullError.
+        """
         if not call.number:
             return self.add(call.name, call.amount, call.life, now)
         self.expire(now)
-        last = self.made.setdefault(call.name, {}).setdefault(call.caller, deque(maxlen=LAST_CALLS))
-        if call.number in last and call.name in self.totals:
+        numbers = self.recent_calls.setdefault(call.name, {}).setdefault(
+            call.caller, deque(maxlen=REMEMBERED_CALLS)
+        )
+        if call.number in numbers and call.name in self.totals:
             return self.totals[call.name]
         total = self.add(call.name, call.amount, call.life, now)
-        last.append(call.number)
+        numbers.append(call.number)
         return total
 
     def add(self, name: bytes, amount: float, life: float, now: float) -> float:
-        """The total after an amount was added.  Seconds on any clock that does not go back."""
+        """Add an amount and return the total.
+
+        `life` and `now` are in seconds; `now` comes from a clock that never goes back.  Raises
+        CounterFullError.
+        """
         self.expire(now)
         total = self.totals.get(name)
         if total is None:
-            if len(self.totals) >= self.most_names:
-                raise TallyFull
-            heapq.heappush(self.ends, (now + min(life, MAX_LIFE), name))
+            if len(self.totals) >= self.max_names:
+                raise CounterFullError
+            heapq.heappush(self.expiries, (now + min(life, MAX_LIFE_S), name))
             total = 0.0
         total += amount
         self.totals[name] = total
         return total
 
     def expire(self, now: float) -> None:
-        while self.ends and self.ends[0][0] <= now:
-            name = heapq.heappop(self.ends)[1]
+        """Remove the names whose life has ended."""
+        while self.expiries and self.expiries[0][0] <= now:
+            name = heapq.heappop(self.expiries)[1]
             del self.totals[name]
-            self.made.pop(name, None)
+            self.recent_calls.pop(name, None)
 
 
 @dataclass(frozen=True, slots=True)
 class TallyCall:
+    """A parsed TALLY call."""
+
     name: bytes
     amount: float
     life: float  # seconds
-    caller: bytes = b""  # with its number: the call may come again, and counts once
+    caller: bytes = b""  # with `number`, identifies the call, so that a repetition is counted once
     number: bytes = b""
 
 
-def read_call(parts: object) -> TallyCall:
-    """`TALLY NAME AMOUNT LIFE_MS [CALLER:NUMBER]` as a call.  Raises BadCall."""
+def parse_call(parts: object) -> TallyCall:
+    """Parse `TALLY NAME AMOUNT LIFE_MS [CALLER:NUMBER]`.  Raises InvalidCallError."""
     if not (isinstance(parts, list) and len(parts) in (4, 5) and all(isinstance(p, bytes) for p in parts)):
-        raise BadCall("TALLY takes a name, an amount and a life in milliseconds")
+        raise InvalidCallError("TALLY takes a name, an amount and a life in milliseconds")
     _, name, amount, life = parts[:4]
     caller, _, number = parts[4].partition(b":") if len(parts) == 5 else (b"", b"", b"")
-    if len(parts) == 5 and not (0 < len(caller) <= 32 and LIFE.fullmatch(number)):
-        raise BadCall("a call that may come again is named CALLER:NUMBER")
+    if len(parts) == 5 and not (0 < len(caller) <= 32 and INTEGER_PATTERN.fullmatch(number)):
+        raise InvalidCallError("a call that may come again is named CALLER:NUMBER")
     if not 1 <= len(name) <= 64:
-        raise BadCall("a name has 1 to 64 bytes")
-    if not NUMBER.fullmatch(amount) or not abs(float(amount)) <= MAX_AMOUNT:
-        raise BadCall("an amount is a decimal number up to 1e9")
-    if not LIFE.fullmatch(life) or int(life) < 1:
-        raise BadCall("a life is a whole number of milliseconds from 1")
-    return TallyCall(name, float(amount), min(MAX_LIFE, int(life) / 1000), caller, number)
+        raise InvalidCallError("a name has 1 to 64 bytes")
+    if not AMOUNT_PATTERN.fullmatch(amount) or not abs(float(amount)) <= MAX_AMOUNT:
+        raise InvalidCallError("an amount is a decimal number up to 1e9")
+    if not INTEGER_PATTERN.fullmatch(life) or int(life) < 1:
+        raise InvalidCallError("a life is a whole number of milliseconds from 1")
+    return TallyCall(name, float(amount), min(MAX_LIFE_S, int(life) / 1000), caller, number)
 
 
-def written(total: float) -> bytes:
-    """A total as text that reads back as the same number."""
+def format_total(total: float) -> bytes:
+    """Format a total as text that parses to the same number."""
     return b"%d" % total if total == math.floor(total) and abs(total) < 1e15 else repr(total).encode()
--- a/standins/tally.py
+++ b/standins/tally.py
@@ -9,10 +9,10 @@
 import hiredis
 
 from ivymux.tally.server import TallyServer
-from ivymux.tally.store import Store
+from ivymux.tally.store import CounterStore
 
 
-class Counts(Store):
+class Counts(CounterStore):
     """Totals with an incarnation of their own."""
 
     def __init__(
@@ -20,11 +20,11 @@
     ) -> None:
         super().__init__()
         self.incarnation = secrets.token_bytes(16)
-        self.totals, self.ends = dict(copy or {}), list(ends or [])
+        self.totals, self.expiries = dict(copy or {}), list(ends or [])
 
     def copied(self) -> Counts:
         """Another tally that starts from what this one has now."""
-        return Counts(self.totals, self.ends)
+        return Counts(self.totals, self.expiries)
 
 
 class Line(asyncio.Protocol):
--- a/tests/hosting/test_tenant_counters.py
+++ b/tests/hosting/test_tenant_counters.py
@@ -17,7 +17,7 @@
 from ivymux.service.site import SiteError
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.server import TallyServer
-from ivymux.tally.store import Store
+from ivymux.tally.store import CounterStore
 from ivymux.tenants.names import counter_name
 from orchidhill.interface import Count, Counted, Outcome
 from tests.hosting.fixtures import HostingFixture, TenantFixture, hosting
@@ -86,7 +86,7 @@
     monkeypatch.setattr(tenant_counters, "MAX_PENDING_CALLS", 5)
 
     async def test() -> None:
-        store = Store()
+        store = CounterStore()
         server = TallyServer(store)
         port = await server.start(Address("127.0.0.1", 0))
         shared = SharedTallyCounter(
--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -1,4 +1,4 @@
-"""The tally: names that expire, bounds, and the TALLY call over loopback as the protocol page has it."""
+"""The counter service: expiry of names, limits, and the TALLY command on a loopback connection."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.local import LocalCounter
 from ivymux.tally.server import TallyServer
-from ivymux.tally.store import BadCall, Store, TallyFull, read_call, written
+from ivymux.tally.store import CounterFullError, CounterStore, InvalidCallError, format_total, parse_call
 from orchidhill.interface import Count, Counted, Outcome
 from tests.sockets import run, until
 
 
-def test_a_name_lives_as_long_as_its_first_call_said() -> None:
-    store = Store()
+def test_name_expires_after_the_life_of_its_first_call() -> None:
+    store = CounterStore()
     assert store.add(b"a", 2.5, 4.0, 100.0) == 2.5
     assert store.add(b"a", -1.0, 60.0, 103.9) == 1.5
-    assert store.add(b"a", 1.0, 4.0, 104.0) == 1.0  # forgotten, and begun anew
+    assert store.add(b"a", 1.0, 4.0, 104.0) == 1.0  # expired, and created again
     assert store.add(b"b", 1.0, 1e9, 104.0) == 1.0
     store.expire(164.0)
-    assert not store.totals and not store.ends
+    assert not store.totals and not store.expiries
 
 
-def test_names_are_bounded_and_known_ones_go_on() -> None:
-    store = Store(most_names=2)
+def test_full_store_refuses_new_names_and_serves_known_ones() -> None:
+    store = CounterStore(max_names=2)
     store.add(b"a", 1, 5, 0.0)
     store.add(b"b", 1, 5, 0.0)
-    with pytest.raises(TallyFull):
+    with pytest.raises(CounterFullError):
         store.add(b"c", 1, 5, 0.0)
     assert store.add(b"a", 1, 5, 1.0) == 2
     assert store.add(b"c", 1, 5, 5.0) == 1
@@ -43,14 +43,14 @@
 @given(
     st.lists(st.tuples(st.sampled_from([b"a", b"b"]), st.integers(-100, 100), st.floats(0.1, 5)), max_size=40)
 )
-def test_totals_are_sums_since_the_name_began(calls: list[tuple[bytes, int, float]]) -> None:
-    store, now = Store(), 0.0
-    began: dict[bytes, float] = {}
+def test_total_is_the_sum_since_the_name_was_created(calls: list[tuple[bytes, int, float]]) -> None:
+    store, now = CounterStore(), 0.0
+    created_at: dict[bytes, float] = {}
     sums: dict[bytes, int] = {}
     for name, amount, step in calls:
         now += step
-        if name not in began or now >= began[name] + 4.0:
-            began[name], sums[name] = now, 0
+        if name not in created_at or now >= created_at[name] + 4.0:
+            created_at[name], sums[name] = now, 0
         sums[name] += amount
         assert store.add(name, amount, 4.0, now) == sums[name]
 
@@ -64,34 +64,34 @@
         b"TALLY", [1],
     ],
 )  # fmt: skip
-def test_calls_that_are_none(parts: object) -> None:
-    with pytest.raises(BadCall):
-        read_call(parts)
+def test_malformed_calls_are_rejected(parts: object) -> None:
+    with pytest.raises(InvalidCallError):
+        parse_call(parts)
 
 
 @given(st.floats(-1e12, 1e12))
-def test_a_total_reads_back_as_it_is(total: float) -> None:
-    assert float(written(total)) == total
+def test_formatted_total_parses_to_the_same_number(total: float) -> None:
+    assert float(format_total(total)) == total
 
 
-def test_a_call_that_comes_again_counts_once_and_is_forgotten_with_its_name() -> None:
-    store = Store()
+def test_repeated_call_counts_once_and_is_forgotten_with_its_name() -> None:
+    store = CounterStore()
 
     def call(number: bytes, caller: bytes = b"d") -> float:
-        return store.add_once(read_call([b"TALLY", b"n", b"2", b"5000", caller + b":" + number]), 1.0)
+        return store.add_once(parse_call([b"TALLY", b"n", b"2", b"5000", caller + b":" + number]), 1.0)
 
     assert [call(b"1"), call(b"1"), call(b"2"), call(b"1"), call(b"1", b"e")] == [2, 2, 4, 4, 6]
-    assert store.add_once(read_call([b"TALLY", b"n", b"2", b"5000"]), 1.0) == 8
+    assert store.add_once(parse_call([b"TALLY", b"n", b"2", b"5000"]), 1.0) == 8
     store.expire(7.0)
-    assert not store.totals and not store.made
-    for wrong in (b"", b"d", b":1", b"d:x", b"d" * 33 + b":1"):
-        with pytest.raises(BadCall):
-            read_call([b"TALLY", b"n", b"2", b"5000", wrong])
+    assert not store.totals and not store.recent_calls
+    for invalid in (b"", b"d", b":1", b"d:x", b"d" * 33 + b":1"):
+        with pytest.raises(InvalidCallError):
+            parse_call([b"TALLY", b"n", b"2", b"5000", invalid])
 
 
 def test_the_call_over_a_socket_with_the_front_doors_own_client() -> None:
     async def test() -> None:
-        tally = TallyServer(Store())
+        tally = TallyServer(CounterStore())
         heard: list[Counted] = []
         port = await tally.start(Address("127.0.0.1", 0))
         clock = SharedClock(0.0, time.monotonic())
@@ -130,7 +130,7 @@
 
 def test_other_calls_and_noise() -> None:
     async def test() -> None:
-        tally = TallyServer(Store())
+        tally = TallyServer(CounterStore())
         port = await tally.start(Address("127.0.0.1", 0))
         ping = b"*1\r\n$4\r\nPING\r\n"
         bad = b"*4\r\n$5\r\nTALLY\r\n$1\r\nn\r\n$1\r\nx\r\n$1\r\n1\r\n"
@@ -148,7 +148,7 @@
 def test_a_full_tally_and_too_many_callers(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(server, "MAX_CONNECTIONS", 2)
-        tally = TallyServer(Store(most_names=1))
+        tally = TallyServer(CounterStore(max_names=1))
         port = await tally.start(Address("127.0.0.1", 0))
         one = b"*4\r\n$5\r\nTALLY\r\n$1\r\na\r\n$1\r\n1\r\n$4\r\n9000\r\n"
         two = one.replace(b"a\r\n", b"b\r\n")
@@ -168,7 +168,7 @@
 
 def test_within_the_process_each_call_is_answered_once_and_in_order() -> None:
     heard: list[Counted] = []
-    counter = LocalCounter(Store(most_names=1), heard.append)
+    counter = LocalCounter(CounterStore(max_names=1), heard.append)
     for name, amount in ((1, 2.0), (1, 3.0), (2, 1.0)):
         counter.add(Count(name, amount, 4.0))
     assert [(h.name, h.outcome, h.total) for h in heard] == [
