--- a/bench/tally.py
+++ b/bench/tally.py
@@ -24,7 +24,7 @@
 from bench.common import Child, arguments, figure, quantile, report
 from ivymux.service.site import PACE
 from ivymux.tally.durable import DurableStore
-from ivymux.tally.journal import head, record
+from ivymux.tally.journal import encode_header, encode_record
 from standins.world import World, plan
 
 LINES, DEPTH = 8, 16  # connections, and calls out on each
@@ -141,7 +141,9 @@
     count, times = 100_000 if quick else 1_000_000, []
     ends = time.time() + 3600
     path = folder / "many"
-    path.write_bytes(head(os.urandom(16)) + b"".join(record(b"%d" % n, 1.5, ends) for n in range(count)))
+    path.write_bytes(
+        encode_header(os.urandom(16)) + b"".join(encode_record(b"%d" % n, 1.5, ends) for n in range(count))
+    )
     for _ in range(1 if quick else 3):
         began = time.perf_counter()
         store = DurableStore(path)
--- a/ivymux/tally/durable.py
+++ b/ivymux/tally/durable.py
@@ -16,7 +16,7 @@
 import time
 from pathlib import Path
 
-from ivymux.tally.journal import JournalError, head, read, record
+from ivymux.tally.journal import JournalError, encode_header, encode_record, parse_journal
 from ivymux.tally.store import MAX_LIFE_S, MAX_NAMES, CounterStore
 
 SYNC = 0.1  # seconds between writes to the disk itself
@@ -55,10 +55,10 @@
     def recover(self) -> None:
         data = self.path.read_bytes()
         if not data:
-            self.size = os.write(self.handle, head(self.incarnation))
+            self.size = os.write(self.handle, encode_header(self.incarnation))
             os.fsync(self.handle)
             return
-        found = read(data)
+        found = parse_journal(data)
         if found.good < len(data):
             # Killed in the middle of a write; or damage, which loses what comes behind it.
             log.warning("tally: %d bytes at the file's end are not whole: left out", len(data) - found.good)
@@ -80,7 +80,7 @@
         ends = self.lives.get(name)
         if ends is None:
             ends = self.lives[name] = now + min(life, MAX_LIFE_S)
-        self.pending.append(record(name, total, ends))
+        self.pending.append(encode_record(name, total, ends))
         return total
 
     def expire(self, now: float) -> None:
@@ -139,11 +139,11 @@
         handle = -1
         try:
             handle = os.open(part, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
-            size = put(handle, head(self.incarnation))
+            size = put(handle, encode_header(self.incarnation))
             names = list(self.totals)
             for at in range(0, len(names), SLICE):
                 found = [n for n in names[at : at + SLICE] if n in self.totals]
-                size += put(handle, b"".join(record(n, self.totals[n], self.lives[n]) for n in found))
+                size += put(handle, b"".join(encode_record(n, self.totals[n], self.lives[n]) for n in found))
                 await asyncio.sleep(0)
             for _ in range(PASSES):  # what came meanwhile, and what came while that was written
                 data, self.behind = b"".join(self.behind), []
--- a/tests/tally/test_durable.py
+++ b/tests/tally/test_durable.py
@@ -21,7 +21,7 @@
 from ivymux.cli import main
 from ivymux.tally import durable
 from ivymux.tally.durable import DurableError, DurableStore
-from ivymux.tally.journal import HEAD, MAGIC, JournalError, head, read, record
+from ivymux.tally.journal import HEADER, MAGIC, JournalError, encode_header, encode_record, parse_journal
 from tests.sockets import run, until
 
 CHANGES = st.lists(
@@ -30,37 +30,40 @@
 
 
 @given(CHANGES)
-def test_what_is_written_is_read_again_and_a_cut_leaves_what_stood_before(
+def test_journal_round_trips_and_truncation_keeps_the_records_before_the_cut(
     changes: list[tuple[bytes, float, float]],
 ) -> None:
-    data, states = head(b"i" * 16), [dict[bytes, tuple[float, float]]()]
+    data, states = encode_header(b"i" * 16), [dict[bytes, tuple[float, float]]()]
     ends = [len(data)]
-    for name, total, until_ in changes:
-        data += record(name, total, until_)
-        states.append(states[-1] | {name: (total, until_)})
+    for name, total, expires_at in changes:
+        data += encode_record(name, total, expires_at)
+        states.append(states[-1] | {name: (total, expires_at)})
         ends.append(len(data))
-    whole = read(data)
-    assert whole.totals == states[-1] and whole.good == len(data) and whole.records == len(changes)
+    contents = parse_journal(data)
+    assert contents.totals == states[-1]
+    assert contents.good == len(data) and contents.records == len(changes)
     for cut in range(ends[0], len(data)):
-        found = read(data[:cut])
+        contents = parse_journal(data[:cut])
         at = max(n for n, end in enumerate(ends) if end <= cut)
-        assert found.totals == states[at] and found.good == ends[at]
+        assert contents.totals == states[at] and contents.good == ends[at]
 
 
-def test_a_flipped_bit_is_never_taken_for_a_total() -> None:
+def test_flipped_bit_never_yields_a_wrong_total() -> None:
     names = [b"n%d" % n for n in range(20)]
-    data = head(b"i" * 16) + b"".join(record(n, float(at), 100.0 + at) for at, n in enumerate(names))
-    begin = len(MAGIC) + HEAD.size
+    data = encode_header(b"i" * 16) + b"".join(
+        encode_record(n, float(at), 100.0 + at) for at, n in enumerate(names)
+    )
+    header_end = len(MAGIC) + HEADER.size
     for at in range(len(data)):
         damaged = bytearray(data)
         damaged[at] ^= 0x10
-        if at < begin:
+        if at < header_end:
             with pytest.raises(JournalError):
-                read(bytes(damaged))
+                parse_journal(bytes(damaged))
             continue
-        found = read(bytes(damaged))
-        assert all(total == float(names.index(n)) for n, (total, _) in found.totals.items())
-        assert found.records < 20
+        contents = parse_journal(bytes(damaged))
+        assert all(total == float(names.index(n)) for n, (total, _) in contents.totals.items())
+        assert contents.records < 20
 
 
 def test_counts_go_on_and_end_when_they_would_have(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -86,7 +89,7 @@
 
 
 def test_a_file_that_is_no_tallys_is_left_as_it_is(tmp_path: Path) -> None:
-    for text in (b"somebody's letter\n", MAGIC, head(b"i" * 16)[:-1] + b"\0"):
+    for text in (b"somebody's letter\n", MAGIC, encode_header(b"i" * 16)[:-1] + b"\0"):
         (tmp_path / "t").write_bytes(text)
         with pytest.raises(DurableError, match="name another file"):
             DurableStore(tmp_path / "t")
@@ -122,13 +125,14 @@
             store.flush()
             await asyncio.sleep(0)
         assert store.trouble
-        assert read((tmp_path / "t").read_bytes()).totals[b"a"][0] == 1.0  # and what stood there is whole
+        # The file still holds what was written before the disk was full.
+        assert parse_journal((tmp_path / "t").read_bytes()).totals[b"a"][0] == 1.0
         full[0] = False
         await until(lambda: not store.trouble)
         store.add(b"b", 7.0, 60.0, store.clock())
         store.flush()
         tending.cancel()
-        found = read((tmp_path / "t").read_bytes())
+        found = parse_journal((tmp_path / "t").read_bytes())
         assert found.totals[b"a"][0] == 6.0 and found.totals[b"b"][0] == 7.0
         assert len([r for r in caplog.records if "can't be written" in r.getMessage()]) == 1
         store.close()
@@ -198,4 +202,4 @@
     child, _ = tally(tmp_path / "t")
     child.send_signal(signal.SIGTERM)
     assert child.wait(10) == 0
-    assert read((tmp_path / "t").read_bytes()).totals[b"a"][0] >= answered
+    assert parse_journal((tmp_path / "t").read_bytes()).totals[b"a"][0] >= answered
