--- a/ivymux/desired/model.py
+++ b/ivymux/desired/model.py
@@ -1,4 +1,8 @@
-"""What a store of the desired state keeps and promises, whatever it is made of."""
+"""The records of the desired state, and the interfaces that each of its stores implements.
+
+The desired state is what the administrators of an installation have configured: its tenants, the texts that
+these refer to, administrators' keys and the audit records.
+"""
 
 from __future__ import annotations
 
@@ -14,23 +18,23 @@
 
 
 class StoreError(Exception):
-    """The store can't do it now; nothing was changed."""
+    """The store can't carry out the call now; nothing was changed."""
 
 
 class StoreBusy(StoreError):
-    """Locked by another process, or away."""
+    """The store is locked by another process, or is unreachable."""
 
 
 class StoreFull(StoreError):
-    """No room on the disk."""
+    """The store has no space left on its disk."""
 
 
 class StoreDamaged(StoreError):
-    """What is there can't be read; `ivymux` never writes over it."""
+    """The stored data can't be read; `ivymux` never overwrites it."""
 
 
 class HostTaken(StoreError):
-    """A host name that is another tenant's; the text does not say whose."""
+    """A host name belongs to another tenant; the text does not disclose which one."""
 
     def __init__(self, host: str) -> None:
         self.host = host
@@ -38,7 +42,7 @@
 
 
 class RevisionConflict(Exception):
-    """The state is no longer the one that a change was made from."""
+    """The tenant's revision is no longer the one that a change was based on."""
 
     def __init__(self, current: StoredTenant | None) -> None:
         self.current = current
@@ -46,11 +50,11 @@
 
 
 class StoredTenant(msgspec.Struct, frozen=True):
-    """A tenant as it is kept.  `uid` is its own: one of the same name, made later, has another."""
+    """A tenant as it is stored.  A tenant that is created later under the same name has another `uid`."""
 
     name: str
     uid: str
-    revision: int  # of the installation, when it changed last
+    revision: int  # the installation's revision that changed the tenant last
     created: float  # Unix time
     tenant: Tenant
 
@@ -64,10 +68,10 @@
 
 
 class Admin(msgspec.Struct, frozen=True):
-    """A key of the administration API; without a tenant's uid it is an operator's."""
+    """A key of the administration API; an empty `uid` means an operator's key."""
 
     id: str
-    name: str  # whose it is, for the audit record
+    name: str  # the key's owner, for the audit record
     uid: str
     kept: StoredKey
 
@@ -77,12 +81,12 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True):
-    """Who changed what.  `changes` never hold a secret, nor what is kept of one."""
+    """Who changed what.  `changes` never contain a secret or its hash."""
 
     revision: int
     at: float  # Unix time
     who: str
-    origin: str  # the address that it came from
+    origin: str  # the client address that the change came from
     action: str
     uid: str
     tenant: str
@@ -90,7 +94,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """What a creation was answered with, for its repeats."""
+    """The stored answer to a creation, which is sent again for repeated requests (idempotency key)."""
 
     fingerprint: str
     status: int
@@ -99,9 +103,10 @@
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """One transaction.
+    """A change of one tenant, which is committed in one transaction.
 
-    `expected` is the tenant's revision before: 0 for none of that name.  `tenant` None deletes.
+    `expected` is the tenant's revision before the change, or 0 if no tenant of that name exists.  If `tenant`
+    is None, the tenant is deleted.
     """
 
     name: str
@@ -116,61 +121,66 @@
     blobs: Mapping[str, bytes] = {}
     add_admins: Sequence[Admin] = ()
     drop_admins: Sequence[str] = ()
-    repeat: tuple[str, StoredAnswer] | None = None  # under which key, and what a repeat is answered with
+    repeat: tuple[str, StoredAnswer] | None = None  # the idempotency key and the stored answer
 
 
 class GatewayReport(msgspec.Struct, frozen=True):
-    """What a front door tells: up to which revision it serves, and what its tenants used."""
+    """A gateway's report: the revision that it serves, and the usage of its tenants."""
 
     door: str
     revision: int
     at: float
     usage: dict[str, dict[str, float]] = {}  # by uid
-    problems: dict[str, str] = {}  # by uid: why a tenant's last state is not served
+    problems: dict[str, str] = {}  # by uid: why a tenant's latest state is not served
 
 
 class StateReader(Protocol):
-    """What every store of a desired state tells.
+    """What every store of the desired state can read.
 
-    Calls block for as long as a disk or a network does: they are made from threads.  All raise StoreError.
+    Calls block on the disk or the network, so they are made from worker threads.  All raise StoreError.
     """
 
     def lineage(self) -> str:
-        """Of which state this is a continuation: one that starts empty has another."""
+        """The id that a state keeps for its whole history; a state that starts empty gets a new one."""
 
     def revision(self) -> int: ...
 
     def blob(self, name: str, uid: str) -> bytes | None:
-        """A text of a tenant, by its digest."""
+        """A text of the tenant `uid`, by its digest `name`; None if it is missing."""
 
     def close(self) -> None: ...
 
 
 class GatewayStore(StateReader, Protocol):
-    """What a front door needs."""
+    """The store interface that a gateway uses."""
 
     def changes_since(self, revision: int) -> tuple[int, list[StoredTenant], list[DeletedTenant] | None]:
-        """The revision, tenants changed since and tenants gone since; None where those are not known that far
-        back: then all that is not among the tenants of revision 0 is gone.
+        """Return the current revision, and the tenants changed and deleted since `revision`.
+
+        The deleted tenants are None if they are no longer known that far back.  Then the changed tenants are
+        all that exist, and every other tenant has been deleted.
         """
 
     def report(self, report: GatewayReport) -> None: ...
 
     def change_hint(self) -> object:
-        """What is other once the state may be; cheap enough for the event loop, and it may miss a change."""
+        """A value that differs once the state may have changed.
+
+        It is cheap enough for the event loop, and may miss a change.
+        """
 
 
 class Store(StateReader, Protocol):
-    """What the administration API needs: what was answered is kept, whatever ends the process."""
+    """The store interface that the administration API uses.  A commit that returned survives a crash."""
 
-    poll_interval_s: float  # seconds between looks for changes that don't burden it
+    poll_interval_s: float  # seconds between polls for changes that don't overload the store
 
     def get(self, name: str) -> StoredTenant | None: ...
 
     def page(self, after: str, limit: int) -> list[StoredTenant]: ...
 
     def commit(self, change: Change) -> int:
-        """The new revision.  Raises RevisionConflict, changing nothing."""
+        """Commit a change and return the new revision.  Raises RevisionConflict if nothing was changed."""
 
     def answer_of_repeat(self, key: str) -> StoredAnswer | None: ...
 
@@ -179,7 +189,7 @@
     def admins(self, uid: str) -> list[Admin]: ...
 
     def add_operator(self, admin: Admin, at: float) -> None:
-        """Keep an operator's key: the first one comes from the command line."""
+        """Store an operator's key; the first one is created on the command line."""
 
     def audit(self, uid: str, before: int, limit: int) -> list[AuditRecord]: ...
 
