--- a/ivymux/desired/sqlite.py
+++ b/ivymux/desired/sqlite.py
@@ -1,4 +1,4 @@
-"""The desired state in SQLite: WAL, one transaction a change, migrations by version, backups."""
+"""The desired state in SQLite: WAL mode, one transaction per change, versioned migrations, backups."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 )
 from ivymux.tenants.model import Tenant, text_digests
 
-HISTORY = 50  # revisions kept of a tenant
+MAX_HISTORY = 50  # revisions kept per tenant
 MAX_AUDIT = 100_000
 MAX_GONE = 10_000
 MAX_REPEATS = 10_000
-REPEAT_LIFE = 86_400.0  # seconds that a creation's answer is remembered
-DOOR_LIFE = 3600.0  # seconds after which a front door that tells nothing is forgotten
-BUSY = 2.0  # seconds to wait for another process
+REPEAT_RETENTION_S = 86_400.0  # how long the answer to a creation is kept
+REPORT_RETENTION_S = 3600.0  # how long the last report of a silent gateway is kept
+BUSY_TIMEOUT_S = 2.0  # how long to wait for another process's lock
 COLUMNS = "name, uid, revision, created, body"
 
 MIGRATIONS: Sequence[str] = (
@@ -65,12 +65,13 @@
 
 
 def packed(value: object) -> bytes:
+    """Encode a value as MessagePack."""
     return msgspec.msgpack.encode(value)
 
 
 @contextlib.contextmanager
-def told() -> Iterator[None]:
-    """SQLite's errors as the store's."""
+def translated_errors() -> Iterator[None]:
+    """Raise errors of SQLite and of decoding as StoreErrors."""
     try:
         yield
     except sqlite3.OperationalError as error:
@@ -89,26 +90,26 @@
 
 
 class SqliteStore:
-    """One file and its log; any number of processes on one machine may use it."""
+    """A store in one file and its write-ahead log; several processes on one machine may share it."""
 
     poll_interval_s = 0.02
 
-    def __init__(self, path: Path, busy: float = BUSY) -> None:
-        """Open or make it.  Raises StoreError."""
+    def __init__(self, path: Path, busy: float = BUSY_TIMEOUT_S) -> None:
+        """Open the store, or create it.  Raises StoreError."""
         self.path, self.busy = path, busy
-        self.log = f"{path}-wal"
+        self.wal_path = f"{path}-wal"
         self.lock = threading.Lock()
-        with told():
+        with translated_errors():
             self.db = self.connect(path)
             self.migrate()
 
     def connect(self, path: Path) -> sqlite3.Connection:
-        made = not path.exists()
+        is_new = not path.exists()
         db = sqlite3.connect(path, timeout=self.busy, isolation_level=None, check_same_thread=False)
-        if made:
+        if is_new:
             os.chmod(path, 0o600)
         db.execute("PRAGMA journal_mode = WAL")
-        db.execute("PRAGMA synchronous = FULL")  # what was answered is there after a loss of power
+        db.execute("PRAGMA synchronous = FULL")  # answered commits survive a power failure
         db.execute("PRAGMA foreign_keys = ON")
         return db
 
@@ -116,7 +117,8 @@
         self.db.close()
 
     def migrate(self) -> None:
-        with self.writing() as db:
+        """Bring the schema to this version.  Raises StoreDamaged for a later one."""
+        with self.transaction() as db:
             (version,) = db.execute("PRAGMA user_version").fetchone()
             if version > len(MIGRATIONS):
                 raise StoreDamaged(f"the store is of a later version ({version}): use that one's ivymux")
@@ -129,9 +131,9 @@
                 db.execute("INSERT INTO state VALUES (1, 0, ?, 0)", (secrets.token_hex(16),))
 
     @contextlib.contextmanager
-    def writing(self) -> Iterator[sqlite3.Connection]:
-        """One transaction: all of it or nothing."""
-        with self.lock, told():
+    def transaction(self) -> Iterator[sqlite3.Connection]:
+        """Run a write transaction; it is rolled back on any exception."""
+        with self.lock, translated_errors():
             self.db.execute("BEGIN IMMEDIATE")
             try:
                 yield self.db
@@ -142,27 +144,27 @@
                 raise
 
     def rows(self, statement: str, *values: object) -> list[Any]:
-        with self.lock, told():
+        with self.lock, translated_errors():
             return self.db.execute(statement, values).fetchall()
 
-    # --- reading -------------------------------------------------------------------------------------
+    # --- reads ---------------------------------------------------------------------------------------
 
     def lineage(self) -> str:
         return str(self.rows("SELECT lineage FROM state")[0][0])
 
     def change_hint(self) -> object:
-        """The log's size and time: each commit adds to it.  None where it can't be seen."""
+        """The size, time and inode of the write-ahead log, which each commit changes; None without a log."""
         try:
-            seen = os.stat(self.log)
+            status = os.stat(self.wal_path)
         except OSError:
             return None
-        return seen.st_size, seen.st_mtime_ns, seen.st_ino
+        return status.st_size, status.st_mtime_ns, status.st_ino
 
     def revision(self) -> int:
         return int(self.rows("SELECT revision FROM state")[0][0])
 
     def stored(self, rows: list[Any]) -> list[StoredTenant]:
-        with told():
+        with translated_errors():
             return [
                 StoredTenant(name, uid, revision, created, msgspec.msgpack.decode(body, type=Tenant))
                 for name, uid, revision, created, body in rows
@@ -179,21 +181,21 @@
         ))  # fmt: skip
 
     def changes_since(self, revision: int) -> tuple[int, list[StoredTenant], list[DeletedTenant] | None]:
-        with self.lock, told():
-            self.db.execute("BEGIN")  # one snapshot for all of it
+        with self.lock, translated_errors():
+            self.db.execute("BEGIN")  # all reads see one snapshot
             try:
-                now, forgot = self.db.execute("SELECT revision, forgot FROM state").fetchone()
-                whole = revision < forgot
+                current, forgotten = self.db.execute("SELECT revision, forgot FROM state").fetchone()
+                is_full = revision < forgotten
                 rows = self.db.execute(
                     f"SELECT {COLUMNS} FROM tenants WHERE revision > ? ORDER BY revision",
-                    (-1 if whole else revision,),
+                    (-1 if is_full else revision,),
                 ).fetchall()  # fmt: skip
-                lost = self.db.execute(
+                deleted = self.db.execute(
                     "SELECT name, uid, revision FROM gone WHERE revision > ? ORDER BY revision", (revision,)
                 ).fetchall()
             finally:
                 self.db.execute("ROLLBACK")
-        return int(now), self.stored(rows), None if whole else [DeletedTenant(*row) for row in lost]
+        return int(current), self.stored(rows), None if is_full else [DeletedTenant(*row) for row in deleted]
 
     def blob(self, name: str, uid: str) -> bytes | None:
         rows = self.rows("SELECT data FROM blobs WHERE digest = ?", name)
@@ -201,7 +203,7 @@
 
     def answer_of_repeat(self, key: str) -> StoredAnswer | None:
         rows = self.rows("SELECT answer FROM repeats WHERE key = ?", key)
-        with told():
+        with translated_errors():
             return msgspec.msgpack.decode(rows[0][0], type=StoredAnswer) if rows else None
 
     def admin(self, number: str) -> Admin | None:
@@ -212,7 +214,7 @@
 
     def read_admins(self, column: str, value: str) -> list[Admin]:
         rows = self.rows(f"SELECT id, name, uid, kept FROM admins WHERE {column} = ? ORDER BY id", value)
-        with told():
+        with translated_errors():
             return [msgspec.convert({"id": a, "name": b, "uid": c, "kept": msgspec.msgpack.decode(d)}, Admin)
                     for a, b, c, d in rows]  # fmt: skip
 
@@ -222,7 +224,7 @@
             " WHERE (? = '' OR uid = ?) AND revision < ? ORDER BY revision DESC LIMIT ?",
             uid, uid, before, limit,
         )  # fmt: skip
-        with told():
+        with translated_errors():
             return [
                 AuditRecord(a, b, c, d, e, f, g, msgspec.msgpack.decode(h)) for a, b, c, d, e, f, g, h in rows
             ]
@@ -233,10 +235,10 @@
             uid, limit,
         ))  # fmt: skip
 
-    # --- changing ------------------------------------------------------------------------------------
+    # --- changes -------------------------------------------------------------------------------------
 
     def commit(self, change: Change) -> int:
-        with self.writing() as db:
+        with self.transaction() as db:
             row = db.execute(f"SELECT {COLUMNS} FROM tenants WHERE name = ?", (change.name,)).fetchone()
             if (row[2] if row else 0) != change.expected or (row and row[1] != change.uid):
                 raise RevisionConflict(self.stored([row])[0] if row else None)
@@ -249,9 +251,9 @@
                  packed(change.changes)),
             )  # fmt: skip
             if change.tenant is None:
-                self.delete(db, change, revision)
+                self.delete_tenant(db, change, revision)
             else:
-                self.put(db, change, change.tenant, revision, row[3] if row else change.at)
+                self.put_tenant(db, change, change.tenant, revision, row[3] if row else change.at)
             for admin in change.add_admins:
                 db.execute("INSERT OR REPLACE INTO admins VALUES (?, ?, ?, ?)",
                            (admin.id, admin.name, admin.uid, packed(admin.kept)))  # fmt: skip
@@ -264,14 +266,14 @@
             self.trim(db, change.at, revision)
         return int(revision)
 
-    def put(
+    def put_tenant(
         self, db: sqlite3.Connection, change: Change, tenant: Tenant, revision: int, created: float
     ) -> None:
         body = packed(tenant)
         db.execute("DELETE FROM hosts WHERE uid = ?", (change.uid,))
         for host in tenant.hosts:
-            taken = db.execute("SELECT uid FROM hosts WHERE host = ?", (host,)).fetchone()
-            if taken is not None:
+            owner = db.execute("SELECT uid FROM hosts WHERE host = ?", (host,)).fetchone()
+            if owner is not None:
                 raise HostTaken(host)
             db.execute("INSERT INTO hosts VALUES (?, ?)", (host, change.uid))
         db.execute("INSERT OR REPLACE INTO tenants VALUES (?, ?, ?, ?, ?)",
@@ -284,40 +286,40 @@
             if not db.execute("SELECT 1 FROM blobs WHERE digest = ?", (name,)).fetchone():
                 raise StoreError("a text that the tenant names is not there")
             db.execute("INSERT OR IGNORE INTO uses VALUES (?, ?, ?)", (change.uid, revision, name))
-        old = db.execute(
+        expired = db.execute(
             "SELECT revision FROM history WHERE uid = ? ORDER BY revision DESC LIMIT -1 OFFSET ?",
-            (change.uid, HISTORY),
+            (change.uid, MAX_HISTORY),
         ).fetchall()  # fmt: skip
-        for (number,) in old:
+        for (number,) in expired:
             db.execute("DELETE FROM history WHERE uid = ? AND revision = ?", (change.uid, number))
             db.execute("DELETE FROM uses WHERE uid = ? AND revision = ?", (change.uid, number))
-        if old:
-            self.sweep(db)
+        if expired:
+            self.delete_unused_blobs(db)
 
-    def delete(self, db: sqlite3.Connection, change: Change, revision: int) -> None:
-        """All of a tenant goes but that it was there, and the audit record."""
+    def delete_tenant(self, db: sqlite3.Connection, change: Change, revision: int) -> None:
+        """Delete all data of a tenant except its audit records, and record the deletion."""
         db.execute("INSERT INTO gone VALUES (?, ?, ?)", (revision, change.name, change.uid))
         for table in ("tenants", "hosts", "history", "uses", "admins", "repeats"):
             db.execute(f"DELETE FROM {table} WHERE uid = ?", (change.uid,))
-        self.sweep(db)
+        self.delete_unused_blobs(db)
 
-    def sweep(self, db: sqlite3.Connection) -> None:
+    def delete_unused_blobs(self, db: sqlite3.Connection) -> None:
         db.execute("DELETE FROM blobs WHERE digest NOT IN (SELECT digest FROM uses)")
 
     def trim(self, db: sqlite3.Connection, at: float, revision: int) -> None:
-        """Bounds on all that grows with changes."""
+        """Delete the oldest entries of the tables that grow with each change."""
         db.execute("DELETE FROM audit WHERE revision <= ?", (revision - MAX_AUDIT,))
-        (count, last) = db.execute("SELECT count(*), min(revision) FROM gone").fetchone()
+        (count, oldest) = db.execute("SELECT count(*), min(revision) FROM gone").fetchone()
         if count > MAX_GONE:
-            db.execute("DELETE FROM gone WHERE revision = ?", (last,))
-            db.execute("UPDATE state SET forgot = ?", (last,))
-        db.execute("DELETE FROM repeats WHERE at < ?", (at - REPEAT_LIFE,))
+            db.execute("DELETE FROM gone WHERE revision = ?", (oldest,))
+            db.execute("UPDATE state SET forgot = ?", (oldest,))
+        db.execute("DELETE FROM repeats WHERE at < ?", (at - REPEAT_RETENTION_S,))
         surplus = "SELECT key FROM repeats ORDER BY at DESC LIMIT -1 OFFSET ?"
         db.execute(f"DELETE FROM repeats WHERE key IN ({surplus})", (MAX_REPEATS,))
 
     def add_operator(self, admin: Admin, at: float) -> None:
-        """Keep an operator's key: the first one comes from the command line of the machine."""
-        with self.writing() as db:
+        """Store an operator's key; the first one is created on the machine's command line."""
+        with self.transaction() as db:
             (revision,) = db.execute("UPDATE state SET revision = revision + 1 RETURNING revision").fetchone()
             db.execute(
                 "INSERT INTO audit VALUES (?, ?, 'command line', '', 'appoint', '', '', ?)",
@@ -326,46 +328,46 @@
             db.execute("INSERT INTO admins VALUES (?, ?, ?, ?)",
                        (admin.id, admin.name, admin.uid, packed(admin.kept)))  # fmt: skip
 
-    # --- what front doors tell -----------------------------------------------------------------------
+    # --- reports of gateways -------------------------------------------------------------------------
 
     def report(self, report: GatewayReport) -> None:
-        with self.writing() as db:
+        with self.transaction() as db:
             db.execute(
                 "INSERT OR REPLACE INTO doors VALUES (?, ?, ?)", (report.door, report.at, packed(report))
             )
-            db.execute("DELETE FROM doors WHERE at < ?", (report.at - DOOR_LIFE,))
+            db.execute("DELETE FROM doors WHERE at < ?", (report.at - REPORT_RETENTION_S,))
 
     def reports(self) -> list[GatewayReport]:
         rows = self.rows("SELECT report FROM doors ORDER BY door")
-        with told():
+        with translated_errors():
             return [msgspec.msgpack.decode(row[0], type=GatewayReport) for row in rows]
 
     # --- backup --------------------------------------------------------------------------------------
 
     def backup(self, path: Path) -> None:
-        """A whole copy, while it serves and is changed.  Raises StoreError, OSError."""
-        part = path.with_name(path.name + ".part")
+        """Write a consistent copy while the store is in use.  Raises StoreError, OSError."""
+        partial_file = path.with_name(path.name + ".part")
         with contextlib.suppress(FileNotFoundError):
-            part.unlink()
-        with told():
+            partial_file.unlink()
+        with translated_errors():
             source = sqlite3.connect(f"file:{self.path}?mode=ro", uri=True, timeout=self.busy)
-            target = sqlite3.connect(part)
+            target = sqlite3.connect(partial_file)
             try:
                 source.backup(target, pages=256)
                 target.execute("PRAGMA journal_mode = DELETE")
             finally:
                 target.close()
                 source.close()
-        verify(part)
-        with open(part, "rb") as handle:
+        verify(partial_file)
+        with open(partial_file, "rb") as handle:
             os.fsync(handle.fileno())
-        os.chmod(part, 0o600)
-        part.replace(path)
+        os.chmod(partial_file, 0o600)
+        partial_file.replace(path)
 
 
 def verify(path: Path) -> None:
-    """Whether a file is a whole store.  Raises StoreDamaged."""
-    with told():
+    """Check that a file is an intact store.  Raises StoreDamaged."""
+    with translated_errors():
         db = sqlite3.connect(f"file:{path}?mode=ro", uri=True)
         try:
             (verdict,) = db.execute("PRAGMA integrity_check").fetchone()
@@ -378,21 +380,22 @@
 
 
 def restore(backup: Path, path: Path) -> None:
-    """Put a backup where a store stands; no process may have that open.  Raises StoreError, OSError."""
+    """Replace a store by a backup; no process may have the store open.  Raises StoreError, OSError."""
     verify(backup)
-    part = path.with_name(path.name + ".part")
-    part.write_bytes(backup.read_bytes())
-    with open(part, "rb") as handle:
+    partial_file = path.with_name(path.name + ".part")
+    partial_file.write_bytes(backup.read_bytes())
+    with open(partial_file, "rb") as handle:
         os.fsync(handle.fileno())
-    for end in ("-wal", "-shm"):
+    for suffix in ("-wal", "-shm"):
         with contextlib.suppress(FileNotFoundError):
-            path.with_name(path.name + end).unlink()
-    part.replace(path)
+            path.with_name(path.name + suffix).unlink()
+    partial_file.replace(path)
     os.chmod(path, 0o600)
-    # What front doors have seen may be ahead of it: numbers go on beyond all that were ever given.
+    # Gateways may have seen later revisions than the backup's, so numbering continues above all that were
+    # ever assigned.
     store = SqliteStore(path)
     try:
-        with store.writing() as db:
+        with store.transaction() as db:
             db.execute("UPDATE state SET revision = max(revision + 1000000, ?), forgot = revision + 1000000",
                        (int(time.time()),))  # fmt: skip
             db.execute("UPDATE state SET forgot = revision")
--- a/tests/desired/test_sqlite.py
+++ b/tests/desired/test_sqlite.py
@@ -1,4 +1,4 @@
-"""The store of the desired state: transactions, bounds, troubled disks, kills, backups."""
+"""The SQLite store of the desired state: transactions, limits, disk faults, crashes, backups."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
 from tests.tenants.making import tenant
 
 
-def test_a_change_is_made_from_the_state_it_was_seen_in(tmp_path: Path) -> None:
+def test_a_change_against_an_outdated_revision_is_refused(tmp_path: Path) -> None:
     store_contract.check_optimistic_locking(SqliteStore(tmp_path / "s.db"), 0)
 
 
-def test_a_host_name_is_one_tenants(tmp_path: Path) -> None:
+def test_a_host_name_belongs_to_one_tenant(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     put(store, "a")
-    made, blobs, _ = tenant("a", [1])
-    with pytest.raises(HostTaken) as taken:
-        store.commit(change("b", made, blobs=blobs))
-    assert store.get("b") is None and "u-a" not in str(taken.value)
+    new_tenant, blobs, _ = tenant("a", [1])
+    with pytest.raises(HostTaken) as conflict:
+        store.commit(change("b", new_tenant, blobs=blobs))
+    assert store.get("b") is None and "u-a" not in str(conflict.value)
     store.commit(change("a", None, 1))
-    assert store.commit(change("b", made, blobs=blobs)) == 3
+    assert store.commit(change("b", new_tenant, blobs=blobs)) == 3
 
 
-def test_what_a_tenant_was_made_of_goes_with_it(tmp_path: Path) -> None:
+def test_deleting_a_tenant_deletes_its_data(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     number, _, kept = create_key(ADMIN_PREFIX, 0.0)
     answer = StoredAnswer("f", 201, b"{}", "1")
@@ -66,15 +66,17 @@
     assert [(g.name, g.uid) for g in gone] == [("a", "u-a")]
     others = store.get("b")
     assert others is not None
-    assert names == text_digests(others.tenant)  # alike, and kept as long as one has them
+    assert names == text_digests(others.tenant)  # equal texts are kept while a tenant refers to them
     assert all(store.blob(name, "") for name in names)
     store.commit(change("b", None, 2))
     assert not any(store.blob(name, "") for name in names)
-    assert [a.action for a in store.audit("u-a", 1 << 60, 9)] == ["test", "test"]  # that it was, stays
+    assert [a.action for a in store.audit("u-a", 1 << 60, 9)] == ["test", "test"]  # audit records stay
 
 
-def test_history_audit_and_what_is_gone_are_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("HISTORY", 3), ("MAX_AUDIT", 5), ("MAX_GONE", 2), ("MAX_REPEATS", 2)):
+def test_history_audit_deletions_and_repeats_are_bounded(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    for name, value in (("MAX_HISTORY", 3), ("MAX_AUDIT", 5), ("MAX_GONE", 2), ("MAX_REPEATS", 2)):
         monkeypatch.setattr(sqlite_module, name, value)
     store = SqliteStore(tmp_path / "s.db")
     last = 0
@@ -82,16 +84,16 @@
         last = put(store, "a", last, repeat=(f"k{turn}", StoredAnswer("", 201, b"", "")), at=1000.0 + turn)
     assert len(store.history("u-a", 99)) == 3 and len(store.audit("", 1 << 60, 99)) == 5
     assert store.answer_of_repeat("k7") and store.answer_of_repeat("k6") and not store.answer_of_repeat("k5")
-    assert len(store.rows("SELECT * FROM blobs")) == 4  # the same workers and routes each time
+    assert len(store.rows("SELECT * FROM blobs")) == 4  # the tenant has the same workers and routes each time
     for name in "bcd":
-        made = put(store, name)
-        store.commit(change(name, None, made))
-    assert store.changes_since(last)[2] is None  # not known that far back: all that is not listed is gone
+        revision = put(store, name)
+        store.commit(change(name, None, revision))
+    assert store.changes_since(last)[2] is None  # deletions are not known that far back
     now, changed, gone = store.changes_since(store.revision())
     assert gone == [] and changed == [] and now == store.revision()
 
 
-def test_a_locked_a_full_and_a_damaged_store_say_so_and_change_nothing(tmp_path: Path) -> None:
+def test_a_locked_full_or_damaged_store_raises_its_error_and_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "s.db"
     store = SqliteStore(path, busy=0.05)
     put(store, "a")
@@ -99,14 +101,14 @@
     other.execute("BEGIN IMMEDIATE")
     with pytest.raises(StoreBusy):
         put(store, "b")
-    assert store.get("a") is not None  # reading goes on
+    assert store.get("a") is not None  # reads still work
     other.execute("ROLLBACK")
     other.close()
     (pages,) = store.db.execute("PRAGMA page_count").fetchone()
     store.db.execute(f"PRAGMA max_page_count = {pages}")
-    made, blobs, _ = tenant("big", [1])
+    new_tenant, blobs, _ = tenant("big", [1])
     with pytest.raises(StoreFull):
-        store.commit(change("big", made, blobs=blobs | {"x": os.urandom(1 << 20)}))
+        store.commit(change("big", new_tenant, blobs=blobs | {"x": os.urandom(1 << 20)}))
     assert store.get("big") is None and store.revision() == 1
     store.db.execute("PRAGMA max_page_count = 1000000")
     assert put(store, "b") == 2
@@ -116,13 +118,13 @@
     path.write_bytes(data)
     with pytest.raises(StoreDamaged):
         SqliteStore(path)
-    assert path.read_bytes() == data  # never written over
+    assert path.read_bytes() == data  # never overwritten
     path.write_text("not a store at all")
     with pytest.raises(StoreDamaged):
         verify(path)
 
 
-def test_a_later_versions_store_is_left_alone(tmp_path: Path) -> None:
+def test_a_store_of_a_later_version_is_not_opened(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     store.db.execute("PRAGMA user_version = 99")
     store.close()
@@ -130,7 +132,7 @@
         SqliteStore(tmp_path / "s.db")
 
 
-def test_migrations_keep_what_is_there(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_migrations_keep_the_data(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     store = SqliteStore(tmp_path / "s.db")
     put(store, "a")
     store.close()
@@ -142,7 +144,7 @@
     store = SqliteStore(tmp_path / "s.db")
     assert store.get("a") is not None and store.rows("SELECT * FROM extra") == []
     store.close()
-    # One that breaks off leaves the version and all else as it was.
+    # A migration that fails changes neither the version nor the data.
     monkeypatch.setattr(
         sqlite_module, "MIGRATIONS", (*steps, "CREATE TABLE more (x INTEGER); SELECT nonsense")
     )
@@ -155,19 +157,19 @@
         store.rows("SELECT * FROM more")
 
 
-def test_a_backup_while_it_is_changed_is_whole_and_comes_back(tmp_path: Path) -> None:
+def test_a_backup_during_changes_is_consistent_and_can_be_restored(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     put(store, "a")
     stop = threading.Event()
 
-    def changing() -> None:
-        mine = SqliteStore(tmp_path / "s.db", busy=10.0)
+    def keep_changing() -> None:
+        own_store = SqliteStore(tmp_path / "s.db", busy=10.0)
         last = 1
         while not stop.is_set():
-            last = put(mine, "a", last)
-        mine.close()
+            last = put(own_store, "a", last)
+        own_store.close()
 
-    thread = threading.Thread(target=changing)
+    thread = threading.Thread(target=keep_changing)
     thread.start()
     try:
         for turn in range(3):
@@ -181,38 +183,37 @@
     back = SqliteStore(tmp_path / "s.db")
     found = back.get("a")
     assert found is not None and found.revision <= seen and back.lineage() == lineage
-    assert back.revision() > seen  # numbers that were given are not given again
-    assert back.changes_since(seen)[2] is None  # who has followed the other line looks at all of it
+    assert back.revision() > seen  # revisions are not assigned twice
+    assert back.changes_since(seen)[2] is None  # a gateway that saw later revisions reads everything
     (tmp_path / "cut.db").write_bytes((tmp_path / "b1.db").read_bytes()[:5000])
     with pytest.raises(StoreDamaged):
         restore(tmp_path / "cut.db", tmp_path / "s.db")
 
 
-def test_front_doors_tell_and_are_forgotten(tmp_path: Path) -> None:
+def test_reports_of_gateways_are_kept_for_a_limited_time(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     store.report(GatewayReport("one", 3, 1000.0, {"u": {"served": 5.0}}))
     store.report(GatewayReport("two", 4, 1010.0))
     assert [(r.door, r.revision) for r in store.reports()] == [("one", 3), ("two", 4)]
-    store.report(GatewayReport("two", 5, 1010.0 + sqlite_module.DOOR_LIFE))
+    store.report(GatewayReport("two", 5, 1010.0 + sqlite_module.REPORT_RETENTION_S))
     assert [(r.door, r.revision) for r in store.reports()] == [("two", 5)]
 
 
 def test_no_secret_is_in_the_file(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
-    made, blobs, shown = tenant("a", [1])
+    new_tenant, blobs, shown = tenant("a", [1])
     number, admin_key, kept = create_key(ADMIN_PREFIX, 0.0)
-    store.commit(change("a", made, blobs=blobs, add_admins=[Admin(number, "ann", "u-a", kept)]))
+    store.commit(change("a", new_tenant, blobs=blobs, add_admins=[Admin(number, "ann", "u-a", kept)]))
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     data = (tmp_path / "s.db").read_bytes()
     assert b"u-a" in data
     for key in (shown, admin_key):
-        assert (secret := KEY_PATTERN.fullmatch(key.encode())) and secret[
-            3
-        ] not in data  # it may hold a `_` itself
+        # The secret may contain `_` itself, so it is taken from the key by the pattern.
+        assert (secret := KEY_PATTERN.fullmatch(key.encode())) and secret[3] not in data
     assert (tmp_path / "s.db").stat().st_mode & 0o077 == 0
 
 
-KILLED = """
+WRITER_PROGRAM = """
 import sys
 from pathlib import Path
 from ivymux.desired.sqlite import SqliteStore
@@ -226,12 +227,15 @@
 """
 
 
-def test_killed_at_a_hundred_points_what_was_answered_is_there_and_nothing_in_part(tmp_path: Path) -> None:
+def test_a_hundred_kills_lose_no_answered_commit_and_leave_none_partial(tmp_path: Path) -> None:
     rng, paths = random.Random(5), [tmp_path / f"{lane}.db" for lane in range(10)]
     answered = dict.fromkeys(paths, 0)
-    for _ in range(10):  # ten stores side by side, each killed ten times
+    for _ in range(10):  # ten stores in parallel, each killed ten times
         children = [
-            (path, subprocess.Popen([sys.executable, "-c", KILLED, str(path)], stdout=subprocess.PIPE))
+            (
+                path,
+                subprocess.Popen([sys.executable, "-c", WRITER_PROGRAM, str(path)], stdout=subprocess.PIPE),
+            )
             for path in paths
         ]
         for path, child in children:
@@ -254,7 +258,7 @@
     assert min(answered.values()) >= 10
 
 
-def test_what_this_version_cannot_read_is_told(tmp_path: Path) -> None:
+def test_undecodable_data_raises_store_damaged(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     put(store, "a")
     store.db.execute("UPDATE tenants SET body = ?", (msgspec.msgpack.encode({"nonsense": 1}),))
@@ -262,8 +266,8 @@
         store.get("a")
 
 
-def test_a_hint_is_other_after_each_commit(tmp_path: Path) -> None:
-    """A front door looks only where it differs, and once a second all the same."""
+def test_the_change_hint_differs_after_each_commit(tmp_path: Path) -> None:
+    """A gateway reads the store when the hint differs, and otherwise once a second."""
     store, other = SqliteStore(tmp_path / "s.db"), SqliteStore(tmp_path / "s.db")
     last, seen = 0, [store.change_hint()]
     for _ in range(20):
