--- a/ivymux/desired/copying.py
+++ b/ivymux/desired/copying.py
@@ -17,16 +17,16 @@
 
 from ivymux.desired.etcd.keys import (
     Head,
-    Place,
     State,
-    after,
+    TextHeader,
+    decode_audit,
+    encode_audit,
     head_of,
+    join_text,
     packed,
-    pieces,
-    read_recorded,
-    recorded,
+    prefix_end,
+    split_text,
     unpacked,
-    whole,
 )
 from ivymux.desired.etcd.plan import adding, read_state
 from ivymux.desired.etcd.store import EtcdStore
@@ -66,7 +66,7 @@
 
     def every(*parts: str) -> list[Kv]:
         begin = keys.all(*parts)
-        return store.every(begin, after(begin), at=at)[0]
+        return store.every(begin, prefix_end(begin), at=at)[0]
 
     db.execute("BEGIN IMMEDIATE")
     db.execute("UPDATE state SET revision = ?, lineage = ?, forgot = ?",
@@ -88,7 +88,7 @@
         for host in head.hosts:
             db.execute("INSERT INTO hosts VALUES (?, ?)", (host, head.uid))
     for kv in every("audit"):
-        a = read_recorded(kv.value).audit
+        a = decode_audit(kv.value).audit
         row = a.revision, a.at, a.who, a.origin, a.action, a.uid, a.tenant, packed(a.changes)
         db.execute("INSERT INTO audit VALUES (?, ?, ?, ?, ?, ?, ?, ?)", row)
     for kv in every("admins"):
@@ -100,10 +100,10 @@
 
 def text_at(store: EtcdStore, uid: str, name: str, at: int) -> bytes:
     key = store.keys.blob(uid, name)
-    found, _ = store.every(key, after(key), at=at)
+    found, _ = store.every(key, prefix_end(key), at=at)
     if not found or found[0].key != key:
         raise StoreError("a text that a tenant names is not there: nothing was copied")
-    return whole(unpacked(found[0].value, Place), [kv.value for kv in found[1:]], name)
+    return join_text(unpacked(found[0].value, TextHeader), [kv.value for kv in found[1:]], name)
 
 
 def restore_etcd(backup: Path, store: EtcdStore) -> None:
@@ -118,7 +118,7 @@
         )
     # What a restore that broke off has left; what else may stand below the prefix is not ours.
     ours = [store.keys.all(part) for part in PARTS]
-    store.transact(Txn((), tuple(Delete(key, after(key)) for key in ours)))
+    store.transact(Txn((), tuple(Delete(key, prefix_end(key)) for key in ours)))
     with tempfile.TemporaryDirectory() as folder:
         mine = Path(folder) / "copy.db"  # opening it may write to it
         mine.write_bytes(backup.read_bytes())
@@ -149,7 +149,7 @@
                 continue
             there.add((uid, text))
             rows = db.execute("SELECT data FROM blobs WHERE digest = ?", (text,)).fetchall()
-            place, rest = pieces(data if text == made.body else bytes(rows[0][0]))
+            place, rest = split_text(data if text == made.body else bytes(rows[0][0]))
             for turn, part in enumerate(rest, 1):
                 store.put(Put(keys.piece(uid, text, turn), part))
             store.put(Put(keys.blob(uid, text), packed(place)))
@@ -166,7 +166,7 @@
     rows = db.execute(f"SELECT {columns} FROM audit").fetchall()
     for revision, at, who, origin, action, uid, tenant, changes in rows:
         audit = AuditRecord(revision, at, who, origin, action, uid, tenant, msgspec.msgpack.decode(changes))
-        put(Put(keys.audit(revision), recorded("", audit)), Put(keys.audit_of(uid, revision), b""))
+        put(Put(keys.audit(revision), encode_audit("", audit)), Put(keys.audit_of(uid, revision), b""))
     for number, name, uid, kept in db.execute("SELECT id, name, uid, kept FROM admins").fetchall():
         found = {"id": number, "name": name, "uid": uid, "kept": msgspec.msgpack.decode(kept)}
         put(*adding(keys, [msgspec.convert(found, Admin)]))
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -12,7 +12,7 @@
 
 from ivymux.desired.etcd.cache import Cache, Known
 from ivymux.desired.etcd.client import Access
-from ivymux.desired.etcd.keys import Head, Serves, State, after, packed, unpacked
+from ivymux.desired.etcd.keys import GatewayStatus, Head, State, packed, prefix_end, unpacked
 from ivymux.desired.etcd.replica import Replica
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.etcd.wire import Compacted, Put, Range, number, put_json, watch_json
@@ -47,7 +47,8 @@
         self.end: Callable[[], None] | None = None  # of the watch
         self.threads: list[threading.Thread] = []
         self.lease = 0
-        self.told: tuple[Serves, float] | None = None  # what the report says, and when it last told use
+        # The status that was last reported, and the monotonic time of the last report of usage.
+        self.last_report: tuple[GatewayStatus, float] | None = None
         self.saved = -1  # the revision of etcd that the cache is of
         self.cache_trouble = ""
         self.fetched: set[tuple[str, int]] = set()  # tenants by uid and revision whose texts are on the disk
@@ -94,7 +95,7 @@
     def load(self) -> None:
         """Read all there is.  Raises StoreError."""
         live = self.store.keys.live
-        kvs, at = self.store.every(live, after(live))
+        kvs, at = self.store.every(live, prefix_end(live))
         with self.lock:
             self.replica.load(kvs, at)
         self.keep()
@@ -125,7 +126,8 @@
     def watch(self) -> None:
         """Take over what etcd tells, until the watch ends.  Raises StoreError, Compacted."""
         live = self.store.keys.live
-        with self.store.client.watch(watch_json(live, after(live), self.replica.at + 1)) as (answers, end):
+        request = watch_json(live, prefix_end(live), self.replica.at + 1)
+        with self.store.client.watch(request) as (answers, end):
             self.end = end
             try:
                 if self.closed.is_set():
@@ -267,16 +269,16 @@
             if number((answer.get("result") or {}).get("TTL")) <= 0:
                 self.lease = 0  # it ran out while etcd was away
         if not self.lease:
-            self.lease, self.told = self.store.lease(LIFE), None
+            self.lease, self.last_report = self.store.lease(LIFE), None
             self.tell("name", self.name.encode())
-        serves = Serves(report.revision, dict(list(report.problems.items())[:100]))
-        told, used = self.told or (None, -USAGE)
+        serves = GatewayStatus(report.revision, dict(list(report.problems.items())[:100]))
+        told, used = self.last_report or (None, -USAGE)
         if serves != told:
             self.tell("serves", packed(serves))
         if now - used >= USAGE:
             used = now
             self.tell("usage", packed(report.usage))
-        self.told = serves, used
+        self.last_report = serves, used
 
     def tell(self, part: str, value: bytes) -> None:
         put = Put(self.store.keys.door(self.door, part), value, self.lease)
--- a/ivymux/desired/etcd/keys.py
+++ b/ivymux/desired/etcd/keys.py
@@ -1,8 +1,8 @@
-"""Where each part of the desired state stands in etcd, and its form.  Pure.
+"""The etcd keys of the desired state and the formats of their values.  Does no I/O.
 
-`live/` is what front doors watch: the state's own revision and a small head for each tenant.  The document of
-a tenant and its texts stand below its own uid in pieces, named by digest, since a request to etcd is bounded
-(1.5 MiB by default): all that is a tenant's goes with one range.
+Gateways watch `live/`, which has the state's revision and a small head for each tenant.  A tenant's document
+and texts are stored below its uid, named by digest, in pieces, since etcd limits the size of a request
+(1.5 MiB by default).  So one range deletion removes all texts of a tenant.
 """
 
 from __future__ import annotations
@@ -16,22 +16,24 @@
 from ivymux.desired.model import AuditRecord, StoreDamaged
 from ivymux.tenants.model import Tenant, digest, text_digests
 
-PIECE = 512 * 1024  # bytes of a text in one key
-MAX_TEXT = 64 << 20  # bytes that a text may have unpacked
-MAX_VALUE = 512 * 1024  # bytes of an audit record or an answer that is kept
-FEW_CHANGES = 200  # of a record that is too large
-FORM = 1
+MAX_PIECE_BYTES = 512 * 1024  # of a compressed text in one key
+MAX_TEXT_BYTES = 64 << 20  # of a decompressed text
+MAX_VALUE_BYTES = 512 * 1024  # of a stored audit record or answer
+MAX_LISTED_CHANGES = 200  # in an audit record that is too large
+FORMAT_VERSION = 1
 T = TypeVar("T")
 
 
 class State(msgspec.Struct, frozen=True):
-    revision: int  # of the installation; etcd's own begins anew with an etcd that does
+    """The desired state as a whole; every commit replaces it."""
+
+    revision: int  # of the installation; etcd's own revisions restart with a new etcd
     lineage: str
-    form: int = FORM
+    form: int = FORMAT_VERSION
 
 
 class Head(msgspec.Struct, frozen=True):
-    """A tenant, small; `body` is the digest of its document, `texts` of what that names."""
+    """A tenant's entry: `body` is the digest of its document, `texts` those of the texts it refers to."""
 
     name: str
     uid: str
@@ -42,43 +44,50 @@
     hosts: list[str]
 
 
-class Recorded(msgspec.Struct, frozen=True):
-    """An audit record; `token` tells a commit without an answer whether it was made."""
+class StoredAuditRecord(msgspec.Struct, frozen=True):
+    """An audit record.  A commit whose answer was lost finds its `token` here if it was carried out."""
 
     token: str
     audit: AuditRecord
 
 
-class Serves(msgspec.Struct, frozen=True):
+class GatewayStatus(msgspec.Struct, frozen=True):
+    """The revision that a gateway serves, and by uid why a tenant's latest state is not served."""
+
     revision: int
     problems: dict[str, str] = {}
 
 
-class Place(msgspec.Struct, frozen=True):
-    """A text's first key: how many pieces follow it, and of how many bytes it is when unpacked."""
+class TextHeader(msgspec.Struct, frozen=True):
+    """A text's first key: the number of pieces that follow, and the decompressed size in bytes."""
 
     pieces: int
     size: int
     data: bytes
 
 
-def after(prefix: bytes) -> bytes:
-    """The end of the range of all keys that begin so."""
+def prefix_end(prefix: bytes) -> bytes:
+    """The end of the range of all keys with this prefix."""
     return prefix[:-1] + bytes((prefix[-1] + 1,))
 
 
-def numbered(revision: int) -> str:
+def revision_text(revision: int) -> str:
+    """A revision as text that sorts in the order of the numbers."""
     return f"{revision:020d}"
 
 
 @dataclass(frozen=True, slots=True)
 class Keys:
+    """The keys of one desired state, below a prefix."""
+
     prefix: str
 
     def at(self, *parts: str) -> bytes:
+        """The key of these path segments."""
         return (self.prefix + "/".join(parts)).encode()
 
     def all(self, *parts: str) -> bytes:
+        """The prefix of all keys below these path segments."""
         return self.at(*parts, "")
 
     @property
@@ -100,13 +109,13 @@
         return self.at("hosts", host)
 
     def history(self, uid: str, revision: int) -> bytes:
-        return self.at("history", uid, numbered(revision))
+        return self.at("history", uid, revision_text(revision))
 
     def audit(self, revision: int) -> bytes:
-        return self.at("audit", numbered(revision))
+        return self.at("audit", revision_text(revision))
 
     def audit_of(self, uid: str, revision: int) -> bytes:
-        return self.at("audit-of", uid or "-", numbered(revision))
+        return self.at("audit-of", uid or "-", revision_text(revision))
 
     def admin(self, uid: str, number: str) -> bytes:
         return self.at("admins", uid or "-", number)
@@ -131,11 +140,12 @@
 
 
 def packed(value: object) -> bytes:
+    """Encode a value as MessagePack."""
     return msgspec.msgpack.encode(value)
 
 
 def unpacked(data: bytes, kind: type[T]) -> T:
-    """Raises StoreDamaged."""
+    """Decode a value from MessagePack.  Raises StoreDamaged."""
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except msgspec.MsgspecError:
@@ -143,45 +153,52 @@
 
 
 def head_of(name: str, uid: str, revision: int, created: float, tenant: Tenant) -> tuple[Head, bytes]:
-    """A tenant's head and its document."""
+    """Make a tenant's head and its encoded document."""
     body = packed(tenant)
     return Head(
         name, uid, revision, created, digest(body), sorted(text_digests(tenant)), list(tenant.hosts)
     ), body
 
 
-def pieces(data: bytes) -> tuple[Place, list[bytes]]:
-    """A text's first key and what follows it."""
-    small = zlib.compress(data, 6)
-    parts = [small[at : at + PIECE] for at in range(0, len(small), PIECE)]
-    return Place(len(parts) - 1, len(data), parts[0]), parts[1:]
+def split_text(data: bytes) -> tuple[TextHeader, list[bytes]]:
+    """Compress a text and split it into the header and the pieces that follow it."""
+    compressed = zlib.compress(data, 6)
+    parts = [
+        compressed[start : start + MAX_PIECE_BYTES] for start in range(0, len(compressed), MAX_PIECE_BYTES)
+    ]
+    return TextHeader(len(parts) - 1, len(data), parts[0]), parts[1:]
 
 
-def whole(place: Place, rest: list[bytes], name: str) -> bytes:
-    """A text of its pieces.  Raises StoreDamaged where it is not what its name says."""
+def join_text(header: TextHeader, rest: list[bytes], name: str) -> bytes:
+    """Reassemble a text.  Raises StoreDamaged if its digest is not `name`."""
     try:
-        engine = zlib.decompressobj()
-        data = engine.decompress(b"".join((place.data, *rest)), MAX_TEXT)
+        decompressor = zlib.decompressobj()
+        data = decompressor.decompress(b"".join((header.data, *rest)), MAX_TEXT_BYTES)
     except zlib.error:
         data = b""
-    if len(rest) != place.pieces or digest(data) != name:
+    if len(rest) != header.pieces or digest(data) != name:
         raise StoreDamaged("a text in etcd is not what its digest says; restore a backup")
     return data
 
 
-def recorded(token: str, audit: AuditRecord) -> bytes:
-    """An audit record; of one that is too large the first changes, and how many there were."""
-    value = zlib.compress(packed(Recorded(token, audit)))
-    if len(value) <= MAX_VALUE:
+def encode_audit(token: str, audit: AuditRecord) -> bytes:
+    """Encode an audit record.
+
+    One that is too large lists only the paths of its first changes, and the number of the others.
+    """
+    value = zlib.compress(packed(StoredAuditRecord(token, audit)))
+    if len(value) <= MAX_VALUE_BYTES:
         return value
-    left = len(audit.changes) - FEW_CHANGES
-    few = [{"path": c.get("path", "")} for c in audit.changes[:FEW_CHANGES]]
-    note = {"path": "", "after": f"{max(0, left)} more changes and all values: too large to be kept"}
-    return zlib.compress(packed(Recorded(token, msgspec.structs.replace(audit, changes=[*few, note]))))
+    omitted = len(audit.changes) - MAX_LISTED_CHANGES
+    listed = [{"path": c.get("path", "")} for c in audit.changes[:MAX_LISTED_CHANGES]]
+    summary = {"path": "", "after": f"{max(0, omitted)} more changes and all values: too large to be kept"}
+    shortened = msgspec.structs.replace(audit, changes=[*listed, summary])
+    return zlib.compress(packed(StoredAuditRecord(token, shortened)))
 
 
-def read_recorded(value: bytes) -> Recorded:
+def decode_audit(value: bytes) -> StoredAuditRecord:
+    """Decode an audit record.  Raises StoreDamaged."""
     try:
-        return unpacked(zlib.decompress(value), Recorded)
+        return unpacked(zlib.decompress(value), StoredAuditRecord)
     except zlib.error:
         raise StoreDamaged("an audit record in etcd can't be read") from None
--- a/ivymux/desired/etcd/plan.py
+++ b/ivymux/desired/etcd/plan.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from ivymux.desired.etcd.keys import (
-    MAX_VALUE,
+    MAX_VALUE_BYTES,
     Head,
     Keys,
     State,
-    after,
+    decode_audit,
+    encode_audit,
     head_of,
     packed,
-    read_recorded,
-    recorded,
+    prefix_end,
     unpacked,
 )
 from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Put, Range, Ranged, Txn
@@ -70,10 +70,10 @@
     return [
         Range(keys.state),
         Range(keys.tenant(change.name)),
-        Range(keys.all("history", change.uid), after(keys.all("history", change.uid)), descending=True,
+        Range(keys.all("history", change.uid), prefix_end(keys.all("history", change.uid)), descending=True,
               keys_only=True),
         Range(keys.audit(0), keys.audit(oldest + 1), limit=DROPPED),
-        Range(keys.all("admins", change.uid), after(keys.all("admins", change.uid)), keys_only=True),
+        Range(keys.all("admins", change.uid), prefix_end(keys.all("admins", change.uid)), keys_only=True),
         *(Range(keys.host(host)) for host in hosts),
     ]  # fmt: skip
 
@@ -100,7 +100,7 @@
     for found in ranges[5:]:
         for kv in found.kvs:
             hosts[tail(kv.key)] = kv.value.decode()
-    records = [(a.revision, a.uid) for a in (read_recorded(kv.value).audit for kv in ranges[3].kvs)]
+    records = [(a.revision, a.uid) for a in (decode_audit(kv.value).audit for kv in ranges[3].kvs)]
     history = [int(tail(kv.key)) for kv in ranges[2].kvs]
     return Seen(state, mod, head, hosts, history, records, [tail(kv.key) for kv in ranges[4].kvs])
 
@@ -133,7 +133,7 @@
     )
     operations: list[Range | Put | Delete] = [
         Put(keys.state, packed(msgspec.structs.replace(seen.state, revision=revision))),
-        Put(keys.audit(revision), recorded(token, audit)),
+        Put(keys.audit(revision), encode_audit(token, audit)),
         Put(keys.audit_of(change.uid, revision), b""),
     ]
     for number, uid in seen.records:
@@ -144,7 +144,7 @@
         operations.append(Delete(keys.tenant(change.name)))
         operations += [Delete(keys.admin_id(number)) for number in seen.admins[:40]]
         for part in ("history", "admins", "repeats", "blobs"):
-            operations.append(Delete(keys.all(part, change.uid), after(keys.all(part, change.uid))))
+            operations.append(Delete(keys.all(part, change.uid), prefix_end(keys.all(part, change.uid))))
     else:
         created = seen.head.created if seen.head else change.at
         head, _ = head_of(change.name, change.uid, revision, created, change.tenant)
@@ -167,7 +167,7 @@
         if change.repeat is not None:
             key, answer = change.repeat
             kept = packed(Remembered(answer.fingerprint, answer.status, answer.body, answer.etag))
-            if len(kept) > MAX_VALUE:
+            if len(kept) > MAX_VALUE_BYTES:
                 raise StoreFull("the answer is too large to be kept for a repeat: make less at once")
             operations += [Put(keys.repeat(change.uid, key), kept, lease),
                            Put(keys.repeat_id(key), change.uid.encode(), lease)]  # fmt: skip
@@ -193,7 +193,7 @@
     guard = Compare(keys.state, "MOD", "EQUAL", mod) if state else Compare(keys.state, "CREATE", "EQUAL", 0)
     return Txn((guard,), (
         Put(keys.state, packed(msgspec.structs.replace(now, revision=revision))),
-        Put(keys.audit(revision), recorded("", audit)),
+        Put(keys.audit(revision), encode_audit("", audit)),
         Put(keys.audit_of("", revision), b""),
         *adding(keys, (admin,)),
     ))  # fmt: skip
@@ -212,6 +212,6 @@
     if not left:
         return None
     dropped = tuple(
-        Delete(keys.blob(uid, name), after(keys.blob(uid, name))) for name in left[:MAX_OPERATIONS]
+        Delete(keys.blob(uid, name), prefix_end(keys.blob(uid, name))) for name in left[:MAX_OPERATIONS]
     )
     return Txn((Compare(keys.state, "MOD", "EQUAL", mod),), dropped)
--- a/ivymux/desired/etcd/store.py
+++ b/ivymux/desired/etcd/store.py
@@ -15,16 +15,16 @@
 from ivymux.desired.etcd import plan
 from ivymux.desired.etcd.client import Access, Client
 from ivymux.desired.etcd.keys import (
+    GatewayStatus,
     Head,
     Keys,
-    Place,
-    Serves,
     State,
-    after,
-    pieces,
-    read_recorded,
+    TextHeader,
+    decode_audit,
+    join_text,
+    prefix_end,
+    split_text,
     unpacked,
-    whole,
 )
 from ivymux.desired.etcd.wire import (
     Kv,
@@ -117,10 +117,10 @@
 
     def blob(self, name: str, uid: str) -> bytes | None:
         key = self.keys.blob(uid, name)
-        found, _ = self.every(key, after(key))
+        found, _ = self.every(key, prefix_end(key))
         if not found or found[0].key != key:
             return None
-        return whole(unpacked(found[0].value, Place), [kv.value for kv in found[1:]], name)
+        return join_text(unpacked(found[0].value, TextHeader), [kv.value for kv in found[1:]], name)
 
     def stored(self, head: Head) -> StoredTenant | None:
         """A tenant of its head; None where it went meanwhile."""
@@ -144,7 +144,7 @@
 
     def page(self, after_name: str, limit: int) -> list[StoredTenant]:
         begin = self.keys.tenant(after_name) + b"\0" if after_name else self.keys.tenants
-        found = self.range(Range(begin, after(self.keys.tenants), limit))
+        found = self.range(Range(begin, prefix_end(self.keys.tenants), limit))
         heads = [unpacked(kv.value, Head) for kv in found.kvs]
         return [stored for head in heads if (stored := self.stored(head)) is not None]
 
@@ -165,24 +165,24 @@
 
     def admins(self, uid: str) -> list[Admin]:
         begin = self.keys.all("admins", uid or "-")
-        return [unpacked(kv.value, Admin) for kv in self.every(begin, after(begin))[0]]
+        return [unpacked(kv.value, Admin) for kv in self.every(begin, prefix_end(begin))[0]]
 
     def audit(self, uid: str, before: int, limit: int) -> list[AuditRecord]:
         if not uid:
             found = self.range(Range(self.keys.audit(0), self.keys.audit(before), limit, descending=True))
-            return [read_recorded(kv.value).audit for kv in found.kvs]
+            return [decode_audit(kv.value).audit for kv in found.kvs]
         begin, end = self.keys.audit_of(uid, 0), self.keys.audit_of(uid, before)
         listed = self.range(Range(begin, end, limit, descending=True, keys_only=True)).kvs
         numbers = iter([int(plan.tail(kv.key)) for kv in listed])
         records: list[AuditRecord] = []
         while part := list(islice(numbers, 50)):
             answer = self.look_up([Range(self.keys.audit(n)) for n in part])
-            records += [read_recorded(kv.value).audit for found in answer.ranges for kv in found.kvs]
+            records += [decode_audit(kv.value).audit for found in answer.ranges for kv in found.kvs]
         return records
 
     def history(self, uid: str, limit: int) -> list[StoredTenant]:
         begin = self.keys.all("history", uid)
-        found = self.range(Range(begin, after(begin), limit, descending=True)).kvs
+        found = self.range(Range(begin, prefix_end(begin), limit, descending=True)).kvs
         heads = [unpacked(kv.value, Head) for kv in found]
         return [stored for head in heads if (stored := self.stored(head)) is not None]
 
@@ -190,14 +190,14 @@
         """Of front doors that are alive: what one told goes with its lease, by etcd's clock, not by ours."""
         begin = self.keys.all("doors")
         found: dict[bytes, dict[str, Kv]] = {}
-        for kv in self.every(begin, after(begin))[0]:
+        for kv in self.every(begin, prefix_end(begin))[0]:
             door, _, part = kv.key.rpartition(b"/")
             found.setdefault(door, {})[part.decode()] = kv
         made = []
         for parts in found.values():
             if "serves" not in parts or "name" not in parts:
                 continue
-            serves = unpacked(parts["serves"].value, Serves)
+            serves = unpacked(parts["serves"].value, GatewayStatus)
             usage = unpacked(parts["usage"].value, dict[str, dict[str, float]]) if "usage" in parts else {}
             name = parts["name"].value.decode()
             made.append(GatewayReport(name, serves.revision, time.time(), usage, serves.problems))
@@ -219,7 +219,7 @@
                 continue
             if name not in texts:
                 raise StoreError("a text that the tenant names is not there")
-            place, rest = pieces(texts[name])
+            place, rest = split_text(texts[name])
             for turn, part in enumerate(rest, 1):
                 self.put(Put(self.keys.piece(change.uid, name, turn), part))
             # The first key comes last: where it is, all are.
@@ -266,7 +266,7 @@
 
     def is_mine(self, revision: int, token: str) -> bool:
         kv = self.one(self.keys.audit(revision))
-        return kv is not None and read_recorded(kv.value).token == token
+        return kv is not None and decode_audit(kv.value).token == token
 
     def tidy(self, uid: str) -> None:
         """Take a tenant's texts away that none of its states names.  What fails is done the next time."""
@@ -274,8 +274,8 @@
             begin, blobs = self.keys.all("history", uid), self.keys.all("blobs", uid)
             state = self.range(Range(self.keys.state))
             _, mod = plan.read_state(state)
-            kept, _ = self.every(begin, after(begin), at=state.revision)
-            there, _ = self.every(blobs, after(blobs), keys_only=True, at=state.revision)
+            kept, _ = self.every(begin, prefix_end(begin), at=state.revision)
+            there, _ = self.every(blobs, prefix_end(blobs), keys_only=True, at=state.revision)
             listed = [(plan.tail(kv.key), kv.create) for kv in there if kv.key.count(b"/", len(blobs)) == 0]
             heads = [unpacked(kv.value, Head) for kv in kept]
             if (txn := plan.sweep(self.keys, uid, mod, heads, listed)) is not None:
@@ -299,5 +299,5 @@
 
     def heads(self, at: int) -> Iterator[Head]:
         begin = self.keys.all("history")
-        for kv in self.every(begin, after(begin), at=at)[0]:
+        for kv in self.every(begin, prefix_end(begin), at=at)[0]:
             yield unpacked(kv.value, Head)
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -94,13 +94,13 @@
     from ivymux.desired.etcd.wire import Range
 
     key = store.keys.prefix.encode() + below.encode()
-    return Range(key, etcd_keys.after(key))
+    return Range(key, etcd_keys.prefix_end(key))
 
 
 def test_texts_larger_than_a_request_are_put_in_pieces() -> None:
     with stored() as (_, store):
         made, blobs, _ = tenant("a", [1])
-        big = os.urandom(2 * etcd_keys.PIECE + 17)
+        big = os.urandom(2 * etcd_keys.MAX_PIECE_BYTES + 17)
         name = digest(big)
         files = made.routes.files | {"big.json": name}
         from msgspec.structs import replace
@@ -126,7 +126,7 @@
         changes = [{"path": f"/customers/{n}", "after": rng.randbytes(20).hex()} for n in range(30_000)]
         put(store, "a", changes=changes)
         (record, _) = store.audit("", 1 << 60, 9)
-        assert record.who == "me" and len(record.changes) == etcd_keys.FEW_CHANGES + 1
+        assert record.who == "me" and len(record.changes) == etcd_keys.MAX_LISTED_CHANGES + 1
         assert record.changes[-1]["after"].startswith("29800 more")
 
 
@@ -315,7 +315,7 @@
                 key = store.keys.all("blobs", "u-a")
                 from ivymux.desired.etcd.wire import Delete, Txn
 
-                store.transact(Txn((), (Delete(key, etcd_keys.after(key)),)))
+                store.transact(Txn((), (Delete(key, etcd_keys.prefix_end(key)),)))
 
         monkeypatch.setattr(other, "put_texts", late)
         now = other.commit(change("a", old, last, blobs=old_texts))
