--- a/ivymux/cli/tally.py
+++ b/ivymux/cli/tally.py
@@ -25,20 +25,20 @@
 
     from ivymux.cli.serve import log_to_standard_error
     from ivymux.data_plane.limits import ConfigError, parse_address
-    from ivymux.tally.durable import DurableError
+    from ivymux.tally.durable import CounterFileError
 
     log_to_standard_error()
     try:
         if not 1 <= args.names <= 100_000_000:
             raise ConfigError("--names is a number from 1 to 100000000")
         uvloop.run(serve(parse_address(args.listen), args.file, args.names))
-    except (ConfigError, DurableError) as error:
+    except (ConfigError, CounterFileError) as error:
         return fail(error)
     return 0
 
 
 async def serve(listen: Any, file: Path | None, names: int) -> None:
-    """Serve until SIGTERM or SIGINT.  Raises ConfigError, DurableError."""
+    """Serve until SIGTERM or SIGINT.  Raises ConfigError, CounterFileError."""
     from ivymux.data_plane.limits import ConfigError
     from ivymux.tally.durable import DurableStore
     from ivymux.tally.server import TallyServer
@@ -49,7 +49,7 @@
         loop.add_signal_handler(number, ended.set)
     kept = DurableStore(file, names) if file is not None else None
     server = TallyServer(kept, kept.clock) if kept is not None else TallyServer(CounterStore(names))
-    tending = loop.create_task(kept.tend()) if kept is not None else None
+    tending = loop.create_task(kept.maintain()) if kept is not None else None
     try:
         try:
             port = await server.start(listen)
--- a/tests/tally/test_durable.py
+++ b/tests/tally/test_durable.py
@@ -1,4 +1,4 @@
-"""A tally that outlives its process: kills, cut and damaged files, full disks, files written anew."""
+"""The durable counter store: kills, truncated and damaged files, full disks, rewrites of the file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 from ivymux.cli import main
 from ivymux.tally import durable
-from ivymux.tally.durable import DurableError, DurableStore
+from ivymux.tally.durable import CounterFileError, DurableStore
 from ivymux.tally.journal import HEADER, MAGIC, JournalError, encode_header, encode_record, parse_journal
 from tests.sockets import run, until
 
@@ -66,7 +66,7 @@
         assert contents.records < 20
 
 
-def test_counts_go_on_and_end_when_they_would_have(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_totals_and_expiries_survive_a_restart(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     now = [1000.0]
     monkeypatch.setattr(time, "time", lambda: now[0])
     store = DurableStore(tmp_path / "t")
@@ -76,11 +76,11 @@
     incarnation = store.incarnation
     store.close()
     now[0] = 1009.0
-    again = DurableStore(tmp_path / "t")
-    assert again.incarnation == incarnation and again.add(b"a", 1.0, 10.0, again.clock()) == 8.5
-    now[0] = 900.0  # a clock that goes back stands still
-    assert again.clock() == 1009.0
-    again.close()
+    second = DurableStore(tmp_path / "t")
+    assert second.incarnation == incarnation and second.add(b"a", 1.0, 10.0, second.clock()) == 8.5
+    now[0] = 900.0  # the system clock goes back
+    assert second.clock() == 1009.0
+    second.close()
     now[0] = 1010.0
     third = DurableStore(tmp_path / "t")
     assert third.add(b"a", 1.0, 10.0, third.clock()) == 1.0 and third.totals[b"b"] == 1.0
@@ -88,62 +88,60 @@
     assert (tmp_path / "t").stat().st_mode & 0o077 == 0
 
 
-def test_a_file_that_is_no_tallys_is_left_as_it_is(tmp_path: Path) -> None:
+def test_file_in_another_format_is_left_unchanged(tmp_path: Path) -> None:
     for text in (b"somebody's letter\n", MAGIC, encode_header(b"i" * 16)[:-1] + b"\0"):
         (tmp_path / "t").write_bytes(text)
-        with pytest.raises(DurableError, match="name another file"):
+        with pytest.raises(CounterFileError, match="name another file"):
             DurableStore(tmp_path / "t")
         assert (tmp_path / "t").read_bytes() == text
-    with pytest.raises(DurableError):
+    with pytest.raises(CounterFileError):
         DurableStore(tmp_path / "none" / "t")
     assert main(["tally", "--file", str(tmp_path / "t"), "--listen", "127.0.0.1:0"]) == 2
     assert main(["tally", "--listen", "nowhere"]) == 2 and main(["tally", "--names", "0"]) == 2
 
 
-def test_a_full_disk_is_told_once_and_all_is_written_when_there_is_room(
+def test_full_disk_is_logged_once_and_the_file_is_rewritten_when_there_is_space(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(durable, "SYNC", 0.01)
-    monkeypatch.setattr(durable, "LOOK", 0.02)
-    write, full = os.write, [False]
+    monkeypatch.setattr(durable, "SYNC_PERIOD_S", 0.01)
+    monkeypatch.setattr(durable, "SIZE_CHECK_PERIOD_S", 0.02)
+    write, is_full = os.write, [False]
 
-    def writes(handle: int, data: bytes) -> int:
-        if full[0]:
-            write(handle, data[: len(data) // 2])  # a part of it is there before the disk is full
+    def write_unless_full(handle: int, data: bytes) -> int:
+        if is_full[0]:
+            write(handle, data[: len(data) // 2])  # the disk fills up in the middle of the write
             raise OSError(errno.ENOSPC, "No space left on device")
         return write(handle, data)
 
     async def test() -> None:
         store = DurableStore(tmp_path / "t")
-        monkeypatch.setattr(os, "write", writes)
+        monkeypatch.setattr(os, "write", write_unless_full)
         store.add(b"a", 1.0, 60.0, store.clock())
         store.flush()
-        tending = asyncio.ensure_future(store.tend())
-        full[0] = True
+        maintenance = asyncio.ensure_future(store.maintain())
+        is_full[0] = True
         for _ in range(5):
-            assert store.add(b"a", 1.0, 60.0, store.clock()) > 1.0  # it serves on
+            assert store.add(b"a", 1.0, 60.0, store.clock()) > 1.0  # calls are still served
             store.flush()
             await asyncio.sleep(0)
-        assert store.trouble
+        assert store.write_error
         # The file still holds what was written before the disk was full.
         assert parse_journal((tmp_path / "t").read_bytes()).totals[b"a"][0] == 1.0
-        full[0] = False
-        await until(lambda: not store.trouble)
+        is_full[0] = False
+        await until(lambda: not store.write_error)
         store.add(b"b", 7.0, 60.0, store.clock())
         store.flush()
-        tending.cancel()
-        found = parse_journal((tmp_path / "t").read_bytes())
-        assert found.totals[b"a"][0] == 6.0 and found.totals[b"b"][0] == 7.0
+        maintenance.cancel()
+        contents = parse_journal((tmp_path / "t").read_bytes())
+        assert contents.totals[b"a"][0] == 6.0 and contents.totals[b"b"][0] == 7.0
         assert len([r for r in caplog.records if "can't be written" in r.getMessage()]) == 1
         store.close()
 
     run(test())
 
 
-def test_a_file_written_anew_while_calls_go_on_lacks_none(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(durable, "SLICE", 7)
+def test_rewrite_during_calls_loses_no_change(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(durable, "REWRITE_BATCH_NAMES", 7)
 
     async def test() -> None:
         store = DurableStore(tmp_path / "t")
@@ -153,7 +151,8 @@
             store.flush()
         before = store.size
         rewriting = asyncio.ensure_future(store.rewrite())
-        for _ in range(200):  # as many on a slow disk as on a quick one: each is a line of the file
+        # At most 200 calls, as each adds a record: a slow disk must not make the new file larger.
+        for _ in range(200):
             if not rewriting.done():
                 store.add(b"n%d" % rng.randrange(120), 1.0, 60.0, store.clock())
                 store.flush()
@@ -162,44 +161,47 @@
         store.add(b"last", 1.0, 60.0, store.clock())
         totals, size = dict(store.totals), store.size
         store.close()
-        again = DurableStore(tmp_path / "t")
-        assert again.totals == totals and size < before / 5
-        again.close()
+        restored = DurableStore(tmp_path / "t")
+        assert restored.totals == totals and size < before / 5
+        restored.close()
 
     run(test())
 
 
-def tally(file: Path) -> tuple[subprocess.Popen[bytes], int]:
+def start_counter_service(file: Path) -> tuple[subprocess.Popen[bytes], int]:
     child = subprocess.Popen(
         [sys.executable, "-m", "ivymux", "tally", "--listen", "127.0.0.1:0", "--file", str(file)],
         stderr=subprocess.PIPE,
     )
     assert child.stderr is not None
     while not (found := re.search(rb"tally on \S+:(\d+)", line := child.stderr.readline())):
-        assert line, "the tally ended"
+        assert line, "the counter service exited"
     return child, int(found[1])
 
 
-def test_killed_at_any_point_what_was_answered_is_there(tmp_path: Path) -> None:
-    rng, answered = random.Random(4), 0.0
+def test_killed_service_restores_every_total_that_it_replied(tmp_path: Path) -> None:
+    rng, last_total = random.Random(4), 0.0
     incarnations = set()
     for _ in range(8):
-        child, port = tally(tmp_path / "t")
-        with socket.create_connection(("127.0.0.1", port), 10) as line, line.makefile("rb") as answers:
-            line.sendall(b"*1\r\n$11\r\nINCARNATION\r\n")
-            answers.readline()
-            incarnations.add(answers.readline())
-            line.sendall(b"*4\r\n$5\r\nTALLY\r\n$1\r\na\r\n$1\r\n1\r\n$5\r\n60000\r\n" * 500)
+        child, port = start_counter_service(tmp_path / "t")
+        with (
+            socket.create_connection(("127.0.0.1", port), 10) as connection,
+            connection.makefile("rb") as replies,
+        ):
+            connection.sendall(b"*1\r\n$11\r\nINCARNATION\r\n")
+            replies.readline()
+            incarnations.add(replies.readline())
+            connection.sendall(b"*4\r\n$5\r\nTALLY\r\n$1\r\na\r\n$1\r\n1\r\n$5\r\n60000\r\n" * 500)
             for turn in range(rng.randrange(1, 400)):
-                answers.readline()
-                total = float(answers.readline())
-                # All that was answered, and at most what was sent without an answer.
-                assert answered < total <= answered + 500 * 8 + 1 if not turn else total == answered + 1
-                answered = total
+                replies.readline()
+                total = float(replies.readline())
+                # Includes every replied call, and at most the calls that were sent without a reply.
+                assert last_total < total <= last_total + 500 * 8 + 1 if not turn else total == last_total + 1
+                last_total = total
             child.send_signal(signal.SIGKILL)
             child.wait()
     assert len(incarnations) == 1
-    child, _ = tally(tmp_path / "t")
+    child, _ = start_counter_service(tmp_path / "t")
     child.send_signal(signal.SIGTERM)
     assert child.wait(10) == 0
-    assert parse_journal((tmp_path / "t").read_bytes()).totals[b"a"][0] >= answered
+    assert parse_journal((tmp_path / "t").read_bytes()).totals[b"a"][0] >= last_total
