--- a/ivymux/admin/__init__.py
+++ b/ivymux/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API: on a listener and in a process of its own, never the data plane's."""
+"""The administration API for tenants, with its own process and listener, separate from the data plane."""
--- a/ivymux/admin/authorization.py
+++ b/ivymux/admin/authorization.py
@@ -1,4 +1,4 @@
-"""Who may do what at the administration API, and how often.  Pure; seconds are passed in."""
+"""Roles, preconditions and rate limits of the administration API.  Pure; times are passed in, in seconds."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MAX_KNOWN = 4096  # callers that are told apart
-RATE, BURST = 20.0, 60.0  # calls a second of one key, or of one address without one
-FAILED_COST = 10.0  # calls that a wrong key counts as
-OPERATORS = frozenset(("hosts", "limits", "suspended"))  # parts that only an operator changes
-ELSEWHERE = frozenset(("keys", "routes", "inventory"))  # that have resources of their own
+MAX_CALLERS = 4096  # with a token bucket of their own
+CALLS_PER_S, BURST_CALLS = 20.0, 60.0  # of one key, and of one client address
+FAILED_CALL_COST = 10.0  # in calls, of a call without a valid key
+OPERATOR_PARTS = frozenset(("hosts", "limits", "suspended"))  # parts that only an operator may change
+SEPARATE_PARTS = frozenset(("keys", "routes", "inventory"))  # parts with resources of their own
 
 
 class ApiError(Exception):
-    """A call that is answered with a problem (RFC 9457)."""
+    """An error that is answered with problem details (RFC 9457)."""
 
     def __init__(self, status: int, detail: str, headers: dict[str, str] | None = None, **more: Any) -> None:
         self.status, self.detail, self.headers, self.more = status, detail, headers or {}, more
@@ -23,37 +23,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Principal:
-    """Whose key a call came with.  An operator has no tenant's uid."""
+    """The owner of a call's key; `uid` is the tenant's, or empty for an operator."""
 
     id: str
     name: str
     uid: str
 
     @property
-    def operator(self) -> bool:
+    def is_operator(self) -> bool:
         return not self.uid
 
     def may_see(self, uid: str) -> bool:
-        return self.operator or self.uid == uid
+        return self.is_operator or self.uid == uid
 
 
-def patchable(principal: Principal, patch: object) -> dict[str, Any]:
-    """A merge patch of a tenant that a principal may make.  Raises ApiError."""
+def checked_patch(principal: Principal, patch: object) -> dict[str, Any]:
+    """Return a merge patch of a tenant if the principal may apply it.  Raises ApiError."""
     if not isinstance(patch, dict):
         raise ApiError(422, "a merge patch is a JSON object")
-    if wrong := sorted(ELSEWHERE & patch.keys()):
-        raise ApiError(422, f"{wrong[0]} has a resource of its own: change it there")
-    if not principal.operator and (wrong := sorted(OPERATORS & patch.keys())):
-        raise ApiError(403, f"only an operator changes {wrong[0]}")
+    if forbidden := sorted(SEPARATE_PARTS & patch.keys()):
+        raise ApiError(422, f"{forbidden[0]} has a resource of its own: change it there")
+    if not principal.is_operator and (forbidden := sorted(OPERATOR_PARTS & patch.keys())):
+        raise ApiError(403, f"only an operator changes {forbidden[0]}")
     return patch
 
 
-def tag(revision: int) -> str:
+def etag_of(revision: int) -> str:
+    """Return a revision as an entity tag."""
     return f'"{revision}"'
 
 
-def expected(if_match: str | None) -> int:
-    """The revision that an If-Match names.  Raises ApiError: 428 without one (RFC 6585, 3)."""
+def parse_if_match(if_match: str | None) -> int:
+    """Return the revision of an If-Match field.  Raises ApiError, with 428 if it is missing (RFC 6585, 3)."""
     if if_match is None:
         raise ApiError(428, "send If-Match with the ETag of what you have seen")
     text = if_match.strip()
@@ -64,17 +65,17 @@
 
 
 @dataclass(slots=True)
-class Pace:
-    """How often each caller calls; those that were not heard of for longest are forgotten first."""
-
-    known: OrderedDict[str, tuple[float, float]] = field(default_factory=OrderedDict)
-
-    def ask(self, who: str, now: float, cost: float = 1.0) -> float:
-        """0 where a call may go on, else the seconds until it may."""
-        level, at = self.known.pop(who, (BURST, now))
-        level = min(BURST, level + max(0.0, now - at) * RATE)
-        wait = 0.0 if level >= 1 else (1 - level) / RATE
-        self.known[who] = (level - cost if not wait else level), max(at, now)
-        if len(self.known) > MAX_KNOWN:
-            self.known.popitem(last=False)
-        return wait
+class RateLimiter:
+    """A token bucket for each caller; the least recently used ones are evicted."""
+
+    buckets: OrderedDict[str, tuple[float, float]] = field(default_factory=OrderedDict)  # tokens, refilled at
+
+    def consume(self, caller: str, now: float, cost: float = 1.0) -> float:
+        """Use tokens for a call and return 0, or return the seconds until a call is allowed."""
+        tokens, refilled_at = self.buckets.pop(caller, (BURST_CALLS, now))
+        tokens = min(BURST_CALLS, tokens + max(0.0, now - refilled_at) * CALLS_PER_S)
+        wait_s = 0.0 if tokens >= 1 else (1 - tokens) / CALLS_PER_S
+        self.buckets[caller] = (tokens - cost if not wait_s else tokens), max(refilled_at, now)
+        if len(self.buckets) > MAX_CALLERS:
+            self.buckets.popitem(last=False)
+        return wait_s
--- a/tests/admin/calling.py
+++ b/tests/admin/calling.py
@@ -1,4 +1,4 @@
-"""The administration API without a socket, and who calls it."""
+"""The administration API without a socket, and a client for its calls."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass
 class Caller:
-    """One key."""
+    """A client with one key."""
 
     client: httpx.AsyncClient
     key: str
@@ -51,18 +51,18 @@
         return await self.client.request(method, path, content=data, headers=headers)
 
     async def change(self, method: str, path: str, body: Any = None, **more: str) -> httpx.Response:
-        """A change of what the tenant is now."""
+        """Change a tenant with the entity tag of its current state."""
         tenant = "/".join(path.split("/")[:4])
         seen = await self.call("GET", tenant)
         return await self.call(method, path, body, seen.headers.get("etag", '"0"'), **more)
 
     async def make(self, name: str) -> httpx.Response:
-        """A whole tenant."""
-        made = await self.call("POST", "/v1/tenants", {
+        """Create a complete tenant."""
+        created = await self.call("POST", "/v1/tenants", {
             "name": name, "hosts": [f"{name}.example"], "plans": {"p": {"rate": 10.0, "burst": 10.0}},
             "customers": {"c": {"plan": "p"}},
         })  # fmt: skip
-        assert made.status_code == 201, made.text
+        assert created.status_code == 201, created.text
         for part, body in (("routes", ROUTES), ("inventory", {"form": "csv", "text": SHEET})):
             put = await self.change("PUT", f"/v1/tenants/{name}/{part}", body)
             assert put.status_code == 200, put.text
@@ -76,7 +76,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(folder: Path) -> AsyncIterator[tuple[Caller, SqliteStore]]:
-    """An operator's calls, and the store below."""
+    """Serve the API over SQLite; yield an operator's client and the store."""
     store = SqliteStore(folder / "desired.db", busy=0.2)
     async with calling(store) as caller:
         yield caller, store
@@ -85,8 +85,9 @@
 
 @contextlib.asynccontextmanager
 async def calling(store: Store, address_rules: AddressRules = ANY_ADDRESS) -> AsyncIterator[Caller]:
-    number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
-    store.add_operator(Admin(number, "olga", "", kept), time.time())
+    """Serve the API over a store; yield an operator's client."""
+    key_id, key, stored = secret.create_key(secret.ADMIN_PREFIX, time.time())
+    store.add_operator(Admin(key_id, "olga", "", stored), time.time())
     transport = httpx.ASGITransport(application(store, address_rules), raise_app_exceptions=False)
     async with httpx.AsyncClient(transport=transport, base_url="http://admin.example", timeout=30) as client:
         yield Caller(client, key)
--- a/tests/admin/test_etcd.py
+++ b/tests/admin/test_etcd.py
@@ -20,13 +20,13 @@
 
 
 @pytest.fixture(autouse=True)
-def fast(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(authorization, "RATE", 1e6)
-    monkeypatch.setattr(authorization, "BURST", 1e6)
+def without_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(authorization, "CALLS_PER_S", 1e6)
+    monkeypatch.setattr(authorization, "BURST_CALLS", 1e6)
 
 
 @contextlib.asynccontextmanager
-async def scene(timeout: float = 2.0) -> AsyncIterator[tuple[Caller, Server, EtcdStore]]:
+async def api_over_etcd(timeout: float = 2.0) -> AsyncIterator[tuple[Caller, Server, EtcdStore]]:
     with serving() as server:
         store = EtcdStore(access(server, timeout=timeout))
         async with calling(store) as caller:
@@ -34,9 +34,9 @@
         store.close()
 
 
-def test_a_tenants_life() -> None:
+def test_a_tenant_is_created_changed_read_and_deleted() -> None:
     async def test() -> None:
-        async with scene() as (olga, _server, store):
+        async with api_over_etcd() as (olga, _server, store):
             await olga.make("a")
             got = await olga.call("GET", T)
             etag = got.headers["etag"]
@@ -66,12 +66,12 @@
     run(test())
 
 
-def test_trouble_is_told_and_a_repeat_makes_nothing_twice() -> None:
+def test_errors_of_etcd_are_answered_and_a_repeated_creation_creates_one_key() -> None:
     async def test() -> None:
-        async with scene(timeout=0.3) as (olga, server, _store):
+        async with api_over_etcd(timeout=0.3) as (olga, server, _store):
             await olga.make("a")
             faults = server.etcd.faults
-            faults.unanswered = 1  # the key is made, and etcd's answer lost
+            faults.unanswered = 1  # the key is created, but etcd's answer is lost
             body = {"customer": "c"}
             first = await olga.call("POST", f"{T}/keys", body, Idempotency_Key="same")
             assert first.status_code == 201
@@ -89,7 +89,7 @@
             faults.full = False
             got = await olga.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})
             assert got.status_code == 200
-            server.on_loop(server.etcd.reset)  # begun anew without its data
+            server.on_loop(server.etcd.reset)  # an empty etcd
             got = await olga.call("GET", T)
             assert got.status_code in (401, 503)
             made: Any = await olga.call("POST", "/v1/tenants", {"name": "z"})
@@ -98,21 +98,21 @@
     run(test())
 
 
-def test_two_apis_over_one_etcd_lose_no_field() -> None:
+def test_concurrent_changes_of_two_apis_over_one_etcd_keep_all_fields() -> None:
     async def test() -> None:
-        async with scene() as (olga, server, _store):
+        async with api_over_etcd() as (olga, server, _store):
             await olga.make("a")
             other = EtcdStore(access(server))
             async with calling(other) as ann:
 
-                async def adding(who: Caller, names: list[str]) -> None:
+                async def add_customers(caller: Caller, names: list[str]) -> None:
                     for name in names:
                         patch = {"customers": {name: {"plan": "p"}}}
-                        while (await who.change("PATCH", T, patch)).status_code == 412:
+                        while (await caller.change("PATCH", T, patch)).status_code == 412:
                             await asyncio.sleep(0)
 
                 first, second = [f"o{n}" for n in range(15)], [f"a{n}" for n in range(15)]
-                await asyncio.gather(adding(olga, first), adding(ann, second))
+                await asyncio.gather(add_customers(olga, first), add_customers(ann, second))
                 final = (await olga.call("GET", T)).json()["customers"]
                 assert set(final) == {"c", *first, *second}
             other.close()
@@ -120,11 +120,11 @@
     run(test())
 
 
-def test_a_tenants_administrators_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_a_tenants_administrators_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operations, "MAX_ADMINS", 2)
 
     async def test() -> None:
-        async with scene() as (olga, _, _store):
+        async with api_over_etcd() as (olga, _, _store):
             await olga.make("a")
             for _ in range(2):
                 await olga.administrator("a")
--- a/tests/admin/test_schemathesis.py
+++ b/tests/admin/test_schemathesis.py
@@ -1,4 +1,4 @@
-"""The API against its own description: no answer that is not declared, and no failure of its own."""
+"""The API against its OpenAPI document: it gives only declared answers and no server errors."""
 
 from __future__ import annotations
 
@@ -26,13 +26,14 @@
 from tests.tenants.making import tenant
 
 TURNS = count()
-STATUSES: set[int] = set()  # that were seen: the test means little without answers of all kinds
+STATUSES: set[int] = set()  # seen so far; the test is only meaningful with answers of all kinds
 
 
 @pytest.fixture(scope="module")
-def drawn_alike() -> Iterator[None]:
-    """Draws that are the same whatever else was loaded: hypothesis mixes in constants of all modules that are
-    there, which follow from the tests that this process has had before.
+def reproducible_draws() -> Iterator[None]:
+    """Make the draws independent of the loaded modules.
+
+    Hypothesis draws constants from all modules that the process has loaded, which depends on earlier tests.
     """
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(providers, "_get_local_constants", Constants)
@@ -41,10 +42,10 @@
 
 
 @pytest.fixture(scope="module")
-def api(drawn_alike: None, tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[str, str]]:
-    """A served API with one tenant `a`; its address and an operator's key."""
-    before = authorization.RATE, authorization.BURST
-    authorization.RATE = authorization.BURST = 1e6
+def api(reproducible_draws: None, tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[str, str]]:
+    """Serve the API with one tenant `a`; yield its address and an operator's key."""
+    before = authorization.CALLS_PER_S, authorization.BURST_CALLS
+    authorization.CALLS_PER_S = authorization.BURST_CALLS = 1e6
     store = SqliteStore(tmp_path_factory.mktemp("api") / "desired.db")
     number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
     store.add_operator(Admin(number, "olga", "", kept), time.time())
@@ -58,12 +59,12 @@
         time.sleep(0.01)
     port = server.servers[0].sockets[0].getsockname()[1]
     yield f"http://127.0.0.1:{port}", key
-    # Here and not in a test of its own, which another process might run that has seen none of them.
+    # Checked here because a separate test might run in another process, without these answers.
     assert {200, 201, 204, 400, 404, 412, 422} <= STATUSES, STATUSES
     server.should_exit = True
     thread.join()
     store.close()
-    authorization.RATE, authorization.BURST = before
+    authorization.CALLS_PER_S, authorization.BURST_CALLS = before
 
 
 @pytest.fixture
