--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -83,7 +83,7 @@
             await door.inventory.look()
             await door.inventory.look()
             times.append(time.perf_counter() - began)
-            assert len(door.roster.known) == SIZE
+            assert len(door.member_list.members) == SIZE
         grown = resident() - before
     finally:
         await door.close()
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -18,7 +18,7 @@
 from ivymux.hosting.host_lookups import HostLookups
 from ivymux.hosting.tenant_counters import SharedCounter, TenantCounter
 from ivymux.inventory.model import Inventory
-from ivymux.membership.member_list import SLICE, Roster, worker_number
+from ivymux.membership.member_list import MAX_ENTRIES_PER_EVENT, MemberList, worker_number
 from ivymux.membership.resolver import Resolver, is_address, system
 from ivymux.routes.classes import ClassTable, TooManyClasses
 from ivymux.routes.model import Compiled
@@ -101,7 +101,7 @@
         self.generation: Generation | None = None
         self.former_generations: list[Generation] = []
         self.local_counts = CounterStore(MAX_COUNTER_NAMES)
-        self.roster = Roster()
+        self.member_list = MemberList()
         lookups = gateway_settings.host_lookups
         look_up = lookups.for_tenant() if lookups is not None else system
         self.resolver = Resolver(look_up)
@@ -136,9 +136,9 @@
         for _ in table.build():
             await asyncio.sleep(0)  # lets requests run between the steps
         if not is_new and self.inventory == inventory:
-            roster, addresses = self.roster, {}
+            member_list, addresses = self.member_list, {}
         else:
-            roster = Roster() if is_new else self.roster
+            member_list = MemberList() if is_new else self.member_list
             addresses = await self.resolve_addresses(inventory)
         plans = {plan.name: number for number, plan in enumerate(site.plans)}
         callers = TenantCallers(callers_of(tenant, plans), time.time)
@@ -146,7 +146,7 @@
         if len(numbers) < len(inventory.workers):
             raise UnservableState("two of its workers have one number: rename one")
         if is_new:
-            await self.add_initial_workers(generation, roster, inventory, addresses)
+            await self.add_initial_workers(generation, member_list, inventory, addresses)
         # No await from here until the state is complete: a request sees either the old state or the new one.
         try:
             table.enter()
@@ -158,7 +158,7 @@
         if self.generation is not None and self.generation is not generation:
             self.former_generations.append(self.generation)
         has_new_workers = not is_new and self.inventory != inventory
-        self.generation, self.roster, self.inventory = generation, roster, inventory
+        self.generation, self.member_list, self.inventory = generation, member_list, inventory
         self.callers = callers
         common = self.gateway_settings
         frontend = HttpFrontend(
@@ -233,14 +233,16 @@
         async with self.members_lock:
             if generation is not self.generation:
                 return  # its successor was built with its own list
-            for members, new_addresses in self.roster.change(self.inventory.workers, addresses, time.time()):
+            for members, new_addresses in self.member_list.change(
+                self.inventory.workers, addresses, time.time()
+            ):
                 generation.host.update_members(members, new_addresses)
                 await asyncio.sleep(0)
 
     async def add_initial_workers(
         self,
         generation: Generation,
-        roster: Roster,
+        member_list: MemberList,
         inventory: Inventory,
         addresses: Mapping[str, Address],
     ) -> None:
@@ -248,8 +250,8 @@
 
         The workers count as warm: a new module says nothing about when they started.
         """
-        for workers in (inventory.workers[:SLICE], inventory.workers):
-            for members, new_addresses in roster.change(workers, addresses, time.time(), cold=False):
+        for workers in (inventory.workers[:MAX_ENTRIES_PER_EVENT], inventory.workers):
+            for members, new_addresses in member_list.change(workers, addresses, time.time(), cold=False):
                 generation.host.update_members(members, new_addresses)
                 await asyncio.sleep(0)
 
--- a/ivymux/membership/member_list.py
+++ b/ivymux/membership/member_list.py
@@ -1,4 +1,4 @@
-"""From lists of workers to the module's membership events.  Pure: time is passed in (Unix seconds)."""
+"""Turns inventories into the decision module's membership events.  Pure: time is passed in (Unix seconds)."""
 
 from __future__ import annotations
 
@@ -11,92 +11,96 @@
 from ivymux.inventory.model import Worker
 from orchidhill import interface as i
 
-SLICE = 64  # workers in one event: a large list must not hold up requests
-Step = tuple[i.Members, dict[int, Address]]
+MAX_ENTRIES_PER_EVENT = 64  # in all events but the first, so that a large list does not delay requests
+MembershipEvent = tuple[i.Members, dict[int, Address]]  # with the addresses of the entries, by number
 
 
-class RosterError(ValueError):
-    """Workers that the module could not tell apart."""
+class MemberListError(ValueError):
+    """Two workers have the same number, so that the decision module could not tell them apart."""
 
 
 @lru_cache(maxsize=1 << 17)
 def worker_number(name: str) -> int:
-    """The module's number of a worker, the same at every front door."""
+    """Return the decision module's number of a worker: a hash of its name, equal in every gateway."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 @dataclass(slots=True)
-class Known:
+class Member:
     worker: Worker
     address: Address
-    since: float  # when it joined or moved, 0 for at the start
+    since: float  # when it joined or changed its address; 0 if it was listed when the gateway started
 
 
 @dataclass(slots=True)
-class Roster:
-    """The workers that the module was told of, and since when."""
+class MemberList:
+    """The workers that the decision module knows, and since when."""
 
-    known: dict[int, Known] = field(default_factory=dict)
-    rooms: dict[str, int] = field(default_factory=dict)  # a room keeps its number when others come and go
-    kinds: dict[str, int] = field(default_factory=dict)
+    members: dict[int, Member] = field(default_factory=dict)
+    # Rooms and kinds by name.  Each keeps its number when others are added or removed.
+    room_numbers: dict[str, int] = field(default_factory=dict)
+    kind_numbers: dict[str, int] = field(default_factory=dict)
     version: int = 0
 
     def change(
         self, workers: tuple[Worker, ...], addresses: Mapping[str, Address], now: float, cold: bool = True
-    ) -> Iterator[Step]:
-        """The events that lead to a list, those that leave first.  Raises RosterError, changing nothing.
+    ) -> Iterator[MembershipEvent]:
+        """Return the events that lead to the list `workers`, removals first.
 
-        `addresses` by name; a worker without one is not known yet and comes later, one that was known
-        keeps its last.  A worker at another address is another process: it begins cold.  `cold` false:
-        at the start of a front door nothing says that workers have just begun.
+        `addresses` has the workers' addresses by name.  A worker without one is added once it has one;
+        a member without one keeps its last address.  A worker whose address changes is a new process, so
+        it starts cold.  `cold` is false when a gateway starts: its workers may have run for long.
+
+        Raises MemberListError, without a change, if two workers have the same number.
         """
         wanted: dict[int, Worker] = {}
         for worker in workers:
             number = worker_number(worker.name)
             if number in wanted:
                 other = wanted[number].name
-                raise RosterError(f"{worker.name!r} has the number of {other!r}: rename it")
+                raise MemberListError(f"{worker.name!r} has the number of {other!r}: rename it")
             if worker.state != "out":
                 wanted[number] = worker
-        return self.steps(wanted, addresses, now, cold)
+        return self.generate_events(wanted, addresses, now, cold)
 
-    def steps(
+    def generate_events(
         self, wanted: dict[int, Worker], addresses: Mapping[str, Address], now: float, cold: bool
-    ) -> Iterator[Step]:
-        first = not self.version
-        listed: list[tuple[i.Entry, Address]] = []  # not yet yielded: a large list is looked at bit by bit
-        for number in [n for n in self.known if n not in wanted]:
-            known = self.known.pop(number)
-            listed.append((self.entry(number, known, i.State.GONE), known.address))
-            if len(listed) == SLICE:
-                yield self.event(i.Listing.DELTA, listed)
-                listed = []
+    ) -> Iterator[MembershipEvent]:
+        is_initial = not self.version
+        # Entries of the next event.  Full events are yielded at once, so a large list is processed in parts.
+        pending: list[tuple[i.Entry, Address]] = []
+        for number in [n for n in self.members if n not in wanted]:
+            removed = self.members.pop(number)
+            pending.append((self.build_entry(number, removed, i.State.GONE), removed.address))
+            if len(pending) == MAX_ENTRIES_PER_EVENT:
+                yield self.build_event(i.Listing.DELTA, pending)
+                pending = []
         for number, worker in wanted.items():
-            before = self.known.get(number)
-            address = addresses.get(worker.name) or (before.address if before else None)
+            previous = self.members.get(number)
+            address = addresses.get(worker.name) or (previous.address if previous else None)
             if address is None:
                 continue
-            stayed = before is not None and before.address == address
-            since = before.since if before is not None and stayed else now if cold else 0.0
-            known = Known(worker, address, since)
-            if before is not None and (before.worker, before.address) == (worker, address):
+            is_same_process = previous is not None and previous.address == address
+            since = previous.since if previous is not None and is_same_process else now if cold else 0.0
+            member = Member(worker, address, since)
+            if previous is not None and (previous.worker, previous.address) == (worker, address):
                 continue
-            self.known[number] = known
+            self.members[number] = member
             state = i.State.DRAINING if worker.state == "draining" else i.State.READY
-            listed.append((self.entry(number, known, state), address))
-            if len(listed) == SLICE and not first:
-                yield self.event(i.Listing.DELTA, listed)
-                listed = []
-        if listed or first:
-            yield self.event(i.Listing.FULL if first else i.Listing.DELTA, listed)
-
-    def event(self, listing: i.Listing, listed: list[tuple[i.Entry, Address]]) -> Step:
+            pending.append((self.build_entry(number, member, state), address))
+            if len(pending) == MAX_ENTRIES_PER_EVENT and not is_initial:
+                yield self.build_event(i.Listing.DELTA, pending)
+                pending = []
+        if pending or is_initial:
+            yield self.build_event(i.Listing.FULL if is_initial else i.Listing.DELTA, pending)
+
+    def build_event(self, listing: i.Listing, pending: list[tuple[i.Entry, Address]]) -> MembershipEvent:
         self.version += 1
-        entries = tuple(entry for entry, _ in listed)
-        return i.Members(listing, self.version, entries), {e.backend: a for e, a in listed}
-
-    def entry(self, number: int, known: Known, state: i.State) -> i.Entry:
-        worker = known.worker
-        room = self.rooms.setdefault(worker.room, len(self.rooms))
-        kind = self.kinds.setdefault(worker.kind, len(self.kinds))
-        return i.Entry(number, room, known.since, state, kind, worker.bay, worker.weight)
+        entries = tuple(entry for entry, _ in pending)
+        return i.Members(listing, self.version, entries), {e.backend: a for e, a in pending}
+
+    def build_entry(self, number: int, member: Member, state: i.State) -> i.Entry:
+        worker = member.worker
+        room = self.room_numbers.setdefault(worker.room, len(self.room_numbers))
+        kind = self.kind_numbers.setdefault(worker.kind, len(self.kind_numbers))
+        return i.Entry(number, room, member.since, state, kind, worker.bay, worker.weight)
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -18,7 +18,7 @@
 from ivymux.data_plane.upstream import Upstream
 from ivymux.inventory.file_stability import Settle
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.membership.member_list import Roster, RosterError
+from ivymux.membership.member_list import MemberList, MemberListError
 from ivymux.membership.resolver import Resolver, is_address
 from ivymux.membership.snapshot_store import Keeper
 from ivymux.membership.source import InventorySource, NoInventory
@@ -110,7 +110,7 @@
             limits.body_kb * 1024, unread, tuple(file.trusted_proxies), self.ready, self.make_id,
         )  # fmt: skip
         self.server = Server(self.frontend, site.listen, bounds, self.host)
-        self.roster, self.resolver = Roster(), Resolver()
+        self.member_list, self.resolver = MemberList(), Resolver()
         self.workers: tuple[Worker, ...] = ()  # as last told
         self.placing = asyncio.Lock()
         self.inventory: InventorySource | None = None
@@ -127,10 +127,10 @@
         return f"{self.random.getrandbits(64):016x}"
 
     async def apply(self, workers: tuple[Worker, ...], cold: bool = True) -> None:
-        """Go over to a list of workers, bit by bit.  Raises RosterError, changing nothing."""
+        """Go over to a list of workers, bit by bit.  Raises MemberListError, changing nothing."""
         async with self.placing:
             addresses = await self.resolver.resolve(workers)
-            for members, places in self.roster.change(workers, addresses, time.time(), cold):
+            for members, places in self.member_list.change(workers, addresses, time.time(), cold):
                 self.host.update_members(members, places)
                 await asyncio.sleep(0)  # requests go between
             self.workers = workers
@@ -148,13 +148,13 @@
                 ((self.site.listen.host, self.site.listen.port),), Settle(part.settle),
             )  # fmt: skip
             await self.inventory.start()
-        except (RosterError, NoInventory) as error:
+        except (MemberListError, NoInventory) as error:
             raise ConfigError(str(error)) from None
 
     async def apply_inventory(self, inventory: Inventory) -> None:
         try:
-            await self.apply(inventory.workers, cold=self.roster.version > 0)
-        except RosterError as error:
+            await self.apply(inventory.workers, cold=self.member_list.version > 0)
+        except MemberListError as error:
             log.error("inventory: the list stays as it was: %s", error)
 
     async def follow_names(self) -> None:
@@ -265,7 +265,7 @@
         try:
             if site.file.inventory is None:
                 await self.apply(site.workers)
-        except RosterError as error:
+        except MemberListError as error:
             log.error("the site stays as it was: %s", error)
             return
         self.site = site
--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -119,14 +119,14 @@
             code, out = await ask("--dry-run")
             assert code == 0 and "1 removed" in out and list_.read_text() == damage.SHEET
             code, out = await ask()
-            assert code == 0 and "taken as list 2" in out and len(door.roster.known) == 11
+            assert code == 0 and "taken as list 2" in out and len(door.member_list.members) == 11
             new.write_text(sheet(4))
             code, out = await ask()
             assert code == 1 and "held back" in out and list_.read_text() == sheet(11)
             confirmation = out.rpartition("--confirm ")[2].strip()
-            assert (await ask("--confirm", "0" * 24))[0] == 1 and len(door.roster.known) == 11
+            assert (await ask("--confirm", "0" * 24))[0] == 1 and len(door.member_list.members) == 11
             code, out = await ask("--confirm", confirmation)
-            assert code == 0 and "taken as list 3" in out and len(door.roster.known) == 4
+            assert code == 0 and "taken as list 3" in out and len(door.member_list.members) == 4
         finally:
             await door.close()
         # What no front door takes is told, and stands there for its next start.
--- a/tests/membership/test_keeping.py
+++ b/tests/membership/test_keeping.py
@@ -1,4 +1,4 @@
-"""Snapshots survive kills, full disks and damage; the roster tells the module; names keep their answers."""
+"""Tests of the snapshot store, file reading, the member list and the resolver."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import FilesError, read, stamp
-from ivymux.membership.member_list import SLICE, Roster, worker_number
+from ivymux.membership.member_list import MAX_ENTRIES_PER_EVENT, MemberList, worker_number
 from ivymux.membership.resolver import Resolver
 from ivymux.membership.snapshot_store import HISTORY, Keeper
 from orchidhill import interface as i
@@ -151,45 +151,48 @@
         read(link)
 
 
-# --- the roster --------------------------------------------------------------------------------------
+# --- member list -------------------------------------------------------------------------------------
 
 
 def addresses(*workers: Worker) -> dict[str, Address]:
     return {w.name: Address(w.host, w.port) for w in workers}
 
 
-def events(roster: Roster, *workers: Worker, now: float = 50.0, cold: bool = True) -> list[i.Members]:
-    return [members for members, _ in roster.change(workers, addresses(*workers), now, cold)]
+def events(
+    member_list: MemberList, *workers: Worker, now: float = 50.0, cold: bool = True
+) -> list[i.Members]:
+    return [members for members, _ in member_list.change(workers, addresses(*workers), now, cold)]
 
 
-def test_new_and_moved_workers_are_cold_and_removed_ones_gone() -> None:
+def test_new_and_moved_workers_start_cold_and_removed_ones_are_gone() -> None:
     a, b, c = (Worker(n, "10.0.0.1", p, "r") for n, p in (("a", 1), ("b", 2), ("c", 3)))
-    roster = Roster()
-    (first,) = events(roster, a, b, cold=False)
+    member_list = MemberList()
+    (first,) = events(member_list, a, b, cold=False)
     assert first.listing is i.Listing.FULL and {e.started for e in first.entries} == {0.0}
-    assert events(roster, a, b) == []
-    (second,) = events(roster, a, c, now=60.0)
+    assert events(member_list, a, b) == []
+    (second,) = events(member_list, a, c, now=60.0)
     states = {e.backend: (e.state, e.started) for e in second.entries}
     assert states == {worker_number("b"): (i.State.GONE, 0.0), worker_number("c"): (i.State.READY, 60.0)}
-    assert second.entries[0].state is i.State.GONE  # who leaves comes first
+    assert second.entries[0].state is i.State.GONE  # removals come first
     moved = Worker("a", "10.0.0.1", 9, "r")
-    (third,) = events(roster, moved, c, now=70.0)
+    (third,) = events(member_list, moved, c, now=70.0)
     assert [(e.backend, e.started) for e in third.entries] == [(worker_number("a"), 70.0)]
     draining = Worker("c", "10.0.0.1", 3, "r", state="draining")
-    (fourth,) = events(roster, moved, draining, now=80.0)
+    (fourth,) = events(member_list, moved, draining, now=80.0)
     assert [(e.state, e.started) for e in fourth.entries] == [(i.State.DRAINING, 60.0)]
     out = Worker("c", "10.0.0.1", 3, "r", state="out")
-    (fifth,) = events(roster, moved, out, now=90.0)
+    (fifth,) = events(member_list, moved, out, now=90.0)
     assert [e.state for e in fifth.entries] == [i.State.GONE]
 
 
-def test_a_large_list_comes_in_slices() -> None:
+def test_a_large_list_is_split_into_events_of_bounded_size() -> None:
     workers = [Worker(f"w{n}", "10.0.0.1", 1 + n) for n in range(1000)]
-    roster = Roster()
-    events(roster, workers[0])
-    made = events(roster, *workers)
-    assert len(made) == -(-999 // SLICE) and sum(len(m.entries) for m in made) == 999
-    assert [m.version for m in made] == sorted({m.version for m in made})
+    member_list = MemberList()
+    events(member_list, workers[0])
+    changes = events(member_list, *workers)
+    assert len(changes) == -(-999 // MAX_ENTRIES_PER_EVENT)
+    assert sum(len(change.entries) for change in changes) == 999
+    assert [change.version for change in changes] == sorted({change.version for change in changes})
 
 
 FLEETS = st.lists(
@@ -199,21 +202,21 @@
 
 
 @given(FLEETS)
-def test_the_events_lead_to_the_list(fleets: list[dict[str, tuple[int, bool]]]) -> None:
-    roster, listed_now = Roster(), dict[int, tuple[int, i.State]]()
+def test_applying_the_events_in_order_gives_the_list(fleets: list[dict[str, tuple[int, bool]]]) -> None:
+    member_list, listed_now = MemberList(), dict[int, tuple[int, i.State]]()
     for turn, fleet in enumerate(fleets):
         workers = tuple(
             Worker(name, "10.0.0.1", port, state="draining" if drains else "ready")
             for name, (port, drains) in fleet.items()
         )
-        for members, places in roster.change(workers, addresses(*workers), float(turn)):
+        for members, new_addresses in member_list.change(workers, addresses(*workers), float(turn)):
             if members.listing is i.Listing.FULL:
                 listed_now = {}
             for entry in members.entries:
                 if entry.state is i.State.GONE:
                     listed_now.pop(entry.backend, None)
                 else:
-                    listed_now[entry.backend] = places[entry.backend].port, entry.state
+                    listed_now[entry.backend] = new_addresses[entry.backend].port, entry.state
         wanted = {
             worker_number(n): (p, i.State.DRAINING if drains else i.State.READY)
             for n, (p, drains) in fleet.items()
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -66,7 +66,7 @@
         await self.source.look()
 
     def routing(self) -> object:
-        known = self.door.roster.known
+        known = self.door.member_list.members
         return {number: (k.worker, k.address) for number, k in known.items()}, set(
             self.door.host.upstream.pools
         )
@@ -324,7 +324,7 @@
     async def test() -> None:
         async with scene(tmp_path) as s:
             await s.look()
-            assert {k.worker.weight for k in s.door.roster.known.values()} == {2.0}
+            assert {k.worker.weight for k in s.door.member_list.members.values()} == {2.0}
 
     run(test())
 
@@ -464,11 +464,11 @@
             await s.look()
             assert s.source.pending is not None  # the whole fleet drains: held back as well
             assert await s.source.confirm(s.source.pending.done.confirmation)
-            assert {k.worker.state for k in s.door.roster.known.values()} == {"draining"}
+            assert {k.worker.state for k in s.door.member_list.members.values()} == {"draining"}
             (folder / "bay_1.yml").write_text("weight: 2\n")
             await s.look()
             before = s.routing()
-            assert {k.worker.weight for k in s.door.roster.known.values()} == {2.0}
+            assert {k.worker.weight for k in s.door.member_list.members.values()} == {2.0}
             lose(folder)
             await s.look()
             assert s.routing() == before and "as when a mount is lost" in caplog.text
@@ -567,7 +567,7 @@
 
             def watched(backend: int, payload: bytes, *rest: Any) -> Any:
                 name = payload.partition(b"\r\nrequest-id: ")[2].partition(b"\r\n")[0].decode()
-                meant[name, s.door.roster.known[backend].address.port] += 1
+                meant[name, s.door.member_list.members[backend].address.port] += 1
                 return start(backend, payload, *rest)
 
             monkeypatch.setattr(host.upstream, "start_attempt", watched)
@@ -581,7 +581,7 @@
                     listed[1] = Worker(b.name, b.host, a.port, b.room, b.bay, b.kind)
                 s.write(write_sheet(Inventory(tuple(listed))))
                 await s.look()
-                for number, known in s.door.roster.known.items():
+                for number, known in s.door.member_list.members.items():
                     assert host.upstream.pools[number].address == known.address
                 before = [len(w.fleet.seen) for w in s.workers]
                 await until(
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -258,7 +258,7 @@
             await place.door.reload()
             assert (await ask(place, "GET /read/1")).status == 200
             assert other.last is not None and place.workers[0].last is None
-            (known,) = place.door.roster.known.values()
+            (known,) = place.door.member_list.members.values()
             assert known.worker.name == "other" and known.since > 0  # it begins cold
             site.write_text(site.read_text().replace("sha256:", "sha256:00", 1)[:-2])
             await place.door.reload()  # a broken hash: the old keys stay
