--- a/ivymux/desired/copying.py
+++ b/ivymux/desired/copying.py
@@ -1,7 +1,7 @@
-"""Whole copies of a desired state, from one kind of store to the other.
+"""Backs up a desired state in etcd to an SQLite file, and restores it from one.
 
-A backup is always an SQLite file, also that of a state in etcd.  So an installation moves from one to the
-other by `ivymux backup` with the old file and `ivymux restore` with the new one.
+A backup is an SQLite file whichever store it is made from.  So an installation moves from one kind of store
+to the other by `ivymux backup` with the old configuration file and `ivymux restore` with the new one.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     split_text,
     unpacked,
 )
-from ivymux.desired.etcd.plan import adding, read_state
+from ivymux.desired.etcd.plan import admin_puts, read_state
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Kv, Put, Range, Txn
 from ivymux.desired.model import Admin, AuditRecord, StoreError
@@ -38,40 +38,41 @@
 PARTS = (
     "live", "hosts", "history", "audit", "audit-of", "admins", "admin-ids", "repeats", "repeat-ids", "blobs"
 )  # fmt: skip
-JUMP = 1_000_000  # beyond all revisions that were given out since the copy was made
+REVISION_GAP = 1_000_000  # exceeds the number of revisions assigned since the backup was made
 
 
 def backup_etcd(store: EtcdStore, path: Path) -> None:
-    """A whole copy as of one revision of etcd, while it is changed.  Raises StoreError, OSError."""
-    part = path.with_name(path.name + ".part")
-    for end in ("", "-wal", "-shm"):
+    """Write a copy as of one revision of etcd while the store is in use.  Raises StoreError, OSError."""
+    partial_file = path.with_name(path.name + ".part")
+    for suffix in ("", "-wal", "-shm"):
         with contextlib.suppress(FileNotFoundError):
-            part.with_name(part.name + end).unlink()
-    copy = SqliteStore(part)
+            partial_file.with_name(partial_file.name + suffix).unlink()
+    copy = SqliteStore(partial_file)
     try:
-        fill(copy.db, store)
+        copy_to_sqlite(copy.db, store)
         copy.db.execute("PRAGMA journal_mode = DELETE")
     finally:
         copy.close()
-    verify(part)
-    with open(part, "rb") as handle:
+    verify(partial_file)
+    with open(partial_file, "rb") as handle:
         os.fsync(handle.fileno())
-    part.replace(path)
+    partial_file.replace(path)
 
 
-def fill(db: sqlite3.Connection, store: EtcdStore) -> None:
+def copy_to_sqlite(db: sqlite3.Connection, store: EtcdStore) -> None:
+    """Fill an empty SQLite store with the state in etcd.  Raises StoreError."""
     keys = store.keys
     found = store.range(Range(keys.state))
     (state, _), at = read_state(found), found.revision
 
-    def every(*parts: str) -> list[Kv]:
+    def read_all(*parts: str) -> list[Kv]:
         begin = keys.all(*parts)
-        return store.every(begin, prefix_end(begin), at=at)[0]
+        return store.read_range(begin, prefix_end(begin), at=at)[0]
 
     db.execute("BEGIN IMMEDIATE")
     db.execute("UPDATE state SET revision = ?, lineage = ?, forgot = ?",
                (state.revision, state.lineage, state.revision))  # fmt: skip
-    for kv in every("history"):
+    for kv in read_all("history"):
         head = unpacked(kv.value, Head)
         texts = {name: text_at(store, head.uid, name, at) for name in (head.body, *head.texts)}
         body = texts.pop(head.body)
@@ -80,18 +81,18 @@
         for name, data in texts.items():
             db.execute("INSERT OR IGNORE INTO blobs VALUES (?, ?)", (name, data))
             db.execute("INSERT OR IGNORE INTO uses VALUES (?, ?, ?)", (head.uid, head.revision, name))
-    for kv in every("live", "tenants"):
+    for kv in read_all("live", "tenants"):
         head = unpacked(kv.value, Head)
         db.execute("INSERT INTO tenants VALUES (?, ?, ?, ?, ?)",
                    (head.name, head.uid, head.revision, head.created,
                     text_at(store, head.uid, head.body, at)))  # fmt: skip
         for host in head.hosts:
             db.execute("INSERT INTO hosts VALUES (?, ?)", (host, head.uid))
-    for kv in every("audit"):
+    for kv in read_all("audit"):
         a = decode_audit(kv.value).audit
         row = a.revision, a.at, a.who, a.origin, a.action, a.uid, a.tenant, packed(a.changes)
         db.execute("INSERT INTO audit VALUES (?, ?, ?, ?, ?, ?, ?, ?)", row)
-    for kv in every("admins"):
+    for kv in read_all("admins"):
         admin = unpacked(kv.value, Admin)
         db.execute("INSERT INTO admins VALUES (?, ?, ?, ?)",
                    (admin.id, admin.name, admin.uid, packed(admin.kept)))  # fmt: skip
@@ -99,32 +100,34 @@
 
 
 def text_at(store: EtcdStore, uid: str, name: str, at: int) -> bytes:
+    """Read a text as of etcd's revision `at`.  Raises StoreError."""
     key = store.keys.blob(uid, name)
-    found, _ = store.every(key, prefix_end(key), at=at)
+    found, _ = store.read_range(key, prefix_end(key), at=at)
     if not found or found[0].key != key:
         raise StoreError("a text that a tenant names is not there: nothing was copied")
     return join_text(unpacked(found[0].value, TextHeader), [kv.value for kv in found[1:]], name)
 
 
 def restore_etcd(backup: Path, store: EtcdStore) -> None:
-    """Put a backup where no desired state is.  Raises StoreError.
+    """Restore a backup to a prefix without a desired state.  Raises StoreError.
 
-    The state's own key comes last: until then no front door follows, and one that broke off is begun again.
+    The state's key is written last.  Without it no gateway follows the state, so an interrupted restore can
+    be repeated.
     """
     verify(backup)
     if store.range(Range(store.keys.state)).kvs:
         raise StoreError(
             f"a desired state is at {store.keys.prefix}: restore to another etcd.prefix, or delete its keys"
         )
-    # What a restore that broke off has left; what else may stand below the prefix is not ours.
-    ours = [store.keys.all(part) for part in PARTS]
-    store.transact(Txn((), tuple(Delete(key, prefix_end(key)) for key in ours)))
+    # Delete what an interrupted restore left; other keys below the prefix belong to somebody else.
+    own_prefixes = [store.keys.all(part) for part in PARTS]
+    store.transact(Txn((), tuple(Delete(key, prefix_end(key)) for key in own_prefixes)))
     with tempfile.TemporaryDirectory() as folder:
-        mine = Path(folder) / "copy.db"  # opening it may write to it
-        mine.write_bytes(backup.read_bytes())
-        copy = SqliteStore(mine)
+        scratch_file = Path(folder) / "copy.db"  # opening a store may write to its file
+        scratch_file.write_bytes(backup.read_bytes())
+        copy = SqliteStore(scratch_file)
         try:
-            state = put_all(copy.db, store)
+            state = copy_to_etcd(copy.db, store)
         finally:
             copy.close()
     guard = Compare(store.keys.state, "CREATE", "EQUAL", 0)
@@ -132,36 +135,37 @@
         raise StoreError("another restore was first: nothing was changed")
 
 
-def put_all(db: sqlite3.Connection, store: EtcdStore) -> State:
-    keys, waiting = store.keys, list[Range | Put | Delete]()
-    there: set[tuple[str, str]] = set()
+def copy_to_etcd(db: sqlite3.Connection, store: EtcdStore) -> State:
+    """Write everything but the state's key to etcd, and return the state to write.  Raises StoreError."""
+    keys, pending = store.keys, list[Range | Put | Delete]()
+    written_texts: set[tuple[str, str]] = set()
 
     def put(*ops: Range | Put | Delete) -> None:
-        waiting.extend(ops)
-        if len(waiting) >= MAX_OPERATIONS // 4:
-            store.transact(Txn((), tuple(waiting)))
-            waiting.clear()
-
-    def head(name: str, uid: str, revision: int, created: float, body: bytes) -> Head:
-        made, data = head_of(name, uid, revision, created, msgspec.msgpack.decode(body, type=Tenant))
-        for text in (made.body, *made.texts):
-            if (uid, text) in there:
+        pending.extend(ops)
+        if len(pending) >= MAX_OPERATIONS // 4:
+            store.transact(Txn((), tuple(pending)))
+            pending.clear()
+
+    def put_document(name: str, uid: str, revision: int, created: float, body: bytes) -> Head:
+        head, data = head_of(name, uid, revision, created, msgspec.msgpack.decode(body, type=Tenant))
+        for text in (head.body, *head.texts):
+            if (uid, text) in written_texts:
                 continue
-            there.add((uid, text))
+            written_texts.add((uid, text))
             rows = db.execute("SELECT data FROM blobs WHERE digest = ?", (text,)).fetchall()
-            place, rest = split_text(data if text == made.body else bytes(rows[0][0]))
-            for turn, part in enumerate(rest, 1):
-                store.put(Put(keys.piece(uid, text, turn), part))
-            store.put(Put(keys.blob(uid, text), packed(place)))
-        return made
+            header, rest = split_text(data if text == head.body else bytes(rows[0][0]))
+            for index, piece in enumerate(rest, 1):
+                store.put(Put(keys.piece(uid, text, index), piece))
+            store.put(Put(keys.blob(uid, text), packed(header)))
+        return head
 
     for row in db.execute("SELECT name, uid, revision, created, body FROM history").fetchall():
-        put(Put(keys.history(row[1], row[2]), packed(head(*row))))
+        put(Put(keys.history(row[1], row[2]), packed(put_document(*row))))
     for row in db.execute("SELECT name, uid, revision, created, body FROM tenants").fetchall():
-        made = head(*row)
-        put(Put(keys.tenant(made.name), packed(made)))
-        for host in made.hosts:
-            put(Put(keys.host(host), made.uid.encode()))
+        head = put_document(*row)
+        put(Put(keys.tenant(head.name), packed(head)))
+        for host in head.hosts:
+            put(Put(keys.host(host), head.uid.encode()))
     columns = "revision, at, who, origin, action, uid, tenant, changes"
     rows = db.execute(f"SELECT {columns} FROM audit").fetchall()
     for revision, at, who, origin, action, uid, tenant, changes in rows:
@@ -169,8 +173,8 @@
         put(Put(keys.audit(revision), encode_audit("", audit)), Put(keys.audit_of(uid, revision), b""))
     for number, name, uid, kept in db.execute("SELECT id, name, uid, kept FROM admins").fetchall():
         found = {"id": number, "name": name, "uid": uid, "kept": msgspec.msgpack.decode(kept)}
-        put(*adding(keys, [msgspec.convert(found, Admin)]))
-    if waiting:
-        store.transact(Txn((), tuple(waiting)))
+        put(*admin_puts(keys, [msgspec.convert(found, Admin)]))
+    if pending:
+        store.transact(Txn((), tuple(pending)))
     (revision, lineage) = db.execute("SELECT revision, lineage FROM state").fetchone()
-    return State(max(revision + JUMP, int(time.time())), lineage)
+    return State(max(revision + REVISION_GAP, int(time.time())), lineage)
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -95,7 +95,7 @@
     def load(self) -> None:
         """Read all there is.  Raises StoreError."""
         live = self.store.keys.live
-        kvs, at = self.store.every(live, prefix_end(live))
+        kvs, at = self.store.read_range(live, prefix_end(live))
         with self.lock:
             self.replica.load(kvs, at)
         self.keep()
@@ -269,7 +269,7 @@
             if number((answer.get("result") or {}).get("TTL")) <= 0:
                 self.lease = 0  # it ran out while etcd was away
         if not self.lease:
-            self.lease, self.last_report = self.store.lease(LIFE), None
+            self.lease, self.last_report = self.store.grant_lease(LIFE), None
             self.tell("name", self.name.encode())
         serves = GatewayStatus(report.revision, dict(list(report.problems.items())[:100]))
         told, used = self.last_report or (None, -USAGE)
--- a/ivymux/desired/etcd/store.py
+++ b/ivymux/desired/etcd/store.py
@@ -1,4 +1,4 @@
-"""The desired state in etcd, for the administration API."""
+"""The desired state in etcd, as the administration API uses it."""
 
 from __future__ import annotations
 
@@ -55,22 +55,23 @@
 )
 from ivymux.tenants.model import Tenant
 
-PAGE = 500  # keys that one reading brings
-TRIES = 40  # times that a commit is worked out anew because others were first
-REPEAT_LIFE = 86_400  # seconds that a creation's answer is remembered
-BACK_OFF = 0.004  # seconds to begin with, doubled to a bound, of which a random part is waited
+PAGE_SIZE = 500  # keys per range request
+MAX_ATTEMPTS = 40  # at one commit, each after a concurrent commit came first
+REPEAT_RETENTION_S = 86_400  # how long the answer to a creation is kept
+INITIAL_BACKOFF_S = 0.004  # doubled per attempt up to MAX_BACKOFF_S; a random part of it is waited
+MAX_BACKOFF_S = 0.25
 
 
 class EtcdStore:
-    """Any number of processes on any number of machines may use it."""
+    """A store in etcd that processes on several machines may share."""
 
     poll_interval_s = 0.1
 
     def __init__(self, access: Access, prefix: str = "/ivymux/") -> None:
         self.keys, self.client = Keys(prefix), Client(access)
         self.random = random.Random()
-        self.newest = 0  # revision that was seen
-        self.lock = threading.Lock()  # commits of one process need not lose to each other
+        self.newest = 0  # the newest known revision
+        self.lock = threading.Lock()  # serialises this process's commits, so that they don't conflict
 
     def close(self) -> None:
         self.client.close()
@@ -80,31 +81,34 @@
     def range(self, op: Range) -> Ranged:
         return read_range(self.client.read("/v3/kv/range", range_json(op)))
 
-    def one(self, key: bytes) -> Kv | None:
+    def read_key(self, key: bytes) -> Kv | None:
         return next(iter(self.range(Range(key)).kvs), None)
 
-    def every(self, key: bytes, end: bytes, keys_only: bool = False, at: int = 0) -> tuple[list[Kv], int]:
-        """All of a range as of one revision of etcd, which is given too."""
+    def read_range(
+        self, key: bytes, end: bytes, keys_only: bool = False, at: int = 0
+    ) -> tuple[list[Kv], int]:
+        """Read a whole range as of one revision of etcd (`at`, or the current one).  Return that, too."""
         found: list[Kv] = []
         while True:
-            part = self.range(Range(key, end, PAGE, keys_only=keys_only, revision=at))
+            part = self.range(Range(key, end, PAGE_SIZE, keys_only=keys_only, revision=at))
             at = at or part.revision
             found += part.kvs
             if not part.more or not part.kvs:
                 return found, at
             key = part.kvs[-1].key + b"\0"
 
-    def look_up(self, ops: Sequence[Range]) -> Transacted:
-        """Several readings as of one revision."""
+    def read_together(self, ops: Sequence[Range]) -> Transacted:
+        """Read several ranges as of one revision of etcd."""
         return read_txn(self.client.read("/v3/kv/txn", txn_json(Txn((), tuple(ops)))))
 
     def transact(self, txn: Txn) -> Transacted:
         return read_txn(self.client.call("/v3/kv/txn", txn_json(txn)))
 
-    def lease(self, seconds: int) -> int:
+    def grant_lease(self, seconds: int) -> int:
+        """Create a lease and return its id."""
         return number(self.client.read("/v3/lease/grant", {"TTL": str(seconds)}).get("ID"))
 
-    # --- reading ---------------------------------------------------------------------------------------
+    # --- reads -----------------------------------------------------------------------------------------
 
     def state(self) -> State:
         return plan.read_state(self.range(Range(self.keys.state)))[0]
@@ -117,13 +121,13 @@
 
     def blob(self, name: str, uid: str) -> bytes | None:
         key = self.keys.blob(uid, name)
-        found, _ = self.every(key, prefix_end(key))
+        found, _ = self.read_range(key, prefix_end(key))
         if not found or found[0].key != key:
             return None
         return join_text(unpacked(found[0].value, TextHeader), [kv.value for kv in found[1:]], name)
 
     def stored(self, head: Head) -> StoredTenant | None:
-        """A tenant of its head; None where it went meanwhile."""
+        """Read the tenant of a head; None if it was deleted meanwhile."""
         body = self.blob(head.body, head.uid)
         if body is None:
             return None
@@ -132,13 +136,13 @@
     def get(self, name: str) -> StoredTenant | None:
         if not name or "/" in name:
             return None
-        for _ in range(TRIES):
-            kv = self.one(self.keys.tenant(name))
+        for _ in range(MAX_ATTEMPTS):
+            kv = self.read_key(self.keys.tenant(name))
             if kv is None:
                 return None
             if (stored := self.stored(unpacked(kv.value, Head))) is not None:
                 return stored
-            if self.one(self.keys.tenant(name)) == kv:
+            if self.read_key(self.keys.tenant(name)) == kv:
                 raise StoreDamaged("a tenant's document is not in etcd; restore a backup")
         raise StoreBusy("the tenant changes all the time: try again")
 
@@ -149,23 +153,23 @@
         return [stored for head in heads if (stored := self.stored(head)) is not None]
 
     def answer_of_repeat(self, key: str) -> StoredAnswer | None:
-        index = self.one(self.keys.repeat_id(key))
-        found = self.one(self.keys.repeat(index.value.decode(), key)) if index is not None else None
+        index = self.read_key(self.keys.repeat_id(key))
+        found = self.read_key(self.keys.repeat(index.value.decode(), key)) if index is not None else None
         if found is None:
             return None
-        kept = unpacked(found.value, plan.Remembered)
-        return StoredAnswer(kept.fingerprint, kept.status, kept.body, kept.etag)
+        answer = unpacked(found.value, plan.RepeatAnswer)
+        return StoredAnswer(answer.fingerprint, answer.status, answer.body, answer.etag)
 
     def admin(self, number: str) -> Admin | None:
-        index = self.one(self.keys.admin_id(number))
+        index = self.read_key(self.keys.admin_id(number))
         if index is None:
             return None
-        kv = self.one(self.keys.admin(index.value.decode().removeprefix("-"), number))
+        kv = self.read_key(self.keys.admin(index.value.decode().removeprefix("-"), number))
         return unpacked(kv.value, Admin) if kv is not None else None
 
     def admins(self, uid: str) -> list[Admin]:
         begin = self.keys.all("admins", uid or "-")
-        return [unpacked(kv.value, Admin) for kv in self.every(begin, prefix_end(begin))[0]]
+        return [unpacked(kv.value, Admin) for kv in self.read_range(begin, prefix_end(begin))[0]]
 
     def audit(self, uid: str, before: int, limit: int) -> list[AuditRecord]:
         if not uid:
@@ -173,10 +177,10 @@
             return [decode_audit(kv.value).audit for kv in found.kvs]
         begin, end = self.keys.audit_of(uid, 0), self.keys.audit_of(uid, before)
         listed = self.range(Range(begin, end, limit, descending=True, keys_only=True)).kvs
-        numbers = iter([int(plan.tail(kv.key)) for kv in listed])
+        revisions = iter([int(plan.last_segment(kv.key)) for kv in listed])
         records: list[AuditRecord] = []
-        while part := list(islice(numbers, 50)):
-            answer = self.look_up([Range(self.keys.audit(n)) for n in part])
+        while part := list(islice(revisions, 50)):
+            answer = self.read_together([Range(self.keys.audit(n)) for n in part])
             records += [decode_audit(kv.value).audit for found in answer.ranges for kv in found.kvs]
         return records
 
@@ -187,102 +191,107 @@
         return [stored for head in heads if (stored := self.stored(head)) is not None]
 
     def reports(self) -> list[GatewayReport]:
-        """Of front doors that are alive: what one told goes with its lease, by etcd's clock, not by ours."""
+        """The reports of live gateways; etcd deletes a report when its lease expires, by etcd's clock."""
         begin = self.keys.all("doors")
         found: dict[bytes, dict[str, Kv]] = {}
-        for kv in self.every(begin, prefix_end(begin))[0]:
+        for kv in self.read_range(begin, prefix_end(begin))[0]:
             door, _, part = kv.key.rpartition(b"/")
             found.setdefault(door, {})[part.decode()] = kv
-        made = []
+        reports = []
         for parts in found.values():
             if "serves" not in parts or "name" not in parts:
                 continue
             serves = unpacked(parts["serves"].value, GatewayStatus)
             usage = unpacked(parts["usage"].value, dict[str, dict[str, float]]) if "usage" in parts else {}
             name = parts["name"].value.decode()
-            made.append(GatewayReport(name, serves.revision, time.time(), usage, serves.problems))
-        return sorted(made, key=lambda r: r.door)
+            reports.append(GatewayReport(name, serves.revision, time.time(), usage, serves.problems))
+        return sorted(reports, key=lambda report: report.door)
 
-    # --- changing --------------------------------------------------------------------------------------
+    # --- changes ---------------------------------------------------------------------------------------
 
     def put_texts(self, change: Change) -> None:
-        """Put what the change's tenant is made of, but what is there.  Raises StoreError."""
-        made = plan.needed(change)
-        if made is None:
+        """Store the document and texts of the changed tenant that etcd lacks.  Raises StoreError."""
+        document = plan.new_document(change)
+        if document is None:
             return
-        head, body = made
+        head, body = document
         texts = {**change.blobs, head.body: body}
         names = [head.body, *head.texts]
-        found = self.look_up([Range(self.keys.blob(change.uid, name), keys_only=True) for name in names])
-        for name, there in zip(names, found.ranges, strict=True):
-            if there.kvs:
+        found = self.read_together(
+            [Range(self.keys.blob(change.uid, name), keys_only=True) for name in names]
+        )
+        for name, existing in zip(names, found.ranges, strict=True):
+            if existing.kvs:
                 continue
             if name not in texts:
                 raise StoreError("a text that the tenant names is not there")
-            place, rest = split_text(texts[name])
-            for turn, part in enumerate(rest, 1):
-                self.put(Put(self.keys.piece(change.uid, name, turn), part))
-            # The first key comes last: where it is, all are.
-            self.put(Put(self.keys.blob(change.uid, name), msgspec.msgpack.encode(place)))
+            header, rest = split_text(texts[name])
+            for index, piece in enumerate(rest, 1):
+                self.put(Put(self.keys.piece(change.uid, name, index), piece))
+            # The header is written last: if it exists, the text is complete.
+            self.put(Put(self.keys.blob(change.uid, name), msgspec.msgpack.encode(header)))
 
     def put(self, op: Put) -> None:
-        """Put what is the same however often it is put."""
+        """Store a key; only for puts that are idempotent, as they may be retried."""
         self.client.read("/v3/kv/put", put_json(op))
 
     def commit(self, change: Change) -> int:
         with self.lock:
-            return self.committed(change)
+            return self.commit_with_retries(change)
 
-    def committed(self, change: Change) -> int:
+    def commit_with_retries(self, change: Change) -> int:
         token = secrets.token_hex(8)
-        lease = self.lease(REPEAT_LIFE) if change.repeat is not None else 0
-        unknown: set[int] = set()  # revisions that may be this change's
-        for turn in range(TRIES):
-            seen = plan.read_seen(change, self.look_up(plan.reading(self.keys, change, self.newest)).ranges)
-            last = self.newest = seen.state.revision
-            # One that went out without an answer may have been made, also after it was given up on.
+        lease = self.grant_lease(REPEAT_RETENTION_S) if change.repeat is not None else 0
+        unknown: set[int] = set()  # revisions of attempts without an answer
+        for attempt in range(MAX_ATTEMPTS):
+            found = self.read_together(plan.ranges_to_read(self.keys, change, self.newest))
+            snapshot = plan.read_snapshot(change, found.ranges)
+            last = self.newest = snapshot.state.revision
+            # An attempt without an answer may have been carried out, even after its time-out.
             for revision in [r for r in unknown if r <= last]:
-                if self.is_mine(revision, token):
+                if self.has_token(revision, token):
                     return revision
                 unknown.discard(revision)
             try:
-                plan.check(change, seen)
+                plan.check(change, snapshot)
             except RevisionConflict:
                 raise RevisionConflict(self.get(change.name)) from None
             self.put_texts(change)
-            revision, txn = plan.commit(self.keys, change, seen, token, lease)
+            revision, txn = plan.commit(self.keys, change, snapshot, token, lease)
             try:
                 if self.transact(txn).succeeded:
                     self.newest = revision
-                    if change.tenant is not None and len(seen.history) >= plan.HISTORY:
-                        self.tidy(change.uid)
+                    if change.tenant is not None and len(snapshot.history) >= plan.MAX_HISTORY:
+                        self.delete_unused_texts(change.uid)
                     return revision
             except Unknown:
                 unknown.add(revision)
-            time.sleep(self.random.random() * min(0.25, BACK_OFF * 2 ** min(turn, 10)))
+            time.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10)))
         if unknown:
             raise StoreBusy("etcd did not tell whether the change was made: look before it is repeated")
         raise StoreBusy("many change the desired state at once: try again")
 
-    def is_mine(self, revision: int, token: str) -> bool:
-        kv = self.one(self.keys.audit(revision))
+    def has_token(self, revision: int, token: str) -> bool:
+        kv = self.read_key(self.keys.audit(revision))
         return kv is not None and decode_audit(kv.value).token == token
 
-    def tidy(self, uid: str) -> None:
-        """Take a tenant's texts away that none of its states names.  What fails is done the next time."""
+    def delete_unused_texts(self, uid: str) -> None:
+        """Delete a tenant's texts that no stored revision refers to.  A failure is left to the next call."""
         with contextlib.suppress(StoreError):
             begin, blobs = self.keys.all("history", uid), self.keys.all("blobs", uid)
             state = self.range(Range(self.keys.state))
             _, mod = plan.read_state(state)
-            kept, _ = self.every(begin, prefix_end(begin), at=state.revision)
-            there, _ = self.every(blobs, prefix_end(blobs), keys_only=True, at=state.revision)
-            listed = [(plan.tail(kv.key), kv.create) for kv in there if kv.key.count(b"/", len(blobs)) == 0]
-            heads = [unpacked(kv.value, Head) for kv in kept]
-            if (txn := plan.sweep(self.keys, uid, mod, heads, listed)) is not None:
+            history, _ = self.read_range(begin, prefix_end(begin), at=state.revision)
+            stored, _ = self.read_range(blobs, prefix_end(blobs), keys_only=True, at=state.revision)
+            listed = [
+                (plan.last_segment(kv.key), kv.create) for kv in stored if kv.key.count(b"/", len(blobs)) == 0
+            ]
+            heads = [unpacked(kv.value, Head) for kv in history]
+            if (txn := plan.delete_unused_texts(self.keys, uid, mod, heads, listed)) is not None:
                 self.transact(txn)
 
     def add_operator(self, admin: Admin, at: float) -> None:
-        for turn in range(TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             found = self.range(Range(self.keys.state))
             state, mod = plan.read_state(found) if found.kvs else (None, 0)
             txn = plan.add_operator(self.keys, admin, at, state, mod, secrets.token_hex(16))
@@ -292,12 +301,12 @@
             except Unknown:
                 if self.admin(admin.id) == admin:
                     return
-            time.sleep(self.random.random() * min(0.25, BACK_OFF * 2 ** min(turn, 10)))
+            time.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10)))
         raise StoreBusy("many change the desired state at once: try again")
 
-    # --- copies ----------------------------------------------------------------------------------------
+    # --- backup ----------------------------------------------------------------------------------------
 
     def heads(self, at: int) -> Iterator[Head]:
         begin = self.keys.all("history")
-        for kv in self.every(begin, prefix_end(begin), at=at)[0]:
+        for kv in self.read_range(begin, prefix_end(begin), at=at)[0]:
             yield unpacked(kv.value, Head)
--- a/tests/desired/test_copying.py
+++ b/tests/desired/test_copying.py
@@ -1,4 +1,4 @@
-"""Whole copies of a desired state, between SQLite and etcd."""
+"""Backup and restore of a desired state, between SQLite and etcd."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.tenants.making import tenant
 
 
-def same(one: SqliteStore | EtcdStore, other: SqliteStore | EtcdStore) -> None:
+def assert_equal_states(one: SqliteStore | EtcdStore, other: SqliteStore | EtcdStore) -> None:
     assert one.lineage() == other.lineage()
     assert one.page("", 99) == other.page("", 99) and one.page("", 99)
     assert one.audit("", 1 << 60, 999) == other.audit("", 1 << 60, 999)
@@ -32,7 +32,7 @@
     assert one.admins("") == other.admins("") and one.admins("")
 
 
-def test_from_etcd_to_a_file_and_into_another_etcd(tmp_path: Path) -> None:
+def test_a_backup_of_etcd_can_be_restored_to_another_etcd(tmp_path: Path) -> None:
     number, _, kept = create_key(ADMIN_PREFIX, 0.0)
     with stored() as (_, store):
         at = put(store, "a", add_admins=[Admin(number, "ann", "u-a", kept)])
@@ -40,18 +40,18 @@
         store.commit(change("a", made, at, blobs=blobs))
         put(store, "b")
         backup_etcd(store, tmp_path / "copy.db")
-        backup_etcd(store, tmp_path / "copy.db")  # over an older one
+        backup_etcd(store, tmp_path / "copy.db")  # replaces the older copy
         copy = SqliteStore(tmp_path / "copy.db")
-        same(store, copy)
+        assert_equal_states(store, copy)
         copy.close()
         with serving() as second:
             other = EtcdStore(access(second))
             restore_etcd(tmp_path / "copy.db", other)
-            same(store, other)
+            assert_equal_states(store, other)
             assert other.revision() > store.revision()
             with pytest.raises(StoreError, match="a desired state is at /ivymux/"):
                 restore_etcd(tmp_path / "copy.db", other)
-            # It goes on from there: a change, the bounds of history, and a deletion that leaves nothing.
+            # The restored state accepts a change, and a deletion that leaves no data of the tenant.
             found = other.get("a")
             assert found is not None
             changed = put(other, "a", found.revision)
@@ -61,7 +61,7 @@
             other.close()
 
 
-def test_from_a_file_into_etcd_and_back(tmp_path: Path) -> None:
+def test_a_state_moves_from_sqlite_to_etcd_and_back(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     number, _, kept = create_key(ADMIN_PREFIX, 0.0)
     store.add_operator(Admin(number, "olga", "", kept), 1000.0)
@@ -71,18 +71,18 @@
     with serving() as server:
         etcd = EtcdStore(access(server))
         restore_etcd(tmp_path / "one.db", etcd)
-        same(store, etcd)
+        assert_equal_states(store, etcd)
         backup_etcd(etcd, tmp_path / "two.db")
         etcd.close()
     restore(tmp_path / "two.db", tmp_path / "back.db")
     back = SqliteStore(tmp_path / "back.db")
-    same(store, back)
+    assert_equal_states(store, back)
     assert back.revision() > store.revision()
     back.close()
     store.close()
 
 
-def test_a_restore_that_breaks_off_is_followed_by_nobody_and_begun_again(
+def test_an_interrupted_restore_is_not_served_and_can_be_repeated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with stored() as (_, store):
@@ -91,24 +91,24 @@
         backup_etcd(store, tmp_path / "copy.db")
     with serving() as server:
         other = EtcdStore(access(server))
-        whole, calls = copying.put_all, 0
+        copy_to_etcd, calls = copying.copy_to_etcd, 0
 
-        def breaks(db: object, target: EtcdStore) -> object:
-            whole(db, target)  # type: ignore[arg-type]
+        def copy_and_fail(db: object, target: EtcdStore) -> object:
+            copy_to_etcd(db, target)  # type: ignore[arg-type]
             raise StoreError("etcd is away")
 
-        monkeypatch.setattr(copying, "put_all", breaks)
+        monkeypatch.setattr(copying, "copy_to_etcd", copy_and_fail)
         with pytest.raises(StoreError, match="away"):
             restore_etcd(tmp_path / "copy.db", other)
         with pytest.raises(StoreError, match="no desired state"):
             other.revision()
-        monkeypatch.setattr(copying, "put_all", whole)
+        monkeypatch.setattr(copying, "copy_to_etcd", copy_to_etcd)
         restore_etcd(tmp_path / "copy.db", other)
         assert [s.name for s in other.page("", 9)] == ["a", "b"] and calls == 0
         other.close()
 
 
-def test_what_is_not_whole_is_neither_copied_nor_restored(tmp_path: Path) -> None:
+def test_an_incomplete_state_is_not_backed_up_and_a_truncated_backup_not_restored(tmp_path: Path) -> None:
     with stored() as (server, store):
         put(store, "a")
         backup_etcd(store, tmp_path / "copy.db")
@@ -131,7 +131,7 @@
         empty.close()
 
 
-def test_what_else_stands_below_the_prefix_is_left(tmp_path: Path) -> None:
+def test_a_restore_keeps_other_keys_below_the_prefix(tmp_path: Path) -> None:
     with stored() as (_, store):
         put(store, "a")
         backup_etcd(store, tmp_path / "copy.db")
@@ -141,7 +141,7 @@
 
         other.put(Put(b"/ivymux/somebody", b"else"))
         restore_etcd(tmp_path / "copy.db", other)
-        assert other.one(b"/ivymux/somebody") is not None
+        assert other.read_key(b"/ivymux/somebody") is not None
         begin(other, "ann")
         assert len(other.admins("")) == 2
         other.close()
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -1,4 +1,4 @@
-"""The desired state in etcd: the same promises as the one in SQLite, and what only etcd can do wrong."""
+"""The etcd store of the desired state: the checks of every store, and the faults that only etcd has."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 from tests.tenants.making import tenant
 
 
-def test_a_change_is_made_from_the_state_it_was_seen_in() -> None:
-    with stored() as (_, store):  # the operator's key was the first change
+def test_a_change_against_an_outdated_revision_is_refused() -> None:
+    with stored() as (_, store):  # storing the operator's key was the first change
         store_contract.check_optimistic_locking(store, 1)
         assert store.get("a/b") is None and store.get("") is None
 
 
-def test_a_host_name_is_one_tenants() -> None:
+def test_a_host_name_belongs_to_one_tenant() -> None:
     with stored() as (_, store):
         at = put(store, "a")
-        made, blobs, _key = tenant("a", [1])
-        with pytest.raises(HostTaken) as taken:
-            store.commit(change("b", made, blobs=blobs))
-        assert store.get("b") is None and "u-a" not in str(taken.value)
+        new_tenant, blobs, _key = tenant("a", [1])
+        with pytest.raises(HostTaken) as conflict:
+            store.commit(change("b", new_tenant, blobs=blobs))
+        assert store.get("b") is None and "u-a" not in str(conflict.value)
         other, more, _key = tenant("c", [1])
-        moved = store.commit(change("a", other, at, blobs=more))  # it gives its own name up
-        assert store.commit(change("b", made, blobs=blobs)) == moved + 1
+        moved = store.commit(change("a", other, at, blobs=more))  # releases its host name
+        assert store.commit(change("b", new_tenant, blobs=blobs)) == moved + 1
 
 
-def test_all_of_a_tenant_goes_with_it_and_nothing_of_another() -> None:
+def test_deleting_a_tenant_deletes_its_data_and_no_other() -> None:
     with stored() as (server, store):
         number, _, kept = create_key(ADMIN_PREFIX, 0.0)
         answer = StoredAnswer("f", 201, b"{}", "1")
@@ -65,7 +65,7 @@
         assert store.get("a") is None and store.history("u-a", 9) == [] and store.admins("u-a") == []
         assert store.answer_of_repeat("k") is None and store.admin(number) is None
         assert not any(store.blob(name, "u-a") for name in names)
-        assert [a.action for a in store.audit("u-a", 1 << 60, 9)] == ["test", "test"]  # that it was, stays
+        assert [a.action for a in store.audit("u-a", 1 << 60, 9)] == ["test", "test"]  # audit records stay
         left = [n for n in server.etcd.names if server.etcd.seen(n, server.etcd.revision)]
         assert not [n for n in left if b"u-a" in n and b"audit-of" not in n], left
         others = store.get("b")
@@ -73,18 +73,18 @@
 
 
 def test_history_audit_and_texts_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(plan, "HISTORY", 3)
+    monkeypatch.setattr(plan, "MAX_HISTORY", 3)
     monkeypatch.setattr(plan, "MAX_AUDIT", 5)
     with stored() as (server, store):
         last = 0
         for turn in range(8):
-            made, blobs, _ = tenant("a", [turn + 1])  # another list of workers each time
-            last = store.commit(change("a", made, last, blobs=blobs))
+            new_tenant, blobs, _ = tenant("a", [turn + 1])  # a different list of workers each time
+            last = store.commit(change("a", new_tenant, last, blobs=blobs))
         assert [s.revision for s in store.history("u-a", 99)] == [last, last - 1, last - 2]
         assert len(store.audit("", 1 << 60, 99)) == 5
         assert len(store.audit("u-a", 1 << 60, 99)) == 5
         blobs_kept = store.range(etcd_range(store, "blobs/u-a/")).kvs
-        # Routes and what was compiled of them are the same; a list, what was read of it and a document each.
+        # All share the routes and their compiled form; each has an inventory, its parsed form and a document.
         assert len(blobs_kept) == 2 + 3 * 3
         assert all(store.blob(n, "u-a") for s in store.history("u-a", 9) for n in text_digests(s.tenant))
         assert server.etcd.calls["/v3/kv/txn"] < 8 * 8
@@ -97,21 +97,21 @@
     return Range(key, etcd_keys.prefix_end(key))
 
 
-def test_texts_larger_than_a_request_are_put_in_pieces() -> None:
+def test_texts_larger_than_a_request_are_stored_in_pieces() -> None:
     with stored() as (_, store):
-        made, blobs, _ = tenant("a", [1])
+        new_tenant, blobs, _ = tenant("a", [1])
         big = os.urandom(2 * etcd_keys.MAX_PIECE_BYTES + 17)
         name = digest(big)
-        files = made.routes.files | {"big.json": name}
+        files = new_tenant.routes.files | {"big.json": name}
         from msgspec.structs import replace
 
-        made = replace(made, routes=replace(made.routes, files=files))
+        new_tenant = replace(new_tenant, routes=replace(new_tenant.routes, files=files))
         with pytest.raises(StoreError, match="not there"):
-            store.commit(change("a", made, blobs=blobs))
+            store.commit(change("a", new_tenant, blobs=blobs))
         assert store.get("a") is None
-        store.commit(change("a", made, blobs=blobs | {name: big}))
+        store.commit(change("a", new_tenant, blobs=blobs | {name: big}))
         assert store.blob(name, "u-a") == big
-        # Another tenant's of the same name in the same place, or one cut short, is not taken for it.
+        # A text with a piece of another text is refused.
         key = store.keys.piece("u-a", name, 1)
         from ivymux.desired.etcd.wire import Put
 
@@ -120,7 +120,7 @@
             store.blob(name, "u-a")
 
 
-def test_an_audit_record_too_large_keeps_who_when_and_how_much() -> None:
+def test_an_audit_record_that_is_too_large_keeps_its_author_and_number_of_changes() -> None:
     with stored() as (_, store):
         rng = random.Random(3)
         changes = [{"path": f"/customers/{n}", "after": rng.randbytes(20).hex()} for n in range(30_000)]
@@ -130,13 +130,13 @@
         assert record.changes[-1]["after"].startswith("29800 more")
 
 
-def test_nothing_begins_but_by_the_command_line() -> None:
+def test_only_the_command_line_creates_a_state() -> None:
     with serving() as server:
         store = EtcdStore(access(server))
         for call in (store.revision, store.lineage, lambda: put(store, "a")):
             with pytest.raises(StoreError, match="no desired state is here"):
                 call()
-        assert server.etcd.revision == 1  # and nothing was put
+        assert server.etcd.revision == 1  # nothing was written
         begin(store)
         assert store.revision() == 1 and len(store.lineage()) == 32
         lineage = store.lineage()
@@ -144,11 +144,11 @@
         assert store.lineage() == lineage and store.revision() == 2 and len(store.admins("")) == 2
 
 
-# --- trouble -------------------------------------------------------------------------------------------
+# --- faults --------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("fault", ["unanswered", "lost", "unavailable"])
-def test_a_commit_without_an_answer_is_made_once(fault: str) -> None:
+def test_a_commit_without_an_answer_is_applied_once(fault: str) -> None:
     with stored(timeout=0.3) as (server, store):
         at = put(store, "a")
         for turn in range(3):
@@ -159,8 +159,8 @@
         assert [a.revision for a in store.audit("u-a", 1 << 60, 99)] == [5, 4, 3, 2]
 
 
-def test_who_hears_nothing_of_a_commit_that_another_followed_is_told_the_truth() -> None:
-    """The answer is lost, and before the look somebody else changes the same tenant."""
+def test_a_commit_with_a_lost_answer_is_recognised_after_a_later_commit() -> None:
+    """The answer is lost, and another client changes the same tenant before the store reads again."""
     with stored(timeout=0.3) as (server, store):
         at = put(store, "a")
         other = EtcdStore(access(server))
@@ -177,7 +177,7 @@
         other.close()
 
 
-def test_away_slow_full_and_refusing_change_nothing_and_say_so() -> None:
+def test_an_unreachable_slow_or_full_etcd_raises_its_error_and_changes_nothing() -> None:
     with stored(timeout=0.2) as (server, store):
         at = put(store, "a")
         faults = server.etcd.faults
@@ -191,7 +191,7 @@
         faults.full = True
         with pytest.raises(StoreFull, match="full"):
             put(store, "a", at)
-        assert store.get("a") is not None  # reading goes on
+        assert store.get("a") is not None  # reads still work
         faults.full = False
         assert put(store, "a", at) == at + 1
         port = server.port
@@ -202,7 +202,7 @@
     nobody.close()
 
 
-def test_another_endpoint_answers_while_one_is_away() -> None:
+def test_another_endpoint_is_used_while_one_is_unreachable() -> None:
     with stored() as (server, _):
         gone = Server()
         gone.socket.close()
@@ -211,14 +211,14 @@
         hanging = Server().start()
         hanging.etcd.faults.partition = True
         third = EtcdStore(access(hanging, server, timeout=0.3))
-        assert third.get("a") is not None  # a read goes on to the next one
+        assert third.get("a") is not None  # a read is retried at the next endpoint
         assert put(third, "b") == 3
         hanging.stop()
         both.close()
         third.close()
 
 
-def test_what_answers_and_is_no_etcd_is_told() -> None:
+def test_answers_that_are_not_from_etcd_raise_store_damaged() -> None:
     from ivymux.desired.etcd.wire import failure, read_range, read_txn, read_watch
 
     nonsense: list[Any] = [
@@ -241,31 +241,31 @@
     assert "readwrite" in str(failure(7, "etcdserver: permission denied"))
 
 
-def test_users_their_tokens_and_a_password_that_shows_nowhere() -> None:
+def test_expired_tokens_are_renewed_and_passwords_are_never_shown() -> None:
     with serving(users={"mux": "s3cret-word"}) as server:
-        terms = access(server, username="mux", password="s3cret-word")
-        store = EtcdStore(terms)
+        login = access(server, username="mux", password="s3cret-word")
+        store = EtcdStore(login)
         begin(store)
         put(store, "a")
-        server.on_loop(server.etcd.tokens.clear)  # they end by themselves, or with a restart
+        server.on_loop(server.etcd.tokens.clear)  # tokens expire, or are lost with a restart
         assert store.get("a") is not None
         wrong = EtcdStore(access(server, username="mux", password="other-word"))
         with pytest.raises(StoreError, match="neither this user") as told:
             wrong.revision()
         with pytest.raises(StoreError) as nobody:
             EtcdStore(access(server)).revision()
-        assert "-word" not in f"{told.value}{nobody.value}{terms!r}"
+        assert "-word" not in f"{told.value}{nobody.value}{login!r}"
         store.close()
         wrong.close()
 
 
-# --- many at once --------------------------------------------------------------------------------------
+# --- concurrency ---------------------------------------------------------------------------------------
 
 
-def test_ten_administrators_at_once_make_one_order_of_changes() -> None:
+def test_concurrent_changes_of_ten_administrators_are_serialised() -> None:
     with stored() as (server, _):
-        made: list[int] = []
-        lost: list[int] = []
+        revisions: list[int] = []
+        conflicts: list[int] = []
 
         def administrator(number: int) -> None:
             store = EtcdStore(access(server, timeout=20.0))
@@ -273,10 +273,10 @@
             while done < 8:
                 found = store.get("a")
                 try:
-                    made.append(put(store, "a", found.revision if found else 0, who=str(number)))
+                    revisions.append(put(store, "a", found.revision if found else 0, who=str(number)))
                     done += 1
                 except RevisionConflict:
-                    lost.append(number)
+                    conflicts.append(number)
             store.close()
 
         threads = [threading.Thread(target=administrator, args=(n,)) for n in range(10)]
@@ -285,7 +285,7 @@
         for thread in threads:
             thread.join()
         store = EtcdStore(access(server))
-        assert sorted(made) == list(range(2, 82)) and lost
+        assert sorted(revisions) == list(range(2, 82)) and conflicts
         records = store.audit("", 1 << 60, 999)
         assert [a.revision for a in records] == list(range(81, 0, -1))
         found = store.get("a")
@@ -293,31 +293,33 @@
         store.close()
 
 
-def test_a_sweep_never_takes_what_a_commit_on_its_way_needs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It goes back to texts of an old state just as that falls out of the history."""
-    monkeypatch.setattr(plan, "HISTORY", 2)
+def test_a_clean_up_never_deletes_texts_that_a_commit_in_progress_needs(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The commit returns to the texts of an old revision while that one expires from the history."""
+    monkeypatch.setattr(plan, "MAX_HISTORY", 2)
     with stored() as (server, store):
         old, old_texts, _ = tenant("a", [1])
         last = store.commit(change("a", old, blobs=old_texts))
         other = EtcdStore(access(server))
-        made, blobs, _ = tenant("a", [2])
-        last = store.commit(change("a", made, last, blobs=blobs))
-        # `other` has looked and found its texts there; now they are swept away, and it goes on.
-        look = other.put_texts
-        swept: list[int] = []
-
-        def late(given: Any) -> None:
-            look(given)
-            if not swept:
-                made, blobs, _ = tenant("b", [3])
-                store.commit(change("b", made, blobs=blobs))
-                swept.append(1)
+        new_tenant, blobs, _ = tenant("a", [2])
+        last = store.commit(change("a", new_tenant, last, blobs=blobs))
+        # `other` has found its texts stored; they are deleted before its transaction.
+        put_texts = other.put_texts
+        deleted: list[int] = []
+
+        def put_texts_then_delete(given: Any) -> None:
+            put_texts(given)
+            if not deleted:
+                new_tenant, blobs, _ = tenant("b", [3])
+                store.commit(change("b", new_tenant, blobs=blobs))
+                deleted.append(1)
                 key = store.keys.all("blobs", "u-a")
                 from ivymux.desired.etcd.wire import Delete, Txn
 
                 store.transact(Txn((), (Delete(key, etcd_keys.prefix_end(key)),)))
 
-        monkeypatch.setattr(other, "put_texts", late)
+        monkeypatch.setattr(other, "put_texts", put_texts_then_delete)
         now = other.commit(change("a", old, last, blobs=old_texts))
         found = store.get("a")
         assert found is not None and found.revision == now
@@ -327,9 +329,9 @@
 
 def test_no_secret_is_in_etcd() -> None:
     with stored() as (server, store):
-        made, blobs, shown = tenant("a", [1])
+        new_tenant, blobs, shown = tenant("a", [1])
         number, admin_key, kept = create_key(ADMIN_PREFIX, 0.0)
-        store.commit(change("a", made, blobs=blobs, add_admins=[Admin(number, "ann", "u-a", kept)]))
+        store.commit(change("a", new_tenant, blobs=blobs, add_admins=[Admin(number, "ann", "u-a", kept)]))
         import zlib
 
         values = [v.value or b"" for vs in server.etcd.versions.values() for v in vs]
