--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -80,8 +80,8 @@
         for turn in range(2 if quick else 5):
             file.write_bytes(write_sheet(fleet(SIZE, [worker.address], turn)))
             began = time.perf_counter()
-            await door.inventory.look()
-            await door.inventory.look()
+            await door.inventory.poll()
+            await door.inventory.poll()
             times.append(time.perf_counter() - began)
             assert len(door.member_list.members) == SIZE
         grown = resident() - before
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -1,4 +1,4 @@
-"""Membership from an inventory: watches its files, keeps the last good list, tells of each change."""
+"""Follows an inventory's files, keeps the last good list and applies each accepted change."""
 
 from __future__ import annotations
 
@@ -17,143 +17,150 @@
 from ivymux.membership.reader import Done, Task, read_beside
 from ivymux.membership.snapshot_store import Keeper
 
-COARSE = 2.5  # seconds within which two writes may bear one time stamp, on the coarsest file systems
-APPROVED = 60.0  # seconds that a confirmation waits for the step it is of
+# The coarsest file systems may give two writes within this time the same time stamp.
+REREAD_DELAY_S = 2.5
+EARLY_APPROVAL_LIFETIME_S = 60.0
 log = logging.getLogger("ivymux")
 Apply = Callable[[Inventory], Awaitable[None]]
 
 
-class NoInventory(ValueError):
-    """There is neither a file that can be served nor a list that was good before."""
+class NoInventoryError(ValueError):
+    """There is neither a usable file nor an earlier good list."""
 
 
 @dataclass(slots=True)
 class Pending:
-    """A change that is held back until it is confirmed."""
+    """A change that is held back until an operator confirms it."""
 
     done: Done
-    stamp: object
+    stamp: object  # of the files that were read
 
 
 @dataclass
 class InventorySource:
-    """One inventory's files, followed."""
+    """Follows the files of one inventory."""
 
     path: Path
     keeper: Keeper
     limits: Limits
     apply: Apply
-    watch: float = 0.25  # seconds between looks
+    poll_period_s: float = 0.25
     own: Own = ()
     settle: Settle = field(default_factory=Settle)
     judge: Judge | None = None
     pending: Pending | None = None
-    ignored: str = ""  # the digest of a content that was rolled back from: it counts only once it changes
-    approved: tuple[str, float] = ("", 0.0)  # a confirmation given before its step was seen, and until when
-    missing: bool = False
-    last_read: str = ""  # the digest of what was read last
-    again_at: float | None = None  # when it is read once more, for what its time stamps may hide
-    shape: Shape = field(default_factory=Shape)  # of the file that the current list came from
+    ignored_digest: str = ""  # of a content that was rolled back; it is ignored until the file changes
+    # A confirmation received before its change was read, and until when it is valid (monotonic seconds).
+    early_approval: tuple[str, float] = ("", 0.0)
+    is_missing: bool = False
+    last_digest: str = ""  # of the content that was read last
+    reread_at: float | None = None  # when to read again, in case a time stamp hides a later write
+    shape: Shape = field(default_factory=Shape)  # of the file that the current list was read from
 
     @property
     def current(self) -> Inventory:
         assert self.judge is not None
         return self.judge.current
 
-    # --- the start -----------------------------------------------------------------------------------
+    # --- start ---------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Serve the file, or the last good list where that can't be.  Raises NoInventory."""
+        """Apply the file, or the last good list if the file is unusable or its change is held back.
+
+        Raises NoInventoryError.
+        """
         last = self.keeper.last()
         current = last.inventory if last is not None else None
         if last is not None and last.why == "rolled back":
-            self.ignored = last.content
+            self.ignored_digest = last.content
         if last is not None:
             self.shape = last.shape
         done = await read_beside(Task(str(self.path), self.limits, current, None, self.shape, self.own))
-        # It counts as not yet read: what changes while the front door starts is found by the first look.
-        good = done.inventory is not None and not done.problem
+        # `settle` does not record this read, so the first poll finds changes made during the start.
+        is_good = done.inventory is not None and not done.problem
         if last is None:
             if done.inventory is None:
-                raise NoInventory(told(done, self.path))
+                raise NoInventoryError(describe_failure(done, self.path))
             self.judge = Judge(self.limits, done.inventory)
-            await self.keep(done, "started", done.inventory)
+            await self.store_snapshot(done, "started", done.inventory)
             await self.apply(done.inventory)
             return
         self.judge = Judge(self.limits, last.inventory)
         await self.apply(last.inventory)
-        if not good or done.digest == self.ignored:
-            why = told(done, self.path) if not good else "it was rolled back from"
-            age = max(0.0, time.time() - last.taken)
-            log.error("inventory: serving list %d, %.0f s old: %s", last.number, age, why)
+        if not is_good or done.digest == self.ignored_digest:
+            reason = describe_failure(done, self.path) if not is_good else "it was rolled back from"
+            age_s = max(0.0, time.time() - last.taken)
+            log.error("inventory: serving list %d, %.0f s old: %s", last.number, age_s, reason)
             return
-        await self.judged(done)
+        await self.handle_result(done)
 
-    async def keep(self, done: Done, why: str, inventory: Inventory) -> None:
-        """Keep a list before it counts, in a thread: a disk may take its time."""
+    async def store_snapshot(self, done: Done, why: str, inventory: Inventory) -> None:
+        """Store a list before it is applied, in a thread because a disk may be slow."""
         self.shape = done.shape
-        taken = time.time(), str(self.path), done.digest, why, inventory, done.shape
-        await asyncio.to_thread(lambda: self.keeper.keep(Snapshot(self.keeper.next_number(), *taken)))
+        fields = time.time(), str(self.path), done.digest, why, inventory, done.shape
+        await asyncio.to_thread(lambda: self.keeper.keep(Snapshot(self.keeper.next_number(), *fields)))
 
-    # --- following -----------------------------------------------------------------------------------
+    # --- polling -------------------------------------------------------------------------------------
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(self.watch)
+            await asyncio.sleep(self.poll_period_s)
             try:
-                await self.look()
+                await self.poll()
             except Exception:
-                log.exception("the look at the inventory failed")
+                log.exception("inventory: polling failed")
 
-    async def look(self) -> None:
-        """One look: at what commands ask, then at the files."""
-        await self.asked()
+    async def poll(self) -> None:
+        """Handle operators' commands, then check the files for a change."""
+        await self.handle_commands()
         now = time.monotonic()
         seen = await asyncio.to_thread(stamp, self.path)
-        if (seen is None) is not self.missing:
-            self.missing = seen is None
-            if self.missing:
+        if (seen is None) is not self.is_missing:
+            self.is_missing = seen is None
+            if self.is_missing:
                 log.error("inventory: %s is not there: the list stays as it was", self.path)
         match self.settle.look(seen, now):
             case "read":
-                await self.read()
-            case "same" if self.again_at is not None and now >= self.again_at:
-                self.again_at = None
-                await self.read()
+                await self.read_files()
+            case "same" if self.reread_at is not None and now >= self.reread_at:
+                self.reread_at = None
+                await self.read_files()
             case "restless":
                 log.error("inventory: %s does not come to rest: the list stays as it was", self.path)
 
-    async def read(self) -> None:
+    async def read_files(self) -> None:
         assert self.judge is not None
         base = self.judge.base(time.monotonic())
         seen = self.settle.seen
-        done = await read_beside(self.task(base))
+        done = await read_beside(self.build_task(base))
         if await asyncio.to_thread(stamp, self.path) != seen:
-            return  # it changed meanwhile: what was read may be half of it
+            return  # the files changed during the read, so the content may be incomplete
         self.settle.taken()
-        if done.digest and done.digest == self.last_read:
+        if done.digest and done.digest == self.last_digest:
             return
-        self.last_read, self.again_at = done.digest, time.monotonic() + COARSE
+        self.last_digest, self.reread_at = done.digest, time.monotonic() + REREAD_DELAY_S
         if done.inventory is None:
             self.pending = None
-            log.error("inventory: the list stays as it was: %s", told(done, self.path))
+            log.error("inventory: the list stays as it was: %s", describe_failure(done, self.path))
             return
-        if done.digest == self.ignored:
+        if done.digest == self.ignored_digest:
             return
-        self.ignored = ""
-        await self.judged(done)
+        self.ignored_digest = ""
+        await self.handle_result(done)
 
-    def task(self, base: Inventory | None) -> Task:
+    def build_task(self, base: Inventory | None) -> Task:
         return Task(str(self.path), self.limits, self.current, base, self.shape, self.own)
 
-    async def judged(self, done: Done) -> None:
+    async def handle_result(self, done: Done) -> None:
+        """Accept a list that was read, or hold it back if its change exceeds the limits."""
         for finding in done.findings[:5]:
             log.warning("inventory: %s", finding)
         if not done.change:
             self.pending, self.shape = None, done.shape
             return
-        if done.reasons and self.approved[0] == done.confirmation and time.monotonic() < self.approved[1]:
-            await self.take(done, "confirmed")
+        approved_code, approved_until = self.early_approval
+        if done.reasons and approved_code == done.confirmation and time.monotonic() < approved_until:
+            await self.accept(done, "confirmed")
             return
         if done.reasons:
             self.pending = Pending(done, self.settle.seen)
@@ -162,58 +169,62 @@
                 " SITE.toml %s", "; ".join(done.reasons), done.confirmation,
             )  # fmt: skip
             return
-        await self.take(done, "changed")
+        await self.accept(done, "changed")
 
-    async def take(self, done: Done, why: str) -> None:
+    async def accept(self, done: Done, why: str) -> None:
         assert self.judge is not None and done.inventory is not None
-        self.pending, self.approved = None, ("", 0.0)
+        self.pending, self.early_approval = None, ("", 0.0)
         self.judge.take(done.inventory, time.monotonic(), confirmed=why != "changed")
-        await self.keep(done, why, done.inventory)
+        await self.store_snapshot(done, why, done.inventory)
         log.info("inventory: %s: %s", why, done.change)
         await self.apply(done.inventory)
 
-    # --- what commands ask ---------------------------------------------------------------------------
+    # --- commands ------------------------------------------------------------------------------------
 
-    async def asked(self) -> None:
+    async def handle_commands(self) -> None:
         if (code := self.keeper.asked("confirm")) is not None:
             await self.confirm(code)
         if (number := self.keeper.asked("rollback")) is not None:
             await self.roll_back(number)
 
     async def confirm(self, code: str) -> bool:
-        """Take what is held back, if the code is that of exactly this step.
+        """Accept the change that is held back if `code` is its confirmation; return whether it was accepted.
 
-        One that fits nothing yet is remembered for a while: a command may give it together with the file.
+        A code that matches no pending change stays valid for EARLY_APPROVAL_LIFETIME_S: a command may
+        write it just before it replaces the file.
         """
         pending = self.pending
         if pending is None or code != pending.done.confirmation:
-            self.approved = code, time.monotonic() + APPROVED
-            log.warning("inventory: nothing is held back under that confirmation; it counts %g s", APPROVED)
+            self.early_approval = code, time.monotonic() + EARLY_APPROVAL_LIFETIME_S
+            log.warning(
+                "inventory: no change with that confirmation is held back; the code is valid for %g s",
+                EARLY_APPROVAL_LIFETIME_S,
+            )
             return False
         if await asyncio.to_thread(stamp, self.path) != pending.stamp:
-            log.error("inventory: the file has changed since: look at what it says now")
+            log.error("inventory: not confirmed: the file has changed since")
             return False
-        await self.take(pending.done, "confirmed")
+        await self.accept(pending.done, "confirmed")
         return True
 
     async def roll_back(self, number: str) -> bool:
-        """Go back to a list of the history; the file as it is now counts again only once it changes."""
+        """Apply a list of the history; the file's present content is ignored until the file changes."""
         assert self.judge is not None
         found = [s for s in self.keeper.history() if str(s.number) == number]
         if not found:
-            log.error("inventory: there is no list %s to go back to", number[:20])
+            log.error("inventory: no list %s in the history to roll back to", number[:20])
             return False
-        done = await read_beside(self.task(None))
-        self.ignored, self.pending = done.digest, None
+        done = await read_beside(self.build_task(None))
+        self.ignored_digest, self.pending = done.digest, None
         self.judge.take(found[0].inventory, time.monotonic(), confirmed=True)
-        await self.keep(done, "rolled back", found[0].inventory)
+        await self.store_snapshot(done, "rolled back", found[0].inventory)
         log.warning("inventory: rolled back to list %s", number)
         await self.apply(found[0].inventory)
         return True
 
 
-def told(done: Done, path: Path) -> str:
-    """Why there is no inventory, in one line."""
+def describe_failure(done: Done, path: Path) -> str:
+    """Say in one line why no inventory could be read."""
     if done.problem:
         return done.problem
     errors = [f for f in done.findings if f.level == "error"]
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -21,7 +21,7 @@
 from ivymux.membership.member_list import MemberList, MemberListError
 from ivymux.membership.resolver import Resolver, is_address
 from ivymux.membership.snapshot_store import Keeper
-from ivymux.membership.source import InventorySource, NoInventory
+from ivymux.membership.source import InventorySource, NoInventoryError
 from ivymux.platform.counter import Counter
 from ivymux.routes.classes import ClassTable, TooManyClasses
 from ivymux.routes.compare import compare
@@ -148,7 +148,7 @@
                 ((self.site.listen.host, self.site.listen.port),), Settle(part.settle),
             )  # fmt: skip
             await self.inventory.start()
-        except (MemberListError, NoInventory) as error:
+        except (MemberListError, NoInventoryError) as error:
             raise ConfigError(str(error)) from None
 
     async def apply_inventory(self, inventory: Inventory) -> None:
