--- a/ivymux/desired/etcd/cache.py
+++ b/ivymux/desired/etcd/cache.py
@@ -1,4 +1,4 @@
-"""What a front door last knew, on its own disk: it starts from that while etcd is away."""
+"""A gateway's copy of the desired state on its own disk, from which it starts while etcd is unreachable."""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
 
 
 class Known(msgspec.Struct, frozen=True):
+    """The state and the tenants' heads as last received."""
+
     state: State
     heads: list[Head]
-    at: int  # the revision of etcd that it is of
+    at: int  # the revision of etcd as of which they were read
     saved: float  # Unix time
 
 
 class Cache:
-    """A folder: the state with its checksum, and texts by their digests.
+    """A folder with the state, after its checksum, and texts, named by their digests.
 
-    Raises OSError where the folder can't be used; what is damaged there counts as not there.
+    Raises OSError if the folder can't be used.  Damaged files are treated as missing.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -34,20 +36,21 @@
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def write(self, name: str, data: bytes) -> None:
-        """All of it or nothing, also after a loss of power."""
-        handle, part = tempfile.mkstemp(dir=self.folder, prefix=".", suffix=".part")
+        """Write a file atomically, also with respect to a power failure."""
+        handle, partial_file = tempfile.mkstemp(dir=self.folder, prefix=".", suffix=".part")
         try:
             with os.fdopen(handle, "wb") as sink:
                 sink.write(data)
                 sink.flush()
                 os.fsync(sink.fileno())
-            os.replace(part, self.folder / name)
+            os.replace(partial_file, self.folder / name)
         except OSError:
             with contextlib.suppress(OSError):
-                os.unlink(part)
+                os.unlink(partial_file)
             raise
 
     def known(self) -> Known | None:
+        """Read the cached state; None if it is missing or damaged."""
         try:
             data = (self.folder / STATE).read_bytes()
             if sha256(data[32:]).digest() != data[:32]:
@@ -57,20 +60,21 @@
             return None
 
     def keep(self, known: Known) -> None:
-        """Keep a state, and let texts go that it does not name."""
+        """Write a state, and delete the texts that it does not refer to."""
         data = msgspec.msgpack.encode(known)
         self.write(STATE, sha256(data).digest() + data)
-        self.sweep(name for head in known.heads for name in (head.body, *head.texts))
+        self.delete_unused(name for head in known.heads for name in (head.body, *head.texts))
 
-    def sweep(self, named: Iterable[str]) -> None:
-        wanted = {STATE, *named}
+    def delete_unused(self, referenced: Iterable[str]) -> None:
+        """Delete all files but the state and the referenced texts."""
+        wanted = {STATE, *referenced}
         for file in self.folder.iterdir():
             if file.name not in wanted:
                 with contextlib.suppress(OSError):
                     file.unlink()
 
     def text(self, name: str) -> bytes | None:
-        """A text that is what its digest says."""
+        """Read a text; None if it is missing or its digest differs."""
         try:
             data = (self.folder / name).read_bytes()
         except OSError:
--- a/ivymux/desired/etcd/client.py
+++ b/ivymux/desired/etcd/client.py
@@ -1,4 +1,4 @@
-"""Calls to etcd's JSON gateway: endpoints in turn, tokens, time limits.  Blocks; used from threads."""
+"""A blocking client of etcd's JSON gateway with endpoint failover, authentication and time-outs."""
 
 from __future__ import annotations
 
@@ -14,42 +14,44 @@
 import httpx
 
 from ivymux.desired.etcd.wire import (
-    Away,
     Json,
+    OutcomeUnknown,
     Unauthenticated,
-    Unknown,
-    Watched,
+    Unreachable,
+    WatchResponse,
     failure,
     number,
     read_watch,
 )
 from ivymux.desired.model import StoreBusy, StoreDamaged, StoreError
 
-MAX_ANSWER = 64 << 20  # bytes
-MAX_LINE = 16 << 20  # bytes of one answer of a watch
-CONNECT = 1.0  # seconds
-PAUSE = 0.02  # seconds before a call is made again, doubled each time
+MAX_ANSWER_BYTES = 64 << 20
+MAX_LINE_BYTES = 16 << 20  # of one response of a watch
+CONNECT_TIMEOUT_S = 1.0
+RETRY_DELAY_S = 0.02  # before the first retry; doubled for each further one
 
 
 @dataclass(frozen=True, slots=True)
 class Access:
-    """Where etcd is and who asks."""
+    """The endpoints of etcd, and the credentials to use."""
 
     endpoints: tuple[str, ...]
     username: str = ""
     password: str = ""
-    ca: str = ""  # a file; empty: those that the system trusts
-    cert: str = ""  # files of this client's certificate and its key
+    ca: str = ""  # a file of CA certificates; empty for the system's
+    cert: str = ""  # the files of this client's certificate and private key
     key: str = ""
     timeout: float = 2.0  # seconds for one call
 
-    def __repr__(self) -> str:  # a password must not reach a log
+    def __repr__(self) -> str:  # without the password, which must not reach a log
         return f"Access({self.endpoints}, {self.username!r})"
 
 
 class Client:
+    """Calls etcd at the endpoint that answered last, and at the others if it fails."""
+
     def __init__(self, access: Access) -> None:
-        """Raises StoreError where the certificates can't be read."""
+        """Raises StoreError if the certificates can't be read."""
         self.access = access
         verify: ssl.SSLContext | bool = True
         if any(e.startswith("https:") for e in access.endpoints):
@@ -59,25 +61,26 @@
                     verify.load_cert_chain(access.cert, access.key or None)
             except (OSError, ssl.SSLError) as error:
                 raise StoreError(f"etcd's certificates can't be read: {error}") from None
-        timeout = httpx.Timeout(access.timeout, connect=min(CONNECT, access.timeout))
-        # The machine's proxies are for the world outside, not for the installation's own etcd.
+        timeout = httpx.Timeout(access.timeout, connect=min(CONNECT_TIMEOUT_S, access.timeout))
+        # The machine's HTTP proxies are for external hosts, not for the installation's own etcd.
         self.http = httpx.Client(verify=verify, timeout=timeout, trust_env=False)
-        self.first = 0  # the endpoint that answered last
+        self.first = 0  # index of the endpoint that answered last
         self.token = ""
 
     def close(self) -> None:
         self.http.close()
 
     def call(self, path: str, body: Json) -> Json:
-        """One call.  Raises Unknown where it may have been done and no answer came, other StoreErrors where
-        it was not done.
+        """Make one call.
+
+        Raises OutcomeUnknown if it may have been carried out, another StoreError if it was not.
         """
-        last: StoreError = Away("etcd is away")
-        for turn in range(len(self.access.endpoints)):
-            at = (self.first + turn) % len(self.access.endpoints)
+        last: StoreError = Unreachable("etcd is away")
+        for offset in range(len(self.access.endpoints)):
+            at = (self.first + offset) % len(self.access.endpoints)
             try:
-                found = self.authorized(self.access.endpoints[at], path, body)
-            except Unknown:
+                found = self.post_authorized(self.access.endpoints[at], path, body)
+            except OutcomeUnknown:
                 self.first = (at + 1) % len(self.access.endpoints)
                 raise
             except StoreBusy as error:
@@ -88,24 +91,28 @@
         raise last
 
     def read(self, path: str, body: Json) -> Json:
-        """A call that changes nothing, or the same however often it is made: one without an answer goes to
-        the other endpoints too, and while etcd chooses a leader it is made again within one call's time.
+        """Make a call that is idempotent, with retries.
+
+        A call without an answer is retried at the other endpoints.  While etcd elects a leader, it is retried
+        for the time-out of one call.
         """
-        end, pause = time.monotonic() + self.access.timeout, PAUSE
-        turn = 0
+        deadline, delay = time.monotonic() + self.access.timeout, RETRY_DELAY_S
+        attempt = 0
         while True:
-            turn += 1
+            attempt += 1
             try:
                 return self.call(path, body)
             except StoreBusy as error:
-                others = turn < len(self.access.endpoints) and isinstance(error, Unknown)
-                if not others and (isinstance(error, Away) or time.monotonic() + pause >= end):
+                try_others = attempt < len(self.access.endpoints) and isinstance(error, OutcomeUnknown)
+                if not try_others and (
+                    isinstance(error, Unreachable) or time.monotonic() + delay >= deadline
+                ):
                     raise StoreBusy(str(error)) from None
-            if not others:
-                time.sleep(pause)
-                pause *= 2
+            if not try_others:
+                time.sleep(delay)
+                delay *= 2
 
-    def authorized(self, endpoint: str, path: str, body: Json) -> Json:
+    def post_authorized(self, endpoint: str, path: str, body: Json) -> Json:
         if self.access.username and not self.token:
             self.login(endpoint)
         try:
@@ -113,15 +120,15 @@
         except Unauthenticated:
             if not self.access.username:
                 raise
-            self.login(endpoint)  # tokens end by themselves
+            self.login(endpoint)  # tokens expire
             return self.post(endpoint, path, body)
 
     def login(self, endpoint: str) -> None:
         body = {"name": self.access.username, "password": self.access.password}
         try:
             found = self.post(endpoint, "/v3/auth/authenticate", body)
-        except Unknown as error:
-            raise StoreBusy(str(error)) from None  # nothing was changed by it
+        except OutcomeUnknown as error:
+            raise StoreBusy(str(error)) from None  # a login changes nothing
         except (Unauthenticated, StoreBusy):
             raise
         except StoreError:
@@ -135,31 +142,35 @@
                 data = bytearray()
                 for part in answer.iter_bytes():
                     data += part
-                    if len(data) > MAX_ANSWER:
+                    if len(data) > MAX_ANSWER_BYTES:
                         raise StoreDamaged("etcd's answer has no end")
-                return self.answer(answer.status_code, bytes(data))
+                return self.parse_answer(answer.status_code, bytes(data))
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout):
-            raise Away(f"etcd is away at {endpoint}") from None
+            raise Unreachable(f"etcd is away at {endpoint}") from None
         except httpx.TimeoutException:
-            raise Unknown(f"etcd did not answer in time at {endpoint}") from None
+            raise OutcomeUnknown(f"etcd did not answer in time at {endpoint}") from None
         except httpx.HTTPError as error:
-            raise Unknown(f"etcd at {endpoint} broke off: {type(error).__name__}") from None
+            raise OutcomeUnknown(f"etcd at {endpoint} broke off: {type(error).__name__}") from None
 
-    def answer(self, status: int, data: bytes) -> Json:
+    def parse_answer(self, status: int, data: bytes) -> Json:
+        """Decode an answer.  Raises the StoreError of a status other than 200."""
         try:
             found = json.loads(data)
         except ValueError:
             found = None
         if not isinstance(found, dict):
-            # What stands before it (a proxy) may have passed the call on.
-            raise Unknown(f"what answers for etcd is not its JSON gateway (status {status})")
+            # An intermediate proxy may have forwarded the call.
+            raise OutcomeUnknown(f"what answers for etcd is not its JSON gateway (status {status})")
         if status != 200:
             raise failure(number(found.get("code")), str(found.get("message") or found.get("error", "")))
         return found
 
     @contextlib.contextmanager
-    def watch(self, body: Json) -> Iterator[tuple[Iterator[Watched], Callable[[], None]]]:
-        """A watch's answers as they come, and what ends it from another thread.  Raises StoreError."""
+    def watch(self, body: Json) -> Iterator[tuple[Iterator[WatchResponse], Callable[[], None]]]:
+        """Open a watch; gives its responses, and a function that ends it from another thread.
+
+        Raises StoreError.
+        """
         endpoint = self.access.endpoints[self.first]
         if self.access.username and not self.token:
             self.login(endpoint)
@@ -167,39 +178,41 @@
         try:
             with self.http.stream("POST", endpoint + "/v3/watch", json=body, headers=headers) as answer:
                 if answer.status_code != 200:
-                    self.answer(answer.status_code, answer.read())
-                # It has begun in time.  From here on nothing comes where nothing changes; whether it still
-                # lives is seen by reads beside it.
+                    self.parse_answer(answer.status_code, answer.read())
+                # The watch has started, so no read time-out applies: without changes there are no responses.
+                # The caller checks by reads whether the watch still works.
                 answer.request.extensions["timeout"]["read"] = None
-                yield self.answers(answer), lambda: end(answer)
+                yield self.watch_responses(answer), lambda: shut_down(answer)
         except Unauthenticated:
             self.token = ""
             raise
         except httpx.HTTPError as error:
             raise StoreBusy(f"etcd's watch at {endpoint} broke off: {type(error).__name__}") from None
 
-    def answers(self, answer: httpx.Response) -> Iterator[Watched]:
-        held = bytearray()
+    def watch_responses(self, answer: httpx.Response) -> Iterator[WatchResponse]:
+        """Decode the lines of a watch stream."""
+        buffer = bytearray()
         for part in answer.iter_bytes():
-            held += part
-            if len(held) > MAX_LINE:
+            buffer += part
+            if len(buffer) > MAX_LINE_BYTES:
                 raise StoreDamaged("an answer of etcd's watch has no end")
-            *lines, rest = bytes(held).split(b"\n")
-            held = bytearray(rest)
+            *lines, rest = bytes(buffer).split(b"\n")
+            buffer = bytearray(rest)
             for line in lines:
                 if line.strip():
-                    yield read_watch(parsed(line))
-        if held.strip():  # the gateway's lines need not end in one
-            yield read_watch(parsed(bytes(held)))
+                    yield read_watch(parse_line(line))
+        if buffer.strip():  # the last line may lack a newline
+            yield read_watch(parse_line(bytes(buffer)))
 
 
-def end(answer: httpx.Response) -> None:
-    """End a connection that another thread reads from: that hears of it at once."""
+def shut_down(answer: httpx.Response) -> None:
+    """Shut down a connection that another thread reads from, so that its read ends at once."""
     with contextlib.suppress(OSError, KeyError):
         answer.extensions["network_stream"].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
 
-def parsed(line: bytes) -> Any:
+def parse_line(line: bytes) -> Any:
+    """Decode a line of a watch stream.  Raises StoreError."""
     try:
         found = json.loads(line)
     except ValueError:
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -155,7 +155,7 @@
                 found = self.store.range(Range(self.store.keys.state))
                 with self.lock:
                     kv = next(iter(found.kvs), None)
-                    behind = self.replica.behind(kv, found.revision, time.monotonic())
+                    behind = self.replica.needs_full_read(kv, found.revision, time.monotonic())
                 self.trouble("reads", "")
                 self.keep()  # what could not be kept when it came
                 if behind:
--- a/ivymux/desired/etcd/plan.py
+++ b/ivymux/desired/etcd/plan.py
@@ -23,7 +23,7 @@
     prefix_end,
     unpacked,
 )
-from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Put, Range, Ranged, Txn
+from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Put, Range, RangeResult, Txn
 from ivymux.desired.model import (
     Admin,
     AuditRecord,
@@ -78,7 +78,7 @@
     ]  # fmt: skip
 
 
-def read_state(found: Ranged) -> tuple[State, int]:
+def read_state(found: RangeResult) -> tuple[State, int]:
     """Decode the state, with etcd's revision that last changed its key.
 
     Raises StoreError if there is no state, StoreDamaged if it has a later format.
@@ -96,7 +96,7 @@
     return key.rpartition(b"/")[2].decode()
 
 
-def read_snapshot(change: Change, ranges: tuple[Ranged, ...]) -> Snapshot:
+def read_snapshot(change: Change, ranges: tuple[RangeResult, ...]) -> Snapshot:
     """Decode what was read for ranges_to_read.  Raises StoreError."""
     state, mod = read_state(ranges[0])
     head = unpacked(ranges[1].kvs[0].value, Head) if ranges[1].kvs else None
--- a/ivymux/desired/etcd/replica.py
+++ b/ivymux/desired/etcd/replica.py
@@ -1,7 +1,7 @@
-"""What a front door knows of a desired state in etcd, and what to do about each thing it hears.  Pure.
+"""A gateway's replica of the desired state in etcd, updated by a watch and by full reads.  Does no I/O.
 
-The watch brings whole revisions of etcd (a transaction is never split); a reading of all brings the rest: at
-the start, after a compaction, and wherever the two could differ.
+The watch delivers whole revisions of etcd (a transaction is never split).  A full read is needed at the
+start, after a compaction, and whenever the watch may have missed something.
 """
 
 from __future__ import annotations
@@ -13,35 +13,39 @@
 from ivymux.desired.etcd.wire import Event, Kv
 from ivymux.desired.model import DeletedTenant, StoreError
 
-MAX_GONE = 10_000  # tenants that went, kept to be told
-MAX_WATCH_LAG_S = 2.0  # seconds that a watch may be behind what a read has seen
+MAX_GONE = 10_000  # remembered deletions of tenants
+MAX_WATCH_LAG_S = 2.0  # how long a watch may lag behind a read
 
 
-class OtherState(StoreError):
-    """What is there is no continuation of what is followed."""
+class ForeignState(StoreError):
+    """The state in etcd does not continue the one that the replica follows."""
 
 
 @dataclass(slots=True)
 class Replica:
+    """The state and the tenants' heads, with the latest deletions."""
+
     keys: Keys
     state: State | None = None
     heads: dict[str, Head] = field(default_factory=dict)  # by name
     gone: list[DeletedTenant] = field(default_factory=list)
-    forgot: int = 0  # revision up to which tenants that went are no longer known
-    at: int = 0  # the revision of etcd that this is of
+    forgot: int = 0  # revision up to which deletions are no longer known
+    at: int = 0  # the revision of etcd as of which this is current
     behind_since: float | None = None
 
     @property
     def revision(self) -> int:
         return self.state.revision if self.state is not None else -1
 
-    # --- readings of all -------------------------------------------------------------------------------
+    # --- full reads -----------------------------------------------------------------------------------
 
     def load(self, kvs: Iterable[Kv], at: int) -> None:
-        """Go over to all that is there as of a revision of etcd.  Raises OtherState, changing nothing.
+        """Replace the replica by a full read as of etcd's revision `at`.
+
+        Raises ForeignState, changing nothing.
 
-        An etcd that began anew without its data has no state, and one that was given another installation's
-        has another lineage; one that came back from an old copy of its data goes back in revisions.
+        An etcd that lost its data has no state, one with another installation's data has another lineage, and
+        one that was restored from an old snapshot has a lower revision.
         """
         state: State | None = None
         heads: dict[str, Head] = {}
@@ -53,23 +57,23 @@
                 heads[head.name] = head
         self.accept(state)
         assert state is not None
-        lost = [h for name, h in self.heads.items() if name not in heads or heads[name].uid != h.uid]
+        deleted = [h for name, h in self.heads.items() if name not in heads or heads[name].uid != h.uid]
         self.state, self.heads, self.at, self.behind_since = state, heads, at, None
-        self.bury(lost)
+        self.record_deletions(deleted)
 
     def accept(self, state: State | None) -> None:
-        """Raises OtherState for a state that is not to be followed."""
+        """Check that a state continues the current one.  Raises ForeignState."""
         if state is None:
-            raise OtherState(
+            raise ForeignState(
                 "etcd holds no desired state here: it began anew, or the prefix is another one; "
                 "put a copy back with `ivymux restore`"
             )
         if self.state is None:
             return
         if state.lineage != self.state.lineage:
-            raise OtherState("the desired state was replaced by another one: it is not followed")
+            raise ForeignState("the desired state was replaced by another one: it is not followed")
         if state.revision < self.state.revision:
-            raise OtherState(
+            raise ForeignState(
                 f"the desired state went back from revision {self.state.revision} to {state.revision}: "
                 "put a copy back with `ivymux restore`, which goes on beyond both"
             )
@@ -77,11 +81,14 @@
     # --- the watch -------------------------------------------------------------------------------------
 
     def apply(self, events: Iterable[Event], at: int) -> bool:
-        """Take over what a watch told; whether anything changed.  Raises OtherState, changing nothing."""
-        state, heads, lost = self.state, dict[str, Head | None](), list[Head]()
+        """Apply a watch's events; return whether anything changed.
+
+        Raises ForeignState, changing nothing.
+        """
+        state, heads, deleted = self.state, dict[str, Head | None](), list[Head]()
         for event in events:
             if event.kv is not None and event.kv.mod <= self.at:
-                continue  # told twice: a watch that began anew at an earlier revision
+                continue  # received before: the watch was restarted at an earlier revision
             if event.key == self.keys.state:
                 state = unpacked(event.kv.value, State) if event.kv is not None else None
             elif event.key.startswith(self.keys.tenants):
@@ -92,7 +99,7 @@
         for name, head in heads.items():
             before = self.heads.get(name)
             if before is not None and (head is None or head.uid != before.uid):
-                lost.append(before)
+                deleted.append(before)
         for name, head in heads.items():
             if head is None:
                 self.heads.pop(name, None)
@@ -100,36 +107,36 @@
                 self.heads[name] = head
         changed = state is not self.state or bool(heads)
         self.state, self.at = state, max(self.at, at)
-        self.bury(lost)
+        self.record_deletions(deleted)
         return changed
 
-    def bury(self, lost: Iterable[Head]) -> None:
-        """Keep who went, as of now; the oldest are forgotten."""
-        self.gone += [DeletedTenant(head.name, head.uid, self.revision) for head in lost]
+    def record_deletions(self, deleted: Iterable[Head]) -> None:
+        """Record deletions at the current revision, and drop the oldest above MAX_GONE."""
+        self.gone += [DeletedTenant(head.name, head.uid, self.revision) for head in deleted]
         if len(self.gone) > MAX_GONE:
             surplus = self.gone[: len(self.gone) - MAX_GONE]
             self.forgot = max(g.revision for g in surplus)
             del self.gone[: len(surplus)]
 
     def changes_since(self, revision: int) -> tuple[list[Head], list[DeletedTenant] | None]:
-        """Heads changed since, and who went since; None, with all heads, where that is not known."""
+        """The heads changed and the tenants deleted since; all heads and None if that is no longer known."""
         if revision < self.forgot:
-            return sorted(self.heads.values(), key=order), None
+            return sorted(self.heads.values(), key=sort_key), None
         changed = [h for h in self.heads.values() if h.revision > revision]
-        return sorted(changed, key=order), [g for g in self.gone if g.revision > revision]
+        return sorted(changed, key=sort_key), [g for g in self.gone if g.revision > revision]
 
-    # --- whether the watch still tells all ---------------------------------------------------------------
+    # --- supervision of the watch ----------------------------------------------------------------------
 
-    def behind(self, state: Kv | None, at: int, now: float) -> bool:
-        """Whether to read all anew, by what a read of the state's key saw as of revision `at` of etcd.
+    def needs_full_read(self, state: Kv | None, at: int, now: float) -> bool:
+        """Whether a full read is needed, by the state's key as read at revision `at` of etcd.
 
-        Raises OtherState.  `now` is monotonic.  A watch may stop telling without ending (a proxy holds it, or
-        etcd began anew and has not reached its revision yet), so what it told is held against reads.
+        Raises ForeignState.  `now` is monotonic.  A watch may stop delivering events without ending (a proxy
+        keeps it open, or a new etcd has not reached the watch's revision yet), so it is compared with reads.
         """
         self.accept(unpacked(state.value, State) if state is not None else None)
         assert state is not None
         if at < self.at:
-            return True  # etcd itself went back
+            return True  # etcd's own revision went back
         if state.mod <= self.at:
             self.behind_since = None
             return False
@@ -138,5 +145,6 @@
         return now - self.behind_since >= MAX_WATCH_LAG_S
 
 
-def order(head: Head) -> tuple[int, str]:
+def sort_key(head: Head) -> tuple[int, str]:
+    """Order heads by revision, then name."""
     return head.revision, head.name
--- a/ivymux/desired/etcd/store.py
+++ b/ivymux/desired/etcd/store.py
@@ -28,12 +28,12 @@
 )
 from ivymux.desired.etcd.wire import (
     Kv,
+    OutcomeUnknown,
     Put,
     Range,
-    Ranged,
-    Transacted,
+    RangeResult,
     Txn,
-    Unknown,
+    TxnResult,
     number,
     put_json,
     range_json,
@@ -78,7 +78,7 @@
 
     # --- calls -----------------------------------------------------------------------------------------
 
-    def range(self, op: Range) -> Ranged:
+    def range(self, op: Range) -> RangeResult:
         return read_range(self.client.read("/v3/kv/range", range_json(op)))
 
     def read_key(self, key: bytes) -> Kv | None:
@@ -97,11 +97,11 @@
                 return found, at
             key = part.kvs[-1].key + b"\0"
 
-    def read_together(self, ops: Sequence[Range]) -> Transacted:
+    def read_together(self, ops: Sequence[Range]) -> TxnResult:
         """Read several ranges as of one revision of etcd."""
         return read_txn(self.client.read("/v3/kv/txn", txn_json(Txn((), tuple(ops)))))
 
-    def transact(self, txn: Txn) -> Transacted:
+    def transact(self, txn: Txn) -> TxnResult:
         return read_txn(self.client.call("/v3/kv/txn", txn_json(txn)))
 
     def grant_lease(self, seconds: int) -> int:
@@ -264,7 +264,7 @@
                     if change.tenant is not None and len(snapshot.history) >= plan.MAX_HISTORY:
                         self.delete_unused_texts(change.uid)
                     return revision
-            except Unknown:
+            except OutcomeUnknown:
                 unknown.add(revision)
             time.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10)))
         if unknown:
@@ -298,7 +298,7 @@
             try:
                 if self.transact(txn).succeeded:
                     return
-            except Unknown:
+            except OutcomeUnknown:
                 if self.admin(admin.id) == admin:
                     return
             time.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10)))
--- a/ivymux/desired/etcd/wire.py
+++ b/ivymux/desired/etcd/wire.py
@@ -1,7 +1,7 @@
-"""etcd v3's JSON gateway as values: requests out, answers in, errors told apart.  Pure.
+"""Encodes requests to etcd v3's JSON gateway, and decodes its answers and errors.  Does no I/O.
 
-Source: the published API (`rpc.proto` with its HTTP annotations): bytes are base64, 64-bit numbers are texts,
-fields at their default may be left out.
+Source: the published API (`rpc.proto` with its HTTP annotations): bytes are base64, 64-bit numbers are
+strings, and fields with their default value may be missing.
 """
 
 from __future__ import annotations
@@ -13,49 +13,55 @@
 
 from ivymux.desired.model import StoreBusy, StoreDamaged, StoreError, StoreFull
 
-MAX_OPERATIONS = 120  # in one transaction; etcd's own default is 128
+MAX_OPERATIONS = 120  # in one transaction; etcd's default limit is 128
 Json = dict[str, Any]
 
 
 class Compacted(StoreError):
-    """The revision that was asked for is no longer kept."""
+    """The requested revision has been compacted."""
 
 
 class Unauthenticated(StoreError):
-    """The token counts no longer; another one has to be asked for."""
+    """The token is no longer valid; the client has to authenticate again."""
 
 
-class Away(StoreBusy):
-    """No connection: nothing was sent."""
+class Unreachable(StoreBusy):
+    """There is no connection, so nothing was sent."""
 
 
-class Unknown(StoreBusy):
-    """A call went out and no answer came: it may have been done."""
+class OutcomeUnknown(StoreBusy):
+    """A call was sent and not answered; it may have been carried out."""
 
 
 @dataclass(frozen=True, slots=True)
 class Kv:
+    """A key, its value and etcd's metadata."""
+
     key: bytes
     value: bytes
-    mod: int  # the revision of etcd that changed it last
-    create: int
+    mod: int  # the revision of etcd that last changed the key
+    create: int  # the revision of etcd that created the key
     lease: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Range:
+    """A read of one key, or of the keys from `key` up to `end`."""
+
     key: bytes
     end: bytes = b""
     limit: int = 0
     descending: bool = False
-    oldest: bool = False  # by when they were made, the oldest first
+    oldest: bool = False  # in order of creation, oldest first
     keys_only: bool = False
     count_only: bool = False
-    revision: int = 0  # as of then; 0 for now
+    revision: int = 0  # read as of this revision; 0 for the current one
 
 
 @dataclass(frozen=True, slots=True)
 class Put:
+    """A write of one key."""
+
     key: bytes
     value: bytes
     lease: int = 0
@@ -63,13 +69,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
+    """A deletion of one key, or of the keys from `key` up to `end`."""
+
     key: bytes
     end: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """A condition on one key: `mod` or `create` revision, or the value."""
+    """A condition on the `mod` or `create` revision of one key."""
 
     key: bytes
     target: Literal["MOD", "CREATE"]
@@ -79,77 +87,84 @@
 
 @dataclass(frozen=True, slots=True)
 class Txn:
+    """Operations that etcd carries out atomically if all conditions hold."""
+
     compares: tuple[Compare, ...]
     operations: tuple[Range | Put | Delete, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Ranged:
+class RangeResult:
+    """The answer to a Range."""
+
     kvs: tuple[Kv, ...]
     more: bool
     count: int
-    revision: int  # of etcd, as of which it was read
+    revision: int  # the revision of etcd as of which the range was read
 
 
 @dataclass(frozen=True, slots=True)
-class Transacted:
+class TxnResult:
+    """The answer to a Txn."""
+
     succeeded: bool
     revision: int
-    ranges: tuple[Ranged, ...]  # of the range operations, in their order
+    ranges: tuple[RangeResult, ...]  # results of the Range operations, in order
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A key that was put (with its Kv), or deleted (None)."""
+    """A key that was put (`kv` has its value) or deleted (`kv` is None)."""
 
     key: bytes
     kv: Kv | None
 
 
 @dataclass(frozen=True, slots=True)
-class Watched:
-    """One answer of a watch."""
+class WatchResponse:
+    """One response of a watch stream."""
 
     revision: int
     created: bool = False
     canceled: bool = False
-    compacted: int = 0  # the first revision that is still kept
+    compacted: int = 0  # the first revision that is available, if the requested one is compacted
     reason: str = ""
     events: tuple[Event, ...] = field(default=())
 
 
-def text(data: bytes) -> str:
+def base64_text(data: bytes) -> str:
+    """Encode bytes as the gateway's JSON has them."""
     return b64encode(data).decode()
 
 
 def range_json(op: Range) -> Json:
-    made: Json = {"key": text(op.key)}
+    fields: Json = {"key": base64_text(op.key)}
     if op.end:
-        made["range_end"] = text(op.end)
+        fields["range_end"] = base64_text(op.end)
     if op.limit:
-        made["limit"] = str(op.limit)
+        fields["limit"] = str(op.limit)
     if op.descending:
-        made |= {"sort_order": "DESCEND", "sort_target": "KEY"}
+        fields |= {"sort_order": "DESCEND", "sort_target": "KEY"}
     if op.oldest:
-        made |= {"sort_order": "ASCEND", "sort_target": "CREATE"}
+        fields |= {"sort_order": "ASCEND", "sort_target": "CREATE"}
     if op.keys_only:
-        made["keys_only"] = True
+        fields["keys_only"] = True
     if op.count_only:
-        made["count_only"] = True
+        fields["count_only"] = True
     if op.revision:
-        made["revision"] = str(op.revision)
-    return made
+        fields["revision"] = str(op.revision)
+    return fields
 
 
 def put_json(op: Put) -> Json:
-    made: Json = {"key": text(op.key), "value": text(op.value)}
+    fields: Json = {"key": base64_text(op.key), "value": base64_text(op.value)}
     if op.lease:
-        made["lease"] = str(op.lease)
-    return made
+        fields["lease"] = str(op.lease)
+    return fields
 
 
 def delete_json(op: Delete) -> Json:
-    return {"key": text(op.key)} | ({"range_end": text(op.end)} if op.end else {})
+    return {"key": base64_text(op.key)} | ({"range_end": base64_text(op.end)} if op.end else {})
 
 
 def operation_json(op: Range | Put | Delete) -> Json:
@@ -164,7 +179,7 @@
 
 def compare_json(compare: Compare) -> Json:
     field = {"MOD": "mod_revision", "CREATE": "create_revision"}[compare.target]
-    return {"key": text(compare.key), "target": compare.target, "result": compare.result,
+    return {"key": base64_text(compare.key), "target": compare.target, "result": compare.result,
             field: str(compare.number)}  # fmt: skip
 
 
@@ -175,13 +190,20 @@
 
 
 def watch_json(key: bytes, end: bytes, revision: int) -> Json:
-    return {"create_request": {"key": text(key), "range_end": text(end), "start_revision": str(revision)}}
+    return {
+        "create_request": {
+            "key": base64_text(key),
+            "range_end": base64_text(end),
+            "start_revision": str(revision),
+        }
+    }
 
 
 # --- answers ------------------------------------------------------------------------------------------
 
 
 def number(value: Any) -> int:
+    """Decode a number, which may be a string or missing."""
     return int(value or 0)
 
 
@@ -196,27 +218,32 @@
     return number(answer.get("header", {}).get("revision"))
 
 
-def read_range(answer: Json) -> Ranged:
-    """Raises StoreDamaged for what is no such answer."""
+def read_range(answer: Json) -> RangeResult:
+    """Decode the answer to a range request.  Raises StoreDamaged."""
     try:
         kvs = tuple(read_kv(kv) for kv in answer.get("kvs", ()))
-        return Ranged(kvs, bool(answer.get("more", False)), number(answer.get("count")), revision_of(answer))
+        return RangeResult(
+            kvs, bool(answer.get("more", False)), number(answer.get("count")), revision_of(answer)
+        )
     except (KeyError, TypeError, ValueError, AttributeError, Base64Error):
         raise StoreDamaged("etcd's answer can't be read: is this its JSON gateway?") from None
 
 
-def read_txn(answer: Json) -> Transacted:
-    """Raises StoreDamaged for what is no such answer."""
+def read_txn(answer: Json) -> TxnResult:
+    """Decode the answer to a transaction.  Raises StoreDamaged."""
     try:
         found = answer.get("responses", ())
         ranges = tuple(read_range(r["response_range"]) for r in found if "response_range" in r)
-        return Transacted(bool(answer.get("succeeded", False)), revision_of(answer), ranges)
+        return TxnResult(bool(answer.get("succeeded", False)), revision_of(answer), ranges)
     except (KeyError, TypeError, ValueError, AttributeError):
         raise StoreDamaged("etcd's answer can't be read: is this its JSON gateway?") from None
 
 
-def read_watch(line: Json) -> Watched:
-    """Raises StoreError for an error in the stream, StoreDamaged for what is no answer of a watch."""
+def read_watch(line: Json) -> WatchResponse:
+    """Decode a line of a watch stream.
+
+    Raises StoreError for an error in the stream, StoreDamaged for anything else that is no watch response.
+    """
     if isinstance(error := line.get("error"), dict):
         raise failure(number(error.get("grpc_code", error.get("code"))), str(error.get("message", "")))
     try:
@@ -227,7 +254,7 @@
             Event(b64decode(e["kv"]["key"], validate=True), read_kv(e["kv"]))
             for e in result.get("events", ())
         )  # fmt: skip
-        return Watched(
+        return WatchResponse(
             revision_of(result), bool(result.get("created")), bool(result.get("canceled")),
             number(result.get("compact_revision")), str(result.get("cancel_reason", "")), events,
         )  # fmt: skip
@@ -236,23 +263,24 @@
 
 
 def failure(code: int, message: str) -> StoreError:
-    """An error of etcd (gRPC's codes) as the store's.  Its text is etcd's, which names no value."""
-    told = message[:200]
+    """Translate an error of etcd (a gRPC code) to a StoreError; etcd's message contains no stored value."""
+    detail = message[:200]
     match code:
         case 8 if "space" in message:
             return StoreFull("etcd's database is full: compact and defragment it, then disarm its alarm")
         case 4:
-            return Unknown(f"etcd did not tell whether it was done: {told}")
+            return OutcomeUnknown(f"etcd did not tell whether it was done: {detail}")
         case 14 if "timed out" in message or "leader changed" in message:
-            return Unknown(f"etcd did not tell whether it was done: {told}")  # a proposal may still be made
+            # etcd may still apply the proposal.
+            return OutcomeUnknown(f"etcd did not tell whether it was done: {detail}")
         case 8 | 14:
-            return StoreBusy(f"etcd can't do it now: {told}")
+            return StoreBusy(f"etcd can't do it now: {detail}")
         case 11:
-            return Compacted(f"etcd no longer keeps that revision: {told}")
+            return Compacted(f"etcd no longer keeps that revision: {detail}")
         case 16:
-            return Unauthenticated(f"etcd refuses the token: {told}")
+            return Unauthenticated(f"etcd refuses the token: {detail}")
         case 3 if "invalid auth token" in message:
-            return Unauthenticated(f"etcd refuses the token: {told}")
+            return Unauthenticated(f"etcd refuses the token: {detail}")
         case 7:
-            return StoreError(f"etcd's user may not do this; grant it readwrite on the prefix: {told}")
-    return StoreError(f"etcd refused: {told}")
+            return StoreError(f"etcd's user may not do this; grant it readwrite on the prefix: {detail}")
+    return StoreError(f"etcd refused: {detail}")
