--- a/bench/parts.py
+++ b/bench/parts.py
@@ -137,10 +137,10 @@
     loop = asyncio.get_running_loop()
     if kind == "tally":
         from ivymux.data_plane.limits import Address
-        from ivymux.tally.server import TallyServer
+        from ivymux.tally.server import CounterServer
         from ivymux.tally.store import CounterStore
 
-        port = await TallyServer(CounterStore()).start(Address("127.0.0.1", 0))
+        port = await CounterServer(CounterStore()).start(Address("127.0.0.1", 0))
     else:
         idle: deque[Back] = deque()
         host, _, number = address.rpartition(":")
--- a/ivymux/cli/tally.py
+++ b/ivymux/cli/tally.py
@@ -41,14 +41,14 @@
     """Serve until SIGTERM or SIGINT.  Raises ConfigError, CounterFileError."""
     from ivymux.data_plane.limits import ConfigError
     from ivymux.tally.durable import DurableStore
-    from ivymux.tally.server import TallyServer
+    from ivymux.tally.server import CounterServer
     from ivymux.tally.store import CounterStore
 
     loop, ended = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
     kept = DurableStore(file, names) if file is not None else None
-    server = TallyServer(kept, kept.clock) if kept is not None else TallyServer(CounterStore(names))
+    server = CounterServer(kept, kept.clock) if kept is not None else CounterServer(CounterStore(names))
     tending = loop.create_task(kept.maintain()) if kept is not None else None
     try:
         try:
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -25,7 +25,7 @@
 from ivymux.service.lifecycle import Door
 from ivymux.service.site import MAX_ANSWERS
 from ivymux.tally.clock import SharedClock
-from ivymux.tally.server import TallyServer
+from ivymux.tally.server import CounterServer
 from ivymux.tally.store import CounterStore
 from ivymux.tenants.model import Tenant, missing_parts
 from ivymux.tenants.shares import SPAN_S, Shares
@@ -59,7 +59,7 @@
             min(limits.tenant_upstream, bounds.max_backend_connections), tuple(hosting.file.trusted_proxies),
             address_rules=hosting.address_rules, host_lookups=self.host_lookups, refusal_log=refusal_log,
         )  # fmt: skip
-        self.tally: TallyServer | None = None  # a counter service that runs in this process
+        self.tally: CounterServer | None = None  # a counter service that runs in this process
         self.shares = Shares()
         self.tenants: dict[str, HostedTenant] = {}  # by uid
         self.tenants_by_host: dict[str, HostedTenant] = {}
@@ -240,7 +240,7 @@
         """Connect to the counter that gateways share, if one is configured.  Raises ConfigError."""
         hosting, address = self.hosting, self.hosting.tally
         if hosting.tally_listen is not None:
-            self.tally = TallyServer(CounterStore())
+            self.tally = CounterServer(CounterStore())
             try:
                 port = await self.tally.start(hosting.tally_listen)
             except OSError as error:
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -33,7 +33,7 @@
 from ivymux.service.site import MAX_ANSWERS, SCOPES, Site, SiteError, findings, read_site, settings
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.local import LocalCounter
-from ivymux.tally.server import TallyServer
+from ivymux.tally.server import CounterServer
 from ivymux.tally.store import CounterStore
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
@@ -89,7 +89,7 @@
         told = settings(site, tuple(self.classes.listed))
         self.host = Host(Gateway(told, seed), upstream)
         self.store = CounterStore()
-        self.tally: TallyServer | None = None
+        self.tally: CounterServer | None = None
         self.counter: Counter | RedisCounter | None = None
         self.clock = SharedClock(time.time(), time.monotonic())
         if site.tally is not None:
@@ -171,7 +171,7 @@
         await self.join()
         try:
             if self.site.tally_listen is not None:
-                self.tally = TallyServer(self.store)
+                self.tally = CounterServer(self.store)
                 await self.tally.start(self.site.tally_listen)
             await self.server.start()
         except OSError as error:
--- a/ivymux/tally/server.py
+++ b/ivymux/tally/server.py
@@ -1,4 +1,4 @@
-"""The TALLY call on a socket (RESP2), for front doors that share one tally."""
+"""The counter service's server: the TALLY command over RESP2, for gateways that share one set of totals."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 from ivymux.tally.store import CounterFullError, CounterStore, InvalidCallError, format_total, parse_call
 
 MAX_CONNECTIONS = 512
-MAX_UNREAD = 64 * 1024  # bytes of one call
+MAX_CALL_BYTES = 64 * 1024
 PONG = b"+PONG\r\n"
 
 
-class Caller(asyncio.Protocol):
-    def __init__(self, owner: TallyServer) -> None:
-        self.owner = owner
+class ClientConnection(asyncio.Protocol):
+    """A gateway's connection to the server."""
+
+    def __init__(self, server: CounterServer) -> None:
+        self.server = server
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
-        self.unread = 0
+        self.unparsed_bytes = 0  # since the last complete call
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.owner.callers.add(self)
-        if len(self.owner.callers) > MAX_CONNECTIONS:
+        self.server.connections.add(self)
+        if len(self.server.connections) > MAX_CONNECTIONS:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.owner.callers.discard(self)
+        self.server.connections.discard(self)
 
     def pause_writing(self) -> None:
         if self.transport is not None:
@@ -44,69 +46,75 @@
 
     def data_received(self, data: bytes) -> None:
         assert self.transport is not None
-        self.unread += len(data)
-        answers = []
+        self.unparsed_bytes += len(data)
+        replies = []
         try:
             self.reader.feed(data)
             while (call := self.reader.gets()) is not False:
-                self.unread = 0
-                answers.append(self.owner.answer(call))
-            if self.unread > MAX_UNREAD:
-                raise hiredis.ProtocolError("a call without end")
+                self.unparsed_bytes = 0
+                replies.append(self.server.execute(call))
+            if self.unparsed_bytes > MAX_CALL_BYTES:
+                raise hiredis.ProtocolError(f"call exceeds {MAX_CALL_BYTES} bytes")
         except hiredis.ProtocolError:
-            answers.append(b"-ERR Protocol error\r\n")
-            self.owner.store.flush()
-            self.transport.write(b"".join(answers))
+            replies.append(b"-ERR Protocol error\r\n")
+            self.server.store.flush()
+            self.transport.write(b"".join(replies))
             self.transport.close()
             return
-        self.owner.store.flush()  # what is answered is kept
-        self.transport.write(b"".join(answers))
+        self.server.store.flush()  # saves the changes before their replies are sent
+        self.transport.write(b"".join(replies))
 
 
-class TallyServer:
+class CounterServer:
     """Serves one store."""
 
     def __init__(self, store: CounterStore, clock: Callable[[], float] = time.monotonic) -> None:
-        """`clock`: the store's seconds; they must not go back."""
+        """`clock`: returns the store's time in seconds, and must not go back."""
         self.store, self.clock = store, clock
-        # One that is kept nowhere ends with its process: no other continues its counts.
+        # The totals of a store without an incarnation end with the process, so no other process has this one.
         self.incarnation = store.incarnation or secrets.token_bytes(16)
-        self.callers: set[Caller] = set()
+        self.connections: set[ClientConnection] = set()
         self.server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> int:
-        """Listen; the port.  Raises OSError."""
+        """Listen, and return the port.  Raises OSError."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Caller(self), address.host, address.port)
+        self.server = await loop.create_server(lambda: ClientConnection(self), address.host, address.port)
         return int(self.server.sockets[0].getsockname()[1])
 
-    def answer(self, call: Any) -> bytes:
-        name = call[0].upper() if isinstance(call, list) and call and isinstance(call[0], bytes) else b""
-        if name == b"PING":
+    def execute(self, call: Any) -> bytes:
+        """Execute a call and return its encoded reply."""
+        command = call[0].upper() if isinstance(call, list) and call and isinstance(call[0], bytes) else b""
+        if command == b"PING":
             return PONG
-        if name in (b"CLIENT", b"SELECT"):
+        if command in (b"CLIENT", b"SELECT"):
             return b"+OK\r\n"
-        if name == b"INCARNATION":
-            told = self.incarnation.hex().encode()
-            return b"$%d\r\n%s\r\n" % (len(told), told)
-        if name == b"TIME":  # as Redis has it: front doors set their clocks by it
-            seconds, part = divmod(int(time.time() * 1e6), 1_000_000)
-            pair = b"%d" % seconds, b"%d" % part
-            return b"*2\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(t), t) for t in pair)
-        if name != b"TALLY":
+        if command == b"INCARNATION":
+            return encode_bulk_string(self.incarnation.hex().encode())
+        if command == b"TIME":  # the same reply as in Redis; gateways synchronize their clocks with it
+            seconds, microseconds = divmod(int(time.time() * 1e6), 1_000_000)
+            pair = b"%d" % seconds, b"%d" % microseconds
+            return b"*2\r\n" + b"".join(encode_bulk_string(text) for text in pair)
+        if command != b"TALLY":
             return b"-ERR unknown command\r\n"
         try:
-            read = parse_call(call)
-            total = format_total(self.store.add_once(read, self.clock()))
+            tally_call = parse_call(call)
+            total = format_total(self.store.add_once(tally_call, self.clock()))
         except InvalidCallError as error:
             return f"-ERR {error}\r\n".encode()
         except CounterFullError:
             return b"-BUSY no room for a new name\r\n"
-        return b"$%d\r\n%s\r\n" % (len(total), total)
+        return encode_bulk_string(total)
 
     def close(self) -> None:
+        """Stop listening, and abort the connections."""
         if self.server is not None:
             self.server.close()
-        for caller in list(self.callers):
-            if caller.transport is not None:
-                caller.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
+
+
+def encode_bulk_string(text: bytes) -> bytes:
+    """Encode a RESP bulk string."""
+    return b"$%d\r\n%s\r\n" % (len(text), text)
--- a/standins/tally.py
+++ b/standins/tally.py
@@ -8,7 +8,7 @@
 
 import hiredis
 
-from ivymux.tally.server import TallyServer
+from ivymux.tally.server import CounterServer
 from ivymux.tally.store import CounterStore
 
 
@@ -74,14 +74,14 @@
     def lead(self, counts: Counts) -> None:
         """From now on the door reaches these counts, on new connections: at another machine, as it were."""
         self.counts = counts
-        self.rules = TallyServer(counts, lambda: asyncio.get_running_loop().time())
+        self.rules = CounterServer(counts, lambda: asyncio.get_running_loop().time())
         for line in list(self.lines):
             if line.transport is not None:
                 line.transport.abort()
 
     def answer(self, call: Any) -> bytes:
         self.calls += call[0] == b"TALLY"
-        return self.rules.answer(call)
+        return self.rules.execute(call)
 
     async def start(self) -> Gate:
         loop = asyncio.get_running_loop()
--- a/tests/hosting/test_tenant_counters.py
+++ b/tests/hosting/test_tenant_counters.py
@@ -16,7 +16,7 @@
 from ivymux.hosting.tenant_counters import SharedTallyCounter, TenantCounter
 from ivymux.service.site import SiteError
 from ivymux.tally.clock import SharedClock
-from ivymux.tally.server import TallyServer
+from ivymux.tally.server import CounterServer
 from ivymux.tally.store import CounterStore
 from ivymux.tenants.names import counter_name
 from orchidhill.interface import Count, Counted, Outcome
@@ -87,7 +87,7 @@
 
     async def test() -> None:
         store = CounterStore()
-        server = TallyServer(store)
+        server = CounterServer(store)
         port = await server.start(Address("127.0.0.1", 0))
         shared = SharedTallyCounter(
             Address("127.0.0.1", port), 1.0, SharedClock(time.time(), time.monotonic())
@@ -115,7 +115,7 @@
             assert totals == sorted(totals)
         assert b"0" not in store.totals  # local counter names are not sent
         # A call without an answer times out and no longer counts as pending.
-        server.answer = lambda call: b""  # type: ignore[method-assign]
+        server.execute = lambda call: b""  # type: ignore[method-assign]
         monkeypatch.setattr(shared, "timeout", 0.05)
         a.add(Count(0, 1.0, 5.0))
         await until(lambda: results["a"][-1].outcome is Outcome.TIMEOUT)
--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -14,7 +14,7 @@
 from ivymux.tally import server
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.local import LocalCounter
-from ivymux.tally.server import TallyServer
+from ivymux.tally.server import CounterServer
 from ivymux.tally.store import CounterFullError, CounterStore, InvalidCallError, format_total, parse_call
 from orchidhill.interface import Count, Counted, Outcome
 from tests.sockets import run, until
@@ -89,79 +89,82 @@
             parse_call([b"TALLY", b"n", b"2", b"5000", invalid])
 
 
-def test_the_call_over_a_socket_with_the_front_doors_own_client() -> None:
+def test_gateway_client_over_a_socket() -> None:
     async def test() -> None:
-        tally = TallyServer(CounterStore())
-        heard: list[Counted] = []
-        port = await tally.start(Address("127.0.0.1", 0))
+        service = CounterServer(CounterStore())
+        replies: list[Counted] = []
+        port = await service.start(Address("127.0.0.1", 0))
         clock = SharedClock(0.0, time.monotonic())
         counter = Counter(
             Address("127.0.0.1", port),
             2.0,
-            lambda t: heard.append(t) if isinstance(t, Counted) else None,
+            lambda reply: replies.append(reply) if isinstance(reply, Counted) else None,
             clock,
         )
         await counter.ready
-        assert clock.heard_any  # before anything is decided by it
+        assert clock.heard_any  # synchronized before the first decision
         for amount in (1.5, 2.0, -0.5):
             counter.add(Count(7, amount, 4.0))
         counter.add(Count(8, 100_000_000.0, 4.0))
-        await until(lambda: len(heard) == 4)
-        assert [h.total for h in heard if h.name == 7] == [1.5, 3.5, 3.0]
-        assert len({h.born for h in heard}) == 1 and heard[0].born
+        await until(lambda: len(replies) == 4)
+        assert [r.total for r in replies if r.name == 7] == [1.5, 3.5, 3.0]
+        assert len({r.born for r in replies}) == 1 and replies[0].born
         assert clock.read(time.monotonic()) == pytest.approx(time.time(), abs=0.1)
-        assert [h.total for h in heard if h.name == 8] == [100_000_000.0]
-        assert {h.outcome for h in heard} == {Outcome.OK}
+        assert [r.total for r in replies if r.name == 8] == [100_000_000.0]
+        assert {r.outcome for r in replies} == {Outcome.OK}
         counter.close()
-        tally.close()
+        service.close()
 
     run(test())
 
 
-async def talk(port: int, data: bytes, answers: int) -> bytes:
+async def exchange(port: int, data: bytes, lines: int) -> bytes:
+    """Send data on a new connection, and return what comes back until it has that many lines."""
     reader, stream = await asyncio.open_connection("127.0.0.1", port)
     stream.write(data)
-    got = b""
-    while got.count(b"\r\n") < answers and (more := await reader.read(4096)):
-        got += more
+    received = b""
+    while received.count(b"\r\n") < lines and (more := await reader.read(4096)):
+        received += more
     stream.close()
-    return got
+    return received
 
 
-def test_other_calls_and_noise() -> None:
+def test_other_commands_and_malformed_data() -> None:
     async def test() -> None:
-        tally = TallyServer(CounterStore())
-        port = await tally.start(Address("127.0.0.1", 0))
+        service = CounterServer(CounterStore())
+        port = await service.start(Address("127.0.0.1", 0))
         ping = b"*1\r\n$4\r\nPING\r\n"
         bad = b"*4\r\n$5\r\nTALLY\r\n$1\r\nn\r\n$1\r\nx\r\n$1\r\n1\r\n"
         get = b"*2\r\n$3\r\nGET\r\n$1\r\na\r\n"
-        got = await talk(port, ping + bad + get + ping, 4)
-        assert got.split(b"\r\n")[0] == b"+PONG" and got.count(b"-ERR") == 2 and got.endswith(b"+PONG\r\n")
-        assert (await talk(port, b"\x00\x01nonsense\r\n\r\n", 1)).startswith(b"-ERR")
-        assert (await talk(port, b"*4\r\n$5\r\nTALLY\r\n$70000\r\n" + b"x" * 70_010, 1)).startswith(b"-ERR")
-        assert not tally.store.totals
-        tally.close()
+        received = await exchange(port, ping + bad + get + ping, 4)
+        assert received.split(b"\r\n")[0] == b"+PONG" and received.count(b"-ERR") == 2
+        assert received.endswith(b"+PONG\r\n")
+        assert (await exchange(port, b"\x00\x01nonsense\r\n\r\n", 1)).startswith(b"-ERR")
+        too_long = b"*4\r\n$5\r\nTALLY\r\n$70000\r\n" + b"x" * 70_010
+        assert (await exchange(port, too_long, 1)).startswith(b"-ERR")
+        assert not service.store.totals
+        service.close()
 
     run(test())
 
 
-def test_a_full_tally_and_too_many_callers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_limits_on_names_and_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(server, "MAX_CONNECTIONS", 2)
-        tally = TallyServer(CounterStore(max_names=1))
-        port = await tally.start(Address("127.0.0.1", 0))
+        service = CounterServer(CounterStore(max_names=1))
+        port = await service.start(Address("127.0.0.1", 0))
         one = b"*4\r\n$5\r\nTALLY\r\n$1\r\na\r\n$1\r\n1\r\n$4\r\n9000\r\n"
         two = one.replace(b"a\r\n", b"b\r\n")
-        assert (await talk(port, one + two, 3)).endswith(b"-BUSY no room for a new name\r\n")
-        await until(lambda: not tally.callers)
+        assert (await exchange(port, one + two, 3)).endswith(b"-BUSY no room for a new name\r\n")
+        await until(lambda: not service.connections)
         streams = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2)]
-        await until(lambda: len(tally.callers) == 2)
+        await until(lambda: len(service.connections) == 2)
         reader, _ = await asyncio.open_connection("127.0.0.1", port)
         with pytest.raises((ConnectionError, AssertionError)):
             assert await reader.read() != b""
         for _, stream in streams:
             stream.close()
-        tally.close()
+        service.close()
 
     run(test())
 
