--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -1,4 +1,4 @@
-"""A front door's side of a desired state in etcd: a watch, its replica, the copy on the disk, reports."""
+"""A gateway's view of the desired state in etcd: a watch, its replica, the copy on disk, reports."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from ivymux.desired.model import DeletedTenant, GatewayReport, StoreBusy, StoredTenant, StoreError
 from ivymux.tenants.model import Tenant
 
-CHECK_INTERVAL_S = 1.0  # seconds between reads that the watch is held against
-RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 2.0  # seconds before a watch that broke off begins anew
-LIFE = 6  # seconds that a report lives without being renewed
-USAGE = 10.0  # seconds between reports of use
+CHECK_INTERVAL_S = 1.0  # between reads that check whether the watch still works
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 2.0  # before an interrupted watch is restarted
+REPORT_LEASE_S = 6  # how long a report stays in etcd without renewal
+USAGE_INTERVAL_S = 10.0  # between reports of usage
 log = logging.getLogger("ivymux")
 
 
 class Follower:
-    """Knows the desired state as etcd told it last, and serves from that while etcd is away."""
+    """Follows the desired state in etcd, and serves the last known one while etcd is unreachable."""
 
     def __init__(self, access: Access, prefix: str, door: str, folder: Path | None = None) -> None:
         """Raises StoreError."""
@@ -42,22 +42,25 @@
                 self.cache = Cache(folder)
             except OSError as error:
                 raise StoreError(f"the cache {folder} can't be used: {error.strerror}") from None
-        self.troubles: dict[str, str] = {}  # of the watch and of the reads beside it
+        self.troubles: dict[str, str] = {}  # by source: "watch" or "reads"
         self.closed = threading.Event()
-        self.end: Callable[[], None] | None = None  # of the watch
+        self.end_watch: Callable[[], None] | None = None
         self.threads: list[threading.Thread] = []
         self.lease = 0
         # The status that was last reported, and the monotonic time of the last report of usage.
         self.last_report: tuple[GatewayStatus, float] | None = None
-        self.saved = -1  # the revision of etcd that the cache is of
+        self.saved = -1  # the revision of etcd as of which the cache was written
         self.cache_trouble = ""
-        self.fetched: set[tuple[str, int]] = set()  # tenants by uid and revision whose texts are on the disk
-        self.keeping = threading.Lock()
+        self.fetched: set[tuple[str, int]] = set()  # uid and revision of tenants whose texts are cached
+        self.cache_lock = threading.Lock()
 
-    # --- life ------------------------------------------------------------------------------------------
+    # --- lifecycle -------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Know a state, from etcd or from the cache; then follow it.  Raises StoreError for neither."""
+        """Load the state from etcd, or else from the cache, and follow it.
+
+        Raises StoreError if neither works.
+        """
         try:
             self.load()
         except StoreError as error:
@@ -71,7 +74,7 @@
             self.troubles["watch"] = str(error)
             age = max(0.0, time.time() - known.saved)
             log.warning("etcd: %s; serving what was known %.0f s ago", error, age)
-        for work, name in ((self.watching, "watch"), (self.looking, "look")):
+        for work, name in ((self.run_watch, "watch"), (self.run_checks, "look")):
             thread = threading.Thread(target=work, name=f"etcd {name}", daemon=True)
             thread.start()
             self.threads.append(thread)
@@ -87,20 +90,20 @@
         self.store.close()
 
     def stop_watch(self) -> None:
-        if (end := self.end) is not None:
-            end()
+        if (end_watch := self.end_watch) is not None:
+            end_watch()
 
-    # --- following -------------------------------------------------------------------------------------
+    # --- updates ---------------------------------------------------------------------------------------
 
     def load(self) -> None:
-        """Read all there is.  Raises StoreError."""
+        """Read the whole state.  Raises StoreError."""
         live = self.store.keys.live
         kvs, at = self.store.read_range(live, prefix_end(live))
         with self.lock:
             self.replica.load(kvs, at)
         self.keep()
 
-    def watching(self) -> None:
+    def run_watch(self) -> None:
         wait, stale = RETRY_DELAY_S, "watch" in self.troubles
         while not self.closed.is_set():
             try:
@@ -108,79 +111,80 @@
                     self.load()
                     stale = False
                 self.watch()
-                wait = RETRY_DELAY_S  # it was ended from here
+                wait = RETRY_DELAY_S  # stop_watch ended it
                 stale = True
             except Compacted:
                 stale, wait = True, RETRY_DELAY_S
                 log.info("etcd: the watch fell behind a compaction: all is read anew")
             except StoreError as error:
-                self.trouble("watch", str(error))
+                self.set_trouble("watch", str(error))
                 stale = True
             except Exception:
                 log.exception("the watch of the desired state failed")
-                self.trouble("watch", "the watch failed; the log says more")
+                self.set_trouble("watch", "the watch failed; the log says more")
                 stale = True
             self.closed.wait(wait * (0.5 + random.random()))
             wait = min(MAX_RETRY_DELAY_S, 2 * wait) if stale and "watch" in self.troubles else RETRY_DELAY_S
 
     def watch(self) -> None:
-        """Take over what etcd tells, until the watch ends.  Raises StoreError, Compacted."""
+        """Apply the events of a watch until it ends.  Raises StoreError, Compacted."""
         live = self.store.keys.live
         request = watch_json(live, prefix_end(live), self.replica.at + 1)
-        with self.store.client.watch(request) as (answers, end):
-            self.end = end
+        with self.store.client.watch(request) as (responses, end_watch):
+            self.end_watch = end_watch
             try:
                 if self.closed.is_set():
                     return
-                for answer in answers:
-                    if answer.compacted:
+                for response in responses:
+                    if response.compacted:
                         raise Compacted("the watch's first revision is no longer kept")
-                    if answer.canceled:
-                        raise StoreBusy(f"etcd ended the watch: {answer.reason[:100] or 'no reason told'}")
-                    self.trouble("watch", "")
-                    if answer.events:
+                    if response.canceled:
+                        raise StoreBusy(f"etcd ended the watch: {response.reason[:100] or 'no reason told'}")
+                    self.set_trouble("watch", "")
+                    if response.events:
                         with self.lock:
-                            changed = self.replica.apply(answer.events, answer.revision)
+                            changed = self.replica.apply(response.events, response.revision)
                         if changed:
                             self.keep()
             finally:
-                self.end = None
+                self.end_watch = None
         if not self.closed.is_set():
             raise StoreBusy("etcd's watch ended")
 
-    def looking(self) -> None:
-        """Hold the watch against reads: one that has gone silent looks like one with nothing to tell."""
+    def run_checks(self) -> None:
+        """Check the watch by reads, since a stalled watch looks like one without changes."""
         while not self.closed.wait(CHECK_INTERVAL_S * (0.8 + 0.4 * random.random())):
             try:
                 found = self.store.range(Range(self.store.keys.state))
                 with self.lock:
                     kv = next(iter(found.kvs), None)
-                    behind = self.replica.needs_full_read(kv, found.revision, time.monotonic())
-                self.trouble("reads", "")
-                self.keep()  # what could not be kept when it came
-                if behind:
+                    is_stalled = self.replica.needs_full_read(kv, found.revision, time.monotonic())
+                self.set_trouble("reads", "")
+                self.keep()  # retries what could not be written earlier
+                if is_stalled:
                     log.warning("etcd: the watch tells nothing of what is there: it begins anew")
                     self.stop_watch()
             except StoreError as error:
-                self.trouble("reads", str(error))
+                self.set_trouble("reads", str(error))
             except Exception:
                 log.exception("the look at the desired state failed")
 
-    def trouble(self, of: str, text: str) -> None:
+    def set_trouble(self, source: str, text: str) -> None:
+        """Record the error of a source; an empty text clears it."""
         if text:
-            self.troubles[of] = text
+            self.troubles[source] = text
         else:
-            self.troubles.pop(of, None)
+            self.troubles.pop(source, None)
 
     def keep(self) -> None:
-        """Keep what is known on the disk, once all is there that a start from it needs.
+        """Write the replica to the cache, after all texts that a start from it needs.
 
-        A state whose texts can't be read now is kept later: until then the one before it stays, whole.
-        Without room it goes on in memory, and says so once.
+        If a text can't be read now, the write is retried later and the previous copy stays intact.  Without
+        space on the disk the gateway goes on from memory, and logs that once.
         """
         if self.cache is None:
             return
-        with self.keeping:
+        with self.cache_lock:
             with self.lock:
                 state, at = self.replica.state, self.replica.at
                 heads = list(self.replica.heads.values())
@@ -200,7 +204,7 @@
                     log.warning("etcd: what is known can't be kept on the disk: %s", error.strerror)
 
     def fetch(self, cache: Cache, head: Head) -> None:
-        """Have on the disk what a front door makes a tenant of.  Raises StoreError, OSError."""
+        """Cache the texts from which a gateway sets a tenant up.  Raises StoreError, OSError."""
         if (head.uid, head.revision) in self.fetched:
             return
         tenant = unpacked(self.fetched_text(cache, head.uid, head.body), Tenant)
@@ -218,7 +222,7 @@
             cache.write(name, data)
         return data
 
-    # --- what the front door asks ------------------------------------------------------------------------
+    # --- reads of the gateway ----------------------------------------------------------------------------
 
     def state(self) -> State:
         state = self.replica.state
@@ -233,7 +237,7 @@
         return self.replica.revision, bool(self.troubles)
 
     def revision(self) -> int:
-        """Raises StoreError while it is not sure that this is etcd's."""
+        """The replica's revision.  Raises StoreError while that may be outdated."""
         for text in list(self.troubles.values()):
             raise StoreBusy(text)
         return self.state().revision
@@ -255,31 +259,32 @@
         if data is None:
             data = self.store.blob(name, uid)
             if data is not None and self.cache is not None:
-                with contextlib.suppress(OSError):  # told of with the state
+                with contextlib.suppress(OSError):  # logged when the state is written
                     self.cache.write(name, data)
         return data
 
-    # --- what it tells -----------------------------------------------------------------------------------
+    # --- reports -----------------------------------------------------------------------------------------
 
     def report(self, report: GatewayReport) -> None:
-        """Tell what is served and used: gone when nothing renews it.  Raises StoreError."""
+        """Write the report to etcd, under a lease that expires unless renewed.  Raises StoreError."""
         now, client = time.monotonic(), self.store.client
         if self.lease:
             answer = client.read("/v3/lease/keepalive", {"ID": str(self.lease)})
             if number((answer.get("result") or {}).get("TTL")) <= 0:
-                self.lease = 0  # it ran out while etcd was away
+                self.lease = 0  # it expired while etcd was unreachable
         if not self.lease:
-            self.lease, self.last_report = self.store.grant_lease(LIFE), None
-            self.tell("name", self.name.encode())
-        serves = GatewayStatus(report.revision, dict(list(report.problems.items())[:100]))
-        told, used = self.last_report or (None, -USAGE)
-        if serves != told:
-            self.tell("serves", packed(serves))
-        if now - used >= USAGE:
-            used = now
-            self.tell("usage", packed(report.usage))
-        self.last_report = serves, used
-
-    def tell(self, part: str, value: bytes) -> None:
+            self.lease, self.last_report = self.store.grant_lease(REPORT_LEASE_S), None
+            self.put_report("name", self.name.encode())
+        status = GatewayStatus(report.revision, dict(list(report.problems.items())[:100]))
+        last_status, usage_at = self.last_report or (None, -USAGE_INTERVAL_S)
+        if status != last_status:
+            self.put_report("serves", packed(status))
+        if now - usage_at >= USAGE_INTERVAL_S:
+            usage_at = now
+            self.put_report("usage", packed(report.usage))
+        self.last_report = status, usage_at
+
+    def put_report(self, part: str, value: bytes) -> None:
+        """Write one part of the report under the lease.  Raises StoreError."""
         put = Put(self.store.keys.door(self.door, part), value, self.lease)
         self.store.client.read("/v3/kv/put", put_json(put))
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -259,7 +259,7 @@
             gateway = await fixture.start_gateway("d0")
             assert isinstance(gateway.store, Follower)
             follower, etcd = gateway.store, fixture.server.etcd
-            await until(lambda: follower.end is not None)
+            await until(lambda: follower.end_watch is not None)
             load = follower.load
             follower.load = lambda: None  # type: ignore[method-assign]  # the watch continues from its last revision
             load_count: list[int] = []
@@ -287,13 +287,13 @@
             gateway = await fixture.start_gateway("d0")
             assert isinstance(gateway.store, Follower)
             etcd, follower = fixture.server.etcd, gateway.store
-            await until(lambda: follower.end is not None)
-            watch_end = follower.end
+            await until(lambda: follower.end_watch is not None)
+            watch_end = follower.end_watch
             # Thirty reads, 40 ms or more apart, take longer than the time-out of a call.
             assert 2 * follower.store.client.access.timeout < 30 * 0.8 * follower_module.CHECK_INTERVAL_S
             read_count = etcd.calls["/v3/kv/range"]
             await until(lambda: etcd.calls["/v3/kv/range"] > read_count + 30)
-            assert follower.end is watch_end and not gateway.store_error
+            assert follower.end_watch is watch_end and not gateway.store_error
             etcd.faults.hang_watch = 1
             fixture.server.on_loop(etcd.end_watches)
             await until(lambda: etcd.faults.hang_watch == 0)
