--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -150,13 +150,13 @@
     try:
         if keeper is not None and args.confirm:
             keeper.ask("confirm", args.confirm)
-        list_change.put(made)
+        list_change.write_proposal(made)
     except OSError as error:
         return fail(error)
     if keeper is None:
         print(f"{made.target}: written; without inventory.state only the log tells what came of it")
         return 0
-    found = list_change.taken(keeper, made.reading.inventory, args.wait)
+    found = list_change.wait_until_stored(keeper, made.reading.inventory, args.wait)
     if found is None:
         print(f"{made.target}: written, but not taken within {args.wait:g} s: see the front door's log;"
               f" if it holds the change back: ivymux inventory confirm {args.site} {code}")  # fmt: skip
--- a/ivymux/membership/list_change.py
+++ b/ivymux/membership/list_change.py
@@ -1,4 +1,4 @@
-"""A new list put where a front door follows it: judged before, written whole, awaited after."""
+"""Replaces the list that a gateway follows: checks the change, writes atomically, waits for its effect."""
 
 from __future__ import annotations
 
@@ -17,20 +17,23 @@
 from ivymux.membership.files import Content, is_sheet, parse, read
 from ivymux.membership.snapshot_store import Keeper
 
+POLL_PERIOD_S = 0.1
+
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A list that could be put at `target`; `data` is None where it is there already."""
+    """A new list for the file `target`; `data` is None if the file already has this content."""
 
     target: Path
     data: bytes | None
     reading: Reading
-    verdict: Verdict | None  # None where nothing is known to compare with
+    verdict: Verdict | None  # None if there is no earlier list to compare with
 
 
 def convert(inventory: Inventory, target: Path) -> bytes:
-    """An inventory in the form that a file's name asks for.  Raises InventoryError where it would not be
-    read as the same again.
+    """Encode an inventory in the format of the target's file name.
+
+    Raises InventoryError if reading the result would not give the same inventory.
     """
     data = write_sheet(inventory) if is_sheet(target) else write_ansible(inventory)
     if parse(Content(target.name, data, {})).inventory != inventory:
@@ -39,30 +42,34 @@
 
 
 def propose(source: Path, target: Path, limits: Limits, last: Snapshot | None, own: Own = ()) -> Proposal:
-    """Judge a file as the one a front door follows.  Raises InventoryError, OSError."""
+    """Check `source` as the new content of `target`, the file that a gateway follows.
+
+    Raises InventoryError, OSError.
+    """
     content = read(source)
     reading = parse(content, own)
-    before = read(target) if target.exists() else Content(target.name, b"", {})
+    previous = read(target) if target.exists() else Content(target.name, b"", {})
     if is_sheet(source) == is_sheet(target) and not any(content.beside.values()):
         data = content.data
     else:
         data = convert(reading.inventory, target)
-    whole = Content(target.name, data, before.beside)
-    # What stands beside the target counts for it too, and goes before what a list says of a worker.
-    if any(before.beside.values()) and parse(whole, own).inventory != reading.inventory:
-        told = "group_vars or host_vars beside it would change what this list says: change it there"
-        raise InventoryError([Finding("error", target.name, 0, 0, told)])
-    current, shape = (last.inventory, last.shape) if last is not None else current_of(before, own)
+    proposed = Content(target.name, data, previous.beside)
+    # group_vars and host_vars beside the target apply to it too and override the list's values.
+    if any(previous.beside.values()) and parse(proposed, own).inventory != reading.inventory:
+        message = "group_vars or host_vars beside it would change what this list says: change it there"
+        raise InventoryError([Finding("error", target.name, 0, 0, message)])
+    current, shape = (last.inventory, last.shape) if last is not None else parse_current(previous, own)
     verdict = None
     if current is not None:
-        shape_now = parse(whole, own).shape
+        shape_now = parse(proposed, own).shape
         change = differences(current, reading.inventory)
         cut = cut_reason(shape, shape_now, current, reading.inventory, change)
         verdict = Judge(limits, current).look(reading.inventory, 0.0, cut)
-    return Proposal(target, None if data == before.data else data, reading, verdict)
+    return Proposal(target, None if data == previous.data else data, reading, verdict)
 
 
-def current_of(content: Content, own: Own) -> tuple[Inventory | None, Shape]:
+def parse_current(content: Content, own: Own) -> tuple[Inventory | None, Shape]:
+    """Return the target's present inventory and shape; no inventory if it is invalid."""
     try:
         reading = parse(content, own)
     except InventoryError:
@@ -70,32 +77,32 @@
     return reading.inventory, reading.shape
 
 
-def put(proposal: Proposal) -> None:
-    """Replace the target whole or not at all.  Raises OSError."""
+def write_proposal(proposal: Proposal) -> None:
+    """Replace the target atomically.  Raises OSError."""
     if proposal.data is None:
         return
-    target = proposal.target.resolve()  # a link stays a link
-    handle, name = tempfile.mkstemp(dir=target.parent, prefix=".", suffix=".part")
+    target = proposal.target.resolve()  # replace the file that a link points to, not the link
+    handle, temporary_name = tempfile.mkstemp(dir=target.parent, prefix=".", suffix=".part")
     try:
         with os.fdopen(handle, "wb") as sink:
             sink.write(proposal.data)
             sink.flush()
             os.fsync(sink.fileno())
-        os.chmod(name, target.stat().st_mode & 0o777 if target.exists() else 0o644)
-        os.replace(name, target)
+        os.chmod(temporary_name, target.stat().st_mode & 0o777 if target.exists() else 0o644)
+        os.replace(temporary_name, target)
     except OSError:
         with contextlib.suppress(OSError):
-            os.unlink(name)
+            os.unlink(temporary_name)
         raise
 
 
-def taken(keeper: Keeper, inventory: Inventory, seconds: float) -> Snapshot | None:
-    """Wait until the front door has kept a list as its last; None if it has not within so many seconds."""
-    end = time.monotonic() + seconds
+def wait_until_stored(keeper: Keeper, inventory: Inventory, timeout_s: float) -> Snapshot | None:
+    """Wait until the gateway has stored a list as its last one; return None after `timeout_s`."""
+    deadline = time.monotonic() + timeout_s
     while True:
         last = keeper.last()
         if last is not None and last.inventory == inventory:
             return last
-        if time.monotonic() >= end:
+        if time.monotonic() >= deadline:
             return None
-        time.sleep(0.1)
+        time.sleep(POLL_PERIOD_S)
