--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -122,8 +122,8 @@
         part = site.file.inventory
         if part is None:
             raise ConfigError(f"{args.site}: there is no [inventory]: its workers stand in the file itself")
-        keeper = keeper_of(args.site) if part.state else None
-        last = keeper.last() if keeper is not None else None
+        store = open_snapshot_store(args.site) if part.state else None
+        last = store.load_last() if store is not None else None
         own = ((site.listen.host, site.listen.port),)
         made = list_change.propose(args.file, args.site.parent / part.file, part.limits, last, own)
     except InventoryError as error:
@@ -148,15 +148,15 @@
         print("nothing was changed")
         return 0
     try:
-        if keeper is not None and args.confirm:
-            keeper.ask("confirm", args.confirm)
+        if store is not None and args.confirm:
+            store.write_command("confirm", args.confirm)
         list_change.write_proposal(made)
     except OSError as error:
         return fail(error)
-    if keeper is None:
+    if store is None:
         print(f"{made.target}: written; without inventory.state only the log tells what came of it")
         return 0
-    found = list_change.wait_until_stored(keeper, made.reading.inventory, args.wait)
+    found = list_change.wait_until_stored(store, made.reading.inventory, args.wait)
     if found is None:
         print(f"{made.target}: written, but not taken within {args.wait:g} s: see the front door's log;"
               f" if it holds the change back: ivymux inventory confirm {args.site} {code}")  # fmt: skip
@@ -199,23 +199,23 @@
     return 0 if verdict.passes else 1
 
 
-def keeper_of(path: Path) -> Any:
-    """The snapshots of a site's front door.  Raises ConfigError."""
+def open_snapshot_store(path: Path) -> Any:
+    """Return the snapshot store of a site's gateway.  Raises ConfigError."""
     from ivymux.data_plane.limits import ConfigError
-    from ivymux.membership.snapshot_store import Keeper
+    from ivymux.membership.snapshot_store import SnapshotStore
     from ivymux.service.standalone import load_site
 
     part = load_site(path).file.inventory
     if part is None or not part.state:
         raise ConfigError(f"{path}: inventory.state names no folder: nothing is kept on disk")
-    return Keeper(path.parent / part.state)
+    return SnapshotStore(path.parent / part.state)
 
 
 def run_history(args: argparse.Namespace) -> int:
     from ivymux.data_plane.limits import ConfigError
 
     try:
-        kept = keeper_of(args.site).history()
+        kept = open_snapshot_store(args.site).load_history()
     except ConfigError as error:
         return fail(error)
     for s in kept:
@@ -237,10 +237,10 @@
     from ivymux.data_plane.limits import ConfigError
 
     try:
-        keeper = keeper_of(site)
-        if request == "rollback" and int(text) not in {s.number for s in keeper.history()}:
+        store = open_snapshot_store(site)
+        if request == "rollback" and int(text) not in {s.number for s in store.load_history()}:
             return fail(f"there is no list {text}; see: ivymux inventory history {site}")
-        keeper.ask(request, text)
+        store.write_command(request, text)
     except (ConfigError, OSError) as error:
         return fail(error)
     print(f"asked: {request} {text}; the front door's log tells what came of it")
--- a/ivymux/membership/list_change.py
+++ b/ivymux/membership/list_change.py
@@ -15,7 +15,7 @@
 from ivymux.inventory.model import Finding, Inventory, InventoryError, Own, Reading, Shape
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import Content, is_sheet, parse, read
-from ivymux.membership.snapshot_store import Keeper
+from ivymux.membership.snapshot_store import SnapshotStore
 
 POLL_PERIOD_S = 0.1
 
@@ -96,11 +96,11 @@
         raise
 
 
-def wait_until_stored(keeper: Keeper, inventory: Inventory, timeout_s: float) -> Snapshot | None:
+def wait_until_stored(store: SnapshotStore, inventory: Inventory, timeout_s: float) -> Snapshot | None:
     """Wait until the gateway has stored a list as its last one; return None after `timeout_s`."""
     deadline = time.monotonic() + timeout_s
     while True:
-        last = keeper.last()
+        last = store.load_last()
         if last is not None and last.inventory == inventory:
             return last
         if time.monotonic() >= deadline:
--- a/ivymux/membership/snapshot_store.py
+++ b/ivymux/membership/snapshot_store.py
@@ -1,4 +1,7 @@
-"""Snapshots in a folder: written whole or not at all, a short history, damaged ones passed over."""
+"""Stores snapshots in a folder: atomic writes, a bounded history, damaged files are skipped.
+
+The folder also carries commands from the command line to the running gateway, as files.
+"""
 
 from __future__ import annotations
 
@@ -11,111 +14,116 @@
 
 from ivymux.inventory.snapshot import Snapshot, SnapshotError, decode, encode
 
-HISTORY = 10
-NAME = re.compile(r"inventory-(\d{10})\.snap")
-REQUESTS = ("confirm", "rollback")  # files by which a command asks a front door that runs
+MAX_SNAPSHOTS = 10
+FILE_NAME_PATTERN = re.compile(r"inventory-(\d{10})\.snap")
+COMMANDS = ("confirm", "rollback")  # names of the files by which the command line sends commands
 log = logging.getLogger("ivymux")
 
 
-class Keeper:
-    """The snapshots of one front door; in memory without a folder, or where that can't be written."""
+class SnapshotStore:
+    """The snapshots of one gateway; in memory only if there is no folder or it can't be written."""
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
-        self.memory: list[Snapshot] = []
-        self.lasting = folder is not None
+        self.recent: list[Snapshot] = []
+        self.is_durable = folder is not None
         if folder is None:
             log.warning("inventory: no state folder: the last good list is kept in memory only")
 
-    def files(self) -> list[Path]:
-        """The snapshots' files, the newest first."""
+    def list_files(self) -> list[Path]:
+        """Return the snapshots' files, newest first."""
         if self.folder is None:
             return []
         try:
-            names = [p for p in self.folder.iterdir() if NAME.fullmatch(p.name)]
+            names = [p for p in self.folder.iterdir() if FILE_NAME_PATTERN.fullmatch(p.name)]
         except OSError:
             return []
         return sorted(names, reverse=True)
 
-    def history(self) -> list[Snapshot]:
-        """All snapshots that are whole, the newest first."""
-        found = {s.number: s for s in self.memory}
-        for path in self.files():
+    def load_history(self) -> list[Snapshot]:
+        """Return all undamaged snapshots, newest first."""
+        found = {s.number: s for s in self.recent}
+        for path in self.list_files():
             try:
                 snapshot = decode(path.read_bytes())
             except (OSError, SnapshotError) as error:
-                log.warning("inventory: %s is passed over: %s", path, error)
+                log.warning("inventory: skipping snapshot %s: %s", path, error)
                 continue
             found.setdefault(snapshot.number, snapshot)
         return [found[number] for number in sorted(found, reverse=True)]
 
-    def last(self) -> Snapshot | None:
-        for path in self.files():
+    def load_last(self) -> Snapshot | None:
+        """Return the newest undamaged snapshot."""
+        for path in self.list_files():
             with contextlib.suppress(OSError, SnapshotError):
                 found = decode(path.read_bytes())
-                if not self.memory or found.number >= self.memory[-1].number:
+                if not self.recent or found.number >= self.recent[-1].number:
                     return found
                 break
-        return self.memory[-1] if self.memory else None
+        return self.recent[-1] if self.recent else None
 
     def next_number(self) -> int:
-        """Beyond all there are, damaged ones too: their names are taken."""
-        numbers = [int(m[1]) for p in self.files() if (m := NAME.fullmatch(p.name))]
-        return max([*numbers, *(s.number for s in self.memory)], default=0) + 1
+        """Return a number above all existing ones, including those of damaged files."""
+        numbers = [int(m[1]) for p in self.list_files() if (m := FILE_NAME_PATTERN.fullmatch(p.name))]
+        return max([*numbers, *(s.number for s in self.recent)], default=0) + 1
+
+    def save(self, snapshot: Snapshot) -> bool:
+        """Store a snapshot and return whether it is on disk.
 
-    def keep(self, snapshot: Snapshot) -> bool:
-        """Keep a snapshot; whether it lasts.  A disk that is full costs the history, never the service."""
-        self.memory = [*self.memory, snapshot][-HISTORY:]
+        On a write error, as on a full disk, the snapshot is kept in memory and the gateway goes on.
+        """
+        self.recent = [*self.recent, snapshot][-MAX_SNAPSHOTS:]
         if self.folder is None:
             return False
         try:
             self.write(snapshot)
         except OSError as error:
-            if self.lasting:
+            if self.is_durable:
                 log.error("inventory: the list is kept in memory only: %s", error)
-            self.lasting = False
+            self.is_durable = False
             return False
-        self.lasting = True
-        for path in self.files()[HISTORY:]:
+        self.is_durable = True
+        for path in self.list_files()[MAX_SNAPSHOTS:]:
             with contextlib.suppress(OSError):
                 path.unlink()
         return True
 
     def write(self, snapshot: Snapshot) -> None:
+        """Write a snapshot's file atomically and durably.  Raises OSError."""
         assert self.folder is not None
         self.folder.mkdir(parents=True, exist_ok=True)
-        handle, name = tempfile.mkstemp(dir=self.folder, suffix=".part")
+        handle, temporary_name = tempfile.mkstemp(dir=self.folder, suffix=".part")
         try:
             with os.fdopen(handle, "wb") as sink:
                 sink.write(encode(snapshot))
                 sink.flush()
                 os.fsync(sink.fileno())
-            os.replace(name, self.folder / f"inventory-{snapshot.number:010d}.snap")
+            os.replace(temporary_name, self.folder / f"inventory-{snapshot.number:010d}.snap")
         except OSError:
             with contextlib.suppress(OSError):
-                os.unlink(name)
+                os.unlink(temporary_name)
             raise
-        folder = os.open(self.folder, os.O_RDONLY)
+        folder_handle = os.open(self.folder, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(folder_handle)
         finally:
-            os.close(folder)
+            os.close(folder_handle)
 
-    # --- what commands ask ---------------------------------------------------------------------------
+    # --- commands ------------------------------------------------------------------------------------
 
-    def ask(self, request: str, text: str) -> None:
-        """Leave a request for the front door that runs.  Raises OSError."""
-        assert self.folder is not None and request in REQUESTS
+    def write_command(self, command: str, text: str) -> None:
+        """Write a command for the running gateway.  Raises OSError."""
+        assert self.folder is not None and command in COMMANDS
         self.folder.mkdir(parents=True, exist_ok=True)
-        part = self.folder / f"{request}.part"
+        part = self.folder / f"{command}.part"
         part.write_text(text)
-        part.replace(self.folder / request)
+        part.replace(self.folder / command)
 
-    def asked(self, request: str) -> str | None:
-        """Take a request, once."""
+    def take_command(self, command: str) -> str | None:
+        """Return the text of a pending command and remove it; None if there is none."""
         if self.folder is None:
             return None
-        path = self.folder / request
+        path = self.folder / command
         try:
             text = path.read_text()[:200].strip()
             path.unlink()
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -15,7 +15,7 @@
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import stamp
 from ivymux.membership.reader import Done, Task, read_beside
-from ivymux.membership.snapshot_store import Keeper
+from ivymux.membership.snapshot_store import SnapshotStore
 
 # The coarsest file systems may give two writes within this time the same time stamp.
 REREAD_DELAY_S = 2.5
@@ -41,7 +41,7 @@
     """Follows the files of one inventory."""
 
     path: Path
-    keeper: Keeper
+    store: SnapshotStore
     limits: Limits
     apply: Apply
     poll_period_s: float = 0.25
@@ -69,7 +69,7 @@
 
         Raises NoInventoryError.
         """
-        last = self.keeper.last()
+        last = self.store.load_last()
         current = last.inventory if last is not None else None
         if last is not None and last.why == "rolled back":
             self.ignored_digest = last.content
@@ -98,7 +98,7 @@
         """Store a list before it is applied, in a thread because a disk may be slow."""
         self.shape = done.shape
         fields = time.time(), str(self.path), done.digest, why, inventory, done.shape
-        await asyncio.to_thread(lambda: self.keeper.keep(Snapshot(self.keeper.next_number(), *fields)))
+        await asyncio.to_thread(lambda: self.store.save(Snapshot(self.store.next_number(), *fields)))
 
     # --- polling -------------------------------------------------------------------------------------
 
@@ -182,9 +182,9 @@
     # --- commands ------------------------------------------------------------------------------------
 
     async def handle_commands(self) -> None:
-        if (code := self.keeper.asked("confirm")) is not None:
+        if (code := self.store.take_command("confirm")) is not None:
             await self.confirm(code)
-        if (number := self.keeper.asked("rollback")) is not None:
+        if (number := self.store.take_command("rollback")) is not None:
             await self.roll_back(number)
 
     async def confirm(self, code: str) -> bool:
@@ -210,7 +210,7 @@
     async def roll_back(self, number: str) -> bool:
         """Apply a list of the history; the file's present content is ignored until the file changes."""
         assert self.judge is not None
-        found = [s for s in self.keeper.history() if str(s.number) == number]
+        found = [s for s in self.store.load_history() if str(s.number) == number]
         if not found:
             log.error("inventory: no list %s in the history to roll back to", number[:20])
             return False
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -20,7 +20,7 @@
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.membership.member_list import MemberList, MemberListError
 from ivymux.membership.resolver import Resolver, is_address
-from ivymux.membership.snapshot_store import Keeper
+from ivymux.membership.snapshot_store import SnapshotStore
 from ivymux.membership.source import InventorySource, NoInventoryError
 from ivymux.platform.counter import Counter
 from ivymux.routes.classes import ClassTable, TooManyClasses
@@ -144,8 +144,8 @@
                 return
             state = self.path.parent / part.state if part.state else None
             self.inventory = InventorySource(
-                self.path.parent / part.file, Keeper(state), part.limits, self.apply_inventory, part.watch,
-                ((self.site.listen.host, self.site.listen.port),), Settle(part.settle),
+                self.path.parent / part.file, SnapshotStore(state), part.limits, self.apply_inventory,
+                part.watch, ((self.site.listen.host, self.site.listen.port),), Settle(part.settle),
             )  # fmt: skip
             await self.inventory.start()
         except (MemberListError, NoInventoryError) as error:
--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -11,7 +11,7 @@
 from ivymux.cli import main
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import Snapshot
-from ivymux.membership.snapshot_store import Keeper
+from ivymux.membership.snapshot_store import SnapshotStore
 from ivymux.service.standalone import open_standalone
 from tests.inventory import damage
 from tests.routes.describing import described, operation
@@ -42,19 +42,19 @@
     assert "6 removed" in out and "held back: 6 of 12 workers" in out
 
 
-def test_history_confirm_and_rollback_ask_the_door_that_runs(
+def test_history_confirm_and_rollback_write_commands_for_the_running_gateway(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     site = tmp_path / "site.toml"
     site.write_text(site_text([]) + '\n[inventory]\nfile = "w.csv"\nstate = "state"\n')
-    keeper = Keeper(tmp_path / "state")
-    keeper.keep(Snapshot(1, 0.0, "w.csv", "d", "started", Inventory((Worker("w", "10.0.0.1", 1),))))
+    store = SnapshotStore(tmp_path / "state")
+    store.save(Snapshot(1, 0.0, "w.csv", "d", "started", Inventory((Worker("w", "10.0.0.1", 1),))))
     assert main(["inventory", "history", str(site)]) == 0
     assert "1970-01-01 00:00:00Z       1 workers  started" in capsys.readouterr().out
     assert main(["inventory", "rollback", str(site), "2"]) == 2
-    assert main(["inventory", "rollback", str(site), "1"]) == 0 and keeper.asked("rollback") == "1"
-    assert main(["inventory", "confirm", str(site), "abc"]) == 0 and keeper.asked("confirm") == "abc"
-    assert keeper.asked("confirm") is None
+    assert main(["inventory", "rollback", str(site), "1"]) == 0 and store.take_command("rollback") == "1"
+    assert main(["inventory", "confirm", str(site), "abc"]) == 0 and store.take_command("confirm") == "abc"
+    assert store.take_command("confirm") is None
     site.write_text(site_text([]) + '\n[inventory]\nfile = "w.csv"\n')
     assert main(["inventory", "history", str(site)]) == 2
 
--- a/tests/membership/test_keeping.py
+++ b/tests/membership/test_keeping.py
@@ -20,7 +20,7 @@
 from ivymux.membership.files import FilesError, read, stamp
 from ivymux.membership.member_list import MAX_ENTRIES_PER_EVENT, MemberList, worker_number
 from ivymux.membership.resolver import Resolver
-from ivymux.membership.snapshot_store import HISTORY, Keeper
+from ivymux.membership.snapshot_store import MAX_SNAPSHOTS, SnapshotStore
 from orchidhill import interface as i
 from tests.sockets import run
 
@@ -29,14 +29,14 @@
 from pathlib import Path
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import Snapshot
-from ivymux.membership.snapshot_store import Keeper
-keeper = Keeper(Path(sys.argv[1]))
-number = keeper.next_number()
+from ivymux.membership.snapshot_store import SnapshotStore
+store = SnapshotStore(Path(sys.argv[1]))
+number = store.next_number()
 print(number, flush=True)
-for turn in range(number, number + 400):
-    workers = tuple(Worker(f"w{n}", "10.0.0.1", 1 + n, bay=turn) for n in range(300))
-    keeper.keep(Snapshot(turn, 1.0, "w.csv", str(turn), "changed", Inventory(workers)))
-    print(turn, flush=True)
+for version in range(number, number + 400):
+    workers = tuple(Worker(f"w{n}", "10.0.0.1", 1 + n, bay=version) for n in range(300))
+    store.save(Snapshot(version, 1.0, "w.csv", str(version), "changed", Inventory(workers)))
+    print(version, flush=True)
 """
 
 
@@ -48,70 +48,71 @@
     return Snapshot(number, 1.0, "w.csv", str(number), why, listed(Worker("w", "10.0.0.1", number)))
 
 
-def test_killed_at_a_hundred_random_points_each_start_has_a_whole_list(tmp_path: Path) -> None:
+def test_after_a_kill_at_a_random_point_the_last_snapshot_is_complete(tmp_path: Path) -> None:
     rng = random.Random(7)
     last = 0
     writer = tmp_path / "writer.py"
     writer.write_text(WRITER)
     processes = []
-    for lane in range(10):  # ten writers side by side, each killed ten times
-        folder = tmp_path / f"lane{lane}"
+    for writer_number in range(10):  # ten concurrent writers, each killed ten times
+        folder = tmp_path / f"writer{writer_number}"
         processes.append((folder, 0))
     for _ in range(10):
         children = []
         for folder, _before in processes:
             child = subprocess.Popen([sys.executable, str(writer), str(folder)], stdout=subprocess.PIPE)
             children.append(child)
-        told = []
+        saved_numbers = []
         for child in children:
             assert child.stdout is not None
-            told.append([int(child.stdout.readline())])
-        for child, numbers in zip(children, told, strict=True):
+            saved_numbers.append([int(child.stdout.readline())])
+        for child, numbers in zip(children, saved_numbers, strict=True):
             assert child.stdout is not None
-            for _ in range(rng.randrange(1, 6)):  # some lists kept for certain
+            for _ in range(rng.randrange(1, 6)):  # these snapshots were certainly saved
                 numbers.append(int(child.stdout.readline()))
             child.send_signal(signal.SIGKILL)
-        for number, (child, numbers) in enumerate(zip(children, told, strict=True)):
+        for number, (child, numbers) in enumerate(zip(children, saved_numbers, strict=True)):
             child.wait()
             folder = processes[number][0]
-            found = Keeper(folder).last()
+            found = SnapshotStore(folder).load_last()
             assert found is not None and found.number >= numbers[-1]
-            assert {w.bay for w in found.inventory.workers} == {found.number}  # whole: one list's workers
+            assert {w.bay for w in found.inventory.workers} == {found.number}  # all workers are of one list
             assert len(found.inventory.workers) == 300 and found.content == str(found.number)
             last = max(last, found.number)
     assert last > 10
 
 
-def test_damaged_snapshots_are_passed_over_and_the_history_is_short(tmp_path: Path) -> None:
-    keeper = Keeper(tmp_path / "state")
-    for number in range(1, HISTORY + 6):
-        assert keeper.keep(snapshot(number))
-    fresh = Keeper(tmp_path / "state")
-    assert [s.number for s in fresh.history()] == list(range(HISTORY + 5, 5, -1))
-    newest = fresh.files()[0]
+def test_damaged_snapshots_are_skipped_and_the_history_is_bounded(tmp_path: Path) -> None:
+    store = SnapshotStore(tmp_path / "state")
+    for number in range(1, MAX_SNAPSHOTS + 6):
+        assert store.save(snapshot(number))
+    fresh = SnapshotStore(tmp_path / "state")
+    assert [s.number for s in fresh.load_history()] == list(range(MAX_SNAPSHOTS + 5, 5, -1))
+    newest = fresh.list_files()[0]
     newest.write_bytes(newest.read_bytes()[:-3])
-    found = Keeper(tmp_path / "state").last()
-    assert found is not None and found.number == HISTORY + 4
-    assert Keeper(tmp_path / "state").next_number() == HISTORY + 6  # the damaged one's name is taken
+    found = SnapshotStore(tmp_path / "state").load_last()
+    assert found is not None and found.number == MAX_SNAPSHOTS + 4
+    # The number of the damaged file is not used again.
+    assert SnapshotStore(tmp_path / "state").next_number() == MAX_SNAPSHOTS + 6
 
 
-def test_without_a_disk_the_last_list_is_kept_in_memory(
+def test_without_a_writable_disk_the_last_list_is_kept_in_memory(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    keeper = Keeper(None)
-    assert not keeper.keep(snapshot(1)) and keeper.last() == snapshot(1)
+    store = SnapshotStore(None)
+    assert not store.save(snapshot(1)) and store.load_last() == snapshot(1)
     assert "in memory only" in caplog.text
-    full = Keeper(tmp_path)
-    assert full.keep(snapshot(1))
+    full = SnapshotStore(tmp_path)
+    assert full.save(snapshot(1))
 
     def no_space(*_: object) -> None:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "fsync", no_space)
-    assert not full.keep(snapshot(2)) and full.last() == snapshot(2)
+    assert not full.save(snapshot(2)) and full.load_last() == snapshot(2)
     monkeypatch.undo()
-    assert [p.name for p in tmp_path.iterdir()] == ["inventory-0000000001.snap"]  # nothing half-written
-    assert full.keep(snapshot(3)) and Keeper(tmp_path).last() == snapshot(3)
+    assert [p.name for p in tmp_path.iterdir()] == ["inventory-0000000001.snap"]  # no partial file is left
+    assert full.save(snapshot(3)) and SnapshotStore(tmp_path).load_last() == snapshot(3)
 
 
 # --- files -------------------------------------------------------------------------------------------
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -24,7 +24,7 @@
 from ivymux.membership import files as files_module
 from ivymux.membership import source as source_module
 from ivymux.membership.reader import Done, Task, read_beside, work
-from ivymux.membership.snapshot_store import Keeper
+from ivymux.membership.snapshot_store import SnapshotStore
 from ivymux.membership.source import InventorySource
 from ivymux.service.standalone import Standalone, open_standalone
 from standins import worker as stand
@@ -253,7 +253,7 @@
             assert not await setup.source.confirm(code)
             await setup.poll()
             assert setup.source.pending is not None and setup.source.pending.done.confirmation != code
-            Keeper(tmp_path / "state").ask("confirm", setup.source.pending.done.confirmation)
+            SnapshotStore(tmp_path / "state").write_command("confirm", setup.source.pending.done.confirmation)
             await setup.source.poll()
             assert len(setup.gateway.host.upstream.pools) == 4 and setup.source.pending is None
 
@@ -266,7 +266,7 @@
             setup.write(write_sheet(setup.fleet(11)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 11
-            Keeper(tmp_path / "state").ask("rollback", "1")
+            SnapshotStore(tmp_path / "state").write_command("rollback", "1")
             await setup.source.poll()
             assert len(setup.gateway.host.upstream.pools) == 12
             setup.file.touch()  # the same content, rewritten
@@ -275,7 +275,7 @@
             setup.write(write_sheet(setup.fleet(10)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 10
-            numbers = [decode(p.read_bytes()).why for p in setup.source.keeper.files()]
+            numbers = [decode(p.read_bytes()).why for p in setup.source.store.list_files()]
             assert numbers == ["changed", "rolled back", "changed", "started"]
 
     run(test())
