--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -19,7 +19,7 @@
 from ivymux.hosting.tenant_counters import SharedCounter, TenantCounter
 from ivymux.inventory.model import Inventory
 from ivymux.membership.member_list import MAX_ENTRIES_PER_EVENT, MemberList, worker_number
-from ivymux.membership.resolver import Resolver, is_address, system
+from ivymux.membership.resolver import Resolver, is_address, system_look_up
 from ivymux.routes.classes import ClassTable, TooManyClasses
 from ivymux.routes.model import Compiled
 from ivymux.routes.table import Table
@@ -103,7 +103,7 @@
         self.local_counts = CounterStore(MAX_COUNTER_NAMES)
         self.member_list = MemberList()
         lookups = gateway_settings.host_lookups
-        look_up = lookups.for_tenant() if lookups is not None else system
+        look_up = lookups.for_tenant() if lookups is not None else system_look_up
         self.resolver = Resolver(look_up)
         self.members_lock = asyncio.Lock()  # serializes member updates
         self.running_lookups: asyncio.Task[None] | None = None
@@ -192,13 +192,13 @@
     def start_lookups(self, inventory: Inventory) -> asyncio.Future[None]:
         """Look up an inventory's host names that are due, unless look-ups are running already."""
         if self.running_lookups is None or self.running_lookups.done():
-            self.running_lookups = asyncio.ensure_future(self.resolver.renew_all(inventory.workers))
+            self.running_lookups = asyncio.ensure_future(self.resolver.refresh(inventory.workers))
             self.running_lookups.add_done_callback(lambda _: self.on_lookups_done(inventory))
         return self.running_lookups
 
     async def allowed_addresses(self, inventory: Inventory) -> dict[str, Address]:
         """Return the known addresses of workers without those that are not allowed."""
-        found = await self.resolver.known(inventory.workers)
+        found = await self.resolver.cached_addresses(inventory.workers)
         rules = self.gateway_settings.address_rules
         if not (rules.networks or rules.own_addresses):
             return found
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -20,7 +20,7 @@
 from ivymux.hosting.site import Hosting
 from ivymux.hosting.tenant_counters import SharedCounter, SharedTallyCounter
 from ivymux.inventory.model import Inventory
-from ivymux.membership.resolver import LIFE
+from ivymux.membership.resolver import CACHE_LIFETIME_S
 from ivymux.routes.model import Compiled
 from ivymux.service.lifecycle import Door
 from ivymux.service.site import MAX_ANSWERS
@@ -31,7 +31,7 @@
 from ivymux.tenants.shares import SPAN_S, Shares
 
 CLOSE_IDLE_PERIOD_S = 1.0  # between searches for replaced decision modules without open requests
-LOOKUP_REFRESH_PERIOD_S = LIFE / 2
+LOOKUP_REFRESH_PERIOD_S = CACHE_LIFETIME_S / 2
 FULL_READ_PERIOD_S = 1.0  # between reads of the revision while the store's hint does not change
 REPORT_PERIOD_S = 2.0  # between reports while the desired state does not change
 COUNTER_WAIT_S = 0.3  # how long the start waits for the shared counter
--- a/ivymux/membership/resolver.py
+++ b/ivymux/membership/resolver.py
@@ -1,4 +1,4 @@
-"""Host names of workers, looked up off the hot path; the last good answer is kept."""
+"""Resolves workers' host names outside the request path and keeps the last good answer."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from ivymux.data_plane.limits import Address
 from ivymux.inventory.model import Worker
 
-LIFE = 30.0  # seconds that an answer counts
-TIMEOUT = 5.0
-AT_ONCE = 16
-SLICE = 512  # workers looked at before requests go between
+CACHE_LIFETIME_S = 30.0
+LOOKUP_TIMEOUT_S = 5.0
+MAX_CONCURRENT_LOOKUPS = 16
+WORKERS_PER_STEP = 512  # processed before pending requests get the event loop
 log = logging.getLogger("ivymux")
 LookUp = Callable[[str], Awaitable[list[str]]]
 
 
-async def system(name: str) -> list[str]:
-    """All addresses of a name, by the system's own look-up in a thread.  Raises OSError."""
+async def system_look_up(name: str) -> list[str]:
+    """Return all addresses of a name, resolved by the system in a thread.  Raises OSError."""
     loop = asyncio.get_running_loop()
     found = await loop.getaddrinfo(name, None, type=socket.SOCK_STREAM)
     return sorted({str(entry[4][0]) for entry in found})
@@ -32,67 +32,67 @@
 @dataclass(slots=True)
 class Answer:
     address: str
-    until: float
+    expires_at: float  # monotonic seconds
 
 
 @dataclass
 class Resolver:
-    """Addresses of workers.  A name that can't be looked up keeps its last address."""
+    """Resolves workers' addresses.  A name whose look-up fails keeps its last address."""
 
-    look_up: LookUp = system
-    life: float = LIFE
+    look_up: LookUp = system_look_up
+    lifetime_s: float = CACHE_LIFETIME_S
     answers: dict[str, Answer] = field(default_factory=dict)
-    failing: set[str] = field(default_factory=set)
+    failing_names: set[str] = field(default_factory=set)
 
     async def resolve(self, workers: tuple[Worker, ...]) -> dict[str, Address]:
-        """Addresses by worker; one whose name never had an answer is left out."""
-        await self.renew_all(workers)
-        return await self.known(workers)
+        """Return addresses by worker name, after a refresh; a worker that never resolved is left out."""
+        await self.refresh(workers)
+        return await self.cached_addresses(workers)
 
-    async def renew_all(self, workers: tuple[Worker, ...]) -> None:
-        """Look up what has no answer, or one that has had its time."""
+    async def refresh(self, workers: tuple[Worker, ...]) -> None:
+        """Look up the names that have no answer or an expired one."""
         names = {w.host for w in workers if not is_address(w.host)}
         now = time.monotonic()
-        due = [n for n in names if n not in self.answers or self.answers[n].until <= now]
-        gate = asyncio.Semaphore(AT_ONCE)
-        await asyncio.gather(*(self.renew(name, gate) for name in due))
+        due = [n for n in names if n not in self.answers or self.answers[n].expires_at <= now]
+        limit = asyncio.Semaphore(MAX_CONCURRENT_LOOKUPS)
+        await asyncio.gather(*(self.refresh_name(name, limit) for name in due))
         for name in [n for n in self.answers if n not in names]:
             del self.answers[name]
-        self.failing &= names
+        self.failing_names &= names
 
-    async def known(self, workers: tuple[Worker, ...]) -> dict[str, Address]:
-        """Addresses by worker, of answers that are there."""
-        found = {}
-        for number, worker in enumerate(workers):
-            if number % SLICE == SLICE - 1:
+    async def cached_addresses(self, workers: tuple[Worker, ...]) -> dict[str, Address]:
+        """Return addresses by worker name from the cached answers, without a look-up."""
+        addresses = {}
+        for index, worker in enumerate(workers):
+            if index % WORKERS_PER_STEP == WORKERS_PER_STEP - 1:
                 await asyncio.sleep(0)
             if not is_address(worker.host):
                 if (answer := self.answers.get(worker.host)) is not None:
-                    found[worker.name] = Address(answer.address, worker.port)
+                    addresses[worker.name] = Address(answer.address, worker.port)
             else:
-                found[worker.name] = Address(worker.host, worker.port)
-        return found
+                addresses[worker.name] = Address(worker.host, worker.port)
+        return addresses
 
-    async def renew(self, name: str, gate: asyncio.Semaphore) -> None:
-        async with gate:
+    async def refresh_name(self, name: str, limit: asyncio.Semaphore) -> None:
+        async with limit:
             try:
-                async with asyncio.timeout(TIMEOUT):
+                async with asyncio.timeout(LOOKUP_TIMEOUT_S):
                     addresses = await self.look_up(name)
             except (OSError, TimeoutError):
                 addresses = []
-        known = self.answers.get(name)
-        until = time.monotonic() + self.life
+        cached = self.answers.get(name)
+        expires_at = time.monotonic() + self.lifetime_s
         if not addresses:
-            if name not in self.failing:
-                self.failing.add(name)
-                log.warning("inventory: no address for %s%s", name, ": the last one is kept" if known else "")
-            if known is not None:
-                known.until = until
+            if name not in self.failing_names:
+                self.failing_names.add(name)
+                log.warning("inventory: no address for %s%s", name, "; using the last one" if cached else "")
+            if cached is not None:
+                cached.expires_at = expires_at
             return
-        self.failing.discard(name)
-        # Of several the known one stays: a change of address makes another, cold process of a worker.
-        address = known.address if known is not None and known.address in addresses else addresses[0]
-        self.answers[name] = Answer(address, until)
+        self.failing_names.discard(name)
+        # The present address is preferred: a changed address makes the worker a new process that starts cold.
+        address = cached.address if cached is not None and cached.address in addresses else addresses[0]
+        self.answers[name] = Answer(address, expires_at)
 
 
 @lru_cache(maxsize=1 << 17)
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -160,7 +160,7 @@
     async def follow_names(self) -> None:
         """Look up host names again when their answers have had their time."""
         while True:
-            await asyncio.sleep(self.resolver.life / 2)
+            await asyncio.sleep(self.resolver.lifetime_s / 2)
             if any(not is_address(w.host) for w in self.workers):
                 await self.apply(self.workers)
 
--- a/tests/hosting/test_places.py
+++ b/tests/hosting/test_places.py
@@ -139,15 +139,15 @@
             put_inventory(fixture, a, Worker("w0", "moving.example", a.worker.port))
             hosted_tenant = fixture.gateway.tenants[a.uid]
             await until(lambda: hosted_tenant.revision == a.revision)
-            hosted_tenant.resolver.life = 0.05
+            hosted_tenant.resolver.lifetime_s = 0.05
             assert (await fixture.ask(a)).status == 200
             for answer in hosted_tenant.resolver.answers.values():
-                answer.until = 0.0
+                answer.expires_at = 0.0
             addresses[:] = ["127.0.0.9"]
             pools = hosted_tenant.generation.host.upstream.pools  # type: ignore[union-attr]
             await until(lambda: {p.address.host for p in pools.values()} == {"127.0.0.9"})
             addresses.clear()  # without an answer the last address is kept
-            await until(lambda: "moving.example" in hosted_tenant.resolver.failing)
+            await until(lambda: "moving.example" in hosted_tenant.resolver.failing_names)
             assert {p.address.host for p in pools.values()} == {"127.0.0.9"}
 
     run(test())
--- a/tests/membership/test_keeping.py
+++ b/tests/membership/test_keeping.py
@@ -225,35 +225,35 @@
         assert listed_now == wanted
 
 
-# --- names -------------------------------------------------------------------------------------------
+# --- resolver ----------------------------------------------------------------------------------------
 
 
-def test_a_name_keeps_its_last_answer_and_its_address_among_several() -> None:
-    table: dict[str, list[str]] = {"w.example": ["10.0.0.2", "10.0.0.3"]}
-    asked: list[str] = []
+def test_a_failing_name_keeps_its_answer_and_one_with_several_addresses_its_present_one() -> None:
+    records: dict[str, list[str]] = {"w.example": ["10.0.0.2", "10.0.0.3"]}
+    looked_up: list[str] = []
 
     async def look_up(name: str) -> list[str]:
-        asked.append(name)
-        if name not in table:
+        looked_up.append(name)
+        if name not in records:
             raise OSError("no such name")
-        return table[name]
+        return records[name]
 
     async def test() -> None:
-        resolver = Resolver(look_up, life=0.0)
+        resolver = Resolver(look_up, lifetime_s=0.0)
         workers = (Worker("a", "w.example", 80), Worker("b", "10.0.0.9", 81), Worker("c", "gone.example", 82))
         expected = {"a": Address("10.0.0.2", 80), "b": Address("10.0.0.9", 81)}
         assert await resolver.resolve(workers) == expected
-        table["w.example"] = ["10.0.0.3", "10.0.0.2"]
-        assert await resolver.resolve(workers) == expected  # others before it move nobody
-        del table["w.example"]
+        records["w.example"] = ["10.0.0.3", "10.0.0.2"]
+        assert await resolver.resolve(workers) == expected  # the order of the answers does not matter
+        del records["w.example"]
         assert await resolver.resolve(workers) == expected
-        table["w.example"] = ["10.0.0.7"]
+        records["w.example"] = ["10.0.0.7"]
         assert (await resolver.resolve(workers))["a"] == Address("10.0.0.7", 80)
-        resolver.life = 60.0
+        resolver.lifetime_s = 60.0
         await resolver.resolve(workers)
-        asked.clear()
+        looked_up.clear()
         await resolver.resolve(workers)
-        assert "w.example" not in asked
+        assert "w.example" not in looked_up
         await asyncio.sleep(0)
 
     run(test())
