--- a/ivymux/hosting/site.py
+++ b/ivymux/hosting/site.py
@@ -11,7 +11,7 @@
 
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.service.site import MAX_ANSWERS, SiteError, address, bounded
-from ivymux.tally.engine import RedisPart, check
+from ivymux.tally.engine import RedisPart, check_redis_settings
 from ivymux.tenants.places import AddressRules
 
 PREFIX = re.compile(r"/([A-Za-z0-9_.-]{1,64}/){1,8}")
@@ -134,7 +134,7 @@
         bounded("tally.doors", tally.doors, 1, 1000)
         bounded("tally.number", tally.number, 0, tally.doors - 1)
         if tally.redis is not None:
-            check(tally.redis)
+            check_redis_settings(tally.redis)
         bounded("tally.timeout", tally.timeout, 0.01, 5)
         shared = address("tally.address", tally.address) if tally.address else None
         served = address("tally.listen", tally.listen) if tally.listen else None
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -14,8 +14,7 @@
 from ivymux.inventory.model import FieldError, Worker, read_address
 from ivymux.routes.model import ClassTerms, Compiled, Options
 from ivymux.service.callers import CallerError, Callers
-from ivymux.tally.engine import RedisPart
-from ivymux.tally.engine import check as check_redis
+from ivymux.tally.engine import RedisPart, check_redis_settings
 from orchidhill import interface as i
 
 
@@ -195,7 +194,7 @@
     if file.tally.redis is not None:
         if file.tally.address:
             raise ConfigError("tally: write address or redis, not both")
-        check_redis(file.tally.redis)
+        check_redis_settings(file.tally.redis)
     for field in ("drain_grace", "warm_up", "fall_time"):
         bounded(f"rules.{field}", getattr(file.rules, field), 0, 3600)
     bounded("rules.cold_share", file.rules.cold_share, 0.01, 1)
--- a/ivymux/tally/engine.py
+++ b/ivymux/tally/engine.py
@@ -1,4 +1,4 @@
-"""The tally on Redis or Valkey: its one step there, names, lanes, and when to call again.  Pure."""
+"""Counters in Redis or Valkey: settings, the script, keys' hash slots, lanes and retry delays.  Pure."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from ivymux.data_plane.limits import ConfigError, parse_address
 
-# One step at the server, as no two of its calls may have another door's between them.  The name's life is set
-# by its first call; `b` is drawn by it too, so that a name which was lost and begun anew can be told.
-# A caller's call that came before (its number is one of the caller's last two) adds nothing.
+# A script, because the server executes it atomically: no other gateway's calls may run between its commands.
+# The first call for a name sets the name's life and its random number `b`, by which callers notice that the
+# name was lost and created again.  A repeated call (its number is one of the caller's last two) adds nothing.
 SCRIPT = """\
 local last, before = 'l' .. ARGV[4], 'p' .. ARGV[4]
 local again = ARGV[5] ~= '0'
@@ -28,38 +28,38 @@
 end
 return {total, redis.call('HGET', KEYS[1], 'b')}
 """
-SHA = hashlib.sha1(SCRIPT.encode()).hexdigest()  # by which the server knows it
-LANES = 16  # calls out at once; those of one name follow each other in one lane
-SLOTS = 16384
-MAX_LIFE = 60_000  # milliseconds
-RETRY_FIRST, RETRY_MAX = 0.05, 1.0  # seconds between calls while nobody can be reached
-TABLE = []
+SCRIPT_SHA1 = hashlib.sha1(SCRIPT.encode()).hexdigest()  # identifies the script in EVALSHA
+LANES = 16  # max concurrent calls; the calls for one name run one by one in its lane
+HASH_SLOTS = 16384
+MAX_LIFE_MS = 60_000
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # while the server is unreachable
+CRC16_TABLE = []
 for _byte in range(256):
     _crc = _byte << 8
     for _ in range(8):
         _crc = (_crc << 1) ^ 0x1021 if _crc & 0x8000 else _crc << 1
-    TABLE.append(_crc & 0xFFFF)
+    CRC16_TABLE.append(_crc & 0xFFFF)
 
 
 class RedisPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`[tally.redis]`: where the counts are kept."""
+    """The settings `[tally.redis]`: the servers that store the counters."""
 
-    nodes: list[str]  # HOST:PORT; sentinels, or any of a cluster's nodes
+    nodes: list[str]  # HOST:PORT of the server, the sentinels or some nodes of the cluster
     mode: str = "single"  # or sentinel, cluster
-    service: str = ""  # the master's name at the sentinels
+    service: str = ""  # the name of the master that the sentinels monitor
     username: str = ""
-    password_file: str = ""  # beside this file; its first line is the password
+    password_file: str = ""  # relative to the settings file; its first line is the password
     sentinel_password_file: str = ""
     tls: bool = False
-    ca: str = ""  # a file beside this one, PEM
-    prefix: str = "ivymux:"  # all keys begin so
-    protocol: int = 3  # of RESP
-    password: str = ""  # read from the files
-    sentinel_password: str = ""
+    ca: str = ""  # PEM file, relative to the settings file
+    prefix: str = "ivymux:"  # of all keys
+    protocol: int = 3  # RESP version
+    password: str = ""  # from password_file; not a setting
+    sentinel_password: str = ""  # from sentinel_password_file; not a setting
 
 
-def check(part: RedisPart) -> None:
-    """Raises ConfigError."""
+def check_redis_settings(part: RedisPart) -> None:
+    """Check the settings.  Raises ConfigError."""
     if part.mode not in ("single", "sentinel", "cluster"):
         raise ConfigError(f"tally.redis.mode is {part.mode!r}; write single, sentinel or cluster")
     if not part.nodes or (part.mode == "single" and len(part.nodes) != 1):
@@ -79,27 +79,39 @@
         raise ConfigError("tally.redis.prefix: up to 32 characters, without braces")
 
 
-def slot(key: bytes) -> int:
-    """The hash slot of a key without braces: CRC16 (XMODEM) modulo 16384 ("Redis cluster specification")."""
+def hash_slot(key: bytes) -> int:
+    """Return the hash slot of a key without braces: CRC16 (XMODEM) modulo 16384.
+
+    Source: Redis cluster specification.
+    """
     crc = 0
     for byte in key:
-        crc = ((crc << 8) & 0xFFFF) ^ TABLE[(crc >> 8) ^ byte]
-    return crc % SLOTS
+        crc = ((crc << 8) & 0xFFFF) ^ CRC16_TABLE[(crc >> 8) ^ byte]
+    return crc % HASH_SLOTS
 
 
-def lane(key: bytes) -> int:
-    """Neighbouring slots share a lane, as they mostly share a server: one that hangs holds up few others."""
-    return slot(key) * LANES // SLOTS
+def lane_of(key: bytes) -> int:
+    """Return the lane of a key.
+
+    Adjacent slots share a lane because they are mostly on the same server: a server that does not respond
+    then blocks few of the other servers' calls.
+    """
+    return hash_slot(key) * LANES // HASH_SLOTS
 
 
-def arguments(amount: float, life: float, born: int, caller: bytes, call: int) -> tuple[bytes, ...]:
-    """What the script is called with: an amount, a life in milliseconds from one in seconds, a birth, whose
-    call it is and its number (0: it never comes again).
+def script_arguments(amount: float, life: float, born: int, caller: bytes, call: int) -> tuple[bytes, ...]:
+    """Return the script's arguments.
+
+    `life` is in seconds.  `born` identifies the name's totals if this call creates them.  `call` is the
+    caller's number for this call; 0 if the call is never repeated.
     """
-    span = max(1, min(MAX_LIFE, round(life * 1000)))
-    return b"%.6f" % amount, b"%d" % span, b"%d" % born, caller, b"%d" % call
+    life_ms = max(1, min(MAX_LIFE_MS, round(life * 1000)))
+    return b"%.6f" % amount, b"%d" % life_ms, b"%d" % born, caller, b"%d" % call
+
 
+def retry_delay(backoff: float, jitter: float) -> tuple[float, float]:
+    """Return the delay before the next attempt and the next backoff, in seconds.
 
-def pause(before: float, chance: float) -> tuple[float, float]:
-    """Seconds until the next try, and the pause to go on from; `chance` from 0 to 1 keeps doors apart."""
-    return before * (0.5 + chance / 2), min(RETRY_MAX, 2 * before)
+    `jitter` is a random number from 0 to 1; it spreads the attempts of several gateways.
+    """
+    return backoff * (0.5 + jitter / 2), min(MAX_RETRY_DELAY_S, 2 * backoff)
--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -28,7 +28,16 @@
 from ivymux.data_plane.limits import parse_address
 from ivymux.data_plane.passwords import read_password
 from ivymux.tally.clock import SharedClock
-from ivymux.tally.engine import LANES, RETRY_FIRST, SCRIPT, SHA, RedisPart, arguments, lane, pause
+from ivymux.tally.engine import (
+    LANES,
+    MIN_RETRY_DELAY_S,
+    SCRIPT,
+    SCRIPT_SHA1,
+    RedisPart,
+    lane_of,
+    retry_delay,
+    script_arguments,
+)
 from orchidhill.interface import Count, Counted, Late, Outcome
 
 MAX_PENDING = 1000  # calls in one lane
@@ -97,7 +106,7 @@
         self.owner = owner
         self.queue: deque[Call] = deque()
         self.task: asyncio.Task[None] | None = None
-        self.wait, self.closed_until = RETRY_FIRST, 0.0
+        self.wait, self.closed_until = MIN_RETRY_DELAY_S, 0.0
 
     def put(self, call: Call) -> bool:
         """Whether the call may yet be answered; else it is told at once why not."""
@@ -132,10 +141,10 @@
             owner.tell_trouble(error)
             owner.settle(call, outcome)
             if outcome is Outcome.CONNECT_FAILED:
-                delay, self.wait = pause(self.wait, owner.rng.random())
+                delay, self.wait = retry_delay(self.wait, owner.rng.random())
                 self.closed_until = time.monotonic() + delay
         else:
-            self.wait = RETRY_FIRST
+            self.wait = MIN_RETRY_DELAY_S
             owner.answered(call, total, born)
 
 
@@ -202,7 +211,7 @@
     def add(self, count: Count) -> None:
         key = self.prefix + b"%x" % count.name
         call = Call(count, key, time.monotonic())
-        if self.lanes[lane(key)].put(call):
+        if self.lanes[lane_of(key)].put(call):
             self.expiring.append(call)
             if self.timer is None:
                 self.timer = self.loop.call_later(self.timeout, self.expire)
@@ -210,9 +219,9 @@
     async def ask(self, call: Call) -> tuple[float, int]:
         """One call: the total, and which counts it continues."""
         count, born = call.count, self.rng.getrandbits(52) + 1
-        given = arguments(count.amount, count.expires, born, self.caller, count.call)
+        given = script_arguments(count.amount, count.expires, born, self.caller, count.call)
         try:
-            found = await self.client.execute_command("EVALSHA", SHA, 1, call.key, *given)
+            found = await self.client.execute_command("EVALSHA", SCRIPT_SHA1, 1, call.key, *given)
         except wrong.NoScriptError:  # begun anew, or its scripts were flushed: nothing was done
             found = await self.client.execute_command("EVAL", SCRIPT, 1, call.key, *given)
         return float(found[0]), int(found[1])
--- a/tests/tally/test_redis.py
+++ b/tests/tally/test_redis.py
@@ -14,7 +14,16 @@
 from ivymux.data_plane.limits import ConfigError
 from ivymux.tally import redis as redis_module
 from ivymux.tally.clock import SharedClock
-from ivymux.tally.engine import LANES, SHA, RedisPart, arguments, check, lane, pause, slot
+from ivymux.tally.engine import (
+    LANES,
+    SCRIPT_SHA1,
+    RedisPart,
+    check_redis_settings,
+    hash_slot,
+    lane_of,
+    retry_delay,
+    script_arguments,
+)
 from ivymux.tally.redis import RedisCounter, with_passwords
 from orchidhill.interface import Count, Counted, Late, Outcome
 from standins.redis import Node, Redis, slot_of
@@ -84,24 +93,27 @@
 # --- pure ---
 
 
-def test_slots_are_those_of_the_specification() -> None:
-    assert slot(b"123456789") == 0x31C3 == slot_of(b"123456789")  # the specification's own test value
-    assert all(slot(key(n)) == slot_of(key(n)) for n in NAMES)
-    assert {lane(key(n)) for n in NAMES} == set(range(LANES))
+def test_hash_slots_match_the_specification() -> None:
+    assert hash_slot(b"123456789") == 0x31C3 == slot_of(b"123456789")  # test vector of the specification
+    assert all(hash_slot(key(n)) == slot_of(key(n)) for n in NAMES)
+    assert {lane_of(key(n)) for n in NAMES} == set(range(LANES))
 
 
-def test_pauses_grow_to_a_bound_and_differ() -> None:
-    assert pause(0.05, 0.0) == (0.025, 0.1) and pause(0.05, 1.0) == (0.05, 0.1)
-    assert pause(1.0, 1.0) == (1.0, 1.0)
+def test_retry_delays_grow_to_a_limit_and_have_jitter() -> None:
+    assert retry_delay(0.05, 0.0) == (0.025, 0.1) and retry_delay(0.05, 1.0) == (0.05, 0.1)
+    assert retry_delay(1.0, 1.0) == (1.0, 1.0)
 
 
-def test_arguments_are_bounded() -> None:
-    assert arguments(-2.5, 4.0, 7, b"c", 9) == (b"-2.500000", b"4000", b"7", b"c", b"9")
-    assert arguments(0.0, 1e9, 7, b"c", 0)[1] == b"60000" and arguments(0.0, 0.0, 7, b"c", 0)[1] == b"1"
+def test_script_arguments_are_limited() -> None:
+    assert script_arguments(-2.5, 4.0, 7, b"c", 9) == (b"-2.500000", b"4000", b"7", b"c", b"9")
+    assert (
+        script_arguments(0.0, 1e9, 7, b"c", 0)[1] == b"60000"
+        and script_arguments(0.0, 0.0, 7, b"c", 0)[1] == b"1"
+    )
 
 
 @pytest.mark.parametrize(
-    ("fields", "place"),
+    ("fields", "setting"),
     [
         ({"nodes": []}, "nodes"), ({"nodes": ["a"]}, "nodes"), ({"nodes": ["a:1", "b:2"]}, "nodes"),
         ({"nodes": ["a:1"], "mode": "ring"}, "mode"), ({"nodes": ["a:1"], "service": "x"}, "service"),
@@ -109,9 +121,9 @@
         ({"nodes": ["a:1"], "prefix": "{x}"}, "prefix"), ({"nodes": ["a:1"], "password": "x"}, "password"),
     ],
 )  # fmt: skip
-def test_a_table_that_cannot_be_used_is_refused_by_its_place(fields: dict[str, object], place: str) -> None:
-    with pytest.raises(ConfigError, match=rf"tally\.redis\.{place}"):
-        check(RedisPart(**fields))  # type: ignore[arg-type]
+def test_invalid_settings_are_rejected_by_name(fields: dict[str, object], setting: str) -> None:
+    with pytest.raises(ConfigError, match=rf"tally\.redis\.{setting}"):
+        check_redis_settings(RedisPart(**fields))  # type: ignore[arg-type]
 
 
 def test_passwords_stand_in_files_and_in_no_error(tmp_path: Path) -> None:
@@ -165,10 +177,10 @@
         world = await Redis().start()
         async with calling(world) as calls:
             await calls.add(1, 1.0)
-            assert set(world.leader.scripts) == {SHA}
+            assert set(world.leader.scripts) == {SCRIPT_SHA1}
             world.leader.scripts.clear()
             assert (await calls.add(1, 1.0)).total == 2.0
-            assert set(world.leader.scripts) == {SHA}
+            assert set(world.leader.scripts) == {SCRIPT_SHA1}
             taken = world.leader.taken
             assert (await calls.add(1, 1.0)).total == 3.0
             assert world.leader.taken == taken + 1  # by its digest alone
