--- a/ivymux/tally/local.py
+++ b/ivymux/tally/local.py
@@ -1,4 +1,4 @@
-"""The tally within the process: the same calls, answered at once."""
+"""A counter within the process, with the interface of a remote one; it replies at once."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 
 class LocalCounter:
-    """Answers each call by an event of its own, in the order of the calls."""
+    """Replies to each call with one event, in the order of the calls."""
 
-    def __init__(self, store: CounterStore, done: Callable[[Counted], None]) -> None:
-        self.store, self.done = store, done
+    def __init__(self, store: CounterStore, on_reply: Callable[[Counted], None]) -> None:
+        self.store, self.on_reply = store, on_reply
 
     def add(self, count: Count) -> None:
+        """Add an amount, and pass the total or the outcome FULL to `on_reply`."""
         try:
             total = self.store.add(str(count.name).encode(), count.amount, count.expires, time.monotonic())
         except CounterFullError:
-            self.done(Counted(count.name, Outcome.FULL, 0.0, 0.0))
+            self.on_reply(Counted(count.name, Outcome.FULL, 0.0, 0.0))
             return
-        self.done(Counted(count.name, Outcome.OK, total, 0.0))
+        self.on_reply(Counted(count.name, Outcome.OK, total, 0.0))
--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -169,11 +169,11 @@
     run(test())
 
 
-def test_within_the_process_each_call_is_answered_once_and_in_order() -> None:
-    heard: list[Counted] = []
-    counter = LocalCounter(CounterStore(max_names=1), heard.append)
+def test_local_counter_replies_once_to_each_call_in_order() -> None:
+    replies: list[Counted] = []
+    counter = LocalCounter(CounterStore(max_names=1), replies.append)
     for name, amount in ((1, 2.0), (1, 3.0), (2, 1.0)):
         counter.add(Count(name, amount, 4.0))
-    assert [(h.name, h.outcome, h.total) for h in heard] == [
+    assert [(r.name, r.outcome, r.total) for r in replies] == [
         (1, Outcome.OK, 2.0), (1, Outcome.OK, 5.0), (2, Outcome.FULL, 0.0),
     ]  # fmt: skip
