--- a/ivymux/platform/counter.py
+++ b/ivymux/platform/counter.py
@@ -365,7 +365,7 @@
                 unix_time = int(reply[0]) + int(reply[1]) / 1e6
             except (TypeError, ValueError):
                 raise hiredis.ProtocolError(f"not a time: {reply!r:.40}") from None
-            self.shared_clock.heard(sent_at, time.monotonic(), unix_time)
+            self.shared_clock.on_reading(sent_at, time.monotonic(), unix_time)
 
     def on_late_answer(self, call: CounterCall) -> None:
         """Report that a call was answered after its timeout."""
--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -194,7 +194,7 @@
                     for _ in range(2):  # the first one may have connected
                         began = time.monotonic()
                         seconds, part = await self.time_call()
-                        self.clock.heard(began, time.monotonic(), int(seconds) + int(part) / 1e6)
+                        self.clock.on_reading(began, time.monotonic(), int(seconds) + int(part) / 1e6)
             except (wrong.RedisError, OSError, TimeoutError, ValueError, TypeError) as error:
                 self.tell_trouble(error)
             if not self.ready.done():
--- a/tests/tally/four.py
+++ b/tests/tally/four.py
@@ -128,8 +128,8 @@
     gateway = Standalone(
         path, made, compile_description("api.json", {"api.json": data}.__getitem__, made.options)
     )
-    gateway.clock.shift += clock_error
-    gateway.clock.told += clock_error
+    gateway.clock.offset += clock_error
+    gateway.clock.last_time += clock_error
     await gateway.start()
     return gateway
 
--- a/tests/tally/test_tally.py
+++ b/tests/tally/test_tally.py
@@ -102,7 +102,7 @@
             clock,
         )
         await counter.ready
-        assert clock.heard_any  # synchronized before the first decision
+        assert clock.is_synchronized  # synchronized before the first decision
         for amount in (1.5, 2.0, -0.5):
             counter.add(Count(7, amount, 4.0))
         counter.add(Count(8, 100_000_000.0, 4.0))
