--- a/ivymux/admin/operations.py
+++ b/ivymux/admin/operations.py
@@ -29,7 +29,7 @@
 )
 from ivymux.inventory.change_policy import Judge
 from ivymux.inventory.model import Inventory, InventoryError
-from ivymux.membership.files import Content, parse
+from ivymux.membership.files import Content, parse_content
 from ivymux.routes.model import Compiled, DescriptionError
 from ivymux.service.compiler import CompilerError, Texts, compile_texts
 from ivymux.service.site import findings as site_findings
@@ -441,7 +441,7 @@
         data = given.text.encode()
         file = "inventory.csv" if given.form == "csv" else "inventory.yml"
         try:
-            reading = await asyncio.to_thread(parse, Content(file, data, {}))
+            reading = await asyncio.to_thread(parse_content, Content(file, data, {}))
         except InventoryError as error:
             raise findings_error(
                 [Finding(f.level, "/text", f.text, f.line) for f in error.findings]
--- a/ivymux/cli/check.py
+++ b/ivymux/cli/check.py
@@ -52,7 +52,7 @@
         from ivymux.membership import files
 
         try:
-            reading = files.parse(files.read(args.site.parent / part.file))
+            reading = files.parse_content(files.read_content(args.site.parent / part.file))
         except InventoryError as error:
             for found in error.findings:
                 print(found)
--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -60,7 +60,7 @@
     """A list.  Raises InventoryError, OSError."""
     from ivymux.membership import files
 
-    return files.parse(files.read(path))
+    return files.parse_content(files.read_content(path))
 
 
 def run_check(args: argparse.Namespace) -> int:
--- a/ivymux/membership/files.py
+++ b/ivymux/membership/files.py
@@ -1,4 +1,4 @@
-"""An inventory's files: what is seen of them without reading, and their bytes when they are whole."""
+"""Reads an inventory's files consistently and detects changes of them without reading."""
 
 from __future__ import annotations
 
@@ -13,18 +13,21 @@
 from ivymux.inventory.csv_reader import MAX_BYTES, read_sheet
 from ivymux.inventory.model import Own, Reading
 
-SHEETS = (".csv", ".tsv", ".txt")
-ANSIBLE = (".yml", ".yaml", ".json")
+SHEET_SUFFIXES = (".csv", ".tsv", ".txt")
+ANSIBLE_SUFFIXES = (".yml", ".yaml", ".json")
 MAX_FILES = 5_000
-FOLDERS = ("group_vars", "host_vars")
+VARIABLE_FOLDERS = ("group_vars", "host_vars")
 
 
 class FilesError(OSError):
-    """Files that can't be read now; the last good list stays."""
+    """The files can't be read now, so the last good list stays in force."""
 
 
 class Content(msgspec.Struct, frozen=True):
-    """The bytes of an inventory and of what stands beside it, as they were at one time."""
+    """The bytes of an inventory file and of its variable files, all read at the same state.
+
+    `beside` maps a folder (group_vars or host_vars) and a group or host to its files, by relative path.
+    """
 
     name: str
     data: bytes
@@ -36,76 +39,78 @@
 
 
 def is_sheet(path: Path) -> bool:
-    return path.suffix.lower() not in ANSIBLE
+    return path.suffix.lower() not in ANSIBLE_SUFFIXES
 
 
-def beside(path: Path) -> list[Path]:
-    """The files of the folders beside an inventory."""
+def list_variable_files(path: Path) -> list[Path]:
+    """Return the files in group_vars and host_vars next to an Ansible inventory.  Raises FilesError."""
     found: list[Path] = []
     if is_sheet(path):
         return found
-    for folder in FOLDERS:
+    for folder in VARIABLE_FOLDERS:
         top = path.parent / folder
-        # Left out without a word only where it is not there: a part that can't be read must not look empty.
-        for at, folders, files in os.walk(top, onerror=unreadable) if top.exists() else ():
+        # Only a missing folder counts as empty: one that can't be read must not look as if it had no files.
+        for parent, folders, files in os.walk(top, onerror=raise_unreadable) if top.exists() else ():
             folders.sort()
-            found += [Path(at) / name for name in sorted(files) if not name.startswith((".", "~"))]
+            found += [Path(parent) / name for name in sorted(files) if not name.startswith((".", "~"))]
             if len(found) > MAX_FILES:
                 raise FilesError(f"more than {MAX_FILES} files beside {path.name}")
-    return [p for p in found if p.suffix.lower() in (*ANSIBLE, "")]
+    return [p for p in found if p.suffix.lower() in (*ANSIBLE_SUFFIXES, "")]
 
 
-def unreadable(error: OSError) -> None:
+def raise_unreadable(error: OSError) -> None:
     raise FilesError(f"{error.filename} can't be read: {error.strerror}")
 
 
-def stamp(path: Path) -> object:
-    """What tells a change apart without reading; None where the file is not there."""
-    seen = []
+def fingerprint(path: Path) -> object:
+    """Return a value that changes with the files' metadata; None if the file is missing or unreadable."""
+    entries = []
     try:
-        for part in (path, *beside(path)):
+        for part in (path, *list_variable_files(path)):
             stat = part.stat()
-            # The change time moves also where a tool sets the modification time back.
-            seen.append(
+            # The change time detects a write even if a tool restores the modification time.
+            entries.append(
                 (str(part), stat.st_mtime_ns, stat.st_ctime_ns, stat.st_size, stat.st_ino, stat.st_dev)
             )
     except OSError:
         return None
-    return tuple(seen)
+    return tuple(entries)
 
 
-def read(path: Path) -> Content:
-    """The files, if none of them changed while they were read.  Raises FilesError."""
-    before = stamp(path)
+def read_content(path: Path) -> Content:
+    """Read the files.  Raises FilesError, also if one of them changed meanwhile."""
+    before = fingerprint(path)
     if before is None:
         raise FilesError(f"{path} is not there")
     try:
         with open(path, "rb") as source:
             data = source.read(MAX_BYTES + 1)
-        folders: dict[str, dict[str, dict[str, bytes]]] = {folder: {} for folder in FOLDERS}
+        folders: dict[str, dict[str, dict[str, bytes]]] = {folder: {} for folder in VARIABLE_FOLDERS}
         size = len(data)
-        for part in beside(path):
+        for part in list_variable_files(path):
             folder, *rest = part.relative_to(path.parent).parts
             name = Path(rest[0]).stem if len(rest) == 1 else rest[0]
             content = part.read_bytes()
             size += len(content)
             if size > MAX_BYTES:
-                raise FilesError(f"{path} and what stands beside it is larger than {MAX_BYTES >> 20} MiB")
+                raise FilesError(f"{path} with its variable files is larger than {MAX_BYTES >> 20} MiB")
             folders[folder].setdefault(name, {})[str(part.relative_to(path.parent))] = content
     except FilesError:
         raise
     except OSError as error:
         raise FilesError(f"{path} can't be read: {error.strerror}") from None
-    if stamp(path) != before:
+    if fingerprint(path) != before:
         raise FilesError(f"{path} changed while it was read")
     return Content(path.name, data, folders)
 
 
-def parse(content: Content, own: Own = ()) -> Reading:
-    """The inventory of some files.  Raises InventoryError."""
+def parse_content(content: Content, own: Own = ()) -> Reading:
+    """Parse the inventory in the format of its file name.  Raises InventoryError."""
     if is_sheet(Path(content.name)):
         return read_sheet(content.data, content.name, own)
     folders = Beside(content.beside.get("group_vars", {}), content.beside.get("host_vars", {}))
     reading = read_ansible(content.data, content.name, folders, own)
-    shape = replace(reading.shape, beside=tuple(folder for folder in FOLDERS if content.beside.get(folder)))
+    shape = replace(
+        reading.shape, beside=tuple(folder for folder in VARIABLE_FOLDERS if content.beside.get(folder))
+    )
     return replace(reading, shape=shape)
--- a/ivymux/membership/list_change.py
+++ b/ivymux/membership/list_change.py
@@ -14,7 +14,7 @@
 from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Finding, Inventory, InventoryError, Own, Reading, Shape
 from ivymux.inventory.snapshot import Snapshot
-from ivymux.membership.files import Content, is_sheet, parse, read
+from ivymux.membership.files import Content, is_sheet, parse_content, read_content
 from ivymux.membership.snapshot_store import SnapshotStore
 
 POLL_PERIOD_S = 0.1
@@ -36,7 +36,7 @@
     Raises InventoryError if reading the result would not give the same inventory.
     """
     data = write_sheet(inventory) if is_sheet(target) else write_ansible(inventory)
-    if parse(Content(target.name, data, {})).inventory != inventory:
+    if parse_content(Content(target.name, data, {})).inventory != inventory:
         raise InventoryError([Finding("error", target.name, 0, 0, "the list can't be written in this form")])
     return data
 
@@ -46,22 +46,22 @@
 
     Raises InventoryError, OSError.
     """
-    content = read(source)
-    reading = parse(content, own)
-    previous = read(target) if target.exists() else Content(target.name, b"", {})
+    content = read_content(source)
+    reading = parse_content(content, own)
+    previous = read_content(target) if target.exists() else Content(target.name, b"", {})
     if is_sheet(source) == is_sheet(target) and not any(content.beside.values()):
         data = content.data
     else:
         data = convert(reading.inventory, target)
     proposed = Content(target.name, data, previous.beside)
     # group_vars and host_vars beside the target apply to it too and override the list's values.
-    if any(previous.beside.values()) and parse(proposed, own).inventory != reading.inventory:
+    if any(previous.beside.values()) and parse_content(proposed, own).inventory != reading.inventory:
         message = "group_vars or host_vars beside it would change what this list says: change it there"
         raise InventoryError([Finding("error", target.name, 0, 0, message)])
     current, shape = (last.inventory, last.shape) if last is not None else parse_current(previous, own)
     verdict = None
     if current is not None:
-        shape_now = parse(proposed, own).shape
+        shape_now = parse_content(proposed, own).shape
         change = differences(current, reading.inventory)
         cut = cut_reason(shape, shape_now, current, reading.inventory, change)
         verdict = Judge(limits, current).look(reading.inventory, 0.0, cut)
@@ -71,7 +71,7 @@
 def parse_current(content: Content, own: Own) -> tuple[Inventory | None, Shape]:
     """Return the target's present inventory and shape; no inventory if it is invalid."""
     try:
-        reading = parse(content, own)
+        reading = parse_content(content, own)
     except InventoryError:
         return None, Shape()
     return reading.inventory, reading.shape
--- a/ivymux/membership/reader.py
+++ b/ivymux/membership/reader.py
@@ -46,14 +46,14 @@
 
 def work(task: Task) -> Done:
     """The child's part: read whole, parse, judge."""
-    from ivymux.membership.files import FilesError, parse, read
+    from ivymux.membership.files import FilesError, parse_content, read_content
 
     try:
-        content = read(Path(task.path))
+        content = read_content(Path(task.path))
     except FilesError as error:
         return Done(problem=str(error))
     try:
-        reading = parse(content, task.own)
+        reading = parse_content(content, task.own)
     except InventoryError as error:
         return Done(content.digest, findings=error.findings)
     if task.current is None:
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -13,7 +13,7 @@
 from ivymux.inventory.file_stability import Settle
 from ivymux.inventory.model import Inventory, Own, Shape
 from ivymux.inventory.snapshot import Snapshot
-from ivymux.membership.files import stamp
+from ivymux.membership.files import fingerprint
 from ivymux.membership.reader import Done, Task, read_beside
 from ivymux.membership.snapshot_store import SnapshotStore
 
@@ -33,7 +33,7 @@
     """A change that is held back until an operator confirms it."""
 
     done: Done
-    stamp: object  # of the files that were read
+    fingerprint: object  # of the files that were read
 
 
 @dataclass
@@ -114,7 +114,7 @@
         """Handle operators' commands, then check the files for a change."""
         await self.handle_commands()
         now = time.monotonic()
-        seen = await asyncio.to_thread(stamp, self.path)
+        seen = await asyncio.to_thread(fingerprint, self.path)
         if (seen is None) is not self.is_missing:
             self.is_missing = seen is None
             if self.is_missing:
@@ -133,7 +133,7 @@
         base = self.judge.base(time.monotonic())
         seen = self.settle.seen
         done = await read_beside(self.build_task(base))
-        if await asyncio.to_thread(stamp, self.path) != seen:
+        if await asyncio.to_thread(fingerprint, self.path) != seen:
             return  # the files changed during the read, so the content may be incomplete
         self.settle.taken()
         if done.digest and done.digest == self.last_digest:
@@ -201,7 +201,7 @@
                 EARLY_APPROVAL_LIFETIME_S,
             )
             return False
-        if await asyncio.to_thread(stamp, self.path) != pending.stamp:
+        if await asyncio.to_thread(fingerprint, self.path) != pending.fingerprint:
             log.error("inventory: not confirmed: the file has changed since")
             return False
         await self.accept(pending.done, "confirmed")
--- a/tests/membership/test_keeping.py
+++ b/tests/membership/test_keeping.py
@@ -17,7 +17,7 @@
 from ivymux.data_plane.limits import Address
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import Snapshot
-from ivymux.membership.files import FilesError, read, stamp
+from ivymux.membership.files import FilesError, fingerprint, read_content
 from ivymux.membership.member_list import MAX_ENTRIES_PER_EVENT, MemberList, worker_number
 from ivymux.membership.resolver import Resolver
 from ivymux.membership.snapshot_store import MAX_SNAPSHOTS, SnapshotStore
@@ -118,38 +118,38 @@
 # --- files -------------------------------------------------------------------------------------------
 
 
-def test_files_that_change_while_they_are_read_are_not_taken(
+def test_files_that_change_while_they_are_read_are_rejected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "w.yml"
     path.write_text("all: {}")
     (tmp_path / "group_vars").mkdir()
     (tmp_path / "group_vars" / "all.yml").write_text("room: x\n")
-    content = read(path)
+    content = read_content(path)
     assert content.beside["group_vars"] == {"all": {"group_vars/all.yml": b"room: x\n"}}
-    before = stamp(path)
+    before = fingerprint(path)
     (tmp_path / "group_vars" / "all.yml").write_text("room: yy\n")
-    assert stamp(path) != before and read(path).digest != content.digest
-    stamps = iter([("a",), ("b",)])
-    monkeypatch.setattr("ivymux.membership.files.stamp", lambda _: next(stamps))
+    assert fingerprint(path) != before and read_content(path).digest != content.digest
+    fingerprints = iter([("a",), ("b",)])
+    monkeypatch.setattr("ivymux.membership.files.fingerprint", lambda _: next(fingerprints))
     with pytest.raises(FilesError, match="changed while"):
-        read(path)
+        read_content(path)
 
 
-def test_a_swapped_link_and_a_rename_are_seen(tmp_path: Path) -> None:
+def test_replacing_or_removing_a_link_changes_the_fingerprint(tmp_path: Path) -> None:
     one, two, link = tmp_path / "1.csv", tmp_path / "2.csv", tmp_path / "w.csv"
     one.write_text("a")
     two.write_text("b")
     os.utime(two, ns=(one.stat().st_atime_ns, one.stat().st_mtime_ns))
     link.symlink_to(one)
-    before = stamp(link)
+    before = fingerprint(link)
     link.unlink()
     link.symlink_to(two)
-    assert stamp(link) != before
+    assert fingerprint(link) != before
     link.unlink()
-    assert stamp(link) is None
+    assert fingerprint(link) is None
     with pytest.raises(FilesError):
-        read(link)
+        read_content(link)
 
 
 # --- member list -------------------------------------------------------------------------------------
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -218,14 +218,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(source_module, "read_beside", read_in_process)
-    monkeypatch.setattr(source_module, "stamp", lambda path: stamps[0])
-    stamps: list[object] = ["one"]
+    monkeypatch.setattr(source_module, "fingerprint", lambda path: fingerprints[0])
+    fingerprints: list[object] = ["one"]
 
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
             clock = [1000.0]
             monkeypatch.setattr("ivymux.membership.source.time.monotonic", lambda: clock[0])
-            stamps[0] = "two"
+            fingerprints[0] = "two"
             setup.write(write_sheet(setup.fleet(11)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 11
@@ -491,16 +491,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(source_module, "read_beside", read_in_process)
-    released, stamp = threading.Event(), files_module.stamp
+    released, fingerprint = threading.Event(), files_module.fingerprint
 
-    def hanging_stamp(path: Path) -> object:
+    def hanging_fingerprint(path: Path) -> object:
         released.wait(15.0)
-        return stamp(path)
+        return fingerprint(path)
 
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
             before = setup.routing()
-            monkeypatch.setattr(source_module, "stamp", hanging_stamp)
+            monkeypatch.setattr(source_module, "fingerprint", hanging_fingerprint)
             setup.write(write_sheet(setup.fleet(11)))
             polling = asyncio.ensure_future(setup.poll())
             served = setup.served
