--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -21,7 +21,7 @@
 from ivymux.inventory.change_policy import Limits
 from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
-from ivymux.membership.reader import Task, read_beside, work
+from ivymux.membership.reader import ReadTask, read_and_check, read_in_child_process
 from ivymux.service.standalone import open_standalone
 
 SIZE = 10_000
@@ -51,12 +51,12 @@
     beside, alone = [], []
     for _ in range(3 if quick else 7):
         began = time.perf_counter()
-        done = await read_beside(Task(str(path), Limits(), old, None))
+        done = await read_in_child_process(ReadTask(str(path), Limits(), old, None))
         beside.append(time.perf_counter() - began)
         assert done.inventory == new and not done.reasons and done.change is not None
         assert len(done.change.other) == SIZE
         began = time.perf_counter()
-        work(Task(str(path), Limits(), old, None))
+        read_and_check(ReadTask(str(path), Limits(), old, None))
         alone.append(time.perf_counter() - began)
     return {
         "10000 workers read and judged in a process of its own": figure(beside, "s"),
--- a/ivymux/membership/__init__.py
+++ b/ivymux/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where a front door's workers come from: files that are watched, last good lists that are kept."""
+"""Keeps the list of a gateway's workers: follows inventory files, stores snapshots, resolves host names."""
--- a/ivymux/membership/reader.py
+++ b/ivymux/membership/reader.py
@@ -1,6 +1,7 @@
-"""Reads and judges an inventory in a process of its own, so that a large one does not hold up a serving one.
+"""Reads and checks an inventory in a child process, so that a large one does not delay requests.
 
-`python -m ivymux.membership.reader` with a `Task` as MessagePack on standard input, a `Done` on the output.
+`python -m ivymux.membership.reader` reads a `ReadTask` as MessagePack from standard input and writes a
+`ReadResult` to standard output.
 """
 
 from __future__ import annotations
@@ -17,22 +18,23 @@
 from ivymux.inventory.change_policy import Change, Judge, Limits, cut_reason, differences
 from ivymux.inventory.model import Finding, Inventory, InventoryError, Own, Shape
 
-MAX_MEMORY = 1 << 30  # bytes of address space
-MAX_CPU = 30  # seconds
-TIMEOUT = 45.0
+MAX_ADDRESS_SPACE_BYTES = 1 << 30
+MAX_CPU_TIME_S = 30
+TIMEOUT_S = 45.0
+NICENESS = 10
 
 
-class Task(msgspec.Struct, frozen=True):
+class ReadTask(msgspec.Struct, frozen=True):
     path: str
     limits: Limits
     current: Inventory | None
-    base: Inventory | None  # which counted when the judge's window began
-    shape: Shape = Shape()  # of the file that the current one came from
+    base: Inventory | None  # the list in force at the start of the window in which changes add up
+    shape: Shape = Shape()  # of the file that `current` was read from
     own: Own = ()
 
 
-class Done(msgspec.Struct, frozen=True):
-    """What came of it; without an inventory `problem` or an error among the findings says why."""
+class ReadResult(msgspec.Struct, frozen=True):
+    """The outcome; without an inventory, `problem` or an error among the findings says why."""
 
     digest: str = ""
     inventory: Inventory | None = None
@@ -44,62 +46,62 @@
     shape: Shape = Shape()
 
 
-def work(task: Task) -> Done:
-    """The child's part: read whole, parse, judge."""
+def read_and_check(task: ReadTask) -> ReadResult:
+    """Read and parse the files and check the change against the limits; runs in the child process."""
     from ivymux.membership.files import FilesError, parse_content, read_content
 
     try:
         content = read_content(Path(task.path))
     except FilesError as error:
-        return Done(problem=str(error))
+        return ReadResult(problem=str(error))
     try:
         reading = parse_content(content, task.own)
     except InventoryError as error:
-        return Done(content.digest, findings=error.findings)
+        return ReadResult(content.digest, findings=error.findings)
     if task.current is None:
-        return Done(content.digest, reading.inventory, reading.warnings, shape=reading.shape)
+        return ReadResult(content.digest, reading.inventory, reading.warnings, shape=reading.shape)
     judge = Judge(task.limits, task.current)
     if task.base is not None:
         judge.taken.append((0.0, task.base))
     change = differences(task.current, reading.inventory)
     cut = cut_reason(task.shape, reading.shape, task.current, reading.inventory, change)
     verdict = judge.look(reading.inventory, 0.0, cut)
-    return Done(
+    return ReadResult(
         content.digest, reading.inventory, reading.warnings, verdict.change, verdict.reasons,
         verdict.confirmation, shape=reading.shape,
     )  # fmt: skip
 
 
 def main() -> int:
-    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY, MAX_MEMORY))
-    resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU, MAX_CPU))
-    os.nice(10)
-    task = msgspec.msgpack.decode(sys.stdin.buffer.read(), type=Task)
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_ADDRESS_SPACE_BYTES, MAX_ADDRESS_SPACE_BYTES))
+    resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU_TIME_S, MAX_CPU_TIME_S))
+    os.nice(NICENESS)
+    task = msgspec.msgpack.decode(sys.stdin.buffer.read(), type=ReadTask)
     try:
-        done = work(task)
+        result = read_and_check(task)
     except (MemoryError, RecursionError):
-        done = Done(problem=f"{task.path} needs more memory than reading may take")
-    sys.stdout.buffer.write(msgspec.msgpack.encode(done))
+        result = ReadResult(problem=f"{task.path} needs more memory than reading may take")
+    sys.stdout.buffer.write(msgspec.msgpack.encode(result))
     return 0
 
 
-async def read_beside(task: Task) -> Done:
-    """Read and judge in a process of its own; what goes wrong with that is told as a problem."""
+async def read_in_child_process(task: ReadTask) -> ReadResult:
+    """Read and check in a child process; a failure of the process is returned as a `problem`."""
     try:
         child = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "ivymux.membership.reader",
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
         )  # fmt: skip
     except OSError as error:
-        return Done(problem=f"the reader can't be started: {error.strerror}")
+        return ReadResult(problem=f"the reader can't be started: {error.strerror}")
     try:
-        async with asyncio.timeout(TIMEOUT):
-            out, _ = await child.communicate(msgspec.msgpack.encode(task))
-        return msgspec.msgpack.decode(out, type=Done)
+        async with asyncio.timeout(TIMEOUT_S):
+            output, _ = await child.communicate(msgspec.msgpack.encode(task))
+        return msgspec.msgpack.decode(output, type=ReadResult)
     except TimeoutError:
-        return Done(problem=f"{task.path} was not read within {TIMEOUT:g} s")
+        return ReadResult(problem=f"{task.path} was not read within {TIMEOUT_S:g} s")
     except (OSError, RuntimeError, msgspec.MsgspecError):
-        return Done(problem=f"{task.path} needs more time or memory than reading may take")
+        return ReadResult(problem=f"{task.path} needs more time or memory than reading may take")
     finally:
         if child.returncode is None:
             with contextlib.suppress(ProcessLookupError):
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -14,7 +14,7 @@
 from ivymux.inventory.model import Inventory, Own, Shape
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import fingerprint
-from ivymux.membership.reader import Done, Task, read_beside
+from ivymux.membership.reader import ReadResult, ReadTask, read_in_child_process
 from ivymux.membership.snapshot_store import SnapshotStore
 
 # The coarsest file systems may give two writes within this time the same time stamp.
@@ -32,7 +32,7 @@
 class Pending:
     """A change that is held back until an operator confirms it."""
 
-    done: Done
+    result: ReadResult
     fingerprint: object  # of the files that were read
 
 
@@ -75,29 +75,31 @@
             self.ignored_digest = last.content
         if last is not None:
             self.shape = last.shape
-        done = await read_beside(Task(str(self.path), self.limits, current, None, self.shape, self.own))
+        result = await read_in_child_process(
+            ReadTask(str(self.path), self.limits, current, None, self.shape, self.own)
+        )
         # `settle` does not record this read, so the first poll finds changes made during the start.
-        is_good = done.inventory is not None and not done.problem
+        is_good = result.inventory is not None and not result.problem
         if last is None:
-            if done.inventory is None:
-                raise NoInventoryError(describe_failure(done, self.path))
-            self.judge = Judge(self.limits, done.inventory)
-            await self.store_snapshot(done, "started", done.inventory)
-            await self.apply(done.inventory)
+            if result.inventory is None:
+                raise NoInventoryError(describe_failure(result, self.path))
+            self.judge = Judge(self.limits, result.inventory)
+            await self.store_snapshot(result, "started", result.inventory)
+            await self.apply(result.inventory)
             return
         self.judge = Judge(self.limits, last.inventory)
         await self.apply(last.inventory)
-        if not is_good or done.digest == self.ignored_digest:
-            reason = describe_failure(done, self.path) if not is_good else "it was rolled back from"
+        if not is_good or result.digest == self.ignored_digest:
+            reason = describe_failure(result, self.path) if not is_good else "it was rolled back from"
             age_s = max(0.0, time.time() - last.taken)
             log.error("inventory: serving list %d, %.0f s old: %s", last.number, age_s, reason)
             return
-        await self.handle_result(done)
+        await self.handle_result(result)
 
-    async def store_snapshot(self, done: Done, why: str, inventory: Inventory) -> None:
+    async def store_snapshot(self, result: ReadResult, why: str, inventory: Inventory) -> None:
         """Store a list before it is applied, in a thread because a disk may be slow."""
-        self.shape = done.shape
-        fields = time.time(), str(self.path), done.digest, why, inventory, done.shape
+        self.shape = result.shape
+        fields = time.time(), str(self.path), result.digest, why, inventory, result.shape
         await asyncio.to_thread(lambda: self.store.save(Snapshot(self.store.next_number(), *fields)))
 
     # --- polling -------------------------------------------------------------------------------------
@@ -132,52 +134,52 @@
         assert self.judge is not None
         base = self.judge.base(time.monotonic())
         seen = self.settle.seen
-        done = await read_beside(self.build_task(base))
+        result = await read_in_child_process(self.build_task(base))
         if await asyncio.to_thread(fingerprint, self.path) != seen:
             return  # the files changed during the read, so the content may be incomplete
         self.settle.taken()
-        if done.digest and done.digest == self.last_digest:
+        if result.digest and result.digest == self.last_digest:
             return
-        self.last_digest, self.reread_at = done.digest, time.monotonic() + REREAD_DELAY_S
-        if done.inventory is None:
+        self.last_digest, self.reread_at = result.digest, time.monotonic() + REREAD_DELAY_S
+        if result.inventory is None:
             self.pending = None
-            log.error("inventory: the list stays as it was: %s", describe_failure(done, self.path))
+            log.error("inventory: the list stays as it was: %s", describe_failure(result, self.path))
             return
-        if done.digest == self.ignored_digest:
+        if result.digest == self.ignored_digest:
             return
         self.ignored_digest = ""
-        await self.handle_result(done)
+        await self.handle_result(result)
 
-    def build_task(self, base: Inventory | None) -> Task:
-        return Task(str(self.path), self.limits, self.current, base, self.shape, self.own)
+    def build_task(self, base: Inventory | None) -> ReadTask:
+        return ReadTask(str(self.path), self.limits, self.current, base, self.shape, self.own)
 
-    async def handle_result(self, done: Done) -> None:
+    async def handle_result(self, result: ReadResult) -> None:
         """Accept a list that was read, or hold it back if its change exceeds the limits."""
-        for finding in done.findings[:5]:
+        for finding in result.findings[:5]:
             log.warning("inventory: %s", finding)
-        if not done.change:
-            self.pending, self.shape = None, done.shape
+        if not result.change:
+            self.pending, self.shape = None, result.shape
             return
         approved_code, approved_until = self.early_approval
-        if done.reasons and approved_code == done.confirmation and time.monotonic() < approved_until:
-            await self.accept(done, "confirmed")
+        if result.reasons and approved_code == result.confirmation and time.monotonic() < approved_until:
+            await self.accept(result, "confirmed")
             return
-        if done.reasons:
-            self.pending = Pending(done, self.settle.seen)
+        if result.reasons:
+            self.pending = Pending(result, self.settle.seen)
             log.error(
                 "inventory: held back, the list stays as it was: %s; if it is meant: ivymux inventory confirm"
-                " SITE.toml %s", "; ".join(done.reasons), done.confirmation,
+                " SITE.toml %s", "; ".join(result.reasons), result.confirmation,
             )  # fmt: skip
             return
-        await self.accept(done, "changed")
+        await self.accept(result, "changed")
 
-    async def accept(self, done: Done, why: str) -> None:
-        assert self.judge is not None and done.inventory is not None
+    async def accept(self, result: ReadResult, why: str) -> None:
+        assert self.judge is not None and result.inventory is not None
         self.pending, self.early_approval = None, ("", 0.0)
-        self.judge.take(done.inventory, time.monotonic(), confirmed=why != "changed")
-        await self.store_snapshot(done, why, done.inventory)
-        log.info("inventory: %s: %s", why, done.change)
-        await self.apply(done.inventory)
+        self.judge.take(result.inventory, time.monotonic(), confirmed=why != "changed")
+        await self.store_snapshot(result, why, result.inventory)
+        log.info("inventory: %s: %s", why, result.change)
+        await self.apply(result.inventory)
 
     # --- commands ------------------------------------------------------------------------------------
 
@@ -194,7 +196,7 @@
         write it just before it replaces the file.
         """
         pending = self.pending
-        if pending is None or code != pending.done.confirmation:
+        if pending is None or code != pending.result.confirmation:
             self.early_approval = code, time.monotonic() + EARLY_APPROVAL_LIFETIME_S
             log.warning(
                 "inventory: no change with that confirmation is held back; the code is valid for %g s",
@@ -204,7 +206,7 @@
         if await asyncio.to_thread(fingerprint, self.path) != pending.fingerprint:
             log.error("inventory: not confirmed: the file has changed since")
             return False
-        await self.accept(pending.done, "confirmed")
+        await self.accept(pending.result, "confirmed")
         return True
 
     async def roll_back(self, number: str) -> bool:
@@ -214,19 +216,19 @@
         if not found:
             log.error("inventory: no list %s in the history to roll back to", number[:20])
             return False
-        done = await read_beside(self.build_task(None))
-        self.ignored_digest, self.pending = done.digest, None
+        result = await read_in_child_process(self.build_task(None))
+        self.ignored_digest, self.pending = result.digest, None
         self.judge.take(found[0].inventory, time.monotonic(), confirmed=True)
-        await self.store_snapshot(done, "rolled back", found[0].inventory)
+        await self.store_snapshot(result, "rolled back", found[0].inventory)
         log.warning("inventory: rolled back to list %s", number)
         await self.apply(found[0].inventory)
         return True
 
 
-def describe_failure(done: Done, path: Path) -> str:
+def describe_failure(result: ReadResult, path: Path) -> str:
     """Say in one line why no inventory could be read."""
-    if done.problem:
-        return done.problem
-    errors = [f for f in done.findings if f.level == "error"]
+    if result.problem:
+        return result.problem
+    errors = [f for f in result.findings if f.level == "error"]
     more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
     return f"{errors[0]}{more}" if errors else f"{path}: can't be taken"
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -23,7 +23,7 @@
 from ivymux.inventory.snapshot import decode
 from ivymux.membership import files as files_module
 from ivymux.membership import source as source_module
-from ivymux.membership.reader import Done, Task, read_beside, work
+from ivymux.membership.reader import ReadResult, ReadTask, read_and_check, read_in_child_process
 from ivymux.membership.snapshot_store import SnapshotStore
 from ivymux.membership.source import InventorySource
 from ivymux.service.standalone import Standalone, open_standalone
@@ -34,10 +34,10 @@
 from tests.sockets import run, until
 
 
-async def read_in_process(task: Task) -> Done:
+async def read_in_process(task: ReadTask) -> ReadResult:
     """Stand in for the child process, whose start takes too long to read hundreds of files."""
     await asyncio.sleep(0)
-    return work(task)
+    return read_and_check(task)
 
 
 @dataclass
@@ -116,7 +116,7 @@
 def test_damaged_files_leave_the_routing_unchanged_and_the_next_good_file_is_applied(
     tmp_path: Path, kind: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
     variants = damage.damaged(damage.sheets if kind == "sheets" else damage.trees)
 
     async def test() -> None:
@@ -152,7 +152,7 @@
     """Each truncation is caught by the parser, the count in the last row, the missing end marker or the
     limits on changes, or it loses nothing.
     """
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
     caught = Counter[str]()
 
     async def test() -> None:
@@ -168,19 +168,19 @@
             before = setup.routing()
             for cut in range(len(data)):
                 setup.write(data[:cut])
-                task = Task(
+                task = ReadTask(
                     str(setup.file), setup.source.limits, setup.source.current, None, setup.source.shape
                 )
-                done = await read_in_process(task)
-                if done.inventory is None:
-                    by_count = any("it was cut" in f.text for f in done.findings)
+                result = await read_in_process(task)
+                if result.inventory is None:
+                    by_count = any("it was cut" in f.text for f in result.findings)
                     caught["count" if by_count else "parser"] += 1
-                elif not done.change:
+                elif not result.change:
                     caught["nothing is lost"] += 1
                 else:
-                    reasons = " ".join(done.reasons)
+                    reasons = " ".join(result.reasons)
                     ends = "its count" in reasons or "without its end" in reasons
-                    caught["end" if ends and len(done.reasons) == 1 else "limits"] += 1
+                    caught["end" if ends and len(result.reasons) == 1 else "limits"] += 1
                 await setup.poll()
                 assert setup.routing() == before, cut
 
@@ -192,7 +192,7 @@
 def test_a_file_is_read_only_once_a_slow_writer_has_finished(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
 
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
@@ -217,7 +217,7 @@
 def test_a_write_hidden_by_an_equal_time_stamp_is_found_by_rereading(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
     monkeypatch.setattr(source_module, "fingerprint", lambda path: fingerprints[0])
     fingerprints: list[object] = ["one"]
 
@@ -247,13 +247,15 @@
             setup.write(write_sheet(setup.fleet(5)))
             await setup.poll()
             assert setup.routing() == before and setup.source.pending is not None
-            code = setup.source.pending.done.confirmation
+            code = setup.source.pending.result.confirmation
             assert not await setup.source.confirm("0" * 24)
             setup.write(write_sheet(setup.fleet(4)))  # another change, which the code does not confirm
             assert not await setup.source.confirm(code)
             await setup.poll()
-            assert setup.source.pending is not None and setup.source.pending.done.confirmation != code
-            SnapshotStore(tmp_path / "state").write_command("confirm", setup.source.pending.done.confirmation)
+            assert setup.source.pending is not None and setup.source.pending.result.confirmation != code
+            SnapshotStore(tmp_path / "state").write_command(
+                "confirm", setup.source.pending.result.confirmation
+            )
             await setup.source.poll()
             assert len(setup.gateway.host.upstream.pools) == 4 and setup.source.pending is None
 
@@ -319,13 +321,13 @@
 def test_a_change_during_the_start_is_found_by_the_first_poll(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def changing(task: Task) -> Done:
-        done = work(task)
+    async def changing(task: ReadTask) -> ReadResult:
+        result = read_and_check(task)
         if task.current is None:  # the read at the start: the file changes right after it
             Path(task.path).write_bytes(Path(task.path).read_bytes().replace(b",1,ready", b",2,ready"))
-        return done
+        return result
 
-    monkeypatch.setattr(source_module, "read_beside", changing)
+    monkeypatch.setattr(source_module, "read_in_child_process", changing)
 
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
@@ -363,7 +365,7 @@
 def test_with_two_concurrent_writers_each_list_is_applied_whole_or_not_at_all(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, way: str
 ) -> None:
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
 
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
@@ -431,7 +433,7 @@
 def test_losing_the_mount_of_the_inventory_leaves_the_list_unchanged(
     tmp_path: Path, lose: Any, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
     mount = tmp_path / "mount"
     mount.mkdir()
 
@@ -458,7 +460,7 @@
 def test_losing_the_mount_of_the_variables_is_held_back(
     tmp_path: Path, lose: Any, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
     folder = tmp_path / "group_vars"
     folder.mkdir()
     (folder / "bay_1.yml").write_text("state: draining\n")
@@ -471,7 +473,7 @@
                 for w in setup.fleet(12).workers))  # fmt: skip
             await setup.poll()
             assert setup.source.pending is not None  # draining the whole fleet is held back too
-            assert await setup.source.confirm(setup.source.pending.done.confirmation)
+            assert await setup.source.confirm(setup.source.pending.result.confirmation)
             assert {m.worker.state for m in setup.gateway.member_list.members.values()} == {"draining"}
             (folder / "bay_1.yml").write_text("weight: 2\n")
             await setup.poll()
@@ -490,7 +492,7 @@
 def test_a_hanging_file_system_does_not_delay_requests(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
     released, fingerprint = threading.Event(), files_module.fingerprint
 
     def hanging_fingerprint(path: Path) -> object:
@@ -531,7 +533,7 @@
 def test_requests_in_flight_at_a_removed_worker_complete(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(source_module, "read_beside", read_in_process)
+    monkeypatch.setattr(source_module, "read_in_child_process", read_in_process)
 
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
@@ -615,12 +617,14 @@
         path.write_bytes(damage.SHEET.encode())
         from ivymux.inventory.change_policy import Limits
 
-        whole = await read_beside(Task(str(path), Limits(), None, None))
-        assert whole.inventory is not None and whole == work(Task(str(path), Limits(), None, None))
+        whole = await read_in_child_process(ReadTask(str(path), Limits(), None, None))
+        assert whole.inventory is not None and whole == read_and_check(
+            ReadTask(str(path), Limits(), None, None)
+        )
         path.write_bytes(damage.SHEET.encode()[:150])
-        task = Task(str(path), Limits(), whole.inventory, None)
-        assert await read_beside(task) == work(task)
-        missing = await read_beside(Task(str(tmp_path / "none"), Limits(), None, None))
+        task = ReadTask(str(path), Limits(), whole.inventory, None)
+        assert await read_in_child_process(task) == read_and_check(task)
+        missing = await read_in_child_process(ReadTask(str(tmp_path / "none"), Limits(), None, None))
         assert missing.inventory is None and "is not there" in missing.problem
 
     run(test())
