--- a/ivymux/desired/__init__.py
+++ b/ivymux/desired/__init__.py
@@ -1,1 +1,1 @@
-"""The desired state of an installation, kept: tenants, their texts, administrators, the audit record."""
+"""Stores of an installation's desired state: tenants, their texts, administrators, audit records."""
--- a/ivymux/desired/etcd/__init__.py
+++ b/ivymux/desired/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""The desired state in etcd v3, by its JSON gateway: one state for the front doors of many machines."""
+"""The desired state in etcd v3, through its JSON gateway, shared by gateways on several machines."""
--- a/tests/desired/etcd_fixtures.py
+++ b/tests/desired/etcd_fixtures.py
@@ -1,4 +1,4 @@
-"""Stores over the stand-in of etcd."""
+"""Stores over the stand-in for etcd."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from standins.etcd import Server, serving
 
 
-def access(*servers: Server, **terms: Any) -> Access:
-    return Access(tuple(s.endpoint_url for s in servers), **({"timeout": 2.0} | terms))
+def access(*servers: Server, **options: Any) -> Access:
+    return Access(tuple(s.endpoint_url for s in servers), **({"timeout": 2.0} | options))
 
 
 @contextlib.contextmanager
-def stored(**terms: Any) -> Iterator[tuple[Server, EtcdStore]]:
-    """A stand-in where a desired state has begun, and a store over it."""
+def stored(**options: Any) -> Iterator[tuple[Server, EtcdStore]]:
+    """A stand-in for etcd with a new desired state, and a store over it."""
     with serving() as server:
-        store = EtcdStore(access(server, **terms))
+        store = EtcdStore(access(server, **options))
         begin(store)
         try:
             yield server, store
@@ -30,7 +30,7 @@
 
 
 def begin(store: EtcdStore, name: str = "olga") -> str:
-    """The first operator, as the command line appoints one; its key."""
+    """Store an operator's key as the command line does, which creates the state.  Return the key."""
     number, key, kept = secret.create_key(secret.ADMIN_PREFIX, 0.0)
     store.add_operator(Admin(number, name, "", kept), 1000.0)
     return key
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -166,12 +166,12 @@
         other = EtcdStore(access(server))
         server.etcd.faults.unanswered = 1
         done: list[int] = []
-        mine = threading.Thread(target=lambda: done.append(put(store, "a", at, who="first")))
-        mine.start()
+        first_commit = threading.Thread(target=lambda: done.append(put(store, "a", at, who="first")))
+        first_commit.start()
         while store.revision() == at:
             pass
         second = put(other, "a", at + 1, who="second")
-        mine.join()
+        first_commit.join()
         assert done == [at + 1] and second == at + 2
         assert [a.who for a in other.audit("u-a", 1 << 60, 2)] == ["second", "first"]
         other.close()
@@ -195,11 +195,11 @@
         faults.full = False
         assert put(store, "a", at) == at + 1
         port = server.port
-    nobody = EtcdStore(access(server, timeout=0.2))
+    unreachable = EtcdStore(access(server, timeout=0.2))
     with pytest.raises(StoreBusy, match="away"):
-        nobody.revision()
-    assert str(port) in nobody.client.access.endpoints[0]
-    nobody.close()
+        unreachable.revision()
+    assert str(port) in unreachable.client.access.endpoints[0]
+    unreachable.close()
 
 
 def test_another_endpoint_is_used_while_one_is_unreachable() -> None:
@@ -250,11 +250,11 @@
         server.on_loop(server.etcd.tokens.clear)  # tokens expire, or are lost with a restart
         assert store.get("a") is not None
         wrong = EtcdStore(access(server, username="mux", password="other-word"))
-        with pytest.raises(StoreError, match="neither this user") as told:
+        with pytest.raises(StoreError, match="neither this user") as refused:
             wrong.revision()
-        with pytest.raises(StoreError) as nobody:
+        with pytest.raises(StoreError) as anonymous:
             EtcdStore(access(server)).revision()
-        assert "-word" not in f"{told.value}{nobody.value}{login!r}"
+        assert "-word" not in f"{refused.value}{anonymous.value}{login!r}"
         store.close()
         wrong.close()
 
