--- a/ivymux/cli/demo.py
+++ b/ivymux/cli/demo.py
@@ -80,7 +80,7 @@
 
 
 async def demo(args: argparse.Namespace) -> None:
-    from ivymux.service.callers import MINT, hash_key
+    from ivymux.service.callers import KEY_PREFIX, hash_key
     from ivymux.service.standalone import open_standalone
     from standins.worker import Worker
 
@@ -88,7 +88,7 @@
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
-    keys = [MINT + secrets.token_urlsafe(12) for _ in range(2)]
+    keys = [KEY_PREFIX + secrets.token_urlsafe(12) for _ in range(2)]
     workers = [await Worker(bay=number % 2).start() for number in range(args.workers)]
     with contextlib.ExitStack() as stack:
         folder = args.dir or Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="ivymux-demo-")))
--- a/ivymux/cli/key.py
+++ b/ivymux/cli/key.py
@@ -18,9 +18,9 @@
 
 def run(args: argparse.Namespace) -> int:
     """The key goes to standard error, once; the entry, which holds only its hash, to standard output."""
-    from ivymux.service.callers import MINT, hash_key
+    from ivymux.service.callers import KEY_PREFIX, hash_key
 
-    key = MINT + secrets.token_urlsafe(32)
+    key = KEY_PREFIX + secrets.token_urlsafe(32)
     print(f"the key, shown only now: {key}", file=sys.stderr)
     print("[[callers.keys]]")
     for name, value in (("customer", args.customer), ("plan", args.plan), ("hash", hash_key(key.encode()))):
--- a/ivymux/cli/serve.py
+++ b/ivymux/cli/serve.py
@@ -57,7 +57,7 @@
     door = await open_standalone(path)
     try:
         await door.start()
-        loop.add_signal_handler(signal.SIGHUP, lambda: door.task(door.reload()))
+        loop.add_signal_handler(signal.SIGHUP, lambda: door.start_task(door.reload()))
         logging.getLogger("ivymux").info("serving on %s:%d", door.site.listen.host, door.port)
         gc.collect()
         gc.freeze()  # what lives as long as the process need not be looked at again
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -316,7 +316,7 @@
     def unanswered_count(self) -> int:
         return sum(generation.host.unanswered_count for generation in self.generations)
 
-    def answer_all(self) -> None:
+    def finish_all(self) -> None:
         """Give all open requests their final answer."""
         for generation in self.generations:
             generation.host.finish_all()
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -22,7 +22,7 @@
 from ivymux.inventory.model import Inventory
 from ivymux.membership.resolver import CACHE_LIFETIME_S
 from ivymux.routes.model import Compiled
-from ivymux.service.lifecycle import Door
+from ivymux.service.lifecycle import BaseGateway
 from ivymux.service.site import MAX_ANSWERS
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.server import CounterServer
@@ -38,10 +38,10 @@
 log = logging.getLogger("ivymux")
 
 
-class HostingGateway(Door):
+class HostingGateway(BaseGateway):
     """One gateway process that serves all tenants of an installation."""
 
-    longest = 60.0  # the longest deadline that a route description may set
+    max_deadline_s = 60.0  # the longest deadline that a route description may set
 
     def __init__(self, hosting: Hosting, store: GatewayStore, folder: Path = Path()) -> None:
         """`folder` is the folder of the installation's file, to which password files are relative."""
@@ -270,9 +270,9 @@
             await self.server.start()
         except OSError as error:
             raise ConfigError(f"cannot listen: {error}") from None
-        self.task(self.follow_forever())
-        self.task(self.share_cpu_forever())
-        self.task(self.refresh_lookups_forever())
+        self.start_task(self.follow_forever())
+        self.start_task(self.share_cpu_forever())
+        self.start_task(self.refresh_lookups_forever())
 
     @property
     def all_tenants(self) -> list[HostedTenant]:
@@ -280,15 +280,15 @@
         return [*self.tenants.values(), *self.leaving_tenants]
 
     @property
-    def waiting(self) -> int:
+    def unanswered_count(self) -> int:
         return sum(hosted.unanswered_count for hosted in self.all_tenants)
 
-    def answer_all(self) -> None:
+    def finish_all(self) -> None:
         for hosted in self.all_tenants:
-            hosted.answer_all()
+            hosted.finish_all()
         self.server.refusal_log.write()  # refusals by the gateway's own limits
 
-    def close_parts(self) -> None:
+    def close_components(self) -> None:
         for hosted in self.all_tenants:
             hosted.close()
         self.host_lookups.close()
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -13,7 +13,7 @@
 from ivymux.hosting.hosted_tenant import HostedTenant
 from ivymux.service.callers import Caller
 from ivymux.service.frontend import READY, HttpFrontend, encode, refusal
-from ivymux.service.problem import TYPE, problem
+from ivymux.service.problem import MEDIA_TYPE, problem_body
 from ivymux.tenants.shares import Share, Shares
 
 SHARE_EXCEEDED_TEXT = "This tenant asks for more than its part of the service."
@@ -55,7 +55,7 @@
         seconds = min(MAX_RETRY_AFTER_S, max(1, math.ceil(wait_s)))
         answer = self.refusals.get(seconds)
         if answer is None:
-            answer = Answer(429, problem(429, SHARE_EXCEEDED_TEXT, ""), TYPE, float(seconds))
+            answer = Answer(429, problem_body(429, SHARE_EXCEEDED_TEXT, ""), MEDIA_TYPE, float(seconds))
             self.refusals[seconds] = answer
         return answer
 
--- a/ivymux/service/frontend.py
+++ b/ivymux/service/frontend.py
@@ -17,15 +17,15 @@
 from ivymux.routes.table import BadParameter, Table
 from ivymux.service.callers import Caller
 from ivymux.service.headers import (
-    ANSWER_OWN,
-    BODILESS_ANSWER_OWN,
-    FORWARDED,
-    REQUEST_OWN,
+    ANSWER_DROPPED,
+    BODILESS_ANSWER_DROPPED,
+    FORWARDING_NAMES,
+    REQUEST_DROPPED,
     answer_fields,
-    forwarded,
-    passing,
+    forwardable_fields,
+    forwarding_fields,
 )  # fmt: skip
-from ivymux.service.problem import MAY_HAVE_RUN, NOT_RUN, REASONS, TYPE, problem
+from ivymux.service.problem import MAY_HAVE_RUN, MEDIA_TYPE, NOT_RUN, REASONS, problem_body
 from orchidhill import interface as i
 from orchidhill.interface import Effect
 
@@ -38,7 +38,7 @@
 @lru_cache(maxsize=4096)
 def forwarded_alone(peer_address: str, host: bytes) -> bytes:
     """The fields for a client that is no trusted proxy; there are few peers and hosts."""
-    return forwarded(peer_address, host, [])
+    return forwarding_fields(peer_address, host, [])
 
 
 class Finds(Protocol):
@@ -61,7 +61,7 @@
     ) -> None:  # fmt: skip
         self.table, self.callers, self.ready, self.make_id = table, callers, ready, make_id
         self.key_header = key_header.lower().encode()
-        self.own = REQUEST_OWN | FORWARDED | {self.key_header}
+        self.own = REQUEST_DROPPED | FORWARDING_NAMES | {self.key_header}
         self.plans, self.peers = plans, peers
         self.max_body_bytes, self.max_unread_clients = most_body, most_unread
         networks = [ip_network(text) for text in trusted]
@@ -101,7 +101,7 @@
     ) -> Call | Answer:  # fmt: skip
         """A request whose caller is known already, or (None) told by its headers."""
         host = self.host(headers)
-        fields = passing(headers, self.own)
+        fields = forwardable_fields(headers, self.own)
         try:
             decision = self.table.decide(method.decode("ascii"), target, fields)
         except NoRoute as error:
@@ -124,12 +124,12 @@
         request_id = self.request_id(headers)
         sent = read.path if read.query is None else read.path + b"?" + read.query
         if self.trusts(peer_address):
-            set_here = forwarded(peer_address, host, [p for p in headers if p[0] in FORWARDED])
+            set_here = forwarding_fields(peer_address, host, [p for p in headers if p[0] in FORWARDING_NAMES])
         else:
             set_here = forwarded_alone(peer_address, host)
         head = b"%s %s HTTP/1.1\r\nhost: %s\r\n%s%srequest-id: %s\r\nivymux-customer: %s\r\n" % (
             method, sent, host, b"".join([b"%s: %s\r\n" % pair for pair in fields]), set_here, request_id,
-            caller.field,
+            caller.header_value,
         )  # fmt: skip
         if content or method not in NO_BODY:
             head += b"content-length: %d\r\n" % len(content)
@@ -213,7 +213,11 @@
     """What a client is told of what could not be taken."""
     wait = 1.0 if error.status in (429, 503) else 0.0
     return Answer(
-        error.status, problem(error.status, str(error), ""), TYPE, wait, extra_headers=error.headers
+        error.status,
+        problem_body(error.status, str(error), ""),
+        MEDIA_TYPE,
+        wait,
+        extra_headers=error.headers,
     )
 
 
@@ -224,17 +228,17 @@
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Unknown"))]
     if answer.headers is not None:
         if head or status == 304:
-            lines += [b"%s: %s\r\n" % p for p in answer_fields(answer.headers, BODILESS_ANSWER_OWN)]
+            lines += [b"%s: %s\r\n" % p for p in answer_fields(answer.headers, BODILESS_ANSWER_DROPPED)]
         else:
-            lines += [b"%s: %s\r\n" % p for p in answer_fields(answer.headers, ANSWER_OWN)]
+            lines += [b"%s: %s\r\n" % p for p in answer_fields(answer.headers, ANSWER_DROPPED)]
             if status != 204:
                 lines.append(b"content-length: %d\r\n" % len(body))
     else:
         content_type = answer.content_type
         if not body and status >= 400:
-            content_type = TYPE
+            content_type = MEDIA_TYPE
             told = NOT_RUN if status in (429, 503) else MAY_HAVE_RUN if call is not None else ""
-            body = problem(status, told, call.request_id.decode() if call is not None else "")
+            body = problem_body(status, told, call.request_id.decode() if call is not None else "")
         if body:
             lines.append(b"content-type: %s\r\n" % content_type)
         if status != 204:
--- a/ivymux/service/lifecycle.py
+++ b/ivymux/service/lifecycle.py
@@ -1,4 +1,4 @@
-"""What front doors of one and of many tenants have alike: their tasks, how they drain and how they end."""
+"""What gateways of one and of many tenants have in common: background tasks, draining and closing."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from ivymux.data_plane.server import Server
 
-LINGER = 0.6  # seconds after SIGTERM in which new connections go on coming
-OVER = 0.4  # seconds beyond the longest deadline in which all that is held has its answer
+LINGER_S = 0.6  # after SIGTERM, while clients may still open connections
+DRAIN_MARGIN_S = 0.4  # beyond the longest deadline, for the last open requests to be answered
 
 
-class Door(ABC):
-    """A front door that serves until it is told to end."""
+class BaseGateway(ABC):
+    """A gateway that serves requests until it is drained or closed."""
 
     server: Server
-    longest: float  # seconds that a request may take
+    max_deadline_s: float  # the longest time that a request may take
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -27,42 +27,45 @@
 
     @property
     @abstractmethod
-    def waiting(self) -> int:
-        """Requests without their answer."""
+    def unanswered_count(self) -> int:
+        """The number of requests that have no answer yet."""
 
     @abstractmethod
-    def answer_all(self) -> None:
-        """Give what is still held its final answer."""
+    def finish_all(self) -> None:
+        """Answer all requests that are still open."""
 
     @abstractmethod
-    def close_parts(self) -> None:
-        """Let go of all that is not the listener's."""
+    def close_components(self) -> None:
+        """Close all that does not belong to the listener, such as the connections to backends."""
 
     @property
     def port(self) -> int:
+        """The port that the gateway listens on."""
         assert self.server.asyncio_server is not None
         return int(self.server.asyncio_server.sockets[0].getsockname()[1])
 
-    def task(self, work: Coroutine[Any, Any, None]) -> None:
+    def start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a background task until it ends or the gateway is closed."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def drain(self) -> None:
-        """Serve on while clients still come, then finish what is held, in time for all of it."""
-        began = time.monotonic()
-        await asyncio.sleep(LINGER)
+        """Serve new connections for `LINGER_S`, finish open requests by their deadlines, then close."""
+        started_at = time.monotonic()
+        await asyncio.sleep(LINGER_S)
         self.server.stop_listening()
-        while self.waiting and time.monotonic() - began < self.longest + OVER:
+        while self.unanswered_count and time.monotonic() - started_at < self.max_deadline_s + DRAIN_MARGIN_S:
             await asyncio.sleep(0.01)
-        self.answer_all()
+        self.finish_all()
         await self.close()
 
     async def close(self) -> None:
+        """Cancel the background tasks and close all connections."""
         for task in list(self.tasks):
             task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(*self.tasks, return_exceptions=True)
         self.server.close()
-        await asyncio.sleep(0.05)  # the last answers leave
-        self.close_parts()
+        await asyncio.sleep(0.05)  # the last answers are sent
+        self.close_components()
--- a/ivymux/service/problem.py
+++ b/ivymux/service/problem.py
@@ -1,11 +1,11 @@
-"""The front door's own answers as problem details (RFC 9457).  Pure."""
+"""Problem details (RFC 9457): the bodies of error answers that the gateway itself gives.  Pure."""
 
 from __future__ import annotations
 
 import json
 from http import HTTPStatus
 
-TYPE = b"application/problem+json"
+MEDIA_TYPE = b"application/problem+json"
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 TITLES = {
     400: "The request can't be read in one way only",
@@ -27,11 +27,13 @@
 MAY_HAVE_RUN = "It may have been done; look before it is sent again."
 
 
-def problem(status: int, detail: str, request_id: str) -> bytes:
-    """The body of such an answer."""
-    found: dict[str, object] = {"type": "about:blank", "title": TITLES.get(status, "Error"), "status": status}
+def problem_body(status: int, detail: str, request_id: str) -> bytes:
+    """Return the body of an error answer; empty texts leave their member out."""
+    members: dict[str, object] = {
+        "type": "about:blank", "title": TITLES.get(status, "Error"), "status": status,
+    }  # fmt: skip
     if detail:
-        found["detail"] = detail
+        members["detail"] = detail
     if request_id:
-        found["instance"] = f"urn:request:{request_id}"
-    return json.dumps(found, separators=(",", ":")).encode()
+        members["instance"] = f"urn:request:{request_id}"
+    return json.dumps(members, separators=(",", ":")).encode()
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -29,7 +29,7 @@
 from ivymux.routes.table import Table
 from ivymux.service.compiler import CompilerError, obtain, unchanged
 from ivymux.service.frontend import HttpFrontend
-from ivymux.service.lifecycle import Door
+from ivymux.service.lifecycle import BaseGateway
 from ivymux.service.site import MAX_ANSWERS, SCOPES, Site, SiteError, findings, read_site, settings
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.local import LocalCounter
@@ -61,7 +61,7 @@
     return path.parent / site.file.description.cache if site.file.description.cache else None
 
 
-class Standalone(Door):
+class Standalone(BaseGateway):
     """One front door."""
 
     def __init__(self, path: Path, site: Site, compiled: Compiled) -> None:
@@ -116,7 +116,7 @@
         self.inventory: InventorySource | None = None
         self.reloading = asyncio.Lock()
         self.seen: dict[str, object] | None = None  # the files of the description, as last looked at
-        self.longest = max(o.deadline for o in compiled.operations)
+        self.max_deadline_s = max(o.deadline for o in compiled.operations)
 
     # --- parts ---------------------------------------------------------------------------------------
 
@@ -177,10 +177,10 @@
         except OSError as error:
             raise ConfigError(f"cannot listen: {error}") from None
         if self.site.file.description.watch > 0:
-            self.task(self.watch())
+            self.start_task(self.watch())
         if self.inventory is not None:
-            self.task(self.inventory.run())
-        self.task(self.follow_names())
+            self.start_task(self.inventory.run())
+        self.start_task(self.follow_names())
 
     # --- changes in service ----------------------------------------------------------------------------
 
@@ -248,7 +248,7 @@
         table.enter()
         self.host.post(i.Classes(tuple(self.classes.listed)))
         self.table = self.frontend.table = table
-        self.longest = max(self.longest, *(o.deadline for o in compiled.operations))
+        self.max_deadline_s = max(self.max_deadline_s, *(o.deadline for o in compiled.operations))
 
     async def reload(self) -> None:
         """Read the site file again: description, keys and workers.  A bad file changes nothing."""
@@ -275,13 +275,13 @@
     # --- the end ---------------------------------------------------------------------------------------
 
     @property
-    def waiting(self) -> int:
+    def unanswered_count(self) -> int:
         return self.host.unanswered_count
 
-    def answer_all(self) -> None:
+    def finish_all(self) -> None:
         self.host.finish_all()
 
-    def close_parts(self) -> None:
+    def close_components(self) -> None:
         if self.counter is not None:
             self.counter.close()
         if self.tally is not None:
--- a/ivymux/tenants/secret.py
+++ b/ivymux/tenants/secret.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ivymux.service.callers import MAX_KEY, Caller
+from ivymux.service.callers import MAX_KEY_BYTES, Caller
 
 CALLER_PREFIX, ADMIN_PREFIX = "iv", "ivadm"
 KEY_PATTERN = re.compile(rb"(iv|ivadm)_([0-9a-f]{16})_([A-Za-z0-9_-]{43})")
@@ -52,7 +52,11 @@
 
 def split_key(key: bytes, prefix: str) -> tuple[str, bytes] | None:
     """Return a key's id and secret, or None if it is malformed or has another prefix."""
-    if len(key) > MAX_KEY or (parts := KEY_PATTERN.fullmatch(key)) is None or parts[1] != prefix.encode():
+    if (
+        len(key) > MAX_KEY_BYTES
+        or (parts := KEY_PATTERN.fullmatch(key)) is None
+        or parts[1] != prefix.encode()
+    ):
         return None
     return parts[2].decode(), parts[3]
 
@@ -79,7 +83,7 @@
 
         A key that was verified before is found by its hash; the cache does not contain the key itself.
         """
-        if len(key) > MAX_KEY:
+        if len(key) > MAX_KEY_BYTES:
             return None
         cache_name = sha256(key).digest()
         found = self.cache.get(cache_name)
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -636,7 +636,7 @@
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
             setup.source.settle.rest, setup.source.poll_period_s = 0.5, 0.25
-            setup.gateway.task(setup.source.run())
+            setup.gateway.start_task(setup.source.run())
             setup.write(write_sheet(setup.fleet(11)))
             started_at = time.monotonic()
             await until(lambda: len(setup.gateway.host.upstream.pools) == 11)
