--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -12,7 +12,7 @@
 from ivymux.data_plane.server import ClientConnection, Exchange, Server
 from ivymux.hosting.hosted_tenant import HostedTenant
 from ivymux.service.callers import Caller
-from ivymux.service.frontend import READY, HttpFrontend, encode, refusal
+from ivymux.service.frontend import READINESS_PATH, HttpFrontend, encode_answer, refusal_answer
 from ivymux.service.problem import MEDIA_TYPE, problem_body
 from ivymux.tenants.shares import Share, Shares
 
@@ -35,7 +35,7 @@
         self.encoded_refusals: dict[tuple[int, bool], bytes] = {}  # by these and whether they close
 
     def answer_locally(self, target: bytes) -> Answer | None:
-        if target != READY:
+        if target != READINESS_PATH:
             return None
         return Answer(200, b"ready\n", b"text/plain") if self.is_ready() else Answer(503, retry_after=1.0)
 
@@ -60,17 +60,17 @@
         return answer
 
     def refusal(self, error: BadRequest) -> Answer:
-        return refusal(error)
+        return refusal_answer(error)
 
     def encode(self, answer: Answer, close: bool, call: Call | None) -> bytes:
         if call is not None:
-            return encode(answer, close, call)
+            return encode_answer(answer, close, call)
         if self.refusals.get(int(answer.retry_after)) is answer:
             key = int(answer.retry_after), close
             if key not in self.encoded_refusals:
-                self.encoded_refusals[key] = encode(answer, close, None)
+                self.encoded_refusals[key] = encode_answer(answer, close, None)
             return self.encoded_refusals[key]
-        return encode(answer, close, None)
+        return encode_answer(answer, close, None)
 
 
 class HostedExchange(Exchange):
@@ -136,7 +136,7 @@
             return
         self.frontend = frontend
         try:
-            self.caller = frontend.caller(self.headers)
+            self.caller = frontend.find_caller(self.headers)
         except BadRequest as error:
             self.key_error = error
 
@@ -183,7 +183,7 @@
 
     def handle_request(self, exchange: Exchange) -> None:
         tenant, server, url = self.requested_tenant, self.server, self.url
-        if tenant is None or url == READY or len(server.clients) > server.max_clients:
+        if tenant is None or url == READINESS_PATH or len(server.clients) > server.max_clients:
             super().handle_request(exchange)
             return
         if url[:1] != b"/" and url[:1] != b"*" and server.find_tenant(authority(url)) is not tenant:
@@ -203,7 +203,7 @@
             exchange.reply(server.hosted_frontend.share_exceeded(wait_s))
             return
         try:
-            call = frontend.take_of(
+            call = frontend.accept_from(
                 caller, self.parser.get_method(), self.url, self.headers, self.body, self.request_started_at,
                 self.peer_address,
             )  # fmt: skip
