--- a/bench/routes.py
+++ b/bench/routes.py
@@ -232,9 +232,9 @@
     """Seconds until a description is there in a process of its own, and that process's peak memory in MB."""
     code = (
         "import asyncio, resource, sys, time; from pathlib import Path\n"
-        "from ivymux.service.compiler import obtain, Options\n"
+        "from ivymux.service.compiler import load_or_compile, Options\n"
         "began = time.perf_counter()\n"
-        "made, _ = asyncio.run(obtain(Path(sys.argv[1]), Options(), Path(sys.argv[2])))\n"
+        "made, _ = asyncio.run(load_or_compile(Path(sys.argv[1]), Options(), Path(sys.argv[2])))\n"
         "assert len(made.operations) >= 1200\n"
         "who = (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)\n"
         "peak = max(resource.getrusage(w).ru_maxrss for w in who)\n"
--- a/ivymux/cli/check.py
+++ b/ivymux/cli/check.py
@@ -21,7 +21,7 @@
     from ivymux.routes.description import compile_description
     from ivymux.routes.model import DescriptionError
     from ivymux.routes.table import Table
-    from ivymux.service.compiler import reader
+    from ivymux.service.compiler import folder_reader
     from ivymux.service.site import SCOPES, findings
     from ivymux.service.standalone import description_path, load_site
 
@@ -33,7 +33,7 @@
     if not path.is_file():
         return fail(f"{args.site}: description.file: there is no file {path}")
     try:
-        compiled = compile_description(path.name, reader(path), site.options)
+        compiled = compile_description(path.name, folder_reader(path), site.options)
         Table(compiled, ClassTable(site.file.keyed.memory, SCOPES[site.file.keyed.scope])).enter()
     except DescriptionError as error:
         for finding in error.findings:
--- a/ivymux/cli/routes.py
+++ b/ivymux/cli/routes.py
@@ -34,11 +34,11 @@
     """The compiled description.  Raises DescriptionError; OSError where the file can't be read."""
     from ivymux.routes.description import compile_description
     from ivymux.routes.model import Options
-    from ivymux.service.compiler import reader
+    from ivymux.service.compiler import folder_reader
 
     with open(args.file, "rb"):
         pass  # a file that is not there is a matter of usage, not a finding
-    return compile_description(args.file.name, reader(args.file), Options(base=args.base))
+    return compile_description(args.file.name, folder_reader(args.file), Options(base=args.base))
 
 
 def run_check(args: argparse.Namespace) -> int:
--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -1,8 +1,8 @@
-"""Compiles a description in a process of its own, bounded in memory and time, beside one that serves.
+"""Compiles route descriptions in a child process with bounded memory and time; caches the results on disk.
 
-`python -m ivymux.service.compiler FILE` with the options as JSON on standard input, or without a file with
-`Texts` as MessagePack; on standard output a byte that tells which, then the compiled description or the
-findings as MessagePack.
+A gateway goes on serving meanwhile.  The child process is `python -m ivymux.service.compiler FILE` with the
+options as JSON on standard input, or the same without FILE and with `Texts` as MessagePack.  It writes one
+byte, `COMPILED_MARK` or `FINDINGS_MARK`, then the compiled description or the findings as MessagePack.
 """
 
 from __future__ import annotations
@@ -23,31 +23,36 @@
 from ivymux.routes.refs import Read
 from ivymux.text import MAX_BYTES
 
-MAX_MEMORY = 3 << 30  # bytes of address space
-MAX_CPU = 60  # seconds
-TIMEOUT = 90.0
-MAX_OUTPUT = 256 << 20
-GOOD, BAD = b"+", b"-"
-MAGIC = b"ivymux-routes-1\n"
+MAX_MEMORY_BYTES = 3 << 30  # of address space
+MAX_CPU_S = 60
+TIMEOUT_S = 90.0
+MAX_OUTPUT_BYTES = 256 << 20
+COMPILED_MARK, FINDINGS_MARK = b"+", b"-"
+MAGIC = b"ivymux-routes-1\n"  # the first line of a cache file
 
 
 class CompilerError(RuntimeError):
-    """The compiler ended without a result."""
+    """The child process ended without a result."""
 
 
 class Cached(msgspec.Struct, frozen=True):
-    program: str  # the version that made it
+    """The content of a cache file: a compiled description and what it was compiled with."""
+
+    program: str  # the version of the program that compiled it
     options: Options
     compiled: Compiled
 
 
-def reader(path: Path) -> Read:
-    """Reads a description's files.  What leads out of its folder, also by a link, is refused."""
+def folder_reader(path: Path) -> Read:
+    """Return a function that reads a description's files by name.
+
+    It raises OSError for a file outside the description's folder, also if a link leads there.
+    """
     folder = path.parent.resolve()
 
     def read(name: str) -> bytes:
-        # The file itself may be a link, as configuration tools make them; the files beside it may not
-        # lead elsewhere.
+        # The description itself may be a link, as configuration tools replace files so; the files that it
+        # refers to may not be links out of the folder.
         target = path if name == path.name else folder / name
         if name != path.name and not target.resolve().is_relative_to(folder):
             raise OSError(None, "it leads out of the description's folder")
@@ -60,54 +65,56 @@
 
 
 class Texts(msgspec.Struct, frozen=True):
-    """A description that is in no folder."""
+    """A description whose files are in memory, such as one that came by the administration API."""
 
-    main: str
-    files: dict[str, bytes]
+    main: str  # the name of the main file
+    files: dict[str, bytes]  # contents by name
     options: Options
 
     def read(self, name: str) -> bytes:
+        """Return a file's content.  Raises OSError."""
         if name not in self.files:
             raise OSError(None, "it is not among the description's files")
         return self.files[name]
 
 
 def main() -> int:
-    """The child's part."""
-    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY, MAX_MEMORY))
-    resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU, MAX_CPU))
+    """Run as the child process; return its exit code."""
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
+    resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU_S, MAX_CPU_S))
     os.nice(10)
     from ivymux.routes.description import compile_description
 
-    given = sys.stdin.buffer.read()
+    input_data = sys.stdin.buffer.read()
     if len(sys.argv) > 1:
         path = Path(sys.argv[1])
-        read, options = reader(path), msgspec.json.decode(given, type=Options)
+        read, options = folder_reader(path), msgspec.json.decode(input_data, type=Options)
     else:
-        texts = msgspec.msgpack.decode(given, type=Texts)
+        texts = msgspec.msgpack.decode(input_data, type=Texts)
         path, read, options = Path(texts.main), texts.read, texts.options
     try:
-        out = GOOD + msgspec.msgpack.encode(compile_description(path.name, read, options))
+        out = COMPILED_MARK + msgspec.msgpack.encode(compile_description(path.name, read, options))
     except DescriptionError as error:
-        out = BAD + msgspec.msgpack.encode(error.findings)
+        out = FINDINGS_MARK + msgspec.msgpack.encode(error.findings)
     except MemoryError:
         finding = Finding("error", path.name, "", "needs more memory than it may have")
-        out = BAD + msgspec.msgpack.encode([finding])
+        out = FINDINGS_MARK + msgspec.msgpack.encode([finding])
     sys.stdout.buffer.write(out)
     return 0
 
 
-async def compile_beside(path: Path, options: Options) -> Compiled:
-    """A file's description, compiled in a process of its own.  Raises DescriptionError, CompilerError."""
-    return await compile_in_child(str(path), [str(path)], msgspec.json.encode(options))
+async def compile_file(path: Path, options: Options) -> Compiled:
+    """Compile the description in a file.  Raises DescriptionError, CompilerError."""
+    return await run_compiler(str(path), [str(path)], msgspec.json.encode(options))
 
 
 async def compile_texts(texts: Texts) -> Compiled:
-    """The same for one that is in no folder.  Raises DescriptionError, CompilerError."""
-    return await compile_in_child(texts.main, [], msgspec.msgpack.encode(texts))
+    """Compile a description in memory.  Raises DescriptionError, CompilerError."""
+    return await run_compiler(texts.main, [], msgspec.msgpack.encode(texts))
 
 
-async def compile_in_child(path: str, arguments: list[str], given: bytes) -> Compiled:
+async def run_compiler(path: str, arguments: list[str], input_data: bytes) -> Compiled:
+    """Run the child process; `path` names the description in errors.  Raises as `compile_file` does."""
     try:
         child = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "ivymux.service.compiler", *arguments,
@@ -116,38 +123,39 @@
     except OSError as error:
         raise CompilerError(f"{path}: the compiler can't be started: {error.strerror}") from None
     try:
-        async with asyncio.timeout(TIMEOUT):
-            out, _ = await child.communicate(given)
+        async with asyncio.timeout(TIMEOUT_S):
+            out, _ = await child.communicate(input_data)
     except TimeoutError:
-        raise CompilerError(f"{path}: not compiled within {TIMEOUT:g} s") from None
-    except (OSError, RuntimeError):  # it ended before it read its options; uvloop says so in its own way
+        raise CompilerError(f"{path}: not compiled within {TIMEOUT_S:g} s") from None
+    except (OSError, RuntimeError):  # it ended before it read its input; uvloop raises RuntimeError for that
         out = b""
     finally:
         if child.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 child.kill()
-    if out[:1] == GOOD and len(out) <= MAX_OUTPUT:
+    if out[:1] == COMPILED_MARK and len(out) <= MAX_OUTPUT_BYTES:
         return msgspec.msgpack.decode(out[1:], type=Compiled)
-    if out[:1] == BAD:
+    if out[:1] == FINDINGS_MARK:
         raise DescriptionError(msgspec.msgpack.decode(out[1:], type=list[Finding]))
-    raise CompilerError(f"{path}: needs more than {MAX_CPU} s or {MAX_MEMORY >> 30} GiB to compile")
+    raise CompilerError(f"{path}: needs more than {MAX_CPU_S} s or {MAX_MEMORY_BYTES >> 30} GiB to compile")
 
 
 # --- the cache -------------------------------------------------------------------------------------
 
 
 def cache_file(folder: Path, path: Path) -> Path:
+    """Return the cache file for a description; descriptions with the same name have different ones."""
     return folder / f"{path.name}.{sha256(str(path.resolve()).encode()).hexdigest()[:12]}.routes"
 
 
-def unchanged(path: Path, compiled: Compiled) -> bool:
-    """Whether every file that a description was made of is still the same.  Raises OSError."""
-    read = reader(path)
-    return all(sha256(read(name)).hexdigest() == known for name, known in compiled.files.items())
+def is_unchanged(path: Path, compiled: Compiled) -> bool:
+    """Return whether all files that a description was compiled from are unchanged.  Raises OSError."""
+    read = folder_reader(path)
+    return all(sha256(read(name)).hexdigest() == digest for name, digest in compiled.files.items())
 
 
 def load_cached(folder: Path, path: Path, options: Options) -> Compiled | None:
-    """The compiled description as kept, if every file that it was made of is still the same."""
+    """Return the compiled description from the cache, or None if it is not there, damaged or outdated."""
     try:
         data = cache_file(folder, path).read_bytes()
         if not data.startswith(MAGIC):
@@ -155,18 +163,18 @@
         digest, payload = data[len(MAGIC) : len(MAGIC) + 64], data[len(MAGIC) + 64 :]
         if sha256(payload).hexdigest().encode() != digest:
             return None  # damaged, or cut short
-        kept = msgspec.msgpack.decode(payload, type=Cached)
-        if (kept.program, kept.options) != (__version__, options):
+        cached = msgspec.msgpack.decode(payload, type=Cached)
+        if (cached.program, cached.options) != (__version__, options):
             return None
-        if not unchanged(path, kept.compiled):
+        if not is_unchanged(path, cached.compiled):
             return None
     except (OSError, msgspec.MsgspecError):
         return None
-    return kept.compiled
+    return cached.compiled
 
 
-def keep(folder: Path, path: Path, options: Options, compiled: Compiled) -> None:
-    """Keep a compiled description: whole or not at all.  Raises OSError."""
+def store_cached(folder: Path, path: Path, options: Options, compiled: Compiled) -> None:
+    """Write a compiled description to the cache, atomically.  Raises OSError."""
     payload = msgspec.msgpack.encode(Cached(__version__, options, compiled))
     folder.mkdir(parents=True, exist_ok=True)
     handle, name = tempfile.mkstemp(dir=folder, suffix=".part")
@@ -182,16 +190,19 @@
         raise
 
 
-async def obtain(path: Path, options: Options, cache: Path | None) -> tuple[Compiled, bool]:
-    """A description from the cache or compiled, and whether it was kept."""
+async def load_or_compile(path: Path, options: Options, cache: Path | None) -> tuple[Compiled, bool]:
+    """Return a description's compiled form, and whether it came from the cache.
+
+    Raises DescriptionError, CompilerError.
+    """
     if cache is not None:
         compiled = await asyncio.to_thread(load_cached, cache, path, options)
         if compiled is not None:
             return compiled, True
-    compiled = await compile_beside(path, options)
+    compiled = await compile_file(path, options)
     if cache is not None:
-        with contextlib.suppress(OSError):  # a cache only saves time
-            await asyncio.to_thread(keep, cache, path, options, compiled)
+        with contextlib.suppress(OSError):  # without the cache the next start only takes longer
+            await asyncio.to_thread(store_cached, cache, path, options, compiled)
     return compiled, False
 
 
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -27,7 +27,7 @@
 from ivymux.routes.compare import compare
 from ivymux.routes.model import Compiled, DescriptionError
 from ivymux.routes.table import Table
-from ivymux.service.compiler import CompilerError, obtain, unchanged
+from ivymux.service.compiler import CompilerError, is_unchanged, load_or_compile
 from ivymux.service.frontend import HttpFrontend
 from ivymux.service.lifecycle import BaseGateway
 from ivymux.service.site import MAX_ANSWERS, SCOPES, Site, SiteError, findings, read_site, settings
@@ -211,7 +211,7 @@
             # What changed between the compilation and this first look is told by the digests.
             path = description_path(self.site, self.path)
             with contextlib.suppress(OSError):
-                if await asyncio.to_thread(unchanged, path, self.table.compiled):
+                if await asyncio.to_thread(is_unchanged, path, self.table.compiled):
                     self.seen = stamps
         if stamps != self.seen:
             self.seen = stamps
@@ -225,7 +225,7 @@
         async with self.reloading:
             path = description_path(self.site, self.path)
             try:
-                compiled, _ = await obtain(path, self.site.options, cache_path(self.site, self.path))
+                compiled, _ = await load_or_compile(path, self.site.options, cache_path(self.site, self.path))
                 if (compiled.files, self.site.options) == (self.table.compiled.files, self.options):
                     return False
                 changes = compare(self.table.compiled, compiled)
@@ -301,7 +301,7 @@
 async def open_standalone(path: Path) -> Standalone:
     """A front door of a site file, not yet serving.  Raises ConfigError, DescriptionError, CompilerError."""
     site = load_site(path)
-    compiled, _ = await obtain(description_path(site, path), site.options, cache_path(site, path))
+    compiled, _ = await load_or_compile(description_path(site, path), site.options, cache_path(site, path))
     for text in findings(site, compiled):
         log.warning("description: %s", text)
     try:
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -15,11 +15,11 @@
 from ivymux.service import compiler
 from ivymux.service.compiler import (
     cache_file,
-    compile_beside,
-    keep,
+    compile_file,
+    folder_reader,
     load_cached,
-    obtain,
-    reader,
+    load_or_compile,
+    store_cached,
 )  # fmt: skip
 from ivymux.service.standalone import open_standalone
 from standins.worker import Reply, Seen, Worker
@@ -169,11 +169,11 @@
     site.write_text(site_text([Worker()]).replace("127.0.0.1:0", "127.0.0.1:1"))
 
     async def test() -> None:
-        monkeypatch.setattr(compiler, "TIMEOUT", 0.01)
+        monkeypatch.setattr(compiler, "TIMEOUT_S", 0.01)
         with pytest.raises(compiler.CompilerError, match="not compiled within"):
-            await compile_beside(tmp_path / "api.json", Options())
+            await compile_file(tmp_path / "api.json", Options())
         monkeypatch.setattr(sys, "executable", "/bin/false")
-        monkeypatch.setattr(compiler, "TIMEOUT", 10.0)
+        monkeypatch.setattr(compiler, "TIMEOUT_S", 10.0)
         with pytest.raises(compiler.CompilerError):
             await open_standalone(site)
 
@@ -186,7 +186,7 @@
     folder.mkdir()
     (folder / "link.json").symlink_to(tmp_path / "secret.json")
     (folder / "near.json").write_text("{}")
-    read = reader(folder / "api.json")
+    read = folder_reader(folder / "api.json")
     assert read("near.json") == b"{}"
     with pytest.raises(OSError, match="leads out"):
         read("link.json")
@@ -207,13 +207,13 @@
 
     async def test() -> None:
         write(1)
-        first, kept = await obtain(path, options, cache)
+        first, kept = await load_or_compile(path, options, cache)
         assert not kept
-        again, kept = await obtain(path, options, cache)
+        again, kept = await load_or_compile(path, options, cache)
         assert kept and again == first
         write(2)  # only the file beside it
         assert load_cached(cache, path, options) is None
-        second, kept = await obtain(path, options, cache)
+        second, kept = await load_or_compile(path, options, cache)
         assert not kept and second.files != first.files
         assert load_cached(cache, path, Options(base="/x")) is None
         whole = cache_file(cache, path).read_bytes()
@@ -236,12 +236,12 @@
     blocked.write_text("a file where the folder should be")
 
     async def test() -> None:
-        made, kept = await obtain(path, Options(), blocked / "cache")
+        made, kept = await load_or_compile(path, Options(), blocked / "cache")
         assert not kept and made.operations
 
     run(test())
     with pytest.raises(OSError):
-        keep(blocked / "cache", path, Options(), Compiled("", "", [], [], 0, {}))
+        store_cached(blocked / "cache", path, Options(), Compiled("", "", [], [], 0, {}))
     assert set(tmp_path.iterdir()) == {path, blocked}
 
 
