--- a/bench/tally.py
+++ b/bench/tally.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from bench.common import Child, arguments, figure, quantile, report
-from ivymux.service.site import PACE
+from ivymux.service.site import COUNTER_CALL_RATE
 from ivymux.tally.durable import DurableStore
 from ivymux.tally.journal import encode_header, encode_record
 from standins.world import World, plan
@@ -167,7 +167,7 @@
     ratios: dict[str, float] = {}
     length, rate, burst = (30.0 if quick else 60.0), 20.0, 40.0
     for doors in (4, 32) if quick else (4, 32, 256):
-        world = World(doors, plan(rate, burst, 2.0), seed=3, pace=PACE)
+        world = World(doors, plan(rate, burst, 2.0), seed=3, pace=COUNTER_CALL_RATE)
         begin, each = world.now, rate / 2 / 10
         spread = [[(n * 7 + k) % doors for k in range(4)] for n in range(40)]
         for customer, at in enumerate(spread, start=2):
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -23,7 +23,7 @@
 from ivymux.membership.resolver import CACHE_LIFETIME_S
 from ivymux.routes.model import Compiled
 from ivymux.service.lifecycle import BaseGateway
-from ivymux.service.site import MAX_ANSWERS
+from ivymux.service.site import ANSWER_MEMORY_SHARE
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.server import CounterServer
 from ivymux.tally.store import CounterStore
@@ -55,7 +55,7 @@
         refusal_log = RefusalLog()  # shared by all tenants
         self.settings = GatewaySettings(
             hosting.file.name, hosting.file.tally.doors, max_body_bytes, max_answer_bytes,
-            max(max_answer_bytes, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)) // 4),
+            max(max_answer_bytes, int(limits.memory_mb * ANSWER_MEMORY_SHARE * (1 << 20)) // 4),
             min(limits.tenant_upstream, bounds.max_backend_connections), tuple(hosting.file.trusted_proxies),
             address_rules=hosting.address_rules, host_lookups=self.host_lookups, refusal_log=refusal_log,
         )  # fmt: skip
--- a/ivymux/hosting/site.py
+++ b/ivymux/hosting/site.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
-from ivymux.service.site import MAX_ANSWERS, SiteError, address, bounded
+from ivymux.service.site import ANSWER_MEMORY_SHARE, SiteError, check_range, parse_address_setting
 from ivymux.tally.engine import RedisPart, check_redis_settings
 from ivymux.tenants.places import AddressRules
 
@@ -97,13 +97,13 @@
         raise SiteError(f"{name}: {error}") from None
     try:
         limits = file.limits
-        bounded("follow", file.follow, 0.01, 60)
-        bounded("limits.sockets", limits.sockets, 64, 1 << 20)
-        bounded("limits.memory_mb", limits.memory_mb, 64, 1 << 20)
-        bounded("limits.body_kb", limits.body_kb, 1, 64 * 1024)
-        bounded("limits.answer_kb", limits.answer_kb, 1, 64 * 1024)
-        bounded("limits.tenant_upstream", limits.tenant_upstream, 4, 100_000)
-        if limits.answer_kb / 1024 > limits.memory_mb * MAX_ANSWERS:
+        check_range("follow", file.follow, 0.01, 60)
+        check_range("limits.sockets", limits.sockets, 64, 1 << 20)
+        check_range("limits.memory_mb", limits.memory_mb, 64, 1 << 20)
+        check_range("limits.body_kb", limits.body_kb, 1, 64 * 1024)
+        check_range("limits.answer_kb", limits.answer_kb, 1, 64 * 1024)
+        check_range("limits.tenant_upstream", limits.tenant_upstream, 4, 100_000)
+        if limits.answer_kb / 1024 > limits.memory_mb * ANSWER_MEMORY_SHARE:
             raise ConfigError("limits.answer_kb is more than an eighth of limits.memory_mb")
         if bool(file.store) == (file.etcd is not None):
             raise ConfigError("write store, a file, or a table etcd: one of the two")
@@ -116,7 +116,7 @@
                 ip_network(network)
             except ValueError:
                 raise ConfigError(f"trusted_proxies[{number}]: {network!r} is no network") from None
-        admin = address("admin", file.admin) if file.admin else None
+        admin = parse_address_setting("admin", file.admin) if file.admin else None
         for number, network in enumerate(file.worker_networks):
             try:
                 ip_network(network)
@@ -131,14 +131,14 @@
             raise ConfigError(
                 "tally.doors: gateways that share their counts need tally.address or tally.redis"
             )
-        bounded("tally.doors", tally.doors, 1, 1000)
-        bounded("tally.number", tally.number, 0, tally.doors - 1)
+        check_range("tally.doors", tally.doors, 1, 1000)
+        check_range("tally.number", tally.number, 0, tally.doors - 1)
         if tally.redis is not None:
             check_redis_settings(tally.redis)
-        bounded("tally.timeout", tally.timeout, 0.01, 5)
-        shared = address("tally.address", tally.address) if tally.address else None
-        served = address("tally.listen", tally.listen) if tally.listen else None
-        return Hosting(file, address("listen", file.listen), admin, shared, served)
+        check_range("tally.timeout", tally.timeout, 0.01, 5)
+        shared = parse_address_setting("tally.address", tally.address) if tally.address else None
+        served = parse_address_setting("tally.listen", tally.listen) if tally.listen else None
+        return Hosting(file, parse_address_setting("listen", file.listen), admin, shared, served)
     except ConfigError as error:
         raise SiteError(f"{name}: {error}") from None
 
@@ -157,7 +157,7 @@
             raise ConfigError(f"etcd.endpoints[{number}]: write http://HOST:PORT or https://HOST:PORT")
     if not PREFIX.fullmatch(etcd.prefix):
         raise ConfigError("etcd.prefix: letters, digits, - _ . and /, with / at both ends")
-    bounded("etcd.timeout", etcd.timeout, 0.1, 60)
+    check_range("etcd.timeout", etcd.timeout, 0.1, 60)
     if bool(etcd.username) != bool(etcd.password_file):
         raise ConfigError("etcd.username and etcd.password_file go together")
     if etcd.key and not etcd.cert:
--- a/ivymux/service/__init__.py
+++ b/ivymux/service/__init__.py
@@ -1,1 +1,1 @@
-"""A standalone front door, put together from a site file."""
+"""The gateway of `ivymux serve`: one site, set up from a site file and an OpenAPI description."""
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -1,4 +1,4 @@
-"""A site file (TOML) as typed settings.  Pure: text in, a site or one clear error out."""
+"""The site file (TOML): parsed and validated settings.  Pure: text in, a site or one error out."""
 
 from __future__ import annotations
 
@@ -19,83 +19,105 @@
 
 
 class SiteError(ConfigError):
-    """A site file that can't be served; the text names the file, the place and what to write."""
+    """An invalid site file; the text names the file, the setting and what to write."""
 
 
 class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file."""
+    """Base of the tables of the file; unknown fields are an error."""
 
 
 class DescriptionPart(Part, frozen=True):
-    file: str
+    """The OpenAPI description of the routes."""
+
+    file: str  # relative to the site file, as are all paths in it
     base: str | None = None  # instead of the base paths of `servers`
-    watch: float = 1.0  # seconds between looks for a change; 0: only on SIGHUP
-    cache: str = ""  # a folder for compiled descriptions; empty: none
+    watch: float = 1.0  # seconds between checks for a change; 0: only on SIGHUP
+    cache: str = ""  # folder for compiled descriptions; empty: none
     most_operations: int = 20_000
 
 
 class DefaultsPart(Part, frozen=True):
-    aim: float = 2.0  # seconds in which an answer is wanted
+    """The settings of operations whose description and class set none."""
+
+    aim: float = 2.0  # the target latency, in seconds
     deadline: float = 10.0  # seconds after which a request is answered whatever happened
-    worth: float = 1.0
+    worth: float = 1.0  # of an answer within the target latency, compared with other classes
 
 
 class KeyedPart(Part, frozen=True):
+    """How workers treat repeated requests with the same Idempotency-Key."""
+
     memory: float = 0.0  # seconds for which workers drop a repeat with the same key; 0: they do not
     scope: str = "bay"  # which workers share that memory: all, room or bay
 
 
 class KeyPart(Part, frozen=True):
+    """An API key, stored as its hash."""
+
     customer: str
-    plan: str
-    hash: str
+    plan: str  # the name of the customer's plan
+    hash: str  # as `ivymux key` prints it
 
 
 class CallersPart(Part, frozen=True):
+    """The API keys and the header that holds them."""
+
     header: str = "X-API-Key"
     keys: list[KeyPart] = []
 
 
 class CeilingPart(Part, frozen=True):
-    rate: float
-    burst: float
+    """A limit that a customer never exceeds, not even while the counter can't be reached."""
+
+    rate: float  # units a second
+    burst: float  # units that may be used at once
     slack: float = 0.1
 
 
 class PlanPart(Part, frozen=True):
+    """A plan: the quota of each of its customers and what its requests are worth."""
+
     rate: float = 0.0  # units a second; 0: no quota
     burst: float = 0.0  # units that may be used at once
     parallel: int = 0  # requests open at once; 0: no such limit
     ceiling: CeilingPart | None = None
-    price: float = 1.0  # what its answers count beside those of other plans
-    over_cost: float = 2.0  # what a request beyond the quota costs, over what one within it earns
+    price: float = 1.0  # the value of an answer, compared with other plans
+    over_cost: float = 2.0  # of a unit beyond the quota, compared with the value of one within it
 
 
 class WorkerPart(Part, frozen=True):
+    """A backend that the site file lists itself."""
+
     name: str
-    address: str
+    address: str  # HOST:PORT
     room: str = "main"
     bay: int = 0
     weight: float = 1.0
 
 
 class InventoryPart(Part, frozen=True):
+    """A file with the list of backends, which is followed as it changes."""
+
     file: str
-    state: str = ""  # a folder for the last good lists; empty: memory only
-    watch: float = 0.25  # seconds between looks
-    settle: float = 0.5  # seconds that the file rests before it is read
+    state: str = ""  # folder for the history of accepted lists; empty: they are kept in memory only
+    watch: float = 0.25  # seconds between checks for a change
+    settle: float = 0.5  # seconds for which the file must be unchanged before it is read
     limits: Limits = Limits()
 
 
 class RulesPart(Part, frozen=True):
-    drain_grace: float = 2.0  # seconds
-    cold_share: float = 0.2  # of its capacity that a worker has when it starts
-    warm_up: float = 15.0  # seconds until it has all
+    """Parameters of the decision module's operating rules; times in seconds."""
+
+    drain_grace: float = 2.0
+    cold_share: float = 0.2  # of its capacity that a backend has when it starts
+    warm_up: float = 15.0  # seconds until it has all of it
     fall_multiple: float = 2.0
     fall_time: float = 2.0
 
 
 class LimitsPart(Part, frozen=True):
+    """Limits on what the gateway uses and on how it sends requests."""
+
     sockets: int = 1024
     memory_mb: float = 512.0
     body_kb: int = 1024  # of a request
@@ -107,15 +129,19 @@
 
 
 class TallyPart(Part, frozen=True):
-    address: str = ""  # of a tally that front doors share; empty: one of its own, within the process
-    listen: str = ""  # where the own one is served to others; empty: nowhere
-    doors: int = 1  # front doors that share it
-    number: int = 0  # which of them this one is
+    """The counter that gateways share; without `address` or `redis` the gateway counts in its own process."""
+
+    address: str = ""  # of a counter service
+    listen: str = ""  # where the gateway serves its own counter to other gateways; empty: nowhere
+    doors: int = 1  # gateways that share the counter
+    number: int = 0  # of this gateway among them, from 0
     timeout: float = 0.25  # seconds for a call
     redis: RedisPart | None = None  # instead of an address
 
 
 class SiteFile(Part, frozen=True):
+    """The whole file."""
+
     description: DescriptionPart
     callers: CallersPart
     plans: dict[str, PlanPart]
@@ -129,31 +155,31 @@
     rules: RulesPart = RulesPart()
     limits: LimitsPart = LimitsPart()
     tally: TallyPart = TallyPart()
-    reports: list[str] = []  # fields of Server-Load that workers tell with their answers
+    reports: list[str] = []  # fields of the Server-Load header that workers send with their answers
     trusted_proxies: list[str] = []
 
 
 class Site(msgspec.Struct, frozen=True):
-    """A site file that was checked whole."""
+    """A validated site file with its parsed values."""
 
     file: SiteFile
     listen: Address
     callers: Any  # Callers
     plans: tuple[i.Plan, ...]
-    workers: tuple[Worker, ...]  # of the file itself; none where there is an inventory
+    workers: tuple[Worker, ...]  # that the file lists itself; none if it names an inventory
     tally: Address | None
     tally_listen: Address | None
     options: Options
 
 
 SCOPES = {"all": i.Scope.ALL, "room": i.Scope.ZONE, "bay": i.Scope.CELL}
-MAX_DEADLINE = 60.0
-PACE = 20_000.0  # calls a second that a tally of ours, or Redis, bears to begin with
-MAX_ANSWERS = 1 / 8  # of the memory, for answers that are coming in
+MAX_DEADLINE_S = 60.0
+COUNTER_CALL_RATE = 20_000.0  # initial bound on the calls a second to a counter service or Redis
+ANSWER_MEMORY_SHARE = 1 / 8  # of the memory limit, for answers that are being received
 
 
 def read_site(text: str, name: str) -> Site:
-    """A site file's text as a site.  Raises SiteError."""
+    """Parse and validate a site file; `name` is its name in errors.  Raises SiteError."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -161,15 +187,16 @@
     try:
         file = msgspec.convert(raw, SiteFile)
     except msgspec.ValidationError as error:
-        # The library ends its text with the place: "... - at `$.plans[...].rate`".
+        # msgspec's text ends with the place: "... - at `$.plans[...].rate`".
         raise SiteError(f"{name}: {error}") from None
     try:
-        return checked(file)
+        return check_site(file)
     except (CallerError, ConfigError) as error:
         raise SiteError(f"{name}: {error}") from None
 
 
-def checked(file: SiteFile) -> Site:
+def check_site(file: SiteFile) -> Site:
+    """Validate a parsed site file.  Raises CallerError, ConfigError."""
     limits, names = file.limits, list(file.plans)
     positive = {
         "defaults.aim": file.defaults.aim, "defaults.deadline": file.defaults.deadline,
@@ -178,28 +205,28 @@
         "limits.max_retry_after": limits.max_retry_after,
     }  # fmt: skip
     for place, value in positive.items():
-        bounded(place, value, 1e-3, 1e6)
+        check_range(place, value, 1e-3, 1e6)
     for place, value in (("defaults.aim", file.defaults.aim), ("defaults.deadline", file.defaults.deadline)):
-        bounded(place, value, 1e-3, MAX_DEADLINE)
-    bounded("description.watch", file.description.watch, 0, 3600)
-    bounded("description.most_operations", file.description.most_operations, 1, 1_000_000)
-    bounded("keyed.memory", file.keyed.memory, 0, 86400)
-    bounded("limits.sockets", limits.sockets, 64, 1 << 20)
-    bounded("limits.memory_mb", limits.memory_mb, 64, 1 << 20)
-    bounded("limits.body_kb", limits.body_kb, 1, 64 * 1024)
-    bounded("limits.answer_kb", limits.answer_kb, 1, 64 * 1024)
-    bounded("limits.attempts", limits.attempts, 1, 10)
-    bounded("tally.doors", file.tally.doors, 1, 1000)
-    bounded("tally.number", file.tally.number, 0, file.tally.doors - 1)
+        check_range(place, value, 1e-3, MAX_DEADLINE_S)
+    check_range("description.watch", file.description.watch, 0, 3600)
+    check_range("description.most_operations", file.description.most_operations, 1, 1_000_000)
+    check_range("keyed.memory", file.keyed.memory, 0, 86400)
+    check_range("limits.sockets", limits.sockets, 64, 1 << 20)
+    check_range("limits.memory_mb", limits.memory_mb, 64, 1 << 20)
+    check_range("limits.body_kb", limits.body_kb, 1, 64 * 1024)
+    check_range("limits.answer_kb", limits.answer_kb, 1, 64 * 1024)
+    check_range("limits.attempts", limits.attempts, 1, 10)
+    check_range("tally.doors", file.tally.doors, 1, 1000)
+    check_range("tally.number", file.tally.number, 0, file.tally.doors - 1)
     if file.tally.redis is not None:
         if file.tally.address:
             raise ConfigError("tally: write address or redis, not both")
         check_redis_settings(file.tally.redis)
     for field in ("drain_grace", "warm_up", "fall_time"):
-        bounded(f"rules.{field}", getattr(file.rules, field), 0, 3600)
-    bounded("rules.cold_share", file.rules.cold_share, 0.01, 1)
-    bounded("rules.fall_multiple", file.rules.fall_multiple, 0.1, 100)
-    if limits.answer_kb / 1024 > limits.memory_mb * MAX_ANSWERS:
+        check_range(f"rules.{field}", getattr(file.rules, field), 0, 3600)
+    check_range("rules.cold_share", file.rules.cold_share, 0.01, 1)
+    check_range("rules.fall_multiple", file.rules.fall_multiple, 0.1, 100)
+    if limits.answer_kb / 1024 > limits.memory_mb * ANSWER_MEMORY_SHARE:
         raise ConfigError("limits.answer_kb is more than an eighth of limits.memory_mb")
     if file.keyed.scope not in SCOPES:
         raise ConfigError(f"keyed.scope is {file.keyed.scope!r}; write all, room or bay")
@@ -210,48 +237,53 @@
     if file.workers and file.inventory is not None:
         raise ConfigError("inventory: there are [[workers]] too; keep one of both")
     if (part := file.inventory) is not None:
-        bounded("inventory.watch", part.watch, 0.01, 3600)
-        bounded("inventory.settle", part.settle, 0, 3600)
+        check_range("inventory.watch", part.watch, 0.01, 3600)
+        check_range("inventory.settle", part.settle, 0, 3600)
         for field in ("fleet", "bay", "moved"):
-            bounded(f"inventory.limits.{field}", getattr(part.limits, field), 0, 1)
-        bounded("inventory.limits.least", part.limits.least, 0, 1_000_000)
-        bounded("inventory.limits.kept", part.limits.kept, 0, 1_000_000)
-        bounded("inventory.limits.window", part.limits.window, 0, 1e6)
+            check_range(f"inventory.limits.{field}", getattr(part.limits, field), 0, 1)
+        check_range("inventory.limits.least", part.limits.least, 0, 1_000_000)
+        check_range("inventory.limits.kept", part.limits.kept, 0, 1_000_000)
+        check_range("inventory.limits.window", part.limits.window, 0, 1e6)
     for name, terms in file.classes.items():
         for field in ("aim", "deadline", "worth"):
             if (value := getattr(terms, field)) is not None:
-                bounded(f"classes.{name}.{field}", value, 1e-3, MAX_DEADLINE if field != "worth" else 1e6)
+                check_range(
+                    f"classes.{name}.{field}", value, 1e-3, MAX_DEADLINE_S if field != "worth" else 1e6
+                )
     for number, network in enumerate(file.trusted_proxies):
         try:
             ip_network(network)
         except ValueError:
             raise ConfigError(f"trusted_proxies[{number}]: {network!r} is no network") from None
-    listed = workers(file.workers)
+    listed = make_workers(file.workers)
     options = Options(
-        base_path(file.description.base), file.defaults.aim, file.defaults.deadline, file.defaults.worth,
-        file.classes, MAX_DEADLINE, file.description.most_operations,
+        parse_base_path(file.description.base), file.defaults.aim, file.defaults.deadline,
+        file.defaults.worth, file.classes, MAX_DEADLINE_S, file.description.most_operations,
     )  # fmt: skip
     return Site(
-        file, address("listen", file.listen), read_callers(file.callers, names),
-        tuple(plan(name, part) for name, part in file.plans.items()), listed,
-        address("tally.address", file.tally.address) if file.tally.address else None,
-        address("tally.listen", file.tally.listen) if file.tally.listen else None, options,
+        file, parse_address_setting("listen", file.listen), read_callers(file.callers, names),
+        tuple(make_plan(name, part) for name, part in file.plans.items()), listed,
+        parse_address_setting("tally.address", file.tally.address) if file.tally.address else None,
+        parse_address_setting("tally.listen", file.tally.listen) if file.tally.listen else None, options,
     )  # fmt: skip
 
 
-def bounded(place: str, value: float, least: float, most: float) -> None:
-    if not (math.isfinite(value) and least <= value <= most):
-        raise ConfigError(f"{place} is {value}; write a number from {least:g} to {most:g}")
+def check_range(place: str, value: float, minimum: float, maximum: float) -> None:
+    """Raise ConfigError if a setting is not within a range; `place` names the setting."""
+    if not (math.isfinite(value) and minimum <= value <= maximum):
+        raise ConfigError(f"{place} is {value}; write a number from {minimum:g} to {maximum:g}")
 
 
-def address(place: str, text: str) -> Address:
+def parse_address_setting(place: str, text: str) -> Address:
+    """Parse HOST:PORT; `place` names the setting.  Raises ConfigError."""
     try:
         return parse_address(text)
     except ConfigError as error:
         raise ConfigError(f"{place}: {error}") from None
 
 
-def base_path(text: str | None) -> str | None:
+def parse_base_path(text: str | None) -> str | None:
+    """Return `description.base` without a slash at its end.  Raises ConfigError."""
     if text is None:
         return None
     if text and not text.startswith("/"):
@@ -260,12 +292,13 @@
 
 
 def read_callers(part: CallersPart, plans: list[str]) -> Callers:
+    """Validate the API keys; `plans` are the names of the plans.  Raises CallerError, ConfigError."""
     entries = []
-    for place, key in enumerate(part.keys):
+    for index, key in enumerate(part.keys):
         if key.plan not in plans:
-            raise ConfigError(f"callers.keys[{place}].plan is {key.plan!r}; the plans are {', '.join(plans)}")
+            raise ConfigError(f"callers.keys[{index}].plan is {key.plan!r}; the plans are {', '.join(plans)}")
         if not key.customer.isascii() or not key.customer.isprintable() or not 1 <= len(key.customer) <= 128:
-            raise ConfigError(f"callers.keys[{place}].customer: write 1 to 128 printable ASCII characters")
+            raise ConfigError(f"callers.keys[{index}].customer: write 1 to 128 printable ASCII characters")
         entries.append((key.hash, key.customer, plans.index(key.plan)))
     try:
         return Callers(entries)
@@ -273,37 +306,38 @@
         raise CallerError(f"callers.{error}") from None
 
 
-def plan(name: str, part: PlanPart) -> i.Plan:
+def make_plan(name: str, part: PlanPart) -> i.Plan:
+    """Validate a plan and return it as the decision module takes it.  Raises ConfigError."""
     at = f"plans.{name}"
-    for field, most in (("rate", 1e9), ("burst", 1e9), ("price", 1e6), ("over_cost", 1e6)):
-        bounded(f"{at}.{field}", getattr(part, field), 0, most)
-    bounded(f"{at}.parallel", part.parallel, 0, 1_000_000)
+    for field, maximum in (("rate", 1e9), ("burst", 1e9), ("price", 1e6), ("over_cost", 1e6)):
+        check_range(f"{at}.{field}", getattr(part, field), 0, maximum)
+    check_range(f"{at}.parallel", part.parallel, 0, 1_000_000)
     if part.rate > 0 and part.burst < 1:
         raise ConfigError(f"{at}.burst is {part.burst:g}; a plan with a rate holds at least 1 unit")
     if part.burst and not part.rate:
         raise ConfigError(f"{at}.rate is 0: a burst alone is never filled again")
     ceiling = part.ceiling
     if ceiling is not None:
-        bounded(f"{at}.ceiling.rate", ceiling.rate, max(part.rate, 1e-6), 1e9)
-        bounded(f"{at}.ceiling.burst", ceiling.burst, max(part.burst, 1.0), 1e9)
-        bounded(f"{at}.ceiling.slack", ceiling.slack, 0, 1)
+        check_range(f"{at}.ceiling.rate", ceiling.rate, max(part.rate, 1e-6), 1e9)
+        check_range(f"{at}.ceiling.burst", ceiling.burst, max(part.burst, 1.0), 1e9)
+        check_range(f"{at}.ceiling.slack", ceiling.slack, 0, 1)
         if not part.rate:
             raise ConfigError(f"{at}.ceiling: a plan without a rate has none")
-    over = (ceiling.rate, ceiling.burst, ceiling.slack) if ceiling else (0.0, 0.0, 0.0)
+    limits = (ceiling.rate, ceiling.burst, ceiling.slack) if ceiling else (0.0, 0.0, 0.0)
     return i.Plan(
-        name, part.rate, part.burst, part.parallel, part.price, part.over_cost, 0.0, *over
+        name, part.rate, part.burst, part.parallel, part.price, part.over_cost, 0.0, *limits
     )  # fmt: skip
 
 
-def workers(parts: list[WorkerPart]) -> tuple[Worker, ...]:
-    """The workers that stand in the site file itself."""
-    found: dict[str, Worker] = {}
-    places: dict[tuple[str, int], str] = {}
-    for place, part in enumerate(parts):
-        at = f"workers[{place}]"
+def make_workers(parts: list[WorkerPart]) -> tuple[Worker, ...]:
+    """Validate the workers that the site file lists itself.  Raises ConfigError."""
+    workers: dict[str, Worker] = {}
+    names_by_address: dict[tuple[str, int], str] = {}
+    for index, part in enumerate(parts):
+        at = f"workers[{index}]"
         if not part.name or len(part.name) > 128:
             raise ConfigError(f"{at}.name: write 1 to 128 characters")
-        if part.name in found:
+        if part.name in workers:
             raise ConfigError(f"{at}.name: {part.name!r} stands twice")
         try:
             host, port = read_address(part.address)
@@ -311,17 +345,17 @@
             raise ConfigError(f"{at}.address: {error}") from None
         if port is None:
             raise ConfigError(f"{at}.address: {part.address!r} has no port")
-        if (host, port) in places:
-            raise ConfigError(f"{at}.address: {part.address} is that of {places[host, port]!r}")
-        bounded(f"{at}.weight", part.weight, 0.001, 1000)
-        bounded(f"{at}.bay", part.bay, 0, 1 << 31)
-        found[part.name] = Worker(part.name, host, port, part.room, part.bay, "standard", part.weight)
-        places[host, port] = part.name
-    return tuple(found.values())
+        if (host, port) in names_by_address:
+            raise ConfigError(f"{at}.address: {part.address} is that of {names_by_address[host, port]!r}")
+        check_range(f"{at}.weight", part.weight, 0.001, 1000)
+        check_range(f"{at}.bay", part.bay, 0, 1 << 31)
+        workers[part.name] = Worker(part.name, host, port, part.room, part.bay, "standard", part.weight)
+        names_by_address[host, port] = part.name
+    return tuple(workers.values())
 
 
 def settings(site: Site, classes: tuple[i.RequestClass, ...]) -> i.Settings:
-    """What the decision module is told of a site."""
+    """Return the decision module's settings for a site."""
     file = site.file
     rules, limits = file.rules, file.limits
     return i.Settings(
@@ -337,29 +371,33 @@
         ),
         has_counter=True, counter_price=0.01, counter_timeout=file.tally.timeout, settles=False,
         membership_push=True, weight_source="silent", report_how="answers" if file.reports else "silent",
-        report_columns=tuple(file.reports), prices={}, counter_pace=PACE,
+        report_columns=tuple(file.reports), prices={}, counter_pace=COUNTER_CALL_RATE,
     )  # fmt: skip
 
 
 def findings(site: Site, compiled: Compiled) -> list[str]:
-    """What of a description a site's plans could never serve."""
-    found = []
-    for plan_ in site.plans:
-        most = min(plan_.burst or math.inf, plan_.ceiling_burst or math.inf)
-        dear = [o for o in compiled.operations if o.cost.greatest > most]
-        if dear:
-            cost = dear[0].cost.greatest
-            found.append(
-                f"plan {plan_.name} holds {most:g} units, and {dear[0].id} may cost {cost:g}:"
-                f" such requests are refused with 403 ({len(dear)} operations)"
+    """Return warnings about operations that the site's plans or workers can serve only in part.
+
+    These are operations that may cost more than a plan ever holds, and keyed ones whose repeats no worker
+    drops.
+    """
+    warnings = []
+    for plan in site.plans:
+        capacity = min(plan.burst or math.inf, plan.ceiling_burst or math.inf)
+        too_costly = [o for o in compiled.operations if o.cost.greatest > capacity]
+        if too_costly:
+            cost = too_costly[0].cost.greatest
+            warnings.append(
+                f"plan {plan.name} holds {capacity:g} units, and {too_costly[0].id} may cost {cost:g}:"
+                f" such requests are refused with 403 ({len(too_costly)} operations)"
             )
     keyed = [o for o in compiled.operations if o.effect is i.Effect.KEYED]
     if keyed and not site.file.keyed.memory:
-        found.append(
+        warnings.append(
             f"{keyed[0].id} is keyed, and keyed.memory is 0: it is not repeated once it may have run"
             f" ({len(keyed)} operations)"
         )
-    return found
+    return warnings
 
 
 __all__ = ["Site", "SiteError", "findings", "read_site", "settings"]
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -30,7 +30,7 @@
 from ivymux.service.compiler import CompilerError, is_unchanged, load_or_compile
 from ivymux.service.frontend import HttpFrontend
 from ivymux.service.lifecycle import BaseGateway
-from ivymux.service.site import MAX_ANSWERS, SCOPES, Site, SiteError, findings, read_site, settings
+from ivymux.service.site import ANSWER_MEMORY_SHARE, SCOPES, Site, SiteError, findings, read_site, settings
 from ivymux.tally.clock import SharedClock
 from ivymux.tally.local import LocalCounter
 from ivymux.tally.server import CounterServer
@@ -75,7 +75,7 @@
             pass
         self.table.enter()
         answer = limits.answer_kb * 1024
-        policy = AnswerPolicy(True, answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)))
+        policy = AnswerPolicy(True, answer, int(limits.memory_mb * ANSWER_MEMORY_SHARE * (1 << 20)))
         upstream = Upstream(
             limits.connect_timeout,
             limits.worker_idle,
--- a/ivymux/tenants/model.py
+++ b/ivymux/tenants/model.py
@@ -29,8 +29,8 @@
     RulesPart,
     Site,
     SiteFile,
-    bounded,
-    checked,
+    check_range,
+    check_site,
 )
 from ivymux.service.site import LimitsPart as SiteLimits
 from ivymux.tenants.secret import StoredKey
@@ -135,7 +135,7 @@
 
 def site_of(tenant: Tenant) -> Site:
     """Return the settings that a gateway for this tenant alone would have.  Raises ConfigError."""
-    return checked(SiteFile(
+    return check_site(SiteFile(
         description=DescriptionPart(file=tenant.routes.main or "-", base=tenant.routes.base, watch=0.0),
         callers=SiteCallers(header=tenant.header), plans=tenant.plans, inventory=InventoryPart(file="-"),
         defaults=tenant.defaults, keyed=tenant.keyed, rules=tenant.rules, limits=SiteLimits(),
@@ -199,7 +199,7 @@
         ("held_mb", 0.01, 65_536), ("weight", 0.01, 1000), ("cpu", 0.001, 1),
     ):  # fmt: skip
         try:
-            bounded(f"limits.{field}", getattr(limits, field), minimum, maximum)
+            check_range(f"limits.{field}", getattr(limits, field), minimum, maximum)
         except ConfigError as invalid:
             error(f"/limits/{field}", str(invalid))
     if tenant.plans:
