--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -1,4 +1,4 @@
-"""A standalone front door: its parts, put together from a site file, and how they change in service."""
+"""The gateway of `ivymux serve`: its components, and changes of its site while it serves."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def load_site(path: Path) -> Site:
-    """A site file.  Raises SiteError."""
+    """Read and validate a site file.  Raises SiteError."""
     try:
         return read_site(path.read_text(encoding="utf-8"), str(path))
     except (OSError, UnicodeDecodeError) as error:
@@ -54,15 +54,17 @@
 
 
 def description_path(site: Site, path: Path) -> Path:
+    """Return the path of a site's description; `path` is that of the site file."""
     return path.parent / site.file.description.file
 
 
 def cache_path(site: Site, path: Path) -> Path | None:
+    """Return the folder of a site's cache, or None; `path` is that of the site file."""
     return path.parent / site.file.description.cache if site.file.description.cache else None
 
 
-class Standalone(BaseGateway):
-    """One front door."""
+class StandaloneGateway(BaseGateway):
+    """A gateway for one site, whose description, workers and API keys may change while it serves."""
 
     def __init__(self, path: Path, site: Site, compiled: Compiled) -> None:
         super().__init__()
@@ -74,8 +76,8 @@
         for _ in self.table.build():
             pass
         self.table.enter()
-        answer = limits.answer_kb * 1024
-        policy = AnswerPolicy(True, answer, int(limits.memory_mb * ANSWER_MEMORY_SHARE * (1 << 20)))
+        max_answer_bytes = limits.answer_kb * 1024
+        policy = AnswerPolicy(True, max_answer_bytes, int(limits.memory_mb * ANSWER_MEMORY_SHARE * (1 << 20)))
         upstream = Upstream(
             limits.connect_timeout,
             limits.worker_idle,
@@ -86,9 +88,9 @@
         seed = secrets.randbits(64)
         log.info("seed %016x", seed)
         self.random = random.Random(seed)
-        told = settings(site, tuple(self.classes.listed))
-        self.host = Host(Gateway(told, seed), upstream)
-        self.store = CounterStore()
+        module_settings = settings(site, tuple(self.classes.listed))
+        self.host = Host(Gateway(module_settings, seed), upstream)
+        self.counter_store = CounterStore()
         self.tally: CounterServer | None = None
         self.counter: Counter | RedisCounter | None = None
         self.clock = SharedClock(time.time(), time.monotonic())
@@ -103,44 +105,50 @@
             self.host.counter = self.counter
             self.host.wall_clock = lambda: self.clock.read(time.monotonic())
         else:
-            self.host.counter = LocalCounter(self.store, self.host.post)
-        unread = max(8, int(limits.memory_mb * BODY_MEMORY_SHARE * (1 << 20)) // answer)
+            self.host.counter = LocalCounter(self.counter_store, self.host.post)
+        max_unread_clients = max(8, int(limits.memory_mb * BODY_MEMORY_SHARE * (1 << 20)) // max_answer_bytes)
         self.frontend = HttpFrontend(
             self.table, site.callers, file.callers.header, site.plans, file.tally.doors,
-            limits.body_kb * 1024, unread, tuple(file.trusted_proxies), self.ready, self.make_id,
+            limits.body_kb * 1024, max_unread_clients, tuple(file.trusted_proxies), self.is_ready,
+            self.make_id,
         )  # fmt: skip
         self.server = Server(self.frontend, site.listen, bounds, self.host)
         self.member_list, self.resolver = MemberList(), Resolver()
-        self.workers: tuple[Worker, ...] = ()  # as last told
-        self.placing = asyncio.Lock()
+        self.workers: tuple[Worker, ...] = ()  # the list in force
+        self.members_lock = asyncio.Lock()
         self.inventory: InventorySource | None = None
-        self.reloading = asyncio.Lock()
-        self.seen: dict[str, object] | None = None  # the files of the description, as last looked at
+        self.reload_lock = asyncio.Lock()
+        self.last_stamps: dict[str, object] | None = None  # of the description's files, at the last check
         self.max_deadline_s = max(o.deadline for o in compiled.operations)
 
-    # --- parts ---------------------------------------------------------------------------------------
+    # --- components ----------------------------------------------------------------------------------
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
+        """Return whether the gateway accepts requests and has a backend to send them to."""
         return not self.server.is_stopping and bool(self.host.upstream.pools)
 
     def make_id(self) -> str:
+        """Return a new request id."""
         return f"{self.random.getrandbits(64):016x}"
 
-    async def apply(self, workers: tuple[Worker, ...], cold: bool = True) -> None:
-        """Go over to a list of workers, bit by bit.  Raises MemberListError, changing nothing."""
-        async with self.placing:
+    async def apply_workers(self, workers: tuple[Worker, ...], cold: bool = True) -> None:
+        """Switch to a list of workers in small steps.  Raises MemberListError without a change.
+
+        `cold`: whether new workers start with a share of their capacity only.
+        """
+        async with self.members_lock:
             addresses = await self.resolver.resolve(workers)
-            for members, places in self.member_list.change(workers, addresses, time.time(), cold):
-                self.host.update_members(members, places)
-                await asyncio.sleep(0)  # requests go between
+            for members, backends in self.member_list.change(workers, addresses, time.time(), cold):
+                self.host.update_members(members, backends)
+                await asyncio.sleep(0)  # requests are handled between the steps
             self.workers = workers
 
-    async def join(self) -> None:
-        """The workers at the start.  Raises ConfigError."""
+    async def load_workers(self) -> None:
+        """Apply the list of workers at the start.  Raises ConfigError."""
         part = self.site.file.inventory
         try:
             if part is None:
-                await self.apply(self.site.workers, cold=False)
+                await self.apply_workers(self.site.workers, cold=False)
                 return
             state = self.path.parent / part.state if part.state else None
             self.inventory = InventorySource(
@@ -152,77 +160,79 @@
             raise ConfigError(str(error)) from None
 
     async def apply_inventory(self, inventory: Inventory) -> None:
+        """Switch to a new inventory; one that can't be served is logged and changes nothing."""
         try:
-            await self.apply(inventory.workers, cold=self.member_list.version > 0)
+            await self.apply_workers(inventory.workers, cold=self.member_list.version > 0)
         except MemberListError as error:
             log.error("inventory: the list stays as it was: %s", error)
 
-    async def follow_names(self) -> None:
-        """Look up host names again when their answers have had their time."""
+    async def refresh_addresses(self) -> None:
+        """Look up the workers' host names again before their cached answers expire."""
         while True:
             await asyncio.sleep(self.resolver.lifetime_s / 2)
             if any(not is_address(w.host) for w in self.workers):
-                await self.apply(self.workers)
+                await self.apply_workers(self.workers)
 
     async def start(self) -> None:
-        """Serve.  Raises ConfigError where an address can't be listened on."""
-        if self.counter is not None:  # its time counts from the module's first event on
+        """Start to serve.  Raises ConfigError, also if the gateway can't listen on an address."""
+        if self.counter is not None:  # the decision module uses the counter's clock from its first event on
             await asyncio.wait([self.counter.ready], timeout=0.3)
-        await self.join()
+        await self.load_workers()
         try:
             if self.site.tally_listen is not None:
-                self.tally = CounterServer(self.store)
+                self.tally = CounterServer(self.counter_store)
                 await self.tally.start(self.site.tally_listen)
             await self.server.start()
         except OSError as error:
             raise ConfigError(f"cannot listen: {error}") from None
         if self.site.file.description.watch > 0:
-            self.start_task(self.watch())
+            self.start_task(self.watch_description())
         if self.inventory is not None:
             self.start_task(self.inventory.run())
-        self.start_task(self.follow_names())
+        self.start_task(self.refresh_addresses())
 
     # --- changes in service ----------------------------------------------------------------------------
 
-    async def watch(self) -> None:
-        """Look now and then whether a file of the description has changed."""
+    async def watch_description(self) -> None:
+        """Check periodically whether a file of the description has changed."""
         while True:
             await asyncio.sleep(self.site.file.description.watch)
             try:
-                await self.look()
+                await self.check_description()
             except Exception:
-                log.exception("the look at the description failed")
+                log.exception("checking the description for changes failed")
 
-    def stamps(self) -> dict[str, object]:
-        """What tells a change of the files apart, without reading them."""
+    def file_stamps(self) -> dict[str, object]:
+        """Return, for each file of the description, values that change with it, without reading it."""
         path = description_path(self.site, self.path)
-        found: dict[str, object] = {}
+        stamps: dict[str, object] = {}
         for name in {path.name, *self.table.compiled.files}:
             try:
                 stat = (path.parent / name).stat()
-                found[name] = stat.st_mtime_ns, stat.st_size, stat.st_ino, stat.st_dev
+                stamps[name] = stat.st_mtime_ns, stat.st_size, stat.st_ino, stat.st_dev
             except OSError as error:
-                found[name] = error.errno
-        return found
-
-    async def look(self) -> None:
-        stamps = self.stamps()
-        if self.seen is None:
-            # What changed between the compilation and this first look is told by the digests.
+                stamps[name] = error.errno
+        return stamps
+
+    async def check_description(self) -> None:
+        """Reload the description if one of its files has changed since the last check."""
+        stamps = self.file_stamps()
+        if self.last_stamps is None:
+            # Files may have changed between their compilation and this first check; their digests tell.
             path = description_path(self.site, self.path)
             with contextlib.suppress(OSError):
                 if await asyncio.to_thread(is_unchanged, path, self.table.compiled):
-                    self.seen = stamps
-        if stamps != self.seen:
-            self.seen = stamps
+                    self.last_stamps = stamps
+        if stamps != self.last_stamps:
+            self.last_stamps = stamps
             await self.reload_description()
 
     async def reload_description(self) -> bool:
-        """Compile the description anew and go over to it; whether there was anything to go over to.
+        """Compile the description and switch to it; return whether that changed anything.
 
-        One that can't be served changes nothing.
+        A description that can't be served is logged and changes nothing.
         """
-        async with self.reloading:
+        async with self.reload_lock:
             path = description_path(self.site, self.path)
             try:
                 compiled, _ = await load_or_compile(path, self.site.options, cache_path(self.site, self.path))
@@ -240,31 +250,34 @@
             return True
 
     async def take_over(self, compiled: Compiled) -> None:
-        """Serve new requests by another description.  Raises TooManyClasses, changing nothing."""
+        """Serve new requests by another description.  Raises TooManyClasses without a change."""
         table = Table(compiled, self.classes)
         for _ in table.build():
-            await asyncio.sleep(0)  # requests go between
-        # From here to the end nothing waits: a request has the old description whole, or the new one.
+            await asyncio.sleep(0)  # requests are handled between the steps
+        # No await from here on: each request is handled wholly by the old description or by the new one.
         table.enter()
         self.host.post(i.Classes(tuple(self.classes.listed)))
         self.table = self.frontend.table = table
         self.max_deadline_s = max(self.max_deadline_s, *(o.deadline for o in compiled.operations))
 
     async def reload(self) -> None:
-        """Read the site file again: description, keys and workers.  A bad file changes nothing."""
+        """Read the site file again; apply its description, keys and workers.
+
+        A file that can't be served changes nothing.  Other settings change only with a restart.
+        """
         try:
             site = load_site(self.path)
         except SiteError as error:
             log.error("the site stays as it was: %s", error)
             return
-        if site.plans != self.site.plans or fixed(site) != fixed(self.site):
+        if site.plans != self.site.plans or restart_settings(site) != restart_settings(self.site):
             log.warning("plans, limits, rules, listeners and tally change only with a restart")
             if [p.name for p in site.plans] != [p.name for p in self.site.plans]:
                 log.error("the site stays as it was: other plans need a restart")
                 return
         try:
             if site.file.inventory is None:
-                await self.apply(site.workers)
+                await self.apply_workers(site.workers)
         except MemberListError as error:
             log.error("the site stays as it was: %s", error)
             return
@@ -272,7 +285,7 @@
         self.frontend.callers = site.callers
         await self.reload_description()
 
-    # --- the end ---------------------------------------------------------------------------------------
+    # --- closing ---------------------------------------------------------------------------------------
 
     @property
     def unanswered_count(self) -> int:
@@ -289,8 +302,8 @@
         self.host.upstream.close()
 
 
-def fixed(site: Site) -> object:
-    """What of a site counts only from its start."""
+def restart_settings(site: Site) -> object:
+    """Return the settings of a site that change only with a restart, to compare them."""
     file = site.file
     return (
         file.listen, file.limits, file.rules, file.tally, file.keyed, file.reports, file.callers.header,
@@ -298,13 +311,16 @@
     )  # fmt: skip
 
 
-async def open_standalone(path: Path) -> Standalone:
-    """A front door of a site file, not yet serving.  Raises ConfigError, DescriptionError, CompilerError."""
+async def open_standalone(path: Path) -> StandaloneGateway:
+    """Set up the gateway of a site file without starting it.
+
+    Raises ConfigError, DescriptionError, CompilerError.
+    """
     site = load_site(path)
     compiled, _ = await load_or_compile(description_path(site, path), site.options, cache_path(site, path))
     for text in findings(site, compiled):
         log.warning("description: %s", text)
     try:
-        return Standalone(path, site, compiled)
+        return StandaloneGateway(path, site, compiled)
     except TooManyClasses as error:
         raise ConfigError(f"{path}: {error}") from None
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -26,7 +26,7 @@
 from ivymux.membership.reader import ReadResult, ReadTask, read_and_check, read_in_child_process
 from ivymux.membership.snapshot_store import SnapshotStore
 from ivymux.membership.source import InventorySource
-from ivymux.service.standalone import Standalone, open_standalone
+from ivymux.service.standalone import StandaloneGateway, open_standalone
 from standins import worker as stand
 from tests.inventory import damage
 from tests.routes.describing import described
@@ -44,7 +44,7 @@
 class FollowedInventory:
     """A gateway under load, the inventory file that it follows and the workers that the file lists."""
 
-    gateway: Standalone
+    gateway: StandaloneGateway
     folder: Path
     file: Path
     workers: list[stand.Worker]
--- a/tests/service/doors.py
+++ b/tests/service/doors.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ivymux.service.callers import hash_key
-from ivymux.service.standalone import Standalone, open_standalone
+from ivymux.service.standalone import StandaloneGateway, open_standalone
 from standins.worker import Fleet, Plan, Worker, ordinary
 from tests.routes.describing import described, operation
 
@@ -41,7 +41,7 @@
 class Place:
     """A door, its files and its workers."""
 
-    door: Standalone
+    door: StandaloneGateway
     folder: Path
     workers: list[Worker]
     fleet: Fleet
@@ -113,7 +113,7 @@
 class Caller:
     """One client connection."""
 
-    def __init__(self, door: Standalone) -> None:
+    def __init__(self, door: StandaloneGateway) -> None:
         self.door = door
 
     async def __aenter__(self) -> Caller:
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -131,11 +131,11 @@
     async def test() -> None:
         async with standing(tmp_path, description="watch = 0") as place:
             (place.folder / "api.json").unlink()
-            await place.door.look()
-            await place.door.look()
+            await place.door.check_description()
+            await place.door.check_description()
             assert (await ask(place, "GET /read/7")).status == 200
             place.describe(described({"/new": {"get": operation()}}))
-            await place.door.look()
+            await place.door.check_description()
             assert (await ask(place, "GET /new")).status == 200
 
     run(test())
--- a/tests/tally/four.py
+++ b/tests/tally/four.py
@@ -13,7 +13,7 @@
 
 from ivymux.routes.description import compile_description
 from ivymux.service.callers import hash_key
-from ivymux.service.standalone import Standalone, load_site
+from ivymux.service.standalone import StandaloneGateway, load_site
 from standins.tally import Counts, Gate
 from standins.worker import Reply, Seen, Worker
 from tests.routes.describing import described, operation
@@ -28,7 +28,7 @@
 class FourGateways:
     """The gateways, their connections to the counter, and what clients and workers observed."""
 
-    gateways: list[Standalone]
+    gateways: list[StandaloneGateway]
     gates: list[Gate]
     workers: list[Worker]
     counts: Counts
@@ -120,12 +120,12 @@
     return path
 
 
-async def start_gateway(cluster: FourGateways, number: int, clock_error: float = 0.0) -> Standalone:
+async def start_gateway(cluster: FourGateways, number: int, clock_error: float = 0.0) -> StandaloneGateway:
     """Start a gateway; `clock_error`: seconds by which its machine's wall clock is wrong."""
     path = cluster.folder / f"site{number}.toml"
     made = load_site(path)
     data = (cluster.folder / "api.json").read_bytes()
-    gateway = Standalone(
+    gateway = StandaloneGateway(
         path, made, compile_description("api.json", {"api.json": data}.__getitem__, made.options)
     )
     gateway.clock.offset += clock_error
