--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands as a user runs them: output, exit codes, one plain line for what is wrong."""
+"""The commands as a user runs them: output, exit codes and one line on standard error for each error."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         assert ivymux(*arguments).returncode == 2
 
 
-def test_a_role_by_its_former_name_is_told_its_new_one() -> None:
+def test_a_former_role_name_is_answered_with_the_present_one() -> None:
     for former, name in (("switchboard", "proxy"), ("directory", "registry"), ("exchange", "config_store")):
         done = subprocess.run([sys.executable, "-m", "ivymux", former], capture_output=True, text=True)
         assert (done.returncode, done.stderr) == (2, f"ivymux: the role {former} is named {name} now\n")
@@ -64,8 +64,8 @@
     capsys.readouterr()
     bad = write(tmp_path, described({"/a": {"get": operation(x={"effect": "no"})}}))
     assert main(["routes", "check", bad, "--json"]) == 1
-    told = json.loads(capsys.readouterr().out)
-    assert told["error"] == 1 and told["findings"][0]["place"] == "/paths/~1a/get/x-ivymux/effect"
+    report = json.loads(capsys.readouterr().out)
+    assert report["error"] == 1 and report["findings"][0]["place"] == "/paths/~1a/get/x-ivymux/effect"
     assert main(["routes", "check", str(tmp_path / "gone.json")]) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
@@ -124,7 +124,7 @@
             return
         except OSError:
             await asyncio.sleep(0.02)
-    raise AssertionError("it ended")
+    raise AssertionError("the process ended before it listened")
 
 
 def test_serve_reads_again_on_sighup_and_ends_on_sigterm(tmp_path: Path) -> None:
@@ -173,21 +173,24 @@
     run(test())
 
 
-def test_serve_tells_in_one_line_why_it_cannot(tmp_path: Path) -> None:
+def test_serve_reports_a_failed_start_in_one_line(tmp_path: Path) -> None:
     from standins.worker import Worker
 
     worker = Worker()
     worker.port = 9
     site = write(tmp_path, site_text([worker]), "site.toml")
-    for document, told in (("{", "api.json"), (described({"/a": {"get": {}}}), "api.json#/paths/~1a/get")):
+    for document, expected in (
+        ("{", "api.json"),
+        (described({"/a": {"get": {}}}), "api.json#/paths/~1a/get"),
+    ):
         write(tmp_path, document)
         done = ivymux("serve", site)
         lines = [line for line in done.stderr.splitlines() if line.startswith("ivymux: ")]
-        assert done.returncode == 2 and len(lines) == 1 and told in lines[0]
+        assert done.returncode == 2 and len(lines) == 1 and expected in lines[0]
     assert ivymux("serve", str(tmp_path / "gone.toml")).returncode == 2
 
 
-def test_the_demos_own_lines_work() -> None:
+def test_the_requests_that_the_demo_prints_work() -> None:
     async def test() -> None:
         port = free_port()
         process = await asyncio.create_subprocess_exec(
--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -1,4 +1,4 @@
-"""The inventory's commands."""
+"""The commands of `ivymux inventory`."""
 
 from __future__ import annotations
 
@@ -74,8 +74,8 @@
     (tmp_path / "a.csv").write_text(damage.SHEET)
     (tmp_path / "b.csv").write_text(damage.SHEET.replace("20003", "0"))
     assert main(["inventory", "check", str(tmp_path / "a.csv"), str(tmp_path / "b.csv"), "--json"]) == 1
-    told = json.loads(capsys.readouterr().out)
-    assert told["workers"] == 12 and [f["file"] for f in told["findings"]] == ["b.csv"]
+    report = json.loads(capsys.readouterr().out)
+    assert report["workers"] == 12 and [f["file"] for f in report["findings"]] == ["b.csv"]
 
 
 def test_convert_there_and_back(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -94,7 +94,7 @@
     assert tree.read_bytes() == before
 
 
-def test_apply_judges_writes_whole_and_waits_for_the_door(
+def test_apply_checks_writes_atomically_and_waits_for_the_gateway(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "api.json").write_text(json.dumps(described({"/a": {"get": operation()}})))
@@ -140,7 +140,7 @@
     run(test())
 
 
-def test_apply_does_not_let_variables_beside_change_what_was_judged(
+def test_apply_refuses_a_list_that_variable_files_would_change(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     site, tree, new = tmp_path / "site.toml", tmp_path / "w.yml", tmp_path / "new.csv"
--- a/tests/cli/test_tenant.py
+++ b/tests/cli/test_tenant.py
@@ -1,4 +1,4 @@
-"""The commands of a hosted installation, against the programs themselves."""
+"""The commands for a hosted installation, against `ivymux host` and `ivymux admin` as processes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @pytest.fixture(params=["sqlite", "etcd"])
 def state(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[str]:
-    """What a file says of where the desired state is."""
+    """Yield the settings of a desired state in SQLite or etcd."""
     if request.param == "sqlite":
         yield 'store = "desired.db"\n'
         return
@@ -47,20 +47,20 @@
 def installation(
     state: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> Iterator[int]:
-    """`ivymux host` and `ivymux admin` in processes of their own; the data plane's port."""
+    """Run `ivymux host` and `ivymux admin` as processes; yield the port of the gateway."""
     file, port = tmp_path / "hosting.toml", free_port()
     file.write_text(f'listen = "127.0.0.1:0"\nadmin = "127.0.0.1:{port}"\nfollow = 0.02\n{state}')
     assert main(["operator", str(file), "olga"]) == 0
     monkeypatch.setenv("IVYMUX_ADMIN_KEY", capsys.readouterr().out.strip())
     monkeypatch.setenv("IVYMUX_ADMIN", f"http://127.0.0.1:{port}")
     run = [sys.executable, "-m", "ivymux"]
-    door = subprocess.Popen([*run, "host", str(file)], stderr=subprocess.PIPE)
+    gateway = subprocess.Popen([*run, "host", str(file)], stderr=subprocess.PIPE)
     admin = subprocess.Popen([*run, "admin", str(file)])
     try:
-        assert door.stderr is not None
+        assert gateway.stderr is not None
         found = None
         while found is None:
-            line = door.stderr.readline()
+            line = gateway.stderr.readline()
             assert line
             found = re.search(rb"serving on \S+:(\d+)", line)
         end = time.monotonic() + 20
@@ -73,9 +73,9 @@
                 time.sleep(0.05)
         yield int(found[1])
     finally:
-        for process in (door, admin):
+        for process in (gateway, admin):
             process.send_signal(signal.SIGTERM)
-        for process in (door, admin):
+        for process in (gateway, admin):
             assert process.wait(20) in (0, -signal.SIGTERM)
 
 
@@ -96,12 +96,12 @@
     key = json.loads(out)
     assert code == 0 and key["key"].startswith("iv_")
     assert key["id"] in ivymux("keys", "a")[1]
-    # In effect: the worker of the list is not there, so the door knows the key and answers for itself.
-    asked = urllib.request.Request(
+    # The state is in effect: the gateway accepts the key, and answers with an error as no worker listens.
+    http_request = urllib.request.Request(
         f"http://127.0.0.1:{installation}/read/7", headers={"Host": "a.example", "X-API-Key": key["key"]}
     )
     with pytest.raises(urllib.error.HTTPError) as error:
-        urllib.request.urlopen(asked, timeout=20)
+        urllib.request.urlopen(http_request, timeout=20)
     assert error.value.code in (502, 503, 504)
     code, out, _ = ivymux("list")
     assert code == 0 and out.splitlines()[0].split() == ["name", "hosts", "etag"] and "a.example" in out
@@ -122,7 +122,7 @@
     assert main(["backup", str(file), str(tmp_path / "copy.db")]) == 0
     text = file.read_text()
     if "[etcd]" in text:
-        assert main(["restore", str(file), str(tmp_path / "copy.db")]) == 2  # a state is there
+        assert main(["restore", str(file), str(tmp_path / "copy.db")]) == 2  # the store is not empty
         assert "etcd.prefix" in capsys.readouterr().err
         file.write_text(text + 'prefix = "/another/"\n')
         assert main(["restore", str(file), str(tmp_path / "copy.db")]) == 0
@@ -132,7 +132,7 @@
     assert ROUTES["main"] == "api.json"
 
 
-def test_what_can_not_be_reached_is_told(
+def test_an_unreachable_api_is_reported_without_the_key(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("IVYMUX_ADMIN_KEY", "ivadm_secret")
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -1,4 +1,4 @@
-"""Ordinary HTTP to and from workers: what passes, what is set, what is refused before it reaches one."""
+"""The frontend for ordinary HTTP: which fields pass, which are set, and which requests no worker receives."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
     run(test())
 
 
-def test_a_used_up_quota_is_429_with_an_honest_wait_and_too_dear_ones_403(tmp_path: Path) -> None:
+def test_an_exhausted_quota_is_429_with_the_wait_and_a_too_costly_request_403(tmp_path: Path) -> None:
     limit = {"name": "limit", "in": "query", "schema": {"type": "integer"}}
     dear = operation(parameters=[limit], x={"cost": {"from": "query.limit", "per": 1, "most": 50}})
 
@@ -147,7 +147,7 @@
             assert (await ask(place, "GET /a?limit=10")).status == 200
             got = await ask(place, "GET /a?limit=8")
             assert got.status == 429 and "Nothing was done" in got.problem["detail"]
-            assert 1 <= int(got.header("retry-after")) <= 4  # 8 units come in 4 s
+            assert 1 <= int(got.header("retry-after")) <= 4  # 8 units are refilled in 4 s
             got = await ask(place, "GET /a?limit=11")
             assert got.status == 403 and "11 units" in got.problem["detail"]
             assert sum(place.fleet.seen.values()) == 1
@@ -168,7 +168,7 @@
         (Reply(data=answer(404, b"gone")), "POST /write", 404, 1),
     ],
 )
-def test_troubles_of_workers_end_as_what_they_are(
+def test_failures_of_workers_reach_the_client_as_what_they_are(
     tmp_path: Path, reply: Reply, line: str, status: int, runs: int
 ) -> None:
     async def test() -> None:
@@ -178,7 +178,7 @@
             if runs == 1:
                 assert place.fleet.runs["r1"] == 1
             if reply.data and b"Not-Started" not in reply.data:
-                assert got.body == reply.data.partition(b"\r\n\r\n")[2]  # the worker's own words
+                assert got.body == reply.data.partition(b"\r\n\r\n")[2]  # the worker's own body
             else:
                 assert got.problem["instance"] == "urn:request:r1" and got.header("request-id") == "r1"
 
@@ -212,7 +212,7 @@
     async def test() -> None:
         async with standing(tmp_path, [plan]) as place:
             async with Caller(place.door) as caller:
-                for _ in range(3):  # on one connection: nothing of an answer is left for the next
+                for _ in range(3):  # on one connection: no bytes of an answer may be left for the next one
                     got = await caller.ask(line)
                     assert (got.status, got.header("content-length")) == (status, length)
                     assert not got.header("transfer-encoding")
@@ -232,7 +232,7 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_an_answer_with_two_readings_is_none(tmp_path: Path, head: bytes) -> None:
+def test_an_ambiguous_answer_is_invalid(tmp_path: Path, head: bytes) -> None:
     def plan(seen: Seen) -> Reply:
         return Reply(data=head + b"4\r\nHTTP\r\n0\r\n\r\n" + answer(200, b"another's"))
 
@@ -260,7 +260,7 @@
         b"Host: other\r\n",
     ],
 )
-def test_a_request_with_two_readings_is_refused(tmp_path: Path, fields: bytes) -> None:
+def test_an_ambiguous_request_is_refused(tmp_path: Path, fields: bytes) -> None:
     async def test() -> None:
         async with standing(tmp_path) as place:
             data = b"POST /write HTTP/1.1\r\nHost: h\r\nX-API-Key: iv_test-key\r\n" + fields + b"\r\n"
@@ -288,7 +288,7 @@
     run(test())
 
 
-def test_a_client_that_ends_its_sending_still_gets_its_answer(tmp_path: Path) -> None:
+def test_a_client_that_closes_its_sending_side_still_gets_its_answers(tmp_path: Path) -> None:
     async def test() -> None:
         async with standing(tmp_path, [lambda seen: Reply(delay=0.05)]) as place:
             async with Caller(place.door) as caller:
@@ -302,7 +302,7 @@
     run(test())
 
 
-def test_half_a_request_and_an_end_is_not_sent_on(tmp_path: Path) -> None:
+def test_an_incomplete_request_is_not_sent_to_a_worker(tmp_path: Path) -> None:
     async def test() -> None:
         async with standing(tmp_path) as place:
             async with Caller(place.door) as caller:
@@ -316,13 +316,13 @@
 
 
 def reset(caller: Caller) -> None:
-    """Leave with a reset, not a close."""
+    """Disconnect with a TCP reset."""
     sock = caller.writer.get_extra_info("socket")
     sock.setsockopt(SOL_SOCKET, SO_LINGER, struct.pack("ii", 1, 0))
     caller.writer.transport.abort()
 
 
-def test_a_client_that_leaves_holds_nothing(tmp_path: Path) -> None:
+def test_a_disconnected_client_holds_no_memory(tmp_path: Path) -> None:
     async def test() -> None:
         async with standing(tmp_path, [lambda seen: Reply(delay=0.2)]) as place:
             caller = Caller(place.door)
@@ -338,15 +338,13 @@
 
 
 @pytest.mark.parametrize(("line", "ends"), [("GET /read/1", True), ("POST /write", False)])
-def test_a_read_ends_at_its_worker_as_its_client_leaves_and_a_write_does_not(
-    tmp_path: Path, line: str, ends: bool
-) -> None:
+def test_a_disconnect_cancels_a_read_but_not_a_write(tmp_path: Path, line: str, ends: bool) -> None:
     async def test() -> None:
         async with standing(tmp_path, [lambda seen: Reply(delay=20.0)]) as place:
             async with Caller(place.door) as caller:
                 caller.writer.write(request(line))
                 await until(lambda: place.fleet.seen)
-                reset(caller)  # a close alone may be the end of its sending, behind which it still reads
+                reset(caller)  # after a plain close the client might still read its answer
             host = place.door.host
             await until(lambda: host.departures.requests)
             if ends:
@@ -356,21 +354,21 @@
     run(test())
 
 
-def test_clients_that_do_not_read_their_answers_give_way(tmp_path: Path) -> None:
+def test_clients_that_do_not_read_their_answers_are_closed(tmp_path: Path) -> None:
     big = answer(200, b"z" * (1 << 20))
 
     async def test() -> None:
         limits = "answer_kb = 2048\nmemory_mb = 128"
         async with standing(tmp_path, [lambda seen: Reply(data=big)], limits=limits) as place:
-            most = place.door.frontend.max_unread_clients
-            callers = [Caller(place.door) for _ in range(most + 4)]
+            max_unread = place.door.frontend.max_unread_clients
+            callers = [Caller(place.door) for _ in range(max_unread + 4)]
             for caller in callers:
                 await caller.__aenter__()
                 caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 caller.writer.write(request("GET /read/1") * 4)
-            await until(lambda: place.fleet.seen.total() >= most)
-            await until(lambda: len(place.door.server.clients) <= most)
-            assert len(place.door.server.slow_readers) <= most
+            await until(lambda: place.fleet.seen.total() >= max_unread)
+            await until(lambda: len(place.door.server.clients) <= max_unread)
+            assert len(place.door.server.slow_readers) <= max_unread
             assert (await ask(place, "GET /read/1")).status == 200
             for caller in callers:
                 caller.writer.transport.abort()
@@ -392,7 +390,7 @@
     run(test())
 
 
-def test_an_answer_says_what_it_is_in_json(tmp_path: Path) -> None:
+def test_a_refusal_is_problem_details_in_json(tmp_path: Path) -> None:
     async def test() -> None:
         async with standing(tmp_path, document=described(PATHS)) as place:
             got = await ask(place, "GET /none")
--- a/tests/service/test_site.py
+++ b/tests/service/test_site.py
@@ -1,4 +1,4 @@
-"""Site files are checked whole, and told of by place."""
+"""Site files: validation, errors that name the setting, API keys and warnings about the description."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 """
 
 
-def test_a_site_becomes_the_modules_settings() -> None:
+def test_a_site_becomes_the_decision_modules_settings() -> None:
     site = read_site(GOOD + "[keyed]\nmemory = 6.0\n", "s.toml")
-    told = settings(site, ())
-    assert [p.name for p in told.plans] == ["a", "b"] and told.plans[1].ceiling_burst == 8
-    assert site.workers[0].room == "r" and told.has_counter and told.limits.retry_after
-    assert not told.limits.second_copies  # never two attempts out at once
+    converted = settings(site, ())
+    assert [p.name for p in converted.plans] == ["a", "b"] and converted.plans[1].ceiling_burst == 8
+    assert site.workers[0].room == "r" and converted.has_counter and converted.limits.retry_after
+    assert not converted.limits.second_copies  # never two attempts in flight for a request
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "error_text"),
     [
         ("rate = 2.0\nburst = 5", "rate = 2.0", "plans.a.burst"),
         ("rate = 2.0\nburst = 5", "rate = -1\nburst = 5", "plans.a.rate"),
@@ -68,13 +68,13 @@
         ("listen", 'trusted_proxies = ["x"]\nlisten', "trusted_proxies[0]"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(old: str, new: str, told: str) -> None:
+def test_errors_name_their_place(old: str, new: str, error_text: str) -> None:
     assert old in GOOD
     with pytest.raises(SiteError) as caught:
         read_site(GOOD.replace(old, new, 1), "s.toml")
     text = str(caught.value)
-    assert text.startswith("s.toml: ") and told in text and "\n" not in text
-    assert "iv_a-key" not in text  # a key that stands in the wrong place is not told on
+    assert text.startswith("s.toml: ") and error_text in text and "\n" not in text
+    assert "iv_a-key" not in text  # an API key that was written by mistake must not be logged
 
 
 def test_workers_are_distinct() -> None:
@@ -103,13 +103,13 @@
         Callers([(hash_key(b"1"), "c", 0), (hash_key(b"1"), "d", 0)])
 
 
-def test_what_a_plan_could_never_serve_is_told() -> None:
+def test_operations_that_a_plan_can_never_serve_are_reported() -> None:
     limit = {"name": "limit", "in": "query", "schema": {"type": "integer"}}
     terms = {"cost": {"from": "query.limit", "most": 50}}
     document = described({"/a": {"get": operation(parameters=[limit], x=terms)},
                           "/b": {"post": operation(x={"effect": "keyed"})}})  # fmt: skip
-    told = findings(read_site(GOOD, "s.toml"), compiled(document))
-    assert len(told) == 3 and "plan a holds 5 units" in told[0] and "keyed.memory is 0" in told[2]
+    warnings = findings(read_site(GOOD, "s.toml"), compiled(document))
+    assert len(warnings) == 3 and "plan a holds 5 units" in warnings[0] and "keyed.memory is 0" in warnings[2]
     assert settings(read_site(GOOD, "s.toml"), ()).plans[0] == i.Plan(
         "a", 2.0, 5, 0, 1.0, 2.0, 0.0, 0.0, 0.0, 0.0
     )
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -1,4 +1,4 @@
-"""A front door in service: descriptions and sites that change, damaged ones that must change nothing."""
+"""The gateway of `ivymux serve`: changes of its description and site; invalid ones must change nothing."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 @pytest.mark.parametrize(("before", "after"), [("unsafe", "safe"), ("safe", "unsafe")])
-def test_a_request_stays_under_the_description_it_came_with_between_two_attempts(
+def test_a_request_keeps_its_description_between_two_attempts(
     tmp_path: Path, before: str, after: str
 ) -> None:
-    """It changes while the first attempt is out: what follows that attempt is as the request came in."""
+    """The description changes during the first attempt; whether to retry depends on the old one's effect."""
 
     def document(effect: str) -> Any:
         return described({"/a": {"get": operation(x={"effect": effect})}})
@@ -70,7 +70,7 @@
             if len(held) == 0:
                 held.append(seen)
                 tasks.append(asyncio.ensure_future(change(box[0])))
-                return Reply(delay=60.0)  # silent; the test ends its connection
+                return Reply(delay=60.0)  # no answer; the test aborts the connection
             return Reply()
 
         held: list[Seen] = []
@@ -81,7 +81,7 @@
                 caller.writer.write(request("GET /a", Request_Id="r"))
                 await gate.wait()
                 assert await tasks[0]
-                for worker in place.workers:  # the first attempt may have run
+                for worker in place.workers:  # end the first attempt, which may have run
                     for connection in list(worker.connections):
                         if connection.out == "r" and connection.transport is not None:
                             connection.transport.abort()
@@ -127,7 +127,7 @@
     assert "\n" not in line and "api.json" in line
 
 
-def test_a_file_that_goes_and_comes_back(tmp_path: Path) -> None:
+def test_a_description_that_is_deleted_and_written_again(tmp_path: Path) -> None:
     async def test() -> None:
         async with standing(tmp_path, description="watch = 0") as place:
             (place.folder / "api.json").unlink()
@@ -153,7 +153,7 @@
                 while not work.done():
                     assert (await caller.ask("GET /read/7")).status in (200, 404)
                     served += 1
-            assert await work and served > 20  # how fast: the benchmark has the figure
+            assert await work and served > 20  # the benchmark measures how fast
 
     run(test())
 
@@ -161,7 +161,7 @@
 # --- the compiler ------------------------------------------------------------------------------------
 
 
-def test_a_compiler_that_ends_without_a_result_is_told(
+def test_a_compiler_that_ends_without_a_result_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "api.json").write_text(json.dumps(described(PATHS)))
@@ -190,7 +190,7 @@
     assert read("near.json") == b"{}"
     with pytest.raises(OSError, match="leads out"):
         read("link.json")
-    # The description itself may be a link: so configuration tools swap it.
+    # The description itself may be a link, as configuration tools replace it so.
     (folder / "api.json").symlink_to(tmp_path / "secret.json")
     assert read("api.json") == b"{}"
     os.mkfifo(folder / "pipe.json")
@@ -207,14 +207,14 @@
 
     async def test() -> None:
         write(1)
-        first, kept = await load_or_compile(path, options, cache)
-        assert not kept
-        again, kept = await load_or_compile(path, options, cache)
-        assert kept and again == first
-        write(2)  # only the file beside it
+        first, from_cache = await load_or_compile(path, options, cache)
+        assert not from_cache
+        again, from_cache = await load_or_compile(path, options, cache)
+        assert from_cache and again == first
+        write(2)  # changes only the file that the description refers to
         assert load_cached(cache, path, options) is None
-        second, kept = await load_or_compile(path, options, cache)
-        assert not kept and second.files != first.files
+        second, from_cache = await load_or_compile(path, options, cache)
+        assert not from_cache and second.files != first.files
         assert load_cached(cache, path, Options(base="/x")) is None
         whole = cache_file(cache, path).read_bytes()
         for cut in (0, 5, 60, len(whole) // 2, len(whole) - 1):
@@ -236,8 +236,8 @@
     blocked.write_text("a file where the folder should be")
 
     async def test() -> None:
-        made, kept = await load_or_compile(path, Options(), blocked / "cache")
-        assert not kept and made.operations
+        compiled, from_cache = await load_or_compile(path, Options(), blocked / "cache")
+        assert not from_cache and compiled.operations
 
     run(test())
     with pytest.raises(OSError):
@@ -259,9 +259,9 @@
             assert (await ask(place, "GET /read/1")).status == 200
             assert other.last is not None and place.workers[0].last is None
             (known,) = place.door.member_list.members.values()
-            assert known.worker.name == "other" and known.since > 0  # it begins cold
+            assert known.worker.name == "other" and known.since > 0  # it starts cold
             site.write_text(site.read_text().replace("sha256:", "sha256:00", 1)[:-2])
-            await place.door.reload()  # a broken hash: the old keys stay
+            await place.door.reload()  # an invalid hash: the old keys stay in force
             assert (await ask(place, "GET /read/1")).status == 200
             from ivymux.service.callers import hash_key
 
@@ -317,7 +317,7 @@
     run(test())
 
 
-def test_two_doors_share_a_quota_by_one_tally(tmp_path: Path) -> None:
+def test_two_gateways_share_a_quota_through_one_counter(tmp_path: Path) -> None:
     async def test() -> None:
         plan = "rate = 1.0\nburst = 20"
         (tmp_path / "a").mkdir()
--- a/tests/test_text.py
+++ b/tests/test_text.py
@@ -1,4 +1,4 @@
-"""Text from outside becomes values within bounds, or one error with its place."""
+"""The parser of YAML and JSON from outside: bounded values, or one error with its place."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def bomb(levels: int) -> bytes:
-    """Aliases that unfold to ten to the power of the levels."""
+    """Return YAML whose aliases expand to ten to the power of `levels` values (a billion-laughs attack)."""
     lines = ["a0: &a0 [x, x, x, x, x, x, x, x, x, x]"]
     for n in range(1, levels):
         lines.append(f"a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 10)}]")
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "told"),
+    ("data", "expected"),
     [
         (b'{"a": 1, "a": 2}', "'a' stands twice"),
         (b"a: 1\na: 2\n", "line 2, column 1: the key 'a' stands twice"),
@@ -59,10 +59,10 @@
         (b"- " * (MAX_DEPTH + 5), "nested too deeply"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(data: bytes, told: str) -> None:
+def test_errors_name_their_place(data: bytes, expected: str) -> None:
     with pytest.raises(TextError) as caught:
         parse(data)
-    assert told in str(caught.value) and "\n" not in str(caught.value)
+    assert expected in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_aliases_that_unfold_to_gigabytes_are_refused_before_they_do() -> None:
