--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -239,7 +239,7 @@
                 if (compiled.files, self.site.options) == (self.table.compiled.files, self.options):
                     return False
                 changes = compare(self.table.compiled, compiled)
-                await self.take_over(compiled)
+                await self.apply_description(compiled)
             except (DescriptionError, CompilerError, TooManyClasses) as error:
                 log.error("the description stays as it was: %s", error)
                 return False
@@ -249,7 +249,7 @@
                 log.warning("description: %s", text)
             return True
 
-    async def take_over(self, compiled: Compiled) -> None:
+    async def apply_description(self, compiled: Compiled) -> None:
         """Serve new requests by another description.  Raises TooManyClasses without a change."""
         table = Table(compiled, self.classes)
         for _ in table.build():
--- a/tests/admin/calling.py
+++ b/tests/admin/calling.py
@@ -21,7 +21,7 @@
 from ivymux.tenants import secret
 from ivymux.tenants.places import ANY_ADDRESS, AddressRules
 from tests.routes.describing import described
-from tests.service.doors import PATHS
+from tests.service.fixtures import PATHS
 
 NUMBERS = count()
 SHEET = write_sheet(Inventory((Worker("w0", "127.0.0.1", 9),))).decode()
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -21,7 +21,7 @@
 from tests.admin.calling import Caller, serving
 from tests.hosting.fixtures import hosting
 from tests.routes.describing import described, operation
-from tests.service.doors import PATHS
+from tests.service.fixtures import PATHS
 from tests.sockets import run, until
 
 T = "/v1/tenants/a"
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -16,7 +16,7 @@
 from ivymux.cli import main
 from ivymux.service.callers import hash_key
 from tests.routes.describing import described, operation
-from tests.service.doors import KEY, PATHS, request, site_text
+from tests.service.fixtures import KEY, PATHS, make_request, site_text
 from tests.sockets import read_message, run
 from tests.test_start import free_port
 
@@ -145,7 +145,7 @@
 
             async def status(line: str) -> int:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(request(line))
+                writer.write(make_request(line))
                 got = (await read_message(reader)).status
                 writer.close()
                 return got
@@ -210,7 +210,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             content = body[5:-1].encode() if body else b""
             key = header.partition(": ")[2]
-            writer.write(request(f"{method[4:] or 'GET'} {target}", content, key))
+            writer.write(make_request(f"{method[4:] or 'GET'} {target}", content, key))
             got.append((await read_message(reader)).status)
             writer.close()
         assert got == [200, 200, 405]
--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -15,7 +15,7 @@
 from ivymux.service.standalone import open_standalone
 from tests.inventory import damage
 from tests.routes.describing import described, operation
-from tests.service.doors import site_text
+from tests.service.fixtures import site_text
 from tests.sockets import run
 
 
--- a/tests/cli/test_tenant.py
+++ b/tests/cli/test_tenant.py
@@ -19,7 +19,7 @@
 from standins.etcd import serving
 from tests.admin.calling import ROUTES, SHEET
 from tests.routes.describing import described
-from tests.service.doors import PATHS
+from tests.service.fixtures import PATHS
 
 
 def free_port() -> int:
--- a/tests/hosting/fixtures.py
+++ b/tests/hosting/fixtures.py
@@ -18,7 +18,7 @@
 from ivymux.hosting.site import read_hosting
 from ivymux.tenants.model import Tenant
 from standins.worker import Fleet, Plan, Worker, ordinary
-from tests.service.doors import Got, read_answer, request
+from tests.service.fixtures import HttpAnswer, make_request, read_answer
 from tests.tenants.making import tenant
 
 
@@ -73,7 +73,7 @@
 
     async def ask(
         self, hosted: TenantFixture, line: str = "GET /read/7", body: bytes = b"", **headers: str
-    ) -> Got:
+    ) -> HttpAnswer:
         """Send a request of a tenant's client on a connection of its own."""
         async with connect(self.gateway) as client:
             return await client.ask(hosted, line, body, **headers)
@@ -86,17 +86,17 @@
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
-    async def raw(self, data: bytes) -> Got:
+    async def raw(self, data: bytes) -> HttpAnswer:
         """Write bytes and read one answer."""
         self.writer.write(data)
         return await read_answer(self.reader)
 
     async def ask(
         self, hosted: TenantFixture, line: str = "GET /read/7", body: bytes = b"", **headers: str
-    ) -> Got:
+    ) -> HttpAnswer:
         """Send a request with the tenant's host name and key, unless `Host` or `key` replace them."""
         key = headers.pop("key", hosted.key)
-        return await self.raw(request(line, body, key, **({"Host": hosted.host} | headers)))
+        return await self.raw(make_request(line, body, key, **({"Host": hosted.host} | headers)))
 
 
 @contextlib.asynccontextmanager
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -23,7 +23,7 @@
 from standins.worker import Fleet, Worker
 from tests.desired.etcd_fixtures import access, begin
 from tests.desired.store_contract import change
-from tests.service.doors import read_answer, request
+from tests.service.fixtures import make_request, read_answer
 from tests.sockets import run, until
 from tests.tenants.making import tenant
 
@@ -65,7 +65,7 @@
 
     async def ask(self, gateway: HostingGateway, name: str) -> int:
         reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
-        writer.write(request("GET /read/7", b"", self.keys[name], Host=f"{name}.example"))
+        writer.write(make_request("GET /read/7", b"", self.keys[name], Host=f"{name}.example"))
         try:
             return (await read_answer(reader)).status
         finally:
--- a/tests/hosting/test_flood.py
+++ b/tests/hosting/test_flood.py
@@ -18,7 +18,7 @@
 
 from ivymux.desired.model import Change
 from ivymux.desired.sqlite import SqliteStore
-from tests.service.doors import read_answer, request
+from tests.service.fixtures import make_request, read_answer
 from tests.sockets import run
 from tests.tenants.making import tenant
 
@@ -120,7 +120,7 @@
 @pytest.mark.alone
 def test_a_tenant_that_floods_at_twenty_times_its_quota_does_not_delay_the_others(tmp_path: Path) -> None:
     async def test() -> None:
-        data = [request("GET /read/7", b"", key, Host=host) for host, key in callers]
+        data = [make_request("GET /read/7", b"", key, Host=host) for host, key in callers]
 
         async def run_round(first_rate: float, seconds: float) -> tuple[LoadResult, list[LoadResult]]:
             quiet = [
--- a/tests/hosting/test_hosting_gateway.py
+++ b/tests/hosting/test_hosting_gateway.py
@@ -21,7 +21,7 @@
 from standins.worker import Reply
 from tests.hosting.fixtures import HostingFixture, TenantFixture, connect, hosting
 from tests.routes.describing import described, operation
-from tests.service.doors import read_answer, request
+from tests.service.fixtures import make_request, read_answer
 from tests.sockets import run, until
 from tests.tenants.making import OPTIONS, compiled_of, key
 
@@ -231,7 +231,7 @@
 
             async def held(hosted: TenantFixture) -> int:
                 async with connect(fixture.gateway) as client:
-                    data = request("POST /write", b"x" * 60_000, hosted.key, Host=hosted.host)
+                    data = make_request("POST /write", b"x" * 60_000, hosted.key, Host=hosted.host)
                     return (await client.raw(data)).status
 
             assert await held(a) == 429 and await held(b) == 200
@@ -305,7 +305,7 @@
             a, b = fixture.tenants["a"], fixture.tenants["b"]
             capacity = fixture.gateway.server.max_clients
             assert capacity < 20
-            text = request("GET /read/7", b"", a.key, Host=a.host)
+            text = make_request("GET /read/7", b"", a.key, Host=a.host)
             sent_bytes = 0
 
             async def send_slowly() -> None:
@@ -435,7 +435,7 @@
     async def test() -> None:
         async with hosting(tmp_path, "a") as fixture:
             a = fixture.tenants["a"]
-            data = request("POST /write", b"body", a.key, Host=a.host)
+            data = make_request("POST /write", b"body", a.key, Host=a.host)
             for keys, status in ((a.tenant.keys, 200), ({}, 401)):
                 async with connect(fixture.gateway) as client:
                     client.writer.write(data[:-2])
--- a/tests/hosting/test_redis_counters.py
+++ b/tests/hosting/test_redis_counters.py
@@ -11,7 +11,7 @@
 from standins.redis import Redis
 from standins.worker import ordinary
 from tests.hosting.fixtures import hosting
-from tests.service.doors import ask, site_text, standing
+from tests.service.fixtures import running_gateway, send_request, site_text
 from tests.sockets import run, until
 
 
@@ -24,14 +24,18 @@
         world = await Redis(password="word").start()
         (tmp_path / "word").write_text("word\n")
         tally = table(world, ', password_file = "word"') + "timeout = 0.1"
-        async with standing(tmp_path, [ordinary], tally=tally, plan="rate = 20.0\nburst = 20") as place:
-            assert [(await ask(place, "GET /read/7")).status for _ in range(30)].count(200) in range(20, 24)
+        async with running_gateway(
+            tmp_path, [ordinary], tally=tally, plan="rate = 20.0\nburst = 20"
+        ) as fixture:
+            assert [(await send_request(fixture, "GET /read/7")).status for _ in range(30)].count(
+                200
+            ) in range(20, 24)
             assert world.leader.data and all(key.startswith(b"t:") for key in world.leader.data)
             world.stop()
-            answers = [await ask(place, "GET /read/7") for _ in range(10)]
+            answers = [await send_request(fixture, "GET /read/7") for _ in range(10)]
             refused = [a for a in answers if a.status != 200]
             assert all(a.status in (429, 503) and a.header("retry-after") for a in refused)
-            await until(lambda: not place.door.host.requests)
+            await until(lambda: not fixture.gateway.host.requests)
 
     run(test())
 
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -30,7 +30,7 @@
 from standins import worker as stand
 from tests.inventory import damage
 from tests.routes.describing import described
-from tests.service.doors import PATHS, Caller, site_text
+from tests.service.fixtures import PATHS, Client, site_text
 from tests.sockets import run, until
 
 
@@ -72,9 +72,9 @@
         return members, set(self.gateway.host.upstream.pools)
 
     async def generate_load(self) -> None:
-        async with Caller(self.gateway) as caller:
+        async with Client(self.gateway) as client:
             while not self.stopping:
-                answer = await caller.ask("GET /read/7")
+                answer = await client.send_request("GET /read/7")
                 self.statuses.add(answer.status)
                 self.served += 1
                 await asyncio.sleep(0)
@@ -552,8 +552,8 @@
                 worker.plan = partial(hold_writes, worker)
 
             async def write() -> int:
-                async with Caller(setup.gateway) as caller:
-                    return (await caller.ask("POST /read/7", b"x")).status
+                async with Client(setup.gateway) as client:
+                    return (await client.send_request("POST /read/7", b"x")).status
 
             writes = [asyncio.ensure_future(write()) for _ in range(2 * len(setup.workers))]
             await until(lambda: held)
--- a/tests/service/doors.py
+++ b/tests/service/fixtures.py
@@ -1,4 +1,4 @@
-"""A standalone front door with stand-in workers over loopback."""
+"""A gateway of `ivymux serve` over loopback, with stand-in workers and a client."""
 
 from __future__ import annotations
 
@@ -25,6 +25,10 @@
 
 
 def site_text(workers: Sequence[Worker], plan: str = "", top: str = "", **tables: str) -> str:
+    """Return a site file with one plan, one customer and these workers.
+
+    `plan` replaces the plan's quota, `top` has settings outside of tables, `tables` the content of tables.
+    """
     parts = [
         'listen = "127.0.0.1:0"', top, '[description]\nfile = "api.json"', tables.pop("description", ""),
         "[plans.p]", plan or "rate = 100000.0\nburst = 100000",
@@ -38,15 +42,16 @@
 
 
 @dataclass
-class Place:
-    """A door, its files and its workers."""
+class GatewayFixture:
+    """A running gateway, the folder of its files, and its workers."""
 
-    door: StandaloneGateway
+    gateway: StandaloneGateway
     folder: Path
     workers: list[Worker]
     fleet: Fleet
 
-    def describe(self, document: Any) -> None:
+    def write_description(self, document: Any) -> None:
+        """Replace the description atomically."""
         data = document if isinstance(document, bytes) else json.dumps(document).encode()
         part = self.folder / "api.json.part"
         part.write_bytes(data)
@@ -54,9 +59,10 @@
 
 
 @contextlib.asynccontextmanager
-async def standing(
+async def running_gateway(
     folder: Path, plans: Sequence[Plan] = (ordinary,), document: Any = None, **site: str
-) -> AsyncIterator[Place]:
+) -> AsyncIterator[GatewayFixture]:
+    """Run a gateway with a worker for each of `plans`; `site` has further arguments of `site_text`."""
     fleet = Fleet()
     workers = [await Worker(fleet, plan, bay=n % 2).start() for n, plan in enumerate(plans)]
     document = document or described(PATHS)
@@ -65,18 +71,20 @@
     )
     site.setdefault("keyed", "memory = 30.0")
     (folder / "site.toml").write_text(site_text(workers, **site))
-    door = await open_standalone(folder / "site.toml")
-    await door.start()
+    gateway = await open_standalone(folder / "site.toml")
+    await gateway.start()
     try:
-        yield Place(door, folder, workers, fleet)
+        yield GatewayFixture(gateway, folder, workers, fleet)
     finally:
-        await door.close()
+        await gateway.close()
         for worker in workers:
             worker.stop()
 
 
 @dataclass
-class Got:
+class HttpAnswer:
+    """An answer as the client received it."""
+
     status: int
     headers: list[tuple[str, str]]
     body: bytes
@@ -86,22 +94,28 @@
 
     @property
     def problem(self) -> dict[str, Any]:
+        """The body as problem details."""
         assert self.header("content-type") == "application/problem+json"
-        found: dict[str, Any] = json.loads(self.body)
-        assert found["status"] == self.status and found["title"]
-        return found
+        problem: dict[str, Any] = json.loads(self.body)
+        assert problem["status"] == self.status and problem["title"]
+        return problem
 
 
-async def read_answer(reader: asyncio.StreamReader, head: bool = False) -> Got:
+async def read_answer(reader: asyncio.StreamReader, is_head: bool = False) -> HttpAnswer:
+    """Read one answer; `is_head`: to a HEAD request, so without a body."""
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = [(k, v.strip()) for k, _, v in (line.partition(":") for line in lines[1:] if line)]
-    got = Got(int(lines[0].split()[1]), headers, b"")
-    if not head and got.status not in (204, 304):
-        got.body = await reader.readexactly(int(got.header("content-length")))
-    return got
+    answer = HttpAnswer(int(lines[0].split()[1]), headers, b"")
+    if not is_head and answer.status not in (204, 304):
+        answer.body = await reader.readexactly(int(answer.header("content-length")))
+    return answer
+
 
+def make_request(line: str, body: bytes = b"", key: str = KEY, /, **headers: str) -> bytes:
+    """Return a request as bytes; `line` is METHOD TARGET.
 
-def request(line: str, body: bytes = b"", key: str = KEY, /, **headers: str) -> bytes:
+    An empty header removes it; underscores in header names stand for hyphens.
+    """
     method, target = line.split(" ", 1)
     fields = {"Host": "h.example", "X-API-Key": key} | {k.replace("_", "-"): v for k, v in headers.items()}
     if body or method in ("POST", "PUT", "PATCH"):
@@ -110,28 +124,33 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class Caller:
+class Client:
     """One client connection."""
 
-    def __init__(self, door: StandaloneGateway) -> None:
-        self.door = door
+    def __init__(self, gateway: StandaloneGateway) -> None:
+        self.gateway = gateway
 
-    async def __aenter__(self) -> Caller:
-        self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.door.port)
+    async def __aenter__(self) -> Client:
+        self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.gateway.port)
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
 
-    async def raw(self, data: bytes, head: bool = False) -> Got:
+    async def send_bytes(self, data: bytes, is_head: bool = False) -> HttpAnswer:
+        """Write bytes and read one answer."""
         self.writer.write(data)
-        return await read_answer(self.reader, head)
+        return await read_answer(self.reader, is_head)
 
-    async def ask(self, line: str, body: bytes = b"", key: str = KEY, /, **headers: str) -> Got:
-        return await self.raw(request(line, body, key, **headers), line.startswith("HEAD "))
+    async def send_request(
+        self, line: str, body: bytes = b"", key: str = KEY, /, **headers: str
+    ) -> HttpAnswer:
+        return await self.send_bytes(make_request(line, body, key, **headers), line.startswith("HEAD "))
 
 
-async def ask(place: Place, line: str, body: bytes = b"", key: str = KEY, /, **headers: str) -> Got:
-    """One request on a connection of its own."""
-    async with Caller(place.door) as caller:
-        return await caller.ask(line, body, key, **headers)
+async def send_request(
+    fixture: GatewayFixture, line: str, body: bytes = b"", key: str = KEY, /, **headers: str
+) -> HttpAnswer:
+    """Send a request on a connection of its own."""
+    async with Client(fixture.gateway) as client:
+        return await client.send_request(line, body, key, **headers)
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -14,7 +14,7 @@
 from tests.routes.describing import described, operation
 from tests.sockets import run, until
 
-from .doors import PATHS, Caller, ask, read_answer, request, standing
+from .fixtures import PATHS, Client, make_request, read_answer, running_gateway, send_request
 
 
 def test_a_request_is_served_and_headers_pass_both_ways(tmp_path: Path) -> None:
@@ -24,14 +24,14 @@
         return Reply(data=answer(418, b"tea", fields))
 
     async def test() -> None:
-        async with standing(tmp_path, [plan]) as place:
-            got = await ask(
-                place, "GET /read/7?x=%41", X_Extra="e", Connection="X-Away", X_Away="1", TE="trailers"
+        async with running_gateway(tmp_path, [plan]) as fixture:
+            got = await send_request(
+                fixture, "GET /read/7?x=%41", X_Extra="e", Connection="X-Away", X_Away="1", TE="trailers"
             )
             assert (got.status, got.body, got.header("x-own")) == (418, b"tea", "1")
             assert [v for k, v in got.headers if k.lower() == "set-cookie"] == ["a=1", "b=2"]
             assert not any(got.header(n) for n in ("x-hop", "keep-alive", "server-load", "connection"))
-            seen = place.workers[0].last
+            seen = fixture.workers[0].last
             assert seen is not None and (seen.method, seen.target) == ("GET", b"/read/7?x=%41")
             assert (seen.header("x-extra"), seen.header("host")) == ("e", "h.example")
             assert seen.header("ivymux-customer") == "c" and len(seen.header("request-id")) == 16
@@ -44,16 +44,16 @@
     async def test() -> None:
         lies = {"X_Forwarded_For": "6.6.6.6", "Forwarded": "for=6.6.6.6", "X_Real_IP": "6.6.6.6"}
         lies |= {"X_Original_URL": "/admin", "Ivymux_Customer": "other", "X_Forwarded_Host": "evil"}
-        async with standing(tmp_path) as place:
-            await ask(place, "GET /read/7", **lies)
-            seen = place.workers[0].last
+        async with running_gateway(tmp_path) as fixture:
+            await send_request(fixture, "GET /read/7", **lies)
+            seen = fixture.workers[0].last
             assert seen is not None and seen.header("x-forwarded-for") == "127.0.0.1"
             assert seen.header("forwarded") == 'for=127.0.0.1;host="h.example";proto=http'
             assert seen.header("x-forwarded-host") == "h.example" and seen.header("ivymux-customer") == "c"
             assert not any(b"6.6.6.6" in v or b"/admin" in v for _, v in seen.headers)
-        async with standing(tmp_path, top='trusted_proxies = ["127.0.0.0/8"]') as place:
-            await ask(place, "GET /read/7", **lies)
-            seen = place.workers[0].last
+        async with running_gateway(tmp_path, top='trusted_proxies = ["127.0.0.0/8"]') as fixture:
+            await send_request(fixture, "GET /read/7", **lies)
+            seen = fixture.workers[0].last
             assert seen is not None and seen.header("x-forwarded-for") == "6.6.6.6, 127.0.0.1"
             assert seen.header("forwarded").startswith("for=6.6.6.6, for=127.0.0.1")
             assert seen.header("ivymux-customer") == "c" and not seen.header("x-original-url")
@@ -79,21 +79,21 @@
     tmp_path: Path, line: str, headers: dict[str, str], status: int
 ) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as place:
-            data = request(line, **headers)
+        async with running_gateway(tmp_path) as fixture:
+            data = make_request(line, **headers)
             if "Transfer_Encoding" in headers:
                 data += b"0\r\n\r\n"
-            async with Caller(place.door) as caller:
-                got = await caller.raw(data)
+            async with Client(fixture.gateway) as client:
+                got = await client.send_bytes(data)
             assert got.status == status
             if status >= 400:
-                assert got.problem["detail"] and not place.fleet.seen
+                assert got.problem["detail"] and not fixture.fleet.seen
             if status in (204, 405):
                 assert got.header("allow").split(", ")[-1] in ("PUT", "POST")
             if status == 401:
                 assert got.header("www-authenticate").startswith("ApiKey")
             if "other" in line:
-                seen = place.workers[0].last
+                seen = fixture.workers[0].last
                 assert seen is not None and (seen.target, seen.header("host")) == (
                     b"/read/7",
                     "other.example",
@@ -104,23 +104,29 @@
 
 def test_a_form_that_overrides_the_method_is_refused_but_for_unsafe_ones(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as place:
+        async with running_gateway(tmp_path) as fixture:
             form = {"Content_Type": "application/x-www-form-urlencoded; charset=utf-8"}
-            got = await ask(place, "POST /keyed", b"a=1&%5Fmethod=delete", Idempotency_Key="k", **form)
-            assert got.status == 400 and not place.fleet.seen
-            assert (await ask(place, "POST /write", b"_method=delete", **form)).status == 200
-            assert (await ask(place, "POST /keyed", b"_method=delete", Idempotency_Key="k")).status == 200
+            got = await send_request(
+                fixture, "POST /keyed", b"a=1&%5Fmethod=delete", Idempotency_Key="k", **form
+            )
+            assert got.status == 400 and not fixture.fleet.seen
+            assert (await send_request(fixture, "POST /write", b"_method=delete", **form)).status == 200
+            assert (
+                await send_request(fixture, "POST /keyed", b"_method=delete", Idempotency_Key="k")
+            ).status == 200
 
     run(test())
 
 
 def test_headers_with_an_underscore_do_not_pass(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as place:
-            data = request("GET /read/7").replace(b"\r\n\r\n", b"\r\nX_Http_Method_Override: DELETE\r\n\r\n")
-            async with Caller(place.door) as caller:
-                assert (await caller.raw(data)).status == 200
-            seen = place.workers[0].last
+        async with running_gateway(tmp_path) as fixture:
+            data = make_request("GET /read/7").replace(
+                b"\r\n\r\n", b"\r\nX_Http_Method_Override: DELETE\r\n\r\n"
+            )
+            async with Client(fixture.gateway) as client:
+                assert (await client.send_bytes(data)).status == 200
+            seen = fixture.workers[0].last
             assert seen is not None and not any(b"_" in name for name, _ in seen.headers)
 
     run(test())
@@ -128,10 +134,10 @@
 
 def test_a_body_too_large_is_413_and_one_that_fits_comes_whole(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, limits="body_kb = 64") as place:
-            assert (await ask(place, "POST /write", b"x" * 65_537)).status == 413
-            assert (await ask(place, "POST /write", b"y" * 65_536)).status == 200
-            seen = place.workers[0].last
+        async with running_gateway(tmp_path, limits="body_kb = 64") as fixture:
+            assert (await send_request(fixture, "POST /write", b"x" * 65_537)).status == 413
+            assert (await send_request(fixture, "POST /write", b"y" * 65_536)).status == 200
+            seen = fixture.workers[0].last
             assert seen is not None and seen.body == b"y" * 65_536
 
     run(test())
@@ -143,14 +149,14 @@
 
     async def test() -> None:
         document = described({"/a": {"get": dear}})
-        async with standing(tmp_path, document=document, plan="rate = 2.0\nburst = 10") as place:
-            assert (await ask(place, "GET /a?limit=10")).status == 200
-            got = await ask(place, "GET /a?limit=8")
+        async with running_gateway(tmp_path, document=document, plan="rate = 2.0\nburst = 10") as fixture:
+            assert (await send_request(fixture, "GET /a?limit=10")).status == 200
+            got = await send_request(fixture, "GET /a?limit=8")
             assert got.status == 429 and "Nothing was done" in got.problem["detail"]
             assert 1 <= int(got.header("retry-after")) <= 4  # 8 units are refilled in 4 s
-            got = await ask(place, "GET /a?limit=11")
+            got = await send_request(fixture, "GET /a?limit=11")
             assert got.status == 403 and "11 units" in got.problem["detail"]
-            assert sum(place.fleet.seen.values()) == 1
+            assert sum(fixture.fleet.seen.values()) == 1
 
     run(test())
 
@@ -172,11 +178,11 @@
     tmp_path: Path, reply: Reply, line: str, status: int, runs: int
 ) -> None:
     async def test() -> None:
-        async with standing(tmp_path, [lambda seen: reply] * 3) as place:
-            got = await ask(place, line, Request_Id="r1")
-            assert got.status == status and place.fleet.runs["r1"] <= runs
+        async with running_gateway(tmp_path, [lambda seen: reply] * 3) as fixture:
+            got = await send_request(fixture, line, Request_Id="r1")
+            assert got.status == status and fixture.fleet.runs["r1"] <= runs
             if runs == 1:
-                assert place.fleet.runs["r1"] == 1
+                assert fixture.fleet.runs["r1"] == 1
             if reply.data and b"Not-Started" not in reply.data:
                 assert got.body == reply.data.partition(b"\r\n\r\n")[2]  # the worker's own body
             else:
@@ -210,13 +216,13 @@
         return Reply(data=data, close=to_the_end)
 
     async def test() -> None:
-        async with standing(tmp_path, [plan]) as place:
-            async with Caller(place.door) as caller:
+        async with running_gateway(tmp_path, [plan]) as fixture:
+            async with Client(fixture.gateway) as client:
                 for _ in range(3):  # on one connection: no bytes of an answer may be left for the next one
-                    got = await caller.ask(line)
+                    got = await client.send_request(line)
                     assert (got.status, got.header("content-length")) == (status, length)
                     assert not got.header("transfer-encoding")
-            assert (place.workers[0].opened == 1) is again
+            assert (fixture.workers[0].opened == 1) is again
 
     run(test())
 
@@ -237,12 +243,12 @@
         return Reply(data=head + b"4\r\nHTTP\r\n0\r\n\r\n" + answer(200, b"another's"))
 
     async def test() -> None:
-        async with standing(tmp_path, [plan]) as place:
-            async with Caller(place.door) as caller:
+        async with running_gateway(tmp_path, [plan]) as fixture:
+            async with Client(fixture.gateway) as client:
                 for _ in range(3):
-                    got = await caller.ask("POST /write")
+                    got = await client.send_request("POST /write")
                     assert got.status == 502 and b"another" not in got.body
-            assert place.workers[0].opened == 3
+            assert fixture.workers[0].opened == 3
 
     run(test())
 
@@ -262,25 +268,25 @@
 )
 def test_an_ambiguous_request_is_refused(tmp_path: Path, fields: bytes) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as place:
+        async with running_gateway(tmp_path) as fixture:
             data = b"POST /write HTTP/1.1\r\nHost: h\r\nX-API-Key: iv_test-key\r\n" + fields + b"\r\n"
             data += b"0\r\n\r\nGET /read/smuggled HTTP/1.1\r\nHost: h\r\nX-API-Key: iv_test-key\r\n\r\n"
-            async with Caller(place.door) as caller:
-                got = await caller.raw(data)
+            async with Client(fixture.gateway) as client:
+                got = await client.send_bytes(data)
                 assert got.status in (400, 501)
-                rest = await caller.reader.read()
-            assert rest.count(b"HTTP/1.1 200") <= 1 and not place.fleet.seen
+                rest = await client.reader.read()
+            assert rest.count(b"HTTP/1.1 200") <= 1 and not fixture.fleet.seen
 
     run(test())
 
 
 def test_a_trailer_and_a_chunked_body_become_a_plain_one(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as place:
-            data = request("POST /write").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-            async with Caller(place.door) as caller:
-                got = await caller.raw(data + b"3\r\nabc\r\n0\r\nX-API-Key: other\r\n\r\n")
-            seen = place.workers[0].last
+        async with running_gateway(tmp_path) as fixture:
+            data = make_request("POST /write").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
+            async with Client(fixture.gateway) as client:
+                got = await client.send_bytes(data + b"3\r\nabc\r\n0\r\nX-API-Key: other\r\n\r\n")
+            seen = fixture.workers[0].last
             assert got.status == 200 and seen is not None
             assert (seen.body, seen.header("content-length")) == (b"abc", "3")
             assert not seen.header("transfer-encoding") and not seen.header("x-api-key")
@@ -290,49 +296,49 @@
 
 def test_a_client_that_closes_its_sending_side_still_gets_its_answers(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, [lambda seen: Reply(delay=0.05)]) as place:
-            async with Caller(place.door) as caller:
-                caller.writer.write(request("GET /read/1") + request("GET /read/2"))
-                caller.writer.write_eof()
-                assert [(await read_answer(caller.reader)).status for _ in range(2)] == [200, 200]
-                assert await caller.reader.read() == b""
-            await until(lambda: not place.door.server.clients)
-            assert not place.door.host.requests
+        async with running_gateway(tmp_path, [lambda seen: Reply(delay=0.05)]) as fixture:
+            async with Client(fixture.gateway) as client:
+                client.writer.write(make_request("GET /read/1") + make_request("GET /read/2"))
+                client.writer.write_eof()
+                assert [(await read_answer(client.reader)).status for _ in range(2)] == [200, 200]
+                assert await client.reader.read() == b""
+            await until(lambda: not fixture.gateway.server.clients)
+            assert not fixture.gateway.host.requests
 
     run(test())
 
 
 def test_an_incomplete_request_is_not_sent_to_a_worker(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as place:
-            async with Caller(place.door) as caller:
-                caller.writer.write(request("POST /write", b"whole")[:-2])
-                caller.writer.write_eof()
-                await caller.reader.read()
-            await until(lambda: not place.door.server.clients)
-            assert not place.fleet.seen and place.door.server.held_bytes == 0
+        async with running_gateway(tmp_path) as fixture:
+            async with Client(fixture.gateway) as client:
+                client.writer.write(make_request("POST /write", b"whole")[:-2])
+                client.writer.write_eof()
+                await client.reader.read()
+            await until(lambda: not fixture.gateway.server.clients)
+            assert not fixture.fleet.seen and fixture.gateway.server.held_bytes == 0
 
     run(test())
 
 
-def reset(caller: Caller) -> None:
+def reset(client: Client) -> None:
     """Disconnect with a TCP reset."""
-    sock = caller.writer.get_extra_info("socket")
+    sock = client.writer.get_extra_info("socket")
     sock.setsockopt(SOL_SOCKET, SO_LINGER, struct.pack("ii", 1, 0))
-    caller.writer.transport.abort()
+    client.writer.transport.abort()
 
 
 def test_a_disconnected_client_holds_no_memory(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, [lambda seen: Reply(delay=0.2)]) as place:
-            caller = Caller(place.door)
-            await caller.__aenter__()
-            caller.writer.write(request("POST /write", b"x" * 1000))
-            await until(lambda: place.fleet.seen)
-            reset(caller)
-            await until(lambda: not place.door.host.requests)
-            assert place.door.server.held_bytes == 0 and not any(place.door.classes.held)
-            assert max(place.fleet.runs.values()) == 1
+        async with running_gateway(tmp_path, [lambda seen: Reply(delay=0.2)]) as fixture:
+            client = Client(fixture.gateway)
+            await client.__aenter__()
+            client.writer.write(make_request("POST /write", b"x" * 1000))
+            await until(lambda: fixture.fleet.seen)
+            reset(client)
+            await until(lambda: not fixture.gateway.host.requests)
+            assert fixture.gateway.server.held_bytes == 0 and not any(fixture.gateway.classes.held)
+            assert max(fixture.fleet.runs.values()) == 1
 
     run(test())
 
@@ -340,12 +346,12 @@
 @pytest.mark.parametrize(("line", "ends"), [("GET /read/1", True), ("POST /write", False)])
 def test_a_disconnect_cancels_a_read_but_not_a_write(tmp_path: Path, line: str, ends: bool) -> None:
     async def test() -> None:
-        async with standing(tmp_path, [lambda seen: Reply(delay=20.0)]) as place:
-            async with Caller(place.door) as caller:
-                caller.writer.write(request(line))
-                await until(lambda: place.fleet.seen)
-                reset(caller)  # after a plain close the client might still read its answer
-            host = place.door.host
+        async with running_gateway(tmp_path, [lambda seen: Reply(delay=20.0)]) as fixture:
+            async with Client(fixture.gateway) as client:
+                client.writer.write(make_request(line))
+                await until(lambda: fixture.fleet.seen)
+                reset(client)  # after a plain close the client might still read its answer
+            host = fixture.gateway.host
             await until(lambda: host.departures.requests)
             if ends:
                 await until(lambda: not host.requests)
@@ -359,41 +365,41 @@
 
     async def test() -> None:
         limits = "answer_kb = 2048\nmemory_mb = 128"
-        async with standing(tmp_path, [lambda seen: Reply(data=big)], limits=limits) as place:
-            max_unread = place.door.frontend.max_unread_clients
-            callers = [Caller(place.door) for _ in range(max_unread + 4)]
-            for caller in callers:
-                await caller.__aenter__()
-                caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
-                caller.writer.write(request("GET /read/1") * 4)
-            await until(lambda: place.fleet.seen.total() >= max_unread)
-            await until(lambda: len(place.door.server.clients) <= max_unread)
-            assert len(place.door.server.slow_readers) <= max_unread
-            assert (await ask(place, "GET /read/1")).status == 200
-            for caller in callers:
-                caller.writer.transport.abort()
+        async with running_gateway(tmp_path, [lambda seen: Reply(data=big)], limits=limits) as fixture:
+            max_unread = fixture.gateway.frontend.max_unread_clients
+            clients = [Client(fixture.gateway) for _ in range(max_unread + 4)]
+            for client in clients:
+                await client.__aenter__()
+                client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+                client.writer.write(make_request("GET /read/1") * 4)
+            await until(lambda: fixture.fleet.seen.total() >= max_unread)
+            await until(lambda: len(fixture.gateway.server.clients) <= max_unread)
+            assert len(fixture.gateway.server.slow_readers) <= max_unread
+            assert (await send_request(fixture, "GET /read/1")).status == 200
+            for client in clients:
+                client.writer.transport.abort()
 
     run(test())
 
 
 def test_readiness_and_the_request_id(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as place:
-            assert (await ask(place, "GET /-/ready", b"", "")).body == b"ready\n"
-            await ask(place, "GET /read/7", Request_Id="mine-1")
-            seen = place.workers[0].last
+        async with running_gateway(tmp_path) as fixture:
+            assert (await send_request(fixture, "GET /-/ready", b"", "")).body == b"ready\n"
+            await send_request(fixture, "GET /read/7", Request_Id="mine-1")
+            seen = fixture.workers[0].last
             assert seen is not None and seen.header("request-id") == "mine-1"
-            await ask(place, "GET /read/7", Request_Id="a b\tc")
-            assert place.workers[0].last is not None
-            assert len(place.workers[0].last.header("request-id")) == 16
+            await send_request(fixture, "GET /read/7", Request_Id="a b\tc")
+            assert fixture.workers[0].last is not None
+            assert len(fixture.workers[0].last.header("request-id")) == 16
 
     run(test())
 
 
 def test_a_refusal_is_problem_details_in_json(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, document=described(PATHS)) as place:
-            got = await ask(place, "GET /none")
+        async with running_gateway(tmp_path, document=described(PATHS)) as fixture:
+            got = await send_request(fixture, "GET /none")
             assert json.loads(got.body) == {
                 "type": "about:blank", "title": "No such path", "status": 404,
                 "detail": "no such path in the description",
@@ -404,11 +410,17 @@
 
 def test_a_bearer_token_is_a_key_too(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, callers='header = "Authorization"') as place:
-            assert (await ask(place, "GET /read/1", Authorization="Bearer iv_test-key")).status == 200
-            assert (await ask(place, "GET /read/1", Authorization="bearer  iv_test-key")).status == 200
-            assert (await ask(place, "GET /read/1", Authorization="Basic iv_test-key")).status == 401
-            seen = place.workers[0].last
+        async with running_gateway(tmp_path, callers='header = "Authorization"') as fixture:
+            assert (
+                await send_request(fixture, "GET /read/1", Authorization="Bearer iv_test-key")
+            ).status == 200
+            assert (
+                await send_request(fixture, "GET /read/1", Authorization="bearer  iv_test-key")
+            ).status == 200
+            assert (
+                await send_request(fixture, "GET /read/1", Authorization="Basic iv_test-key")
+            ).status == 401
+            seen = fixture.workers[0].last
             assert seen is not None and not seen.header("authorization")
             await asyncio.sleep(0)
 
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -27,7 +27,7 @@
 from tests.sockets import run, until
 from tests.test_text import bomb
 
-from .doors import PATHS, Caller, Place, ask, request, site_text, standing
+from .fixtures import PATHS, Client, GatewayFixture, make_request, running_gateway, send_request, site_text
 
 UNSAFE = operation(x={"effect": "unsafe"})
 
@@ -37,12 +37,12 @@
 
 def test_a_changed_description_is_noticed_and_taken(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, description="watch = 0.02") as place:
-            assert (await ask(place, "GET /new")).status == 404
-            place.describe(described({"/new": {"get": operation()}}))
-            while (await ask(place, "GET /new")).status != 200:
+        async with running_gateway(tmp_path, description="watch = 0.02") as fixture:
+            assert (await send_request(fixture, "GET /new")).status == 404
+            fixture.write_description(described({"/new": {"get": operation()}}))
+            while (await send_request(fixture, "GET /new")).status != 200:
                 await asyncio.sleep(0.02)
-            assert (await ask(place, "GET /read/7")).status == 404
+            assert (await send_request(fixture, "GET /read/7")).status == 404
 
     run(test())
 
@@ -60,9 +60,9 @@
         tasks: list[asyncio.Task[bool]] = []
         gate = asyncio.Event()
 
-        async def change(place: Place) -> bool:
-            place.describe(document(after))
-            taken = await place.door.reload_description()
+        async def change(fixture: GatewayFixture) -> bool:
+            fixture.write_description(document(after))
+            taken = await fixture.gateway.reload_description()
             gate.set()
             return taken
 
@@ -74,25 +74,27 @@
             return Reply()
 
         held: list[Seen] = []
-        box: list[Place] = []
-        async with standing(tmp_path, [plan] * 3, document(before), description="watch = 0") as place:
-            box.append(place)
-            async with Caller(place.door) as caller:
-                caller.writer.write(request("GET /a", Request_Id="r"))
+        box: list[GatewayFixture] = []
+        async with running_gateway(
+            tmp_path, [plan] * 3, document(before), description="watch = 0"
+        ) as fixture:
+            box.append(fixture)
+            async with Client(fixture.gateway) as client:
+                client.writer.write(make_request("GET /a", Request_Id="r"))
                 await gate.wait()
                 assert await tasks[0]
-                for worker in place.workers:  # end the first attempt, which may have run
+                for worker in fixture.workers:  # end the first attempt, which may have run
                     for connection in list(worker.connections):
                         if connection.out == "r" and connection.transport is not None:
                             connection.transport.abort()
-                from .doors import read_answer
+                from .fixtures import read_answer
 
-                got = await read_answer(caller.reader)
+                got = await read_answer(client.reader)
             if before == "unsafe":
-                assert got.status == 502 and place.fleet.seen["r"] == 1
+                assert got.status == 502 and fixture.fleet.seen["r"] == 1
             else:
-                assert got.status == 200 and place.fleet.seen["r"] == 2
-            assert not any(place.door.classes.held)
+                assert got.status == 200 and fixture.fleet.seen["r"] == 2
+            assert not any(fixture.gateway.classes.held)
 
     run(test())
 
@@ -112,15 +114,15 @@
     tmp_path: Path, data: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with standing(tmp_path, description="watch = 0") as place:
-            table = place.door.table
-            place.describe(data)
-            assert not await place.door.reload_description()
-            assert place.door.table is table is place.door.frontend.table
-            assert (await ask(place, "GET /read/7")).status == 200
-            place.describe(described({"/new": {"get": operation()}}))
-            assert await place.door.reload_description()
-            assert (await ask(place, "GET /new")).status == 200
+        async with running_gateway(tmp_path, description="watch = 0") as fixture:
+            table = fixture.gateway.table
+            fixture.write_description(data)
+            assert not await fixture.gateway.reload_description()
+            assert fixture.gateway.table is table is fixture.gateway.frontend.table
+            assert (await send_request(fixture, "GET /read/7")).status == 200
+            fixture.write_description(described({"/new": {"get": operation()}}))
+            assert await fixture.gateway.reload_description()
+            assert (await send_request(fixture, "GET /new")).status == 200
 
     run(test())
     (line,) = [r.getMessage() for r in caplog.records if "stays as it was" in r.getMessage()]
@@ -129,14 +131,14 @@
 
 def test_a_description_that_is_deleted_and_written_again(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, description="watch = 0") as place:
-            (place.folder / "api.json").unlink()
-            await place.door.check_description()
-            await place.door.check_description()
-            assert (await ask(place, "GET /read/7")).status == 200
-            place.describe(described({"/new": {"get": operation()}}))
-            await place.door.check_description()
-            assert (await ask(place, "GET /new")).status == 200
+        async with running_gateway(tmp_path, description="watch = 0") as fixture:
+            (fixture.folder / "api.json").unlink()
+            await fixture.gateway.check_description()
+            await fixture.gateway.check_description()
+            assert (await send_request(fixture, "GET /read/7")).status == 200
+            fixture.write_description(described({"/new": {"get": operation()}}))
+            await fixture.gateway.check_description()
+            assert (await send_request(fixture, "GET /new")).status == 200
 
     run(test())
 
@@ -145,13 +147,13 @@
     from bench.descriptions import text
 
     async def test() -> None:
-        async with standing(tmp_path, description="watch = 0") as place:
-            place.describe(text(1200, 2000))
-            work = asyncio.ensure_future(place.door.reload_description())
+        async with running_gateway(tmp_path, description="watch = 0") as fixture:
+            fixture.write_description(text(1200, 2000))
+            work = asyncio.ensure_future(fixture.gateway.reload_description())
             served = 0
-            async with Caller(place.door) as caller:
+            async with Client(fixture.gateway) as client:
                 while not work.done():
-                    assert (await caller.ask("GET /read/7")).status in (200, 404)
+                    assert (await client.send_request("GET /read/7")).status in (200, 404)
                     served += 1
             assert await work and served > 20  # the benchmark measures how fast
 
@@ -250,27 +252,27 @@
 
 def test_keys_and_workers_change_with_the_site_file(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, description="watch = 0") as place:
-            other = await Worker(place.fleet).start()
+        async with running_gateway(tmp_path, description="watch = 0") as fixture:
+            other = await Worker(fixture.fleet).start()
             text = site_text([other], keyed="memory = 30.0", description="watch = 0")
-            site = place.folder / "site.toml"
+            site = fixture.folder / "site.toml"
             site.write_text(text.replace('name = "w0"', 'name = "other"'))
-            await place.door.reload()
-            assert (await ask(place, "GET /read/1")).status == 200
-            assert other.last is not None and place.workers[0].last is None
-            (known,) = place.door.member_list.members.values()
+            await fixture.gateway.reload()
+            assert (await send_request(fixture, "GET /read/1")).status == 200
+            assert other.last is not None and fixture.workers[0].last is None
+            (known,) = fixture.gateway.member_list.members.values()
             assert known.worker.name == "other" and known.since > 0  # it starts cold
             site.write_text(site.read_text().replace("sha256:", "sha256:00", 1)[:-2])
-            await place.door.reload()  # an invalid hash: the old keys stay in force
-            assert (await ask(place, "GET /read/1")).status == 200
+            await fixture.gateway.reload()  # an invalid hash: the old keys stay in force
+            assert (await send_request(fixture, "GET /read/1")).status == 200
             from ivymux.service.callers import hash_key
 
             new = text.replace('name = "w0"', 'name = "other"')
             new = new.replace(hash_key(b"iv_test-key"), hash_key(b"iv_second"))
             site.write_text(new)
-            await place.door.reload()
-            assert (await ask(place, "GET /read/1")).status == 401
-            assert (await ask(place, "GET /read/1", b"", "iv_second")).status == 200
+            await fixture.gateway.reload()
+            assert (await send_request(fixture, "GET /read/1")).status == 401
+            assert (await send_request(fixture, "GET /read/1", b"", "iv_second")).status == 200
             other.stop()
 
     run(test())
@@ -279,10 +281,10 @@
 @pytest.mark.parametrize("change", ["cut", "plan", "worker", "gone"])
 def test_a_site_file_that_cannot_be_served_changes_nothing(tmp_path: Path, change: str) -> None:
     async def test() -> None:
-        async with standing(tmp_path, description="watch = 0") as place:
-            site = place.folder / "site.toml"
+        async with running_gateway(tmp_path, description="watch = 0") as fixture:
+            site = fixture.folder / "site.toml"
             text = site.read_text()
-            before = (place.door.site, place.door.frontend.callers, place.door.workers)
+            before = (fixture.gateway.site, fixture.gateway.frontend.callers, fixture.gateway.workers)
             match change:
                 case "cut":
                     site.write_text(text[: len(text) // 2])
@@ -294,25 +296,25 @@
                     site.write_text(text + text[text.index("[[workers]]") :])
                 case "gone":
                     site.unlink()
-            await place.door.reload()
-            assert (place.door.site, place.door.frontend.callers, place.door.workers) == before
-            assert (await ask(place, "GET /read/1")).status == 200
+            await fixture.gateway.reload()
+            assert (fixture.gateway.site, fixture.gateway.frontend.callers, fixture.gateway.workers) == before
+            assert (await send_request(fixture, "GET /read/1")).status == 200
 
     run(test())
 
 
 def test_a_drain_answers_what_is_open(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, [lambda seen: Reply(delay=0.3)]) as place:
-            async with Caller(place.door) as caller:
-                caller.writer.write(request("POST /write"))
-                await until(lambda: place.fleet.seen)
-                draining = asyncio.ensure_future(place.door.drain())
-                from .doors import read_answer
-
-                assert (await read_answer(caller.reader)).status == 200
+        async with running_gateway(tmp_path, [lambda seen: Reply(delay=0.3)]) as fixture:
+            async with Client(fixture.gateway) as client:
+                client.writer.write(make_request("POST /write"))
+                await until(lambda: fixture.fleet.seen)
+                draining = asyncio.ensure_future(fixture.gateway.drain())
+                from .fixtures import read_answer
+
+                assert (await read_answer(client.reader)).status == 200
                 await draining
-            assert not place.door.host.requests
+            assert not fixture.gateway.host.requests
 
     run(test())
 
@@ -322,15 +324,15 @@
         plan = "rate = 1.0\nburst = 20"
         (tmp_path / "a").mkdir()
         (tmp_path / "b").mkdir()
-        first = standing(tmp_path / "a", plan=plan, tally='doors = 2\nlisten = "127.0.0.1:0"')
+        first = running_gateway(tmp_path / "a", plan=plan, tally='doors = 2\nlisten = "127.0.0.1:0"')
         async with first as one:
-            assert one.door.tally is not None and one.door.tally.server is not None
-            port = one.door.tally.server.sockets[0].getsockname()[1]
+            assert one.gateway.tally is not None and one.gateway.tally.server is not None
+            port = one.gateway.tally.server.sockets[0].getsockname()[1]
             tally = f'doors = 2\naddress = "127.0.0.1:{port}"'
-            async with standing(tmp_path / "b", plan=plan, tally=tally) as two:
+            async with running_gateway(tmp_path / "b", plan=plan, tally=tally) as two:
                 served = 0
                 for number in range(60):
-                    served += (await ask((one, two)[number % 2], "GET /read/1")).status == 200
+                    served += (await send_request((one, two)[number % 2], "GET /read/1")).status == 200
                 assert 15 <= served <= 24  # 20 at once and one a second, over both
 
     run(test())
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -18,7 +18,7 @@
 from tests.pauses import Pauses
 from tests.routes.describing import compiled, described, operation
 
-from .doors import Caller, Place, request, standing
+from .fixtures import Client, GatewayFixture, make_request, running_gateway
 
 REQUESTS, CALLERS = 10_000, 100
 DEADLINE = 0.8
@@ -62,68 +62,68 @@
 
         return plan
 
-    def watch(self, place: Place) -> None:
+    def watch(self, fixture: GatewayFixture) -> None:
         """Note under which effect each request was taken."""
-        frontend, take = place.door.frontend, place.door.frontend.accept
+        frontend, take = fixture.gateway.frontend, fixture.gateway.frontend.accept
 
         def noting(*args: Any) -> Any:
             call = take(*args)
             if isinstance(call, Call):
                 number = call.make_event(0).cls
-                self.effects[call.request_id.decode()] = place.door.classes.listed[number].effect
+                self.effects[call.request_id.decode()] = fixture.gateway.classes.listed[number].effect
             return call
 
         frontend.accept = noting  # type: ignore[method-assign, assignment]
 
-    async def swap(self, place: Place) -> None:
+    async def swap(self, fixture: GatewayFixture) -> None:
         """Another description every 100 ms."""
         made = [compiled(generation(number)) for number in range(105)]  # each combination once
         while True:
             began = time.monotonic()
-            await place.door.take_over(made[self.swaps % len(made)])
+            await fixture.gateway.apply_description(made[self.swaps % len(made)])
             self.swaps += 1
             await asyncio.sleep(max(0.0, 0.1 - (time.monotonic() - began)))
 
-    async def spoil(self, place: Place) -> None:
+    async def spoil(self, fixture: GatewayFixture) -> None:
         """Files that can't be served, compiled beside as a change of the file is."""
         while True:
             # Beside: a slow disk is no reason for a late answer.
-            await asyncio.to_thread(place.describe, b'{"openapi": "3.0.3", "paths": {"/cut')
-            assert not await place.door.reload_description()
+            await asyncio.to_thread(fixture.write_description, b'{"openapi": "3.0.3", "paths": {"/cut')
+            assert not await fixture.gateway.reload_description()
             self.spoilt += 1
             await asyncio.sleep(0.5)
 
-    async def half_written(self, place: Place, name: str) -> None:
+    async def half_written(self, fixture: GatewayFixture, name: str) -> None:
         """A request that never comes whole."""
-        data = request("POST /write", b"x" * 500, Request_Id=name)
-        async with Caller(place.door) as caller:
-            caller.writer.write(data[: self.rng.randrange(1, len(data) - 1)])
-            await caller.writer.drain()
-
-    async def calls(self, place: Place, number: int) -> None:
-        caller = Caller(place.door)
-        await caller.__aenter__()
+        data = make_request("POST /write", b"x" * 500, Request_Id=name)
+        async with Client(fixture.gateway) as client:
+            client.writer.write(data[: self.rng.randrange(1, len(data) - 1)])
+            await client.writer.drain()
+
+    async def calls(self, fixture: GatewayFixture, number: int) -> None:
+        client = Client(fixture.gateway)
+        await client.__aenter__()
         for turn in range(REQUESTS // CALLERS):
             name = f"r{number}-{turn}"
             if self.rng.random() < 0.02:
-                await self.half_written(place, f"half-{name}")
+                await self.half_written(fixture, f"half-{name}")
             line = self.rng.choice(KINDS).format(turn)
             headers = {"Request_Id": name}
             if "/keyed" in line or ("/flip" in line and turn % 2):
                 headers["Idempotency_Key"] = f"key-{name}"
             body = b"b" * self.rng.randrange(300) if line[0] == "P" else b""
             began = time.monotonic()
-            got = await caller.ask(line, body, **headers)
+            got = await client.send_request(line, body, **headers)
             self.asked.append((began, time.monotonic()))
             self.answers[name] += 1
             self.statuses[got.status] += 1
             if got.header("connection") == "close":
-                assert await caller.reader.read() == b""  # nothing after the answer
-                await caller.__aexit__()
-                await caller.__aenter__()
-        caller.writer.write_eof()
-        assert await caller.reader.read() == b""
-        await caller.__aexit__()
+                assert await client.reader.read() == b""  # nothing after the answer
+                await client.__aexit__()
+                await client.__aenter__()
+        client.writer.write_eof()
+        assert await client.reader.read() == b""
+        await client.__aexit__()
 
 
 @pytest.mark.alone
@@ -135,27 +135,27 @@
     async def test(pauses: Pauses) -> None:
         plans = [storm.plan(n) for n in range(4)]
         site = {"description": "watch = 0", "limits": "sockets = 2048\nattempts = 4"}
-        async with asyncio.timeout(120), standing(tmp_path, plans, generation(0), **site) as place:
-            storm.watch(place)
-            changing = [asyncio.ensure_future(work(place)) for work in (storm.swap, storm.spoil)]
+        async with asyncio.timeout(120), running_gateway(tmp_path, plans, generation(0), **site) as fixture:
+            storm.watch(fixture)
+            changing = [asyncio.ensure_future(work(fixture)) for work in (storm.swap, storm.spoil)]
             began = time.monotonic()
-            await asyncio.gather(*(storm.calls(place, n) for n in range(CALLERS)))
+            await asyncio.gather(*(storm.calls(fixture, n) for n in range(CALLERS)))
             for task in changing:
                 assert not task.done()
                 task.cancel()
             await asyncio.gather(*changing, return_exceptions=True)
             assert storm.swaps > (time.monotonic() - began) * 10 / 2 and storm.spoilt
-            while place.door.host.requests:  # attempts whose clients were answered run out
+            while fixture.gateway.host.requests:  # attempts whose clients were answered run out
                 await asyncio.sleep(0.01)
-            check(storm, place, pauses)
+            check(storm, fixture, pauses)
 
     with Pauses() as pauses:
         uvloop.run(test(pauses))
     assert not [r for r in caplog.records if r.exc_info]  # the module took every event
 
 
-def check(storm: Storm, place: Place, pauses: Pauses) -> None:
-    fleet, door = place.fleet, place.door
+def check(storm: Storm, fixture: GatewayFixture, pauses: Pauses) -> None:
+    fleet, door = fixture.fleet, fixture.gateway
     assert len(storm.answers) == REQUESTS and set(storm.answers.values()) == {1}
     assert set(storm.statuses) <= {200, 500, 502, 503, 504}
     assert max(end - began - pauses.total_within(began, end) for began, end in storm.asked) < DEADLINE + 0.5
@@ -178,4 +178,4 @@
     assert not any(name.startswith("half-") for name in fleet.seen)
     assert not any(door.classes.held) and door.server.held_bytes == 0 and door.host.unanswered_count == 0
     assert len(door.classes.listed) < 60  # numbers are used again
-    assert not any(worker.malformed for worker in place.workers)
+    assert not any(worker.malformed for worker in fixture.workers)
--- a/tests/tally/four.py
+++ b/tests/tally/four.py
@@ -17,7 +17,7 @@
 from standins.tally import Counts, Gate
 from standins.worker import Reply, Seen, Worker
 from tests.routes.describing import described, operation
-from tests.service.doors import Caller
+from tests.service.fixtures import Client
 
 GATEWAY_COUNT = 4
 RATE, BURST = 5.0, 18.0  # of each customer's quota; its ceiling is twice that
@@ -63,8 +63,8 @@
     async def send_request(self, gateway: int, customer: str) -> None:
         at = self.now
         try:
-            async with Caller(self.gateways[gateway]) as caller:
-                got = await caller.ask("GET /read/7", b"", f"iv_{customer}")
+            async with Client(self.gateways[gateway]) as client:
+                got = await client.send_request("GET /read/7", b"", f"iv_{customer}")
         except (OSError, asyncio.IncompleteReadError):
             self.unanswered += 1  # the gateway was killed
             return
--- a/tests/tenants/making.py
+++ b/tests/tenants/making.py
@@ -16,7 +16,7 @@
 from ivymux.tenants.secret import CALLER_PREFIX, create_key
 from ivymux.tenants.shares import TenantLimits
 from tests.routes.describing import described
-from tests.service.doors import PATHS
+from tests.service.fixtures import PATHS
 
 OPTIONS = site_of(Tenant(plans={"p": PlanPart(rate=1.0, burst=1.0)})).options
 
