--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -1,4 +1,8 @@
-"""Thousands of mixed requests through troubled workers while the description changes every 100 ms."""
+"""Thousands of mixed requests to faulty workers while the description changes every 100 ms.
+
+Guards against a write that runs twice and a request without exactly one answer, as if a request were handled
+partly by the old description and partly by the new one, or a keyed one were retried in another bay.
+"""
 
 from __future__ import annotations
 
@@ -27,14 +31,14 @@
 
 
 def generation(number: int) -> dict[str, Any]:
-    """Descriptions that differ in the effect of `/flip`, in classes, times and paths that come and go."""
+    """Return a description; they differ in the effect of `/flip`, in classes, costs and one of the paths."""
     effects = ("unsafe", "safe", "keyed")
     flip = {"effect": effects[number % 3], "class": f"flip-{number % 5}"}
     paths: dict[str, Any] = {
         "/read/{id}": {"get": operation(x={"cost": 1 + number % 2})},
         "/write": {"post": operation(x={"class": f"w{number % 4}"})},
         "/keyed": {"post": operation(x={"effect": "keyed"})},
-        "/bare": {"post": operation(x={"effect": "keyed"})},  # asked for without its key
+        "/bare": {"post": operation(x={"effect": "keyed"})},  # requested without an Idempotency-Key
         "/flip": {"put": operation(x=flip), "get": operation(x={"effect": effects[(number + 1) % 3]})},
         f"/passing-{number % 7}": {"get": operation()},
     }
@@ -44,11 +48,11 @@
 class Storm:
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.effects: dict[str, Effect] = {}  # by request, as it was taken
+        self.effects: dict[str, Effect] = {}  # by request id, as each was accepted
         self.not_started: Counter[str] = Counter()
         self.answers: Counter[str] = Counter()
         self.statuses: Counter[int] = Counter()
-        self.asked: list[tuple[float, float]] = []  # when each was asked and answered, monotonic seconds
+        self.asked: list[tuple[float, float]] = []  # when each was sent and answered, monotonic seconds
         self.swaps = self.spoilt = 0
 
     def plan(self, seed: int) -> Any:
@@ -63,7 +67,7 @@
         return plan
 
     def watch(self, fixture: GatewayFixture) -> None:
-        """Note under which effect each request was taken."""
+        """Record the effect under which each request is accepted."""
         frontend, take = fixture.gateway.frontend, fixture.gateway.frontend.accept
 
         def noting(*args: Any) -> Any:
@@ -76,7 +80,7 @@
         frontend.accept = noting  # type: ignore[method-assign, assignment]
 
     async def swap(self, fixture: GatewayFixture) -> None:
-        """Another description every 100 ms."""
+        """Switch to another description every 100 ms."""
         made = [compiled(generation(number)) for number in range(105)]  # each combination once
         while True:
             began = time.monotonic()
@@ -85,16 +89,16 @@
             await asyncio.sleep(max(0.0, 0.1 - (time.monotonic() - began)))
 
     async def spoil(self, fixture: GatewayFixture) -> None:
-        """Files that can't be served, compiled beside as a change of the file is."""
+        """Write descriptions that can't be served, and let the gateway reload them."""
         while True:
-            # Beside: a slow disk is no reason for a late answer.
+            # In a thread: a slow disk must not delay answers.
             await asyncio.to_thread(fixture.write_description, b'{"openapi": "3.0.3", "paths": {"/cut')
             assert not await fixture.gateway.reload_description()
             self.spoilt += 1
             await asyncio.sleep(0.5)
 
     async def half_written(self, fixture: GatewayFixture, name: str) -> None:
-        """A request that never comes whole."""
+        """Send a part of a request, then disconnect."""
         data = make_request("POST /write", b"x" * 500, Request_Id=name)
         async with Client(fixture.gateway) as client:
             client.writer.write(data[: self.rng.randrange(1, len(data) - 1)])
@@ -145,13 +149,13 @@
                 task.cancel()
             await asyncio.gather(*changing, return_exceptions=True)
             assert storm.swaps > (time.monotonic() - began) * 10 / 2 and storm.spoilt
-            while fixture.gateway.host.requests:  # attempts whose clients were answered run out
+            while fixture.gateway.host.requests:  # until the attempts of answered requests have ended
                 await asyncio.sleep(0.01)
             check(storm, fixture, pauses)
 
     with Pauses() as pauses:
         uvloop.run(test(pauses))
-    assert not [r for r in caplog.records if r.exc_info]  # the module took every event
+    assert not [r for r in caplog.records if r.exc_info]  # the decision module raised no error
 
 
 def check(storm: Storm, fixture: GatewayFixture, pauses: Pauses) -> None:
@@ -165,17 +169,17 @@
     for name, effect in storm.effects.items():
         runs, seen = fleet.runs[name], fleet.seen[name]
         if effect is Effect.UNSAFE:
-            # Sent again only where the worker said that it did not start.
+            # Retried only if the worker said that it had not started.
             assert runs <= 1 and seen - storm.not_started[name] <= 1, (name, runs, seen)
         elif effect is Effect.KEYED:
-            assert runs <= 1, (name, runs)  # repeats stay in the bay that drops them
+            assert runs <= 1, (name, runs)  # retries go to the bay whose workers drop them
             repeated += seen > 1
         else:
             repeated += runs > 1
     kinds = Counter(storm.effects.values())
-    assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # the storm had all of it
-    assert not fleet.together  # never two attempts out at once
+    assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # all cases occurred
+    assert not fleet.together  # never two attempts in flight for one request
     assert not any(name.startswith("half-") for name in fleet.seen)
     assert not any(door.classes.held) and door.server.held_bytes == 0 and door.host.unanswered_count == 0
-    assert len(door.classes.listed) < 60  # numbers are used again
+    assert len(door.classes.listed) < 60  # numbers are reused
     assert not any(worker.malformed for worker in fixture.workers)
