--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -1,4 +1,4 @@
-"""The inventory's commands."""
+"""The commands of `ivymux inventory`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ivymux.service.standalone import open_standalone
 from tests.inventory import damage
 from tests.routes.describing import described, operation
-from tests.service.doors import site_text
+from tests.service.fixtures import site_text
 from tests.sockets import run
 
 
@@ -74,8 +74,8 @@
     (tmp_path / "a.csv").write_text(damage.SHEET)
     (tmp_path / "b.csv").write_text(damage.SHEET.replace("20003", "0"))
     assert main(["inventory", "check", str(tmp_path / "a.csv"), str(tmp_path / "b.csv"), "--json"]) == 1
-    told = json.loads(capsys.readouterr().out)
-    assert told["workers"] == 12 and [f["file"] for f in told["findings"]] == ["b.csv"]
+    report = json.loads(capsys.readouterr().out)
+    assert report["workers"] == 12 and [f["file"] for f in report["findings"]] == ["b.csv"]
 
 
 def test_convert_there_and_back(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -94,7 +94,7 @@
     assert tree.read_bytes() == before
 
 
-def test_apply_judges_writes_whole_and_waits_for_the_door(
+def test_apply_checks_writes_atomically_and_waits_for_the_gateway(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "api.json").write_text(json.dumps(described({"/a": {"get": operation()}})))
@@ -110,8 +110,8 @@
         return code, capsys.readouterr().out
 
     async def test() -> None:
-        door = await open_standalone(site)
-        await door.start()
+        gateway = await open_standalone(site)
+        await gateway.start()
         try:
             new.write_text(damage.SHEET.replace("20003", "0"))
             assert (await ask())[0] == 1 and list_.read_text() == damage.SHEET
@@ -119,17 +119,17 @@
             code, out = await ask("--dry-run")
             assert code == 0 and "1 removed" in out and list_.read_text() == damage.SHEET
             code, out = await ask()
-            assert code == 0 and "taken as list 2" in out and len(door.member_list.members) == 11
+            assert code == 0 and "taken as list 2" in out and len(gateway.member_list.members) == 11
             new.write_text(sheet(4))
             code, out = await ask()
             assert code == 1 and "held back" in out and list_.read_text() == sheet(11)
             confirmation = out.rpartition("--confirm ")[2].strip()
-            assert (await ask("--confirm", "0" * 24))[0] == 1 and len(door.member_list.members) == 11
+            assert (await ask("--confirm", "0" * 24))[0] == 1 and len(gateway.member_list.members) == 11
             code, out = await ask("--confirm", confirmation)
-            assert code == 0 and "taken as list 3" in out and len(door.member_list.members) == 4
+            assert code == 0 and "taken as list 3" in out and len(gateway.member_list.members) == 4
         finally:
-            await door.close()
-        # What no front door takes is told, and stands there for its next start.
+            await gateway.close()
+        # A list that no gateway takes is reported; it stays in the file for the gateway's next start.
         new_tree = tmp_path / "tree.yml"
         assert main(["inventory", "convert", str(list_), str(new_tree)]) == 0
         new_tree.write_text(new_tree.read_text().replace("weight: 1", "weight: 2"))
@@ -140,7 +140,7 @@
     run(test())
 
 
-def test_apply_does_not_let_variables_beside_change_what_was_judged(
+def test_apply_refuses_a_list_that_variable_files_would_change(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     site, tree, new = tmp_path / "site.toml", tmp_path / "w.yml", tmp_path / "new.csv"
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -26,11 +26,11 @@
 from ivymux.membership.reader import ReadResult, ReadTask, read_and_check, read_in_child_process
 from ivymux.membership.snapshot_store import SnapshotStore
 from ivymux.membership.source import InventorySource
-from ivymux.service.standalone import Standalone, open_standalone
+from ivymux.service.standalone import StandaloneGateway, open_standalone
 from standins import worker as stand
 from tests.inventory import damage
 from tests.routes.describing import described
-from tests.service.doors import PATHS, Caller, site_text
+from tests.service.fixtures import PATHS, Client, site_text
 from tests.sockets import run, until
 
 
@@ -44,7 +44,7 @@
 class FollowedInventory:
     """A gateway under load, the inventory file that it follows and the workers that the file lists."""
 
-    gateway: Standalone
+    gateway: StandaloneGateway
     folder: Path
     file: Path
     workers: list[stand.Worker]
@@ -72,9 +72,9 @@
         return members, set(self.gateway.host.upstream.pools)
 
     async def generate_load(self) -> None:
-        async with Caller(self.gateway) as caller:
+        async with Client(self.gateway) as client:
             while not self.stopping:
-                answer = await caller.ask("GET /read/7")
+                answer = await client.send_request("GET /read/7")
                 self.statuses.add(answer.status)
                 self.served += 1
                 await asyncio.sleep(0)
@@ -552,8 +552,8 @@
                 worker.plan = partial(hold_writes, worker)
 
             async def write() -> int:
-                async with Caller(setup.gateway) as caller:
-                    return (await caller.ask("POST /read/7", b"x")).status
+                async with Client(setup.gateway) as client:
+                    return (await client.send_request("POST /read/7", b"x")).status
 
             writes = [asyncio.ensure_future(write()) for _ in range(2 * len(setup.workers))]
             await until(lambda: held)
@@ -636,7 +636,7 @@
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
             setup.source.settle.rest, setup.source.poll_period_s = 0.5, 0.25
-            setup.gateway.task(setup.source.run())
+            setup.gateway.start_task(setup.source.run())
             setup.write(write_sheet(setup.fleet(11)))
             started_at = time.monotonic()
             await until(lambda: len(setup.gateway.host.upstream.pools) == 11)
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -1,4 +1,8 @@
-"""Thousands of mixed requests through troubled workers while the description changes every 100 ms."""
+"""Thousands of mixed requests to faulty workers while the description changes every 100 ms.
+
+Guards against a write that runs twice and a request without exactly one answer, as if a request were handled
+partly by the old description and partly by the new one, or a keyed one were retried in another bay.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 from tests.pauses import Pauses
 from tests.routes.describing import compiled, described, operation
 
-from .doors import Caller, Place, request, standing
+from .fixtures import Client, GatewayFixture, make_request, running_gateway
 
 REQUESTS, CALLERS = 10_000, 100
 DEADLINE = 0.8
@@ -27,14 +31,14 @@
 
 
 def generation(number: int) -> dict[str, Any]:
-    """Descriptions that differ in the effect of `/flip`, in classes, times and paths that come and go."""
+    """Return a description; they differ in the effect of `/flip`, in classes, costs and one of the paths."""
     effects = ("unsafe", "safe", "keyed")
     flip = {"effect": effects[number % 3], "class": f"flip-{number % 5}"}
     paths: dict[str, Any] = {
         "/read/{id}": {"get": operation(x={"cost": 1 + number % 2})},
         "/write": {"post": operation(x={"class": f"w{number % 4}"})},
         "/keyed": {"post": operation(x={"effect": "keyed"})},
-        "/bare": {"post": operation(x={"effect": "keyed"})},  # asked for without its key
+        "/bare": {"post": operation(x={"effect": "keyed"})},  # requested without an Idempotency-Key
         "/flip": {"put": operation(x=flip), "get": operation(x={"effect": effects[(number + 1) % 3]})},
         f"/passing-{number % 7}": {"get": operation()},
     }
@@ -44,11 +48,11 @@
 class Storm:
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.effects: dict[str, Effect] = {}  # by request, as it was taken
+        self.effects: dict[str, Effect] = {}  # by request id, as each was accepted
         self.not_started: Counter[str] = Counter()
         self.answers: Counter[str] = Counter()
         self.statuses: Counter[int] = Counter()
-        self.asked: list[tuple[float, float]] = []  # when each was asked and answered, monotonic seconds
+        self.asked: list[tuple[float, float]] = []  # when each was sent and answered, monotonic seconds
         self.swaps = self.spoilt = 0
 
     def plan(self, seed: int) -> Any:
@@ -62,68 +66,68 @@
 
         return plan
 
-    def watch(self, place: Place) -> None:
-        """Note under which effect each request was taken."""
-        frontend, take = place.door.frontend, place.door.frontend.accept
+    def watch(self, fixture: GatewayFixture) -> None:
+        """Record the effect under which each request is accepted."""
+        frontend, take = fixture.gateway.frontend, fixture.gateway.frontend.accept
 
         def noting(*args: Any) -> Any:
             call = take(*args)
             if isinstance(call, Call):
                 number = call.make_event(0).cls
-                self.effects[call.request_id.decode()] = place.door.classes.listed[number].effect
+                self.effects[call.request_id.decode()] = fixture.gateway.classes.listed[number].effect
             return call
 
         frontend.accept = noting  # type: ignore[method-assign, assignment]
 
-    async def swap(self, place: Place) -> None:
-        """Another description every 100 ms."""
+    async def swap(self, fixture: GatewayFixture) -> None:
+        """Switch to another description every 100 ms."""
         made = [compiled(generation(number)) for number in range(105)]  # each combination once
         while True:
             began = time.monotonic()
-            await place.door.take_over(made[self.swaps % len(made)])
+            await fixture.gateway.apply_description(made[self.swaps % len(made)])
             self.swaps += 1
             await asyncio.sleep(max(0.0, 0.1 - (time.monotonic() - began)))
 
-    async def spoil(self, place: Place) -> None:
-        """Files that can't be served, compiled beside as a change of the file is."""
+    async def spoil(self, fixture: GatewayFixture) -> None:
+        """Write descriptions that can't be served, and let the gateway reload them."""
         while True:
-            # Beside: a slow disk is no reason for a late answer.
-            await asyncio.to_thread(place.describe, b'{"openapi": "3.0.3", "paths": {"/cut')
-            assert not await place.door.reload_description()
+            # In a thread: a slow disk must not delay answers.
+            await asyncio.to_thread(fixture.write_description, b'{"openapi": "3.0.3", "paths": {"/cut')
+            assert not await fixture.gateway.reload_description()
             self.spoilt += 1
             await asyncio.sleep(0.5)
 
-    async def half_written(self, place: Place, name: str) -> None:
-        """A request that never comes whole."""
-        data = request("POST /write", b"x" * 500, Request_Id=name)
-        async with Caller(place.door) as caller:
-            caller.writer.write(data[: self.rng.randrange(1, len(data) - 1)])
-            await caller.writer.drain()
+    async def half_written(self, fixture: GatewayFixture, name: str) -> None:
+        """Send a part of a request, then disconnect."""
+        data = make_request("POST /write", b"x" * 500, Request_Id=name)
+        async with Client(fixture.gateway) as client:
+            client.writer.write(data[: self.rng.randrange(1, len(data) - 1)])
+            await client.writer.drain()
 
-    async def calls(self, place: Place, number: int) -> None:
-        caller = Caller(place.door)
-        await caller.__aenter__()
+    async def calls(self, fixture: GatewayFixture, number: int) -> None:
+        client = Client(fixture.gateway)
+        await client.__aenter__()
         for turn in range(REQUESTS // CALLERS):
             name = f"r{number}-{turn}"
             if self.rng.random() < 0.02:
-                await self.half_written(place, f"half-{name}")
+                await self.half_written(fixture, f"half-{name}")
             line = self.rng.choice(KINDS).format(turn)
             headers = {"Request_Id": name}
             if "/keyed" in line or ("/flip" in line and turn % 2):
                 headers["Idempotency_Key"] = f"key-{name}"
             body = b"b" * self.rng.randrange(300) if line[0] == "P" else b""
             began = time.monotonic()
-            got = await caller.ask(line, body, **headers)
+            got = await client.send_request(line, body, **headers)
             self.asked.append((began, time.monotonic()))
             self.answers[name] += 1
             self.statuses[got.status] += 1
             if got.header("connection") == "close":
-                assert await caller.reader.read() == b""  # nothing after the answer
-                await caller.__aexit__()
-                await caller.__aenter__()
-        caller.writer.write_eof()
-        assert await caller.reader.read() == b""
-        await caller.__aexit__()
+                assert await client.reader.read() == b""  # nothing after the answer
+                await client.__aexit__()
+                await client.__aenter__()
+        client.writer.write_eof()
+        assert await client.reader.read() == b""
+        await client.__aexit__()
 
 
 @pytest.mark.alone
@@ -135,27 +139,27 @@
     async def test(pauses: Pauses) -> None:
         plans = [storm.plan(n) for n in range(4)]
         site = {"description": "watch = 0", "limits": "sockets = 2048\nattempts = 4"}
-        async with asyncio.timeout(120), standing(tmp_path, plans, generation(0), **site) as place:
-            storm.watch(place)
-            changing = [asyncio.ensure_future(work(place)) for work in (storm.swap, storm.spoil)]
+        async with asyncio.timeout(120), running_gateway(tmp_path, plans, generation(0), **site) as fixture:
+            storm.watch(fixture)
+            changing = [asyncio.ensure_future(work(fixture)) for work in (storm.swap, storm.spoil)]
             began = time.monotonic()
-            await asyncio.gather(*(storm.calls(place, n) for n in range(CALLERS)))
+            await asyncio.gather(*(storm.calls(fixture, n) for n in range(CALLERS)))
             for task in changing:
                 assert not task.done()
                 task.cancel()
             await asyncio.gather(*changing, return_exceptions=True)
             assert storm.swaps > (time.monotonic() - began) * 10 / 2 and storm.spoilt
-            while place.door.host.requests:  # attempts whose clients were answered run out
+            while fixture.gateway.host.requests:  # until the attempts of answered requests have ended
                 await asyncio.sleep(0.01)
-            check(storm, place, pauses)
+            check(storm, fixture, pauses)
 
     with Pauses() as pauses:
         uvloop.run(test(pauses))
-    assert not [r for r in caplog.records if r.exc_info]  # the module took every event
+    assert not [r for r in caplog.records if r.exc_info]  # the decision module raised no error
 
 
-def check(storm: Storm, place: Place, pauses: Pauses) -> None:
-    fleet, door = place.fleet, place.door
+def check(storm: Storm, fixture: GatewayFixture, pauses: Pauses) -> None:
+    fleet, door = fixture.fleet, fixture.gateway
     assert len(storm.answers) == REQUESTS and set(storm.answers.values()) == {1}
     assert set(storm.statuses) <= {200, 500, 502, 503, 504}
     assert max(end - began - pauses.total_within(began, end) for began, end in storm.asked) < DEADLINE + 0.5
@@ -165,17 +169,17 @@
     for name, effect in storm.effects.items():
         runs, seen = fleet.runs[name], fleet.seen[name]
         if effect is Effect.UNSAFE:
-            # Sent again only where the worker said that it did not start.
+            # Retried only if the worker said that it had not started.
             assert runs <= 1 and seen - storm.not_started[name] <= 1, (name, runs, seen)
         elif effect is Effect.KEYED:
-            assert runs <= 1, (name, runs)  # repeats stay in the bay that drops them
+            assert runs <= 1, (name, runs)  # retries go to the bay whose workers drop them
             repeated += seen > 1
         else:
             repeated += runs > 1
     kinds = Counter(storm.effects.values())
-    assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # the storm had all of it
-    assert not fleet.together  # never two attempts out at once
+    assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # all cases occurred
+    assert not fleet.together  # never two attempts in flight for one request
     assert not any(name.startswith("half-") for name in fleet.seen)
     assert not any(door.classes.held) and door.server.held_bytes == 0 and door.host.unanswered_count == 0
-    assert len(door.classes.listed) < 60  # numbers are used again
-    assert not any(worker.malformed for worker in place.workers)
+    assert len(door.classes.listed) < 60  # numbers are reused
+    assert not any(worker.malformed for worker in fixture.workers)
--- a/tests/tally/four.py
+++ b/tests/tally/four.py
@@ -13,11 +13,11 @@
 
 from ivymux.routes.description import compile_description
 from ivymux.service.callers import hash_key
-from ivymux.service.standalone import Standalone, load_site
+from ivymux.service.standalone import StandaloneGateway, load_site
 from standins.tally import Counts, Gate
 from standins.worker import Reply, Seen, Worker
 from tests.routes.describing import described, operation
-from tests.service.doors import Caller
+from tests.service.fixtures import Client
 
 GATEWAY_COUNT = 4
 RATE, BURST = 5.0, 18.0  # of each customer's quota; its ceiling is twice that
@@ -28,7 +28,7 @@
 class FourGateways:
     """The gateways, their connections to the counter, and what clients and workers observed."""
 
-    gateways: list[Standalone]
+    gateways: list[StandaloneGateway]
     gates: list[Gate]
     workers: list[Worker]
     counts: Counts
@@ -63,8 +63,8 @@
     async def send_request(self, gateway: int, customer: str) -> None:
         at = self.now
         try:
-            async with Caller(self.gateways[gateway]) as caller:
-                got = await caller.ask("GET /read/7", b"", f"iv_{customer}")
+            async with Client(self.gateways[gateway]) as client:
+                got = await client.send_request("GET /read/7", b"", f"iv_{customer}")
         except (OSError, asyncio.IncompleteReadError):
             self.unanswered += 1  # the gateway was killed
             return
@@ -120,12 +120,12 @@
     return path
 
 
-async def start_gateway(cluster: FourGateways, number: int, clock_error: float = 0.0) -> Standalone:
+async def start_gateway(cluster: FourGateways, number: int, clock_error: float = 0.0) -> StandaloneGateway:
     """Start a gateway; `clock_error`: seconds by which its machine's wall clock is wrong."""
     path = cluster.folder / f"site{number}.toml"
     made = load_site(path)
     data = (cluster.folder / "api.json").read_bytes()
-    gateway = Standalone(
+    gateway = StandaloneGateway(
         path, made, compile_description("api.json", {"api.json": data}.__getitem__, made.options)
     )
     gateway.clock.offset += clock_error
