--- a/bench/routes.py
+++ b/bench/routes.py
@@ -202,7 +202,7 @@
         data = text(size)
         compiled = compile_description("api.json", lambda _, data=data: data)  # type: ignore[misc]
         operations = compiled.operations
-        router = Router.of(operations)
+        router = Router.from_operations(operations)
         targets = [(o, re.sub(r"{[^}]*}", "ab12", o.path).encode()) for o in operations]
         for operation, target in targets:
             assert router.match(operation.method, target)[0].operation is operation
--- a/ivymux/routes/description.py
+++ b/ivymux/routes/description.py
@@ -441,6 +441,6 @@
         if text in node.literals:
             stack.append((node.literals[text], at + 1, own))
         if text and node.partials is not None:
-            stack.extend((partial, at + 1, False) for partial in node.partials.fitting(text))
+            stack.extend((partial, at + 1, False) for partial in node.partials.matching(text))
         if text and node.parameter is not None:
             stack.append((node.parameter, at + 1, False))
--- a/ivymux/routes/table.py
+++ b/ivymux/routes/table.py
@@ -43,7 +43,7 @@
 
     def build(self) -> Iterator[int]:
         """Fill the router bit by bit; `enter` comes when it is full."""
-        yield from self.router.fill(self.compiled.operations)
+        yield from self.router.add_all(self.compiled.operations)
 
     def wanted(self) -> set[RequestClass]:
         """The distinct classes of all operations.  A keyed one's requests without a key are unsafe."""
@@ -69,7 +69,7 @@
             unsafe = self.numbers.get(self.class_of(operation, Effect.UNSAFE), -1)
             of[known] = self.numbers[self.class_of(operation, operation.effect)], unsafe
         for route in self.router.routes:
-            route.number, route.unsafe = of[traits(route.operation)]
+            route.class_number, route.keyless_class_number = of[traits(route.operation)]
 
     def decide(self, method: str, target: bytes, headers: list[tuple[bytes, bytes]]) -> Decision:
         """What a request is handled by.  Raises NoRoute, BadParameter."""
@@ -80,9 +80,9 @@
                 raise BadParameter(f"{name.decode()} is not served: it would hide the method")
         if read.query and (found := override.in_query(read.query)) and found not in operation.overrides:
             raise BadParameter("a query parameter that overrides the method is not served")
-        number, effect = route.number, operation.effect
+        number, effect = route.class_number, operation.effect
         if effect is Effect.KEYED and not has_key(operation, read, headers):
-            number, effect = route.unsafe, Effect.UNSAFE
+            number, effect = route.keyless_class_number, Effect.UNSAFE
         units = operation.cost.amount if not operation.cost.source else cost(route, read, headers)
         return Decision(operation, number, effect, units, read)
 
--- a/ivymux/routes/template.py
+++ b/ivymux/routes/template.py
@@ -1,4 +1,4 @@
-"""Path templates: their segments, and which segment of a target fits which."""
+"""Parses path templates and matches the segments of a target against them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 
 class TemplateError(ValueError):
-    """A template that no target could match, or that could be read in two ways."""
+    """A template that no target could match, or that is ambiguous."""
 
 
 @dataclass(slots=True, frozen=True)
 class Segment:
-    """One part of a template: literals with parameters between them; `literals` has one more entry.
+    """One segment of a template: literals with parameters between them.
 
-    A whole literal has no parameters; a whole parameter has two empty literals.
+    `literals` has one entry more than `names`.  A literal segment has no parameters; a segment that is one
+    parameter has two empty literals.
     """
 
     literals: tuple[str, ...]
@@ -25,84 +26,89 @@
 
     @property
     def literal(self) -> str | None:
+        """The text of a segment without parameters; None if it has parameters."""
         return self.literals[0] if not self.names else None
 
     @property
-    def whole(self) -> bool:
-        """Whether it is one parameter and nothing else."""
+    def is_parameter(self) -> bool:
+        """Whether the segment is one parameter and nothing else."""
         return len(self.names) == 1 and not any(self.literals)
 
-    def values(self, text: str) -> tuple[str, ...] | None:
-        """What the parameters hold where the segment fits, each at least one character.
+    def match(self, text: str) -> tuple[str, ...] | None:
+        """Return the parameters' values, each at least one character; None if the text does not match.
 
-        Each literal is looked for from the left, so the time is linear however many there are; that finds
-        a fit wherever there is one.
+        Each literal is searched for from the left, so the time is linear in the length of the text.  This
+        finds a match whenever there is one.
         """
         first, *middle, last = self.literals
         if len(text) < len(first) + len(last) or not (text.startswith(first) and text.endswith(last)):
             return None
-        at, end = len(first), len(text) - len(last)
-        found = []
+        position, end = len(first), len(text) - len(last)
+        values = []
         for literal in middle:
-            next_at = text.find(literal, at + 1, end)
-            if next_at < 0:
+            next_position = text.find(literal, position + 1, end)
+            if next_position < 0:
                 return None
-            found.append(text[at:next_at])
-            at = next_at + len(literal)
-        if end <= at:
+            values.append(text[position:next_position])
+            position = next_position + len(literal)
+        if end <= position:
             return None
-        found.append(text[at:end])
-        return tuple(found)
+        values.append(text[position:end])
+        return tuple(values)
 
 
-def decoded(text: str) -> str:
-    """A literal as targets are compared with it: percent-decoded, and nothing that a target may not hold."""
+def decode_literal(text: str) -> str:
+    """Percent-decode a literal, as targets are compared with it.
+
+    Raises TemplateError if it contains what no valid target can contain.
+    """
     try:
-        plain = unquote_to_bytes(text).decode("utf-8")
+        decoded = unquote_to_bytes(text).decode("utf-8")
     except UnicodeDecodeError:
-        raise TemplateError(f"{text!r} is not UTF-8 once decoded") from None
-    if any(c in "/\\;?#" or ord(c) < 32 or ord(c) == 127 for c in plain):
-        raise TemplateError(f"{text!r} holds a character that no served target may hold")
-    return plain
+        raise TemplateError(f"{text!r} is not UTF-8 after decoding") from None
+    if any(c in "/\\;?#" or ord(c) < 32 or ord(c) == 127 for c in decoded):
+        raise TemplateError(f"{text!r} contains a character that is not served in targets")
+    return decoded
 
 
 def parse_segment(text: str) -> Segment:
+    """Parse one segment of a template.  Raises TemplateError."""
     literals: list[str] = []
     names: list[str] = []
     rest = text
-    while (opened := rest.find("{")) >= 0:
-        closed = rest.find("}", opened)
-        if closed < 0:
-            raise TemplateError(f"{text!r} has a brace that is not closed")
-        name = rest[opened + 1 : closed]
+    while (opening := rest.find("{")) >= 0:
+        closing = rest.find("}", opening)
+        if closing < 0:
+            raise TemplateError(f"{text!r} has an opening brace without a closing one")
+        name = rest[opening + 1 : closing]
         if not name or "{" in name:
             raise TemplateError(f"{text!r} has a parameter without a name")
-        if names and not opened:
+        if names and not opening:
             raise TemplateError(f"{text!r} has two parameters with nothing between them")
-        literals.append(decoded(rest[:opened]))
+        literals.append(decode_literal(rest[:opening]))
         names.append(name)
-        rest = rest[closed + 1 :]
+        rest = rest[closing + 1 :]
     if "}" in rest or any("}" in literal for literal in literals):
-        raise TemplateError(f"{text!r} has a brace that was not opened")
+        raise TemplateError(f"{text!r} has a closing brace without an opening one")
     if len(names) > MAX_PARAMETERS:
         raise TemplateError(f"{text!r} has more than {MAX_PARAMETERS} parameters")
-    literals.append(decoded(rest))
+    literals.append(decode_literal(rest))
     return Segment(tuple(literals), tuple(names))
 
 
 def parse_template(path: str) -> tuple[Segment, ...]:
-    """The segments of a path template.  Raises TemplateError."""
+    """Parse a path template into its segments.  Raises TemplateError."""
     if not path.startswith("/"):
-        raise TemplateError("a path begins with a slash")
+        raise TemplateError("a path must begin with a slash")
     segments = tuple(parse_segment(part) for part in path[1:].split("/"))
     if len(segments) > MAX_SEGMENTS:
         raise TemplateError(f"more than {MAX_SEGMENTS} segments")
-    for number, segment in enumerate(segments):
+    for index, segment in enumerate(segments):
         if segment.literal in (".", ".."):
-            raise TemplateError("a dot segment: no served target holds one")
-        if segment.literal == "" and number < len(segments) - 1:
-            raise TemplateError("a doubled slash: no served target holds one")
+            raise TemplateError("a dot segment: targets with one are not served")
+        if segment.literal == "" and index < len(segments) - 1:
+            raise TemplateError("an empty segment (doubled slash): targets with one are not served")
     names = [name for segment in segments for name in segment.names]
     if len(set(names)) != len(names):
-        raise TemplateError("a parameter's name stands twice")
+        raise TemplateError("duplicate parameter name")
     return segments
--- a/tests/routes/test_description.py
+++ b/tests/routes/test_description.py
@@ -138,7 +138,7 @@
         (described({"/a": {"get": {}}}), "/paths/~1a/get"),
         (described({"a": {"get": operation()}}), "error"),
         (described({"/a": {"gett": operation()}}), "/paths/~1a"),
-        (described({"/a//b": {"get": operation()}}), "doubled slash"),
+        (described({"/a//b": {"get": operation()}}), "empty segment (doubled slash)"),
         (described({"/{x}/{x}": {"get": operation()}}), "non-unique"),
         (described({"/a": {m: operation(operationId="o") for m in ("get", "put")}}), "operationId 'o'"),
         (described({"/{x}": {"get": operation()}, "/{y}": {"get": operation()}}), "would have two"),
--- a/tests/routes/test_matcher.py
+++ b/tests/routes/test_matcher.py
@@ -1,4 +1,4 @@
-"""Concrete before templated, the more literal first, no target in two classes."""
+"""Route matching: literal segments before parameters, longer literals before shorter ones."""
 
 from __future__ import annotations
 
@@ -15,91 +15,91 @@
 from ivymux.routes.template import TemplateError, parse_template
 from orchidhill.interface import Effect
 
-from .test_target import spelt
+from .test_target import percent_encode
 
 
 def op(path: str, method: str = "GET", effect: Effect = Effect.SAFE) -> Operation:
     return Operation(f"{method} {path}", method, path, "c", effect, Cost(), 1.0, 2.0, 1.0)
 
 
-def router(*paths: str) -> Router:
-    """Routes of paths, each with a method before it or GET."""
-    return Router.of(op(p.split()[-1], p.split()[0] if " " in p else "GET") for p in paths)
+def make_router(*paths: str) -> Router:
+    """Build a router from paths, each optionally after a method; the default is GET."""
+    return Router.from_operations(op(p.split()[-1], p.split()[0] if " " in p else "GET") for p in paths)
 
 
-def found(made: Router, target: str, method: str = "GET") -> str:
-    return made.match(method, target.encode())[0].operation.path
+def matched_path(router: Router, target: str, method: str = "GET") -> str:
+    return router.match(method, target.encode())[0].operation.path
 
 
-def status(made: Router, target: str, method: str = "GET") -> int:
+def error_status(router: Router, target: str, method: str = "GET") -> int:
     with pytest.raises(NoRoute) as caught:
-        made.match(method, target.encode())
+        router.match(method, target.encode())
     return caught.value.status
 
 
 @pytest.mark.parametrize("order", [1, -1])
-def test_the_more_literal_goes_first_in_any_order_of_the_file(order: int) -> None:
+def test_the_more_literal_template_wins_whatever_the_order_in_the_file(order: int) -> None:
     paths = ["/a/{x}", "/a/b", "/a/{x}/c", "/a/b/{y}", "/{z}/b/c", "/a/{x}.json", "/a/v{x}.json", "/a/v{x}"][
         ::order
     ]
-    made = router(*paths)
+    router = make_router(*paths)
     expected = {
         "/a/b": "/a/b", "/a/q": "/a/{x}", "/a/b/c": "/a/b/{y}", "/a/q/c": "/a/{x}/c", "/q/b/c": "/{z}/b/c",
         "/a/q.json": "/a/{x}.json", "/a/v1.json": "/a/v{x}.json", "/a/v1": "/a/v{x}", "/a/.json": "/a/{x}",
     }  # fmt: skip
-    assert {target: found(made, target) for target in expected} == expected
+    assert {target: matched_path(router, target) for target in expected} == expected
 
 
-def test_it_goes_back_where_the_literal_branch_ends_in_nothing() -> None:
-    made = router("/a/b/c", "/{x}/b/d", "/a/{y}/e")
-    assert found(made, "/a/b/d") == "/{x}/b/d" and found(made, "/a/b/e") == "/a/{y}/e"
-    assert status(made, "/a/b/f") == 404
+def test_matching_backtracks_from_a_literal_branch_without_a_match() -> None:
+    router = make_router("/a/b/c", "/{x}/b/d", "/a/{y}/e")
+    assert matched_path(router, "/a/b/d") == "/{x}/b/d" and matched_path(router, "/a/b/e") == "/a/{y}/e"
+    assert error_status(router, "/a/b/f") == 404
 
 
-def test_part_of_a_segment_beside_one_of_the_whole() -> None:
-    made = router("/r/{base}...{head}", "/r/{basehead}")
-    assert found(made, "/r/main...topic") == "/r/{base}...{head}"
-    for whole in ("/r/main", "/r/...topic", "/r/main...", "/r/main..topic"):
-        assert found(made, whole) == "/r/{basehead}"
-    route, target = made.match("GET", b"/r/a...b...c")
+def test_partly_literal_segments_win_over_a_parameter_of_the_whole_segment() -> None:
+    router = make_router("/r/{base}...{head}", "/r/{basehead}")
+    assert matched_path(router, "/r/main...topic") == "/r/{base}...{head}"
+    for other in ("/r/main", "/r/...topic", "/r/main...", "/r/main..topic"):
+        assert matched_path(router, other) == "/r/{basehead}"
+    route, target = router.match("GET", b"/r/a...b...c")
     assert (route.parameter("base", target.segments), route.parameter("head", target.segments)) == (
         "a",
         "b...c",
     )
 
 
-def test_methods_allow_and_head() -> None:
-    made = router("GET /a", "POST /a", "DELETE /b")
-    assert made.match("HEAD", b"/a")[0].operation.method == "GET"
+def test_methods_the_allow_header_and_head() -> None:
+    router = make_router("GET /a", "POST /a", "DELETE /b")
+    assert router.match("HEAD", b"/a")[0].operation.method == "GET"
     with pytest.raises(NoRoute) as caught:
-        made.match("PUT", b"/a")
+        router.match("PUT", b"/a")
     assert (caught.value.status, caught.value.allow) == (405, ("GET", "HEAD", "OPTIONS", "POST"))
-    assert status(made, "/b", "HEAD") == 405 and status(made, "/b", "GET") == 405
-    # A concrete path keeps its targets even for methods that only the template has.
-    both = router("GET /u/me", "DELETE /u/{id}", "GET /u/{id}")
-    assert status(both, "/u/me", "DELETE") == 405 and found(both, "/u/7", "DELETE") == "/u/{id}"
+    assert error_status(router, "/b", "HEAD") == 405 and error_status(router, "/b", "GET") == 405
+    # A literal path takes precedence even for methods that only the template has.
+    both = make_router("GET /u/me", "DELETE /u/{id}", "GET /u/{id}")
+    assert error_status(both, "/u/me", "DELETE") == 405 and matched_path(both, "/u/7", "DELETE") == "/u/{id}"
 
 
 @pytest.mark.parametrize(
     "target",
     ["/pets/Mine", "/PETS/mine", "/pets/MINE", "/Pets/7", "/pets/mine/", "/pets", "/pets/", "/pets/7/"],
 )
-def test_case_and_a_closing_slash_reach_no_other_operation(target: str) -> None:
-    made = router("/pets/mine", "/pets/{id}", "/{any}/{id}")
-    assert status(made, target) == 404
+def test_case_and_a_trailing_slash_reach_no_other_operation(target: str) -> None:
+    router = make_router("/pets/mine", "/pets/{id}", "/{any}/{id}")
+    assert error_status(router, target) == 404
 
 
-def test_a_closing_slash_that_is_described_is_its_own_path() -> None:
-    made = router("/a", "/a/{x}/", "/a/{x}")
-    assert found(made, "/a/1/") == "/a/{x}/" and found(made, "/a/1") == "/a/{x}"
+def test_a_described_trailing_slash_is_a_path_of_its_own() -> None:
+    router = make_router("/a", "/a/{x}/", "/a/{x}")
+    assert matched_path(router, "/a/1/") == "/a/{x}/" and matched_path(router, "/a/1") == "/a/{x}"
 
 
-def test_two_operations_at_one_place_clash_whatever_their_names() -> None:
+def test_operations_whose_templates_differ_only_in_parameter_names_conflict() -> None:
     with pytest.raises(Clash):
-        router("/a/{x}", "/a/{y}")
+        make_router("/a/{x}", "/a/{y}")
     with pytest.raises(Clash):
-        router("/a/{x}...{y}", "/a/{v}...{w}")
-    assert router("GET /a/{x}", "POST /a/{y}").size == 2
+        make_router("/a/{x}...{y}", "/a/{v}...{w}")
+    assert make_router("GET /a/{x}", "POST /a/{y}").size == 2
 
 
 @pytest.mark.parametrize(
@@ -113,30 +113,30 @@
 
 
 def test_a_hostile_segment_takes_linear_time() -> None:
-    made = router("/{a}-{b}-{c}-{d}-{e}-{f}-{g}x")
-    assert status(made, "/" + "-" * 8000) == 404  # ends at once; backtracking would not end today
+    router = make_router("/{a}-{b}-{c}-{d}-{e}-{f}-{g}x")
+    assert error_status(router, "/" + "-" * 8000) == 404  # backtracking would take practically for ever
 
 
-def plain_match(operations: list[Operation], segments: list[str]) -> list[str]:
-    """The rule said plainly and slowly: of all that fit, the most literal one from the left."""
+def reference_match(operations: list[Operation], segments: list[str]) -> list[str]:
+    """Reference implementation: all paths that match, the most literal one from the left first."""
 
     def rank(path: str) -> list[Any]:
         ranks: list[Any] = []
         for segment in parse_template(path):
             literal = sum(map(len, segment.literals))
-            kind = 0 if not segment.names else 2 if segment.whole else 1
+            kind = 0 if not segment.names else 2 if segment.is_parameter else 1
             ranks.append((kind, -literal, -len(segment.literals[0]), segment.literals))
         return ranks
 
-    fitting = []
+    matching = []
     for operation in operations:
         parts = [re.split(r"\{[^}]*\}", p) for p in operation.path[1:].split("/")]
         if len(parts) == len(segments) and all(
             re.fullmatch("(.+)".join(map(re.escape, part)), segment, re.S)
             for part, segment in zip(parts, segments, strict=True)
         ):
-            fitting.append(operation.path)
-    return sorted(fitting, key=rank)
+            matching.append(operation.path)
+    return sorted(matching, key=rank)
 
 
 TEMPLATE = st.lists(
@@ -146,22 +146,24 @@
 
 @given(st.lists(TEMPLATE, min_size=1, max_size=12), st.lists(st.sampled_from(
     ["a", "b", "c", "c.x", "ab", "a-b", "abx", "a.x", "-", "a-b.x"]), min_size=1, max_size=4))  # fmt: skip
-def test_the_tree_agrees_with_the_rule_said_plainly(templates: list[list[str]], segments: list[str]) -> None:
-    made, operations = Router(), []
+def test_the_tree_agrees_with_the_reference_implementation(
+    templates: list[list[str]], segments: list[str]
+) -> None:
+    router, operations = Router(), []
     for template in templates:
         names = iter("pqrstuvwxyz")
         path = "/" + "/".join(re.sub(r"\{\}", lambda _, n=names: f"{{{next(n)}}}", t) for t in template)  # type: ignore[misc]
         try:
-            made.add(op(path))
+            router.add(op(path))
         except Clash:
             continue
         operations.append(op(path))
-    expected = plain_match(operations, segments)
+    expected = reference_match(operations, segments)
     target = "/" + "/".join(segments)
     if expected:
-        assert found(made, target) == expected[0]
+        assert matched_path(router, target) == expected[0]
     else:
-        assert status(made, target) == 404
+        assert error_status(router, target) == 404
 
 
 LITERALS = st.sampled_from(["mine", "Publish", "caf\u00e9", "a b", "x+y", "100", "it's"])
@@ -174,32 +176,32 @@
     st.lists(st.integers(0, 2), min_size=1, max_size=7),
     st.booleans(),
 )  # fmt: skip
-def test_two_spellings_never_get_two_effects(
+def test_all_encodings_of_a_target_reach_the_same_operation(
     literals: list[tuple[str, Effect]], text: str, choices: list[int], upper: bool
 ) -> None:
-    made = Router.of(
+    router = Router.from_operations(
         [op(f"/p/{'%20'.join(name.split())}", effect=effect) for name, effect in literals]
         + [op("/p/{id}", effect=Effect.SAFE)]
     )
     text = text.upper() if upper else text
-    seen: set[str | None] = set()
-    for spelling in (spelt(text, [0]), spelt(text, choices), spelt(text, [1])):
+    outcomes: set[str | None] = set()
+    for spelling in (percent_encode(text, [0]), percent_encode(text, choices), percent_encode(text, [1])):
         try:
-            route, target = made.match("GET", f"/p/{spelling}".encode())
+            route, target = router.match("GET", f"/p/{spelling}".encode())
         except NoRoute:
-            seen.add(None)
+            outcomes.add(None)
             continue
-        seen.add(route.operation.id)
-        again, same = made.match("GET", target.path)
-        assert (again.operation, same.path) == (route.operation, target.path)
-        # A worker that ignores case must not find another operation.
-        near = [n for n, _ in literals if n.casefold() == target.segments[1].casefold()]
-        assert not near or route.operation.path != "/p/{id}"
-    assert len(seen) == 1
+        outcomes.add(route.operation.id)
+        repeated, normalized = router.match("GET", target.path)
+        assert (repeated.operation, normalized.path) == (route.operation, target.path)
+        # A backend that ignores case must not run another operation.
+        same_ignoring_case = [n for n, _ in literals if n.casefold() == target.segments[1].casefold()]
+        assert not same_ignoring_case or route.operation.path != "/p/{id}"
+    assert len(outcomes) == 1
 
 
-def test_filling_yields_so_that_others_have_their_turn() -> None:
-    made = Router()
+def test_adding_operations_yields_regularly() -> None:
+    router = Router()
     rng = random.Random(1)
     operations = [op(f"/a{n}/{{x}}/b{rng.randrange(9)}") for n in range(1000)]
-    assert len(list(made.fill(operations))) == 1000 // 32 and made.size == 1000
+    assert len(list(router.add_all(operations))) == 1000 // 32 and router.size == 1000
--- a/tests/routes/test_target.py
+++ b/tests/routes/test_target.py
@@ -1,4 +1,4 @@
-"""One spelling for each target, and no target with two readings."""
+"""Request targets are normalized, and ambiguous ones are refused."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ivymux.routes.target import TargetError, read_target
+from ivymux.routes.target import TargetError, parse_target
 
 
 @pytest.mark.parametrize(
@@ -29,15 +29,15 @@
         (b"HTTPS://h", b"/", [""]),
     ],
 )
-def test_targets_in_one_spelling(target: bytes, path: bytes, segments: list[str]) -> None:
-    read = read_target(target)
-    assert (read.path, read.segments) == (path, segments)
+def test_targets_are_normalized(target: bytes, path: bytes, segments: list[str]) -> None:
+    parsed = parse_target(target)
+    assert (parsed.path, parsed.segments) == (path, segments)
 
 
-def test_the_query_goes_on_as_it_came_and_an_absolute_form_names_the_host() -> None:
-    read = read_target(b"http://other:81/a?x=%41&y=//../;z")
-    assert (read.path, read.query, read.authority) == (b"/a", b"x=%41&y=//../;z", b"other:81")
-    assert read_target(b"/a").query is None and read_target(b"/a?").query == b""
+def test_the_query_is_unchanged_and_an_absolute_form_names_the_host() -> None:
+    parsed = parse_target(b"http://other:81/a?x=%41&y=//../;z")
+    assert (parsed.path, parsed.query, parsed.authority) == (b"/a", b"x=%41&y=//../;z", b"other:81")
+    assert parse_target(b"/a").query is None and parse_target(b"/a?").query == b""
 
 
 @pytest.mark.parametrize(
@@ -50,47 +50,49 @@
         b"/" + b"a/" * 100,
     ],
 )  # fmt: skip
-def test_targets_with_two_readings_are_refused(target: bytes) -> None:
+def test_ambiguous_targets_are_refused(target: bytes) -> None:
     with pytest.raises(TargetError):
-        read_target(target)
+        parse_target(target)
 
 
 SEGMENT = st.text(st.characters(codec="utf-8", exclude_characters="/\\%"), min_size=1, max_size=8)
 
 
-def spelt(text: str, choices: list[int]) -> str:
-    """A segment with some characters percent-encoded, in either case of hex digits."""
-    made = ""
-    for number, char in enumerate(text):
+def percent_encode(text: str, choices: list[int]) -> str:
+    """Percent-encode some characters of a segment, with hex digits in upper or lower case."""
+    encoded = ""
+    for index, char in enumerate(text):
         escaped = "".join(f"%{byte:02x}" for byte in char.encode())
-        choice = choices[number % len(choices)]
+        choice = choices[index % len(choices)]
         plain = char if char.isascii() and (char.isalnum() or char in "-._~!$&'()*+,=:@") else None
-        made += plain if plain and choice == 0 else escaped.upper() if choice == 1 else escaped
-    return made
+        encoded += plain if plain and choice == 0 else escaped.upper() if choice == 1 else escaped
+    return encoded
 
 
 @given(st.lists(SEGMENT, min_size=1, max_size=4), st.lists(st.integers(0, 2), min_size=1, max_size=9))
-def test_all_spellings_become_one_that_reads_as_itself(segments: list[str], choices: list[int]) -> None:
+def test_all_encodings_are_normalized_to_one_that_stays_as_it_is(
+    segments: list[str], choices: list[int]
+) -> None:
     plain = "/" + "/".join(quote(s, safe="") for s in segments)
-    other = "/" + "/".join(spelt(s, choices) for s in segments)
+    other = "/" + "/".join(percent_encode(s, choices) for s in segments)
     try:
-        first = read_target(plain.encode())
+        first = parse_target(plain.encode())
     except TargetError:
         with pytest.raises(TargetError):
-            read_target(other.encode())
+            parse_target(other.encode())
         return
-    second = read_target(other.encode())
+    second = parse_target(other.encode())
     assert (first.path, first.segments) == (second.path, second.segments)
     assert first.segments == segments
-    again = read_target(first.path)
+    again = parse_target(first.path)
     assert (again.path, again.segments) == (first.path, first.segments)
 
 
 @given(st.binary(max_size=40).map(lambda b: b"/" + b))
-def test_what_is_taken_is_sent_so_that_a_worker_decodes_the_same(target: bytes) -> None:
+def test_a_backend_decodes_an_accepted_target_to_the_same_segments(target: bytes) -> None:
     try:
-        read = read_target(target)
+        parsed = parse_target(target)
     except TargetError:
         return
-    assert [unquote(s, errors="strict") for s in read.path.decode()[1:].split("/")] == read.segments
-    assert not any(s in (".", "..") for s in read.segments) and "" not in read.segments[:-1]
+    assert [unquote(s, errors="strict") for s in parsed.path.decode()[1:].split("/")] == parsed.segments
+    assert not any(s in (".", "..") for s in parsed.segments) and "" not in parsed.segments[:-1]
