--- a/bench/routes.py
+++ b/bench/routes.py
@@ -216,7 +216,7 @@
         table = Table(compiled, ClassTable(0.0, Scope.ALL))
         for _ in table.build():
             pass
-        table.enter()
+        table.assign_class_numbers()
         times = []
         for _ in range(15 if quick else 60):
             began = time.perf_counter()
--- a/ivymux/cli/check.py
+++ b/ivymux/cli/check.py
@@ -34,7 +34,9 @@
         return fail(f"{args.site}: description.file: there is no file {path}")
     try:
         compiled = compile_description(path.name, reader(path), site.options)
-        Table(compiled, ClassTable(site.file.keyed.memory, SCOPES[site.file.keyed.scope])).enter()
+        Table(
+            compiled, ClassTable(site.file.keyed.memory, SCOPES[site.file.keyed.scope])
+        ).assign_class_numbers()
     except DescriptionError as error:
         for finding in error.findings:
             print(finding)
--- a/ivymux/cli/routes.py
+++ b/ivymux/cli/routes.py
@@ -82,7 +82,7 @@
         return fail(f"{args.file}: {error.strerror}")
     for _ in table.build():
         pass
-    table.enter()
+    table.assign_class_numbers()
     found = 0
     for line in sys.stdin:
         if line.strip():
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -149,12 +149,12 @@
             await self.add_initial_workers(generation, member_list, inventory, addresses)
         # No await from here until the state is complete: a request sees either the old state or the new one.
         try:
-            table.enter()
+            table.assign_class_numbers()
         except TooManyClasses as error:
             if is_new:
                 generation.close()
             raise UnservableState(str(error)) from None
-        generation.host.post(i.Classes(tuple(generation.classes.listed)))
+        generation.host.post(i.Classes(tuple(generation.classes.class_list)))
         if self.generation is not None and self.generation is not generation:
             self.former_generations.append(self.generation)
         has_new_workers = not is_new and self.inventory != inventory
--- a/ivymux/routes/compare.py
+++ b/ivymux/routes/compare.py
@@ -1,4 +1,4 @@
-"""What changes from one description to the next, in the order of what it may do."""
+"""Compares two versions of a description."""
 
 from __future__ import annotations
 
@@ -9,10 +9,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Changes:
+    """The operations that differ between two descriptions, as `METHOD PATH`, by kind of change."""
+
     added: tuple[str, ...]
     removed: tuple[str, ...]
-    loosened: tuple[str, ...]  # may be repeated now, and could not be, or not so far
-    tightened: tuple[str, ...]
+    loosened: tuple[str, ...]  # may be retried under more conditions than before
+    tightened: tuple[str, ...]  # may be retried under fewer conditions
     other: tuple[str, ...]  # cost, times, class
 
     def __bool__(self) -> bool:
@@ -21,8 +23,8 @@
     def __str__(self) -> str:
         parts = []
         for name, listed in (
-            ("added", self.added), ("removed", self.removed), ("may now be repeated", self.loosened),
-            ("no longer repeated", self.tightened), ("changed otherwise", self.other),
+            ("added", self.added), ("removed", self.removed), ("may now be retried", self.loosened),
+            ("no longer retried", self.tightened), ("changed otherwise", self.other),
         ):  # fmt: skip
             if listed:
                 shown = ", ".join(listed[:5]) + (", ..." if len(listed) > 5 else "")
@@ -30,29 +32,29 @@
         return "; ".join(parts) or "no change"
 
 
-LOOSE = {"unsafe": 0, "keyed": 1, "safe": 2}
+RETRY_RANK = {"unsafe": 0, "keyed": 1, "safe": 2}
 
 
 def compare(old: Compiled, new: Compiled) -> Changes:
-    """The changes by method and path: an operationId may move from one to another."""
+    """Compare by method and path, because an operationId may move from one operation to another."""
     before = {(o.method, o.path): o for o in old.operations}
     after = {(o.method, o.path): o for o in new.operations}
     loosened, tightened, other = [], [], []
-    for place in before.keys() & after.keys():
-        was, now = before[place], after[place]
-        step = LOOSE[now.effect.value] - LOOSE[was.effect.value]
-        if step > 0:
-            loosened.append(name(now))
-        elif step < 0:
-            tightened.append(name(now))
+    for route in before.keys() & after.keys():
+        was, now = before[route], after[route]
+        rank_change = RETRY_RANK[now.effect.value] - RETRY_RANK[was.effect.value]
+        if rank_change > 0:
+            loosened.append(label(now))
+        elif rank_change < 0:
+            tightened.append(label(now))
         elif was != now:
-            other.append(name(now))
+            other.append(label(now))
     return Changes(
-        tuple(sorted(name(after[p]) for p in after.keys() - before.keys())),
-        tuple(sorted(name(before[p]) for p in before.keys() - after.keys())),
+        tuple(sorted(label(after[p]) for p in after.keys() - before.keys())),
+        tuple(sorted(label(before[p]) for p in before.keys() - after.keys())),
         tuple(sorted(loosened)), tuple(sorted(tightened)), tuple(sorted(other)),
     )  # fmt: skip
 
 
-def name(operation: Operation) -> str:
+def label(operation: Operation) -> str:
     return f"{operation.method} {operation.path}"
--- a/ivymux/routes/description.py
+++ b/ivymux/routes/description.py
@@ -1,4 +1,4 @@
-"""An OpenAPI 3.0 or 3.1 description as operations.  Pure: files come by a function that is handed in."""
+"""Compiles an OpenAPI 3.0 or 3.1 description into operations; the caller provides the file reader."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 import jsonschema_rs
 import msgspec
 
-from ivymux.routes.extension import NAME, Terms, number, read_terms
+from ivymux.routes.extension import EXTENSION_KEY, OperationSettings, parse_extension, parse_number
 from ivymux.routes.matcher import Clash, Route, Router
 from ivymux.routes.model import (
     METHODS,
-    READS,
-    ClassTerms,
+    SAFE_METHODS,
+    ClassDefaults,
     Compiled,
     Cost,
     DescriptionError,
@@ -29,22 +29,22 @@
     Options,
 )  # fmt: skip
 from ivymux.routes.override import is_override
-from ivymux.routes.refs import Documents, Read, RefError, check_references, escape
+from ivymux.routes.refs import Documents, ReadFile, RefError, check_references, escape_pointer_part
 from ivymux.routes.template import TemplateError, parse_segment, parse_template
 from ivymux.text import TextError
 from orchidhill.interface import Effect
 
 VERSION = re.compile(r"3\.[01]\.\d+(-.+)?")
-MAX_BASES = 16  # base paths of one operation
+MAX_BASE_PATHS = 16  # base paths of one operation
 MAX_SCHEMA_ERRORS = 20
-VARIABLE = re.compile(r"\{([^{}]+)\}")
-ServerList = tuple[str, ...]
+SERVER_VARIABLE = re.compile(r"\{([^{}]+)\}")
+BasePaths = tuple[str, ...]
 
 
-def compile_description(name: str, read: Read, options: Options | None = None) -> Compiled:
-    """The operations of the description in file `name`; `read` gives each file's bytes by its path.
+def compile_description(name: str, read: ReadFile, options: Options | None = None) -> Compiled:
+    """Compile the description in file `name`; `read` returns the bytes of a file by its path.
 
-    Raises DescriptionError with every finding where one of them is an error: none of it is served then.
+    Raises DescriptionError with all findings if one of them is an error, so that no part of it is served.
     """
     options = options or Options()
     findings = Findings()
@@ -52,11 +52,11 @@
     try:
         root = documents.load(name)
     except (RefError, TextError) as error:
-        # The text of an error in a file begins with the file's name.
+        # The error's text begins with the file's name, which a finding has as a field of its own.
         findings.error(name, "", str(error).removeprefix(f"{name}: "))
         raise DescriptionError(findings.kept) from None
-    work = Compilation(documents, name, root, options, findings)
-    operations = work.operations() if work.sound() else []
+    compiler = DescriptionCompiler(documents, name, root, options, findings)
+    operations = compiler.compile_operations() if compiler.is_valid() else []
     if findings.errors:
         raise DescriptionError(findings.kept)
     info = root["info"]
@@ -68,13 +68,13 @@
 
 @cache
 def meta_schema(version: str) -> Any:
-    """The published schema of an OpenAPI version, as the validator library ships it."""
+    """Build a validator from the published schema of an OpenAPI version, which a library ships."""
     folder = resources.files("openapi_spec_validator") / "resources" / "schemas" / f"v{version}"
     return jsonschema_rs.validator_for(json.loads((folder / "schema.json").read_text()))
 
 
-class Compilation:
-    """One description on its way to operations."""
+class DescriptionCompiler:
+    """Compiles one description; problems are added to the findings."""
 
     def __init__(
         self, documents: Documents, name: str, root: Any, options: Options, findings: Findings
@@ -83,322 +83,369 @@
         self.options, self.findings = options, findings
         self.ids: dict[str, str] = {}
         self.router = Router()
-        self.count = 0
+        self.operation_count = 0
 
     # --- the whole document ------------------------------------------------------------------------
 
-    def sound(self) -> bool:
-        """Whether the document is one of this kind, by the published schema and by its references."""
+    def is_valid(self) -> bool:
+        """Check the version, the number of operations, the published schema and the references."""
         error = self.findings.error
         if not isinstance(self.root, dict):
-            error(self.name, "", "not an OpenAPI description: the file does not hold an object")
+            error(self.name, "", "not an OpenAPI description: the file does not contain an object")
             return False
         version = self.root.get("openapi")
         if not isinstance(version, str) or not VERSION.fullmatch(version):
-            told = "swagger 2.0 is not read; convert it" if "swagger" in self.root else f"it says {version!r}"
-            error(self.name, "/openapi", f"not OpenAPI 3.0 or 3.1: {told}"[:200])
+            reason = (
+                "Swagger 2.0 is not supported" if "swagger" in self.root else f"the version is {version!r}"
+            )
+            error(self.name, "/openapi", f"not OpenAPI 3.0 or 3.1: {reason}"[:200])
             return False
-        if self.listed() > self.options.most_operations:  # before the costly steps
-            self.too_many()
+        if self.count_operations() > self.options.most_operations:  # before the expensive checks
+            self.report_too_many_operations()
             return False
         try:
             problems = list(islice(meta_schema(version[:3]).iter_errors(self.root), MAX_SCHEMA_ERRORS))
-        except ValueError as caught:  # what the validator can't look at, such as 300 levels
-            error(self.name, "", f"can't be validated: {caught}")
+        except ValueError as failure:  # beyond the validator's limits, such as 300 levels of nesting
+            error(self.name, "", f"cannot be validated: {failure}")
             return False
         for problem in problems:
-            place = "".join("/" + escape(str(part)) for part in problem.instance_path)
-            error(self.name, place, " ".join(problem.message.split()))
+            pointer = "".join("/" + escape_pointer_part(str(part)) for part in problem.instance_path)
+            error(self.name, pointer, " ".join(problem.message.split()))
         check_references(self.documents, self.name, self.findings)
         return not self.findings.errors
 
-    def listed(self) -> int:
-        """Operations that stand in the file itself."""
+    def count_operations(self) -> int:
+        """Count the operations in the main file, without those of referenced files."""
         paths = self.root.get("paths")
         items = paths.values() if isinstance(paths, dict) else ()
         return sum(method in item for item in items if isinstance(item, dict) for method in METHODS)
 
-    def too_many(self) -> None:
-        most = self.options.most_operations
-        self.findings.error(self.name, "/paths", f"more than {most} operations")
+    def report_too_many_operations(self) -> None:
+        limit = self.options.most_operations
+        self.findings.error(self.name, "/paths", f"more than {limit} operations")
 
-    def operations(self) -> list[Operation]:
-        made = list(self.walk())
-        if not made and not self.findings.errors:
-            self.findings.error(self.name, "/paths", "no operation: nothing could be served")
+    def compile_operations(self) -> list[Operation]:
+        """Compile all operations and check them against each other."""
+        operations = list(self.compile_paths())
+        if not operations and not self.findings.errors:
+            self.findings.error(self.name, "/paths", "no operations: there is nothing to serve")
         if not self.findings.errors:
-            look_for_confusion(self.router, made, self.name, self.findings)
-        return made
+            check_ambiguous_paths(self.router, operations, self.name, self.findings)
+        return operations
 
-    def walk(self) -> Iterator[Operation]:
+    def compile_paths(self) -> Iterator[Operation]:
         paths = self.root.get("paths") or {}
-        outer = self.terms(self.name, "", self.root, Terms())
-        servers = self.servers(self.name, "/servers", self.root.get("servers"), ("",))
+        outer = self.read_settings(self.name, "", self.root, OperationSettings())
+        servers = self.base_paths(self.name, "/servers", self.root.get("servers"), ("",))
         for path, raw in paths.items():
             if path.startswith("x-"):
                 continue
-            file, place = self.name, f"/paths/{escape(path)}"
+            file, pointer = self.name, f"/paths/{escape_pointer_part(path)}"
             try:
                 parse_template(path)
-                at_file, at_place, item = self.documents.resolve(file, place, raw)
+                item_file, item_pointer, item = self.documents.resolve(file, pointer, raw)
                 if isinstance(raw, dict) and "$ref" in raw and len(raw) > 1:
-                    # What stands beside it may be meant to count or not (OpenAPI 3.1, 4.8.9.1).
-                    beside = [k for k in raw if k not in ("$ref", "summary", "description")]
-                    if beside:
-                        self.findings.error(file, place, f"{beside[0]} beside $ref: put it into one of both")
+                    # Whether siblings of $ref apply is undefined (OpenAPI 3.1, 4.8.9.1).
+                    siblings = [k for k in raw if k not in ("$ref", "summary", "description")]
+                    if siblings:
+                        self.findings.error(file, pointer, f"{siblings[0]} next to $ref: use one of the two")
                         continue
             except (TemplateError, RefError, TextError) as error:
-                self.findings.error(file, place, str(error))
+                self.findings.error(file, pointer, str(error))
                 continue
             if not isinstance(item, dict):
-                self.findings.error(at_file, at_place, "not a path item")
+                self.findings.error(item_file, item_pointer, "not a path item")
                 continue
-            yield from self.path_item(path, at_file, at_place, item, outer, servers)
-            if self.count > self.options.most_operations:
-                self.too_many()
+            yield from self.compile_path_item(path, item_file, item_pointer, item, outer, servers)
+            if self.operation_count > self.options.most_operations:
+                self.report_too_many_operations()
                 return
 
-    def path_item(
-        self, path: str, file: str, place: str, item: dict[str, Any], outer: Terms, servers: ServerList
+    def compile_path_item(
+        self,
+        path: str,
+        file: str,
+        pointer: str,
+        item: dict[str, Any],
+        outer: OperationSettings,
+        servers: BasePaths,
     ) -> Iterator[Operation]:
-        terms = self.terms(file, place, item, outer)
-        servers = self.servers(file, f"{place}/servers", item.get("servers"), servers)
-        shared = self.parameters(file, f"{place}/parameters", item.get("parameters"))
+        settings = self.read_settings(file, pointer, item, outer)
+        servers = self.base_paths(file, f"{pointer}/servers", item.get("servers"), servers)
+        shared_parameters = self.read_parameters(file, f"{pointer}/parameters", item.get("parameters"))
         for method in METHODS:
             if method not in item:
                 continue
             raw = item[method]
-            at = f"{place}/{method}"
+            inner_pointer = f"{pointer}/{method}"
             if not isinstance(raw, dict):
-                self.findings.error(file, at, "not an operation")
+                self.findings.error(file, inner_pointer, "not an operation")
                 continue
-            own = self.parameters(file, f"{at}/parameters", raw.get("parameters"))
-            bases = self.servers(file, f"{at}/servers", raw.get("servers"), servers)
-            inherited = terms
-            nearest = self.terms(file, at, raw, Terms())
+            own_parameters = self.read_parameters(file, f"{inner_pointer}/parameters", raw.get("parameters"))
+            bases = self.base_paths(file, f"{inner_pointer}/servers", raw.get("servers"), servers)
+            inherited = settings
+            nearest = self.read_settings(file, inner_pointer, raw, OperationSettings())
             for base in bases:
-                operation = self.operation(
-                    base + path, method.upper(), file, at, raw, nearest, inherited, {**shared, **own}
+                operation = self.compile_operation(
+                    base + path,
+                    method.upper(),
+                    file,
+                    inner_pointer,
+                    raw,
+                    nearest,
+                    inherited,
+                    {**shared_parameters, **own_parameters},
                 )
-                if operation is not None and self.place(operation, file, at):
+                if operation is not None and self.add_route(operation, file, inner_pointer):
                     yield operation
 
-    def place(self, operation: Operation, file: str, at: str) -> bool:
-        self.count += 1
-        if self.count > self.options.most_operations:
+    def add_route(self, operation: Operation, file: str, pointer: str) -> bool:
+        """Add an operation to the router; return whether that was possible."""
+        self.operation_count += 1
+        if self.operation_count > self.options.most_operations:
             return False
         try:
             routes = self.router.add(operation)
         except TemplateError as error:
-            self.findings.error(file, at, f"{operation.path}: {error}")
+            self.findings.error(file, pointer, f"{operation.path}: {error}")
             return False
         except Clash as clash:
-            self.findings.error(file, at, f"{clash}: one target would have two operations")
+            self.findings.error(file, pointer, f"{clash}: a target would match two operations")
             return False
         others = {r.operation.path for r in routes.values()} - {operation.path}
         if others:
             self.findings.warning(
-                file, at, f"{operation.path} differs from {min(others)} only in names: taken as one path"
+                file,
+                pointer,
+                f"{operation.path} differs from {min(others)} only in parameter names: treated as one path",
             )
         return True
 
-    # --- its parts -----------------------------------------------------------------------------------
+    # --- parts of the document -----------------------------------------------------------------------
 
-    def terms(self, file: str, place: str, raw: dict[str, Any], outer: Terms) -> Terms:
-        if NAME not in raw:
+    def read_settings(
+        self, file: str, pointer: str, raw: dict[str, Any], outer: OperationSettings
+    ) -> OperationSettings:
+        """Parse the extension of an object, if it has one, on top of the outer settings."""
+        if EXTENSION_KEY not in raw:
             return outer
-        at = f"{place}/{NAME}"
-        return read_terms(
-            raw[NAME],
+        inner_pointer = f"{pointer}/{EXTENSION_KEY}"
+        return parse_extension(
+            raw[EXTENSION_KEY],
             self.options.most_deadline,
-            lambda below, text: self.findings.error(file, at + below, text),
-        ).over(outer)
-
-    def parameters(self, file: str, place: str, raw: Any) -> dict[tuple[str, str], Any]:
-        """Parameters by place and name."""
-        found: dict[tuple[str, str], Any] = {}
-        for number_, item in enumerate(raw if isinstance(raw, list) else ()):
-            at = f"{place}/{number_}"
+            lambda below, text: self.findings.error(file, inner_pointer + below, text),
+        ).with_defaults(outer)
+
+    def read_parameters(self, file: str, pointer: str, raw: Any) -> dict[tuple[str, str], Any]:
+        """Read a list of parameters, by location and name."""
+        parameters: dict[tuple[str, str], Any] = {}
+        for index, item in enumerate(raw if isinstance(raw, list) else ()):
+            inner_pointer = f"{pointer}/{index}"
             try:
-                _, _, parameter = self.documents.resolve(file, at, item)
+                _, _, parameter = self.documents.resolve(file, inner_pointer, item)
             except (RefError, TextError) as error:
-                self.findings.error(file, at, str(error))
+                self.findings.error(file, inner_pointer, str(error))
                 continue
             if not isinstance(parameter, dict):
-                self.findings.error(file, at, "not a parameter")
+                self.findings.error(file, inner_pointer, "not a parameter")
                 continue
-            where, name = str(parameter.get("in")), str(parameter.get("name"))
-            key = (where, name.lower() if where == "header" else name)
-            if key in found:
-                self.findings.error(file, at, f"the parameter {name!r} in {where} stands twice")
-            if where == "path" and parameter.get("style", "simple") != "simple":
+            location, name = str(parameter.get("in")), str(parameter.get("name"))
+            key = (location, name.lower() if location == "header" else name)
+            if key in parameters:
+                self.findings.error(file, inner_pointer, f"duplicate parameter {name!r} in {location}")
+            if location == "path" and parameter.get("style", "simple") != "simple":
                 self.findings.error(
-                    file, at, f"path parameters of style {parameter['style']!r} are not served"
+                    file, inner_pointer, f"path parameters of style {parameter['style']!r} are not served"
                 )
-            found[key] = parameter
-        return found
+            parameters[key] = parameter
+        return parameters
 
-    def servers(self, file: str, place: str, raw: Any, outer: ServerList) -> ServerList:
-        """The base paths of a list of servers, each once."""
+    def base_paths(self, file: str, pointer: str, raw: Any, inherited: BasePaths) -> BasePaths:
+        """Return the distinct base paths of a list of servers; the inherited ones if there is no list."""
         if self.options.base is not None:
             return (self.options.base.rstrip("/"),)
         if not isinstance(raw, list) or not raw:
-            return outer
-        bases: dict[str, None] = {}
-        for number_, server in enumerate(raw):
-            at = f"{place}/{number_}/url"
+            return inherited
+        paths: dict[str, None] = {}
+        for index, server in enumerate(raw):
+            inner_pointer = f"{pointer}/{index}/url"
             if not isinstance(server, dict):
                 continue
-            for url in self.urls(file, at, server):
+            for url in self.expand_url(file, inner_pointer, server):
                 try:
                     base = urlsplit(url).path.rstrip("/")
                 except ValueError:
-                    self.findings.error(file, at, f"not an address: {url[:120]!r}")
+                    self.findings.error(file, inner_pointer, f"invalid URL: {url[:120]!r}")
                     continue
                 if base and not base.startswith("/"):
                     base = "/" + base
-                bases[base] = None
-        if len(bases) > MAX_BASES:
-            self.findings.error(file, place, f"more than {MAX_BASES} base paths; name one in the site file")
-            return outer
-        return tuple(bases) or outer
+                paths[base] = None
+        if len(paths) > MAX_BASE_PATHS:
+            self.findings.error(
+                file, pointer, f"more than {MAX_BASE_PATHS} base paths; set one in the site file"
+            )
+            return inherited
+        return tuple(paths) or inherited
 
-    def urls(self, file: str, place: str, server: dict[str, Any]) -> list[str]:
-        """A server's address with its variables filled in, all ways that its path allows."""
+    def expand_url(self, file: str, pointer: str, server: dict[str, Any]) -> list[str]:
+        """Substitute the variables of a server's URL: all values for those in its path, else the default."""
         url = str(server.get("url", ""))
-        names = list(dict.fromkeys(VARIABLE.findall(url)))
+        names = list(dict.fromkeys(SERVER_VARIABLE.findall(url)))
         variables = server.get("variables") or {}
-        path_at = url.find("/", url.find("://") + 3) if "://" in url else 0
+        path_start = url.find("/", url.find("://") + 3) if "://" in url else 0
         choices = []
         for name in names:
             variable = variables.get(name)
             if not isinstance(variable, dict) or not isinstance(variable.get("default"), str):
-                self.findings.error(file, place, f"the variable {name!r} has no default")
+                self.findings.error(file, pointer, f"the variable {name!r} has no default")
                 return []
-            in_path = path_at >= 0 and "{" + name + "}" in url[path_at:]
+            in_path = path_start >= 0 and "{" + name + "}" in url[path_start:]
             values = variable.get("enum") if in_path else None
             choices.append([str(v) for v in values] if isinstance(values, list) else [variable["default"]])
-        made: list[str] = []
+        urls: list[str] = []
         for values in product(*choices):
-            if len(made) > MAX_BASES:
-                break  # one more than is taken: the caller tells
+            if len(urls) > MAX_BASE_PATHS:
+                break  # one more than allowed, which the caller reports
             filled = dict(zip(names, values, strict=True))
-            made.append(VARIABLE.sub(lambda found, filled=filled: filled[found[1]], url))  # type: ignore[misc]
-        return made
-
-    def operation(
-        self, path: str, method: str, file: str, at: str, raw: dict[str, Any], nearest: Terms,
-        inherited: Terms, parameters: dict[tuple[str, str], Any],
-    ) -> Operation | None:  # fmt: skip
-        identity = raw.get("operationId")
-        if isinstance(identity, str):
-            if self.ids.setdefault(identity, at) != at:
-                self.findings.error(file, at, f"the operationId {identity!r} is that of {self.ids[identity]}")
+            urls.append(SERVER_VARIABLE.sub(lambda match, filled=filled: filled[match[1]], url))  # type: ignore[misc]
+        return urls
+
+    def compile_operation(
+        self,
+        path: str,
+        method: str,
+        file: str,
+        pointer: str,
+        raw: dict[str, Any],
+        nearest: OperationSettings,
+        inherited: OperationSettings,
+        parameters: dict[tuple[str, str], Any],
+    ) -> Operation | None:
+        operation_id = raw.get("operationId")
+        if isinstance(operation_id, str):
+            if self.ids.setdefault(operation_id, pointer) != pointer:
+                self.findings.error(
+                    file,
+                    pointer,
+                    f"the operationId {operation_id!r} is already used at {self.ids[operation_id]}",
+                )
                 return None
         else:
-            identity = f"{method} {path}"
-        terms = nearest.over(inherited)
-        effect = self.effect(method, file, at, nearest, inherited)
-        cls = terms.cls or effect.value
-        site = self.options.classes.get(cls, ClassTerms())
+            operation_id = f"{method} {path}"
+        settings = nearest.with_defaults(inherited)
+        effect = self.resolve_effect(method, file, pointer, nearest, inherited)
+        cls = settings.cls or effect.value
+        class_defaults = self.options.classes.get(cls, ClassDefaults())
         options = self.options
-        deadline = first(terms.deadline, site.deadline, options.deadline)
-        aim = min(first(terms.aim, site.aim, options.aim), deadline)
-        cost = terms.cost or Cost()
-        key = terms.key or Key()
-        self.check_parameters(path, file, at, parameters)
+        deadline = first_set(settings.deadline, class_defaults.deadline, options.deadline)
+        aim = min(first_set(settings.aim, class_defaults.aim, options.aim), deadline)
+        cost = settings.cost or Cost()
+        key = settings.key or Key()
+        self.check_parameters(path, file, pointer, parameters)
         if raw.get("deprecated") is True:
-            self.findings.note(file, at, f"{method} {path} is deprecated")
+            self.findings.note(file, pointer, f"{method} {path} is deprecated")
         if cost.source and (cost.source, cost.name) not in parameters:
             self.findings.error(
-                file, at, f"the cost is taken from {cost.source}.{cost.name}, which is no parameter here"
+                file,
+                pointer,
+                f"the cost depends on {cost.source}.{cost.name}, which is not a parameter of the operation",
             )
         elif cost.source:
-            cost = self.absent(cost, parameters[cost.source, cost.name])
-        if effect is Effect.KEYED and method in READS:
-            self.findings.note(file, at, "a keyed read: without its key it is not repeated")
+            cost = self.apply_schema_default(cost, parameters[cost.source, cost.name])
+        if effect is Effect.KEYED and method in SAFE_METHODS:
+            self.findings.note(file, pointer, "a keyed read is not retried without its key")
         overrides = tuple(
-            name for where, name in parameters if where in ("query", "header") and is_override(name)
+            name for location, name in parameters if location in ("query", "header") and is_override(name)
         )
         if overrides and effect is not Effect.UNSAFE:
             self.findings.error(
                 file,
-                at,
-                f"{overrides[0]!r} could make another method of it: only for unsafe ones",
+                pointer,
+                f"{overrides[0]!r} can override the method, so the effect must be unsafe",
             )
         return Operation(
-            identity, method, path, cls, effect, cost, aim, deadline,
-            first(terms.worth, site.worth, options.worth), key if effect is Effect.KEYED else None,
-            raw.get("deprecated") is True, overrides,
+            operation_id, method, path, cls, effect, cost, aim, deadline,
+            first_set(settings.worth, class_defaults.worth, options.worth),
+            key if effect is Effect.KEYED else None, raw.get("deprecated") is True, overrides,
         )  # fmt: skip
 
-    def effect(self, method: str, file: str, at: str, nearest: Terms, inherited: Terms) -> Effect:
-        """What is stated counts; else reads are safe and all others unsafe, PUT and DELETE too: what a
-        method promises, the worker may not keep.
+    def resolve_effect(
+        self, method: str, file: str, pointer: str, nearest: OperationSettings, inherited: OperationSettings
+    ) -> Effect:
+        """Return the declared effect; by default reads are safe and all other methods unsafe.
+
+        That includes PUT and DELETE: a backend may not implement them idempotently.
         """
         if nearest.effect is not None:
-            if nearest.effect is Effect.SAFE and method not in READS:
-                self.findings.note(file, at, f"{method} is declared safe: it may be sent more than once")
+            if nearest.effect is Effect.SAFE and method not in SAFE_METHODS:
+                self.findings.note(file, pointer, f"{method} is declared safe: it may be sent more than once")
             return nearest.effect
-        if inherited.effect is Effect.SAFE and method not in READS:
-            # Said of a path or of the whole file it is meant for its reads; a write that is added later
-            # must not come to be repeated by it.
+        if inherited.effect is Effect.SAFE and method not in SAFE_METHODS:
+            # Declared for a path or the whole file, it is meant for reads; it must not cause retries of a
+            # write that is added later.
             self.findings.warning(
-                file, at, f"'effect: safe' from above does not count for {method}: it is unsafe; say it here"
+                file,
+                pointer,
+                f"inherited 'effect: safe' does not apply to {method}: unsafe unless declared there",
             )
             return Effect.UNSAFE
         if inherited.effect is not None:
             return inherited.effect
-        if method not in READS:
-            self.findings.note(file, at, f"{method} states no effect: taken as unsafe")
+        if method not in SAFE_METHODS:
+            self.findings.note(file, pointer, f"{method} declares no effect: treated as unsafe")
             return Effect.UNSAFE
         return Effect.SAFE
 
-    def check_parameters(self, path: str, file: str, at: str, parameters: dict[tuple[str, str], Any]) -> None:
-        named = {name for part in path.split("/") if "{" in part for name in safely_named(part)}
-        for name in sorted(named - {n for where, n in parameters if where == "path"}):
-            self.findings.warning(file, at, f"the path parameter {name!r} is not described")
-        for where, name in parameters:
-            if where == "path" and name not in named:
-                self.findings.warning(file, at, f"the path parameter {name!r} is not in the path")
-
-    def absent(self, cost: Cost, parameter: dict[str, Any]) -> Cost:
-        """Where a parameter is absent, its schema's default counts."""
+    def check_parameters(
+        self, path: str, file: str, pointer: str, parameters: dict[tuple[str, str], Any]
+    ) -> None:
+        """Warn about path parameters that are not described, or not in the path."""
+        template_names = {name for part in path.split("/") if "{" in part for name in parameter_names(part)}
+        for name in sorted(template_names - {n for location, n in parameters if location == "path"}):
+            self.findings.warning(file, pointer, f"the path parameter {name!r} is not described")
+        for location, name in parameters:
+            if location == "path" and name not in template_names:
+                self.findings.warning(file, pointer, f"the path parameter {name!r} is not in the path")
+
+    def apply_schema_default(self, cost: Cost, parameter: dict[str, Any]) -> Cost:
+        """Use the default of the parameter's schema for requests without the parameter."""
         schema = parameter.get("schema")
-        default = number(schema.get("default"), 1e15) if isinstance(schema, dict) else None
+        default = parse_number(schema.get("default"), 1e15) if isinstance(schema, dict) else None
         if default is None:
             return cost
-        return msgspec.structs.replace(cost, amount=scaled(cost, default))
+        return msgspec.structs.replace(cost, amount=cost_units(cost, default))
 
 
-def safely_named(part: str) -> tuple[str, ...]:
+def parameter_names(part: str) -> tuple[str, ...]:
+    """Return the parameters of a template's segment; none if it is invalid."""
     try:
         return parse_segment(part).names
     except TemplateError:
         return ()
 
 
-def first(*values: float | None) -> float:
+def first_set(*values: float | None) -> float:
     return next(value for value in values if value is not None)
 
 
-def scaled(cost: Cost, value: float) -> float:
-    """Units for a parameter's value: over `per`, rounded up, from 1 to `most`."""
+def cost_units(cost: Cost, value: float) -> float:
+    """Return the units for a parameter's value: divided by `per`, rounded up, from 1 to `most`."""
     return min(cost.most, max(1.0, float(-(-value // cost.per))))
 
 
-def look_for_confusion(router: Router, operations: list[Operation], file: str, findings: Findings) -> None:
-    """Places that a worker might take for one another, where that would change the effect."""
-    spelt: dict[tuple[str, str], Operation] = {}
+def check_ambiguous_paths(router: Router, operations: list[Operation], file: str, findings: Findings) -> None:
+    """Report paths that a backend may treat as equal; an error if their effects differ."""
+    seen: dict[tuple[str, str], Operation] = {}
     for operation in operations:
-        bare = "/".join(
+        normalized = "/".join(
             part if "{" in part else part.casefold() for part in operation.path.rstrip("/").split("/")
         )
-        other = spelt.setdefault((operation.method, bare), operation)
+        other = seen.setdefault((operation.method, normalized), operation)
         if other is not operation:
             same = other.effect is operation.effect
             text = (
-                f"{operation.method} {operation.path} and {other.path} differ only in case or a closing slash"
+                f"{operation.method} {operation.path} and {other.path}"
+                " differ only in case or a trailing slash"
             )
             if same:
                 findings.note(file, "/paths", text)
@@ -408,39 +455,44 @@
                     "/paths",
                     f"{text}, and one is {operation.effect.value}, the other {other.effect.value}",
                 )
-    look_for_shadows(router, operations, file, findings)
+    check_shadowed_templates(router, operations, file, findings)
 
 
-def look_for_shadows(router: Router, operations: list[Operation], file: str, findings: Findings) -> None:
-    """Templates that a concrete path takes targets from: a worker with another order would run the other."""
+def check_shadowed_templates(
+    router: Router, operations: list[Operation], file: str, findings: Findings
+) -> None:
+    """Warn of a literal path that also matches a template of another effect.
+
+    A backend with another order of precedence would run the other operation.
+    """
     for operation in operations:
         if "{" in operation.path:
             continue
-        for route in beside(router, parse_template(operation.path)):
+        for route in overlapping_routes(router, parse_template(operation.path)):
             other = route.operation
             if other.method == operation.method and other.effect is not operation.effect:
                 findings.warning(
                     file, "/paths",
-                    f"{operation.method} {operation.path} is {operation.effect.value} and goes before"
-                    f" {other.path}, which is {other.effect.value}: check that the worker has that order",
+                    f"{operation.method} {operation.path} is {operation.effect.value} and takes precedence"
+                    f" over {other.path}, which is {other.effect.value}: check that the worker does the same",
                 )  # fmt: skip
 
 
-def beside(router: Router, template: Any, most: int = 64) -> Iterator[Route]:
-    """Routes other than its own that a concrete path would match, a bounded number."""
+def overlapping_routes(router: Router, template: Any, max_steps: int = 64) -> Iterator[Route]:
+    """Yield the routes of other templates that a literal path matches; the search has a bounded length."""
     stack = [(router.root, 0, True)]
     steps = 0
-    while stack and steps < most:
+    while stack and steps < max_steps:
         steps += 1
-        node, at, own = stack.pop()
-        if at == len(template):
-            if not own:
+        node, position, is_own = stack.pop()
+        if position == len(template):
+            if not is_own:
                 yield from (node.routes or {}).values()
             continue
-        text = template[at].literal
+        text = template[position].literal
         if text in node.literals:
-            stack.append((node.literals[text], at + 1, own))
+            stack.append((node.literals[text], position + 1, is_own))
         if text and node.partials is not None:
-            stack.extend((partial, at + 1, False) for partial in node.partials.matching(text))
+            stack.extend((partial, position + 1, False) for partial in node.partials.matching(text))
         if text and node.parameter is not None:
-            stack.append((node.parameter, at + 1, False))
+            stack.append((node.parameter, position + 1, False))
--- a/ivymux/routes/model.py
+++ b/ivymux/routes/model.py
@@ -1,4 +1,4 @@
-"""The types of a compiled description, and what is found wrong with one."""
+"""The types of a compiled description, and the findings about an invalid one."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 
 Level = Literal["error", "warning", "note"]
 METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")  # OpenAPI 3.1, 4.8.9
-READS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE"})  # safe by RFC 9110, 9.2.1, unless declared otherwise
-MAX_FINDINGS = 200  # kept of one description; the rest is only counted
+SAFE_METHODS = frozenset(
+    {"GET", "HEAD", "OPTIONS", "TRACE"}
+)  # safe by RFC 9110, 9.2.1, unless declared otherwise
+MAX_FINDINGS = 200  # for one description; further ones are only counted
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One thing wrong with a description, with the file and the JSON pointer (RFC 6901) of its place."""
+    """A problem in a description, with its file and, as `place`, its JSON pointer (RFC 6901)."""
 
     level: Level
     file: str
@@ -27,15 +29,15 @@
 
 
 class DescriptionError(ValueError):
-    """A description that can't be served; `findings` say why, errors first."""
+    """A description that cannot be served; `findings` has the reasons, errors first."""
 
     def __init__(self, findings: list[Finding]) -> None:
         self.findings = sorted(findings, key=lambda f: ("error", "warning", "note").index(f.level))
-        super().__init__(str(self.findings[0]) if self.findings else "the description can't be served")
+        super().__init__(str(self.findings[0]) if self.findings else "the description cannot be served")
 
 
 class Findings:
-    """Collects what is found, bounded: a hostile description may hold millions of mistakes."""
+    """Collects findings up to a limit, because a hostile description may contain millions of errors."""
 
     def __init__(self) -> None:
         self.kept: list[Finding] = []
@@ -61,10 +63,10 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """Units that a request takes from its customer's quota.
+    """How many units a request takes from its customer's quota.
 
-    Without `source` it is `amount`; else a parameter's value over `per`, rounded up, from 1 to `most`.
-    `amount` then counts where the parameter is absent.
+    Without a `source` that is `amount`.  Otherwise it is a parameter's value divided by `per`, rounded up,
+    from 1 to `most`, and `amount` if the parameter is absent.
     """
 
     amount: float = 1.0
@@ -74,36 +76,39 @@
     most: float = 1.0
 
     @property
-    def greatest(self) -> float:
+    def maximum(self) -> float:
         return self.most if self.source else self.amount
 
 
 class Key(msgspec.Struct, frozen=True):
-    """Where a keyed request carries its key."""
+    """Where a keyed request carries its idempotency key."""
 
     source: Literal["header", "query"] = "header"
     name: str = "Idempotency-Key"
 
 
 class Operation(msgspec.Struct, frozen=True):
-    """One method of one path template, with all that a request to it is handled by; times in seconds."""
+    """A method of a path template, with everything that decides how its requests are handled.
 
-    id: str  # the operationId, or METHOD and path where there is none
+    Times are in seconds.
+    """
+
+    id: str  # the operationId, or METHOD and path if there is none
     method: str
-    path: str  # the template with the server's base path before it
+    path: str  # the template, after the server's base path
     cls: str
     effect: Effect
     cost: Cost
     aim: float
     deadline: float
     worth: float
-    key: Key | None = None  # of a keyed one
+    key: Key | None = None  # of a keyed operation
     deprecated: bool = False
-    overrides: tuple[str, ...] = ()  # its own parameters that are named like a method override
+    overrides: tuple[str, ...] = ()  # its declared parameters that have the name of a method override
 
 
-class ClassTerms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a site says of a request class; None leaves it to the general default."""
+class ClassDefaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A site's defaults for a request class; None if the general default applies."""
 
     aim: float | None = None
     deadline: float | None = None
@@ -111,23 +116,23 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """What a site adds to its description: part of what a compiled one is known by."""
+    """What a site sets for compiling its description; a cached result is valid for the same options only."""
 
-    base: str | None = None  # instead of the base paths of `servers`
+    base: str | None = None  # replaces the base paths of `servers`
     aim: float = 2.0
     deadline: float = 10.0
     worth: float = 1.0
-    classes: dict[str, ClassTerms] = {}
+    classes: dict[str, ClassDefaults] = {}
     most_deadline: float = 60.0
     most_operations: int = 20_000
 
 
 class Compiled(msgspec.Struct, frozen=True):
-    """A description that can be served."""
+    """A valid description, compiled."""
 
     title: str
     version: str
     operations: list[Operation]
     findings: list[Finding]
-    left_out: int  # findings beyond the bound
+    left_out: int  # how many findings exceeded MAX_FINDINGS
     files: dict[str, str]  # SHA-256 in hex of each file that was read
--- a/ivymux/routes/refs.py
+++ b/ivymux/routes/refs.py
@@ -1,4 +1,4 @@
-"""References within a description and to files beside it.  Nothing is fetched, nothing leaves the folder."""
+"""Resolves references within a description and to other files in its folder; nothing is fetched."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 from ivymux.text import MAX_BYTES, TextError, parse
 
 MAX_FILES = 200
-MAX_HOPS = 32  # references one behind another
+MAX_HOPS = 32  # references that lead to further references
 SCHEME = re.compile(r"[A-Za-z][A-Za-z0-9+.-]*:")
-LITERAL = frozenset(("example", "examples", "default", "enum", "const"))  # hold data, not references
-Read = Callable[[str], bytes]  # a file's bytes, by its path from the description's folder; raises OSError
+# Keys whose values are data: what looks like a reference in them is none.
+DATA_KEYWORDS = frozenset(("example", "examples", "default", "enum", "const"))
+ReadFile = Callable[[str], bytes]  # takes a path relative to the description's folder; raises OSError
 
 
 class RefError(ValueError):
-    """A reference that can't be followed."""
+    """A reference that cannot be resolved."""
 
 
 class Documents:
     """The files of one description, each read and parsed once."""
 
-    def __init__(self, read: Read) -> None:
+    def __init__(self, read: ReadFile) -> None:
         self.read = read
         self.values: dict[str, Any] = {}
         self.digests: dict[str, str] = {}
         self.size = 0
 
     def load(self, name: str) -> Any:
-        """The value of a file.  Raises RefError, TextError."""
+        """Read and parse a file, once.  Raises RefError, TextError."""
         if name not in self.values:
             if len(self.values) >= MAX_FILES:
                 raise RefError(f"more than {MAX_FILES} files")
@@ -52,15 +53,15 @@
         return self.values[name]
 
     def follow(self, file: str, ref: str) -> tuple[str, str, Any]:
-        """Where a reference in a file leads: file, pointer and value.  Raises RefError, TextError."""
+        """Return the file, JSON pointer and value that a reference leads to.  Raises RefError, TextError."""
         target, _, fragment = ref.partition("#")
         if SCHEME.match(target) or target.startswith("//"):
-            raise RefError(f"{ref[:120]!r} is remote: nothing is fetched; put the file beside this one")
+            raise RefError(f"{ref[:120]!r} is remote and is not fetched; put the file next to this one")
         name = file
         if target:
             name = posixpath.normpath(posixpath.join(posixpath.dirname(file), unquote(target)))
             if name.startswith(("../", "/")) or name == ".." or "\0" in name or "\\" in name:
-                raise RefError(f"{ref[:120]!r} leads out of the description's folder")
+                raise RefError(f"{ref[:120]!r} points outside the description's folder")
         value = self.load(name)
         fragment = unquote(fragment)
         if fragment and not fragment.startswith("/"):
@@ -72,67 +73,74 @@
             elif isinstance(value, list) and part.isdecimal() and int(part) < len(value):
                 value = value[int(part)]
             else:
-                raise RefError(f"{ref[:120]!r} leads nowhere")
+                raise RefError(f"{ref[:120]!r} has no target")
         return name, fragment, value
 
-    def resolve(self, file: str, place: str, value: Any) -> tuple[str, str, Any]:
-        """A value, or what it refers to in the end.  Raises RefError, TextError."""
+    def resolve(self, file: str, pointer: str, value: Any) -> tuple[str, str, Any]:
+        """Follow a value's references until it is none; return its file, pointer and the value itself.
+
+        Raises RefError, TextError.
+        """
         seen: set[tuple[str, str]] = set()
         while isinstance(value, dict) and isinstance(value.get("$ref"), str):
-            if (file, place) in seen or len(seen) > MAX_HOPS:
-                raise RefError("a reference that leads back to itself")
-            seen.add((file, place))
-            file, place, value = self.follow(file, value["$ref"])
-        return file, place, value
+            if (file, pointer) in seen or len(seen) > MAX_HOPS:
+                raise RefError("a circular reference")
+            seen.add((file, pointer))
+            file, pointer, value = self.follow(file, value["$ref"])
+        return file, pointer, value
 
 
-def escape(part: str) -> str:
-    """One part of a JSON pointer (RFC 6901)."""
+def escape_pointer_part(part: str) -> str:
+    """Escape one part of a JSON pointer (RFC 6901)."""
     return part.replace("~", "~0").replace("/", "~1")
 
 
-def references(value: Any) -> Iterator[tuple[str, str]]:
-    """Place and text of every reference in a document."""
-    # A place is kept as its parent's and its last part, and written out only where it is asked for.
+def iterate_references(value: Any) -> Iterator[tuple[str, str]]:
+    """Yield the JSON pointer and the text of every reference in a document."""
+    # A pointer is kept as a linked list of parts and formatted only for references.
     stack: list[tuple[Any, Any, bool]] = [(value, None, False)]
     while stack:
-        at, place, named = stack.pop()
-        if isinstance(at, dict):
-            ref = at.get("$ref")
-            if isinstance(ref, str) and not named:
-                yield written(place), ref
-            for key, inner in at.items():
-                if isinstance(inner, dict | list) and (named or not is_data(key)):
-                    stack.append((inner, (place, key), not named and key in ("properties", "schemas")))
+        node, pointer, keys_are_names = stack.pop()
+        if isinstance(node, dict):
+            ref = node.get("$ref")
+            if isinstance(ref, str) and not keys_are_names:
+                yield format_pointer(pointer), ref
+            for key, inner in node.items():
+                if isinstance(inner, dict | list) and (keys_are_names or not holds_data(key)):
+                    stack.append(
+                        (inner, (pointer, key), not keys_are_names and key in ("properties", "schemas"))
+                    )
         else:
-            for number, inner in enumerate(at):
+            for index, inner in enumerate(node):
                 if isinstance(inner, dict | list):
-                    stack.append((inner, (place, number), False))
+                    stack.append((inner, (pointer, index), False))
 
 
-def is_data(key: str) -> bool:
-    return key in LITERAL or key.startswith("x-")
+def holds_data(key: str) -> bool:
+    """Whether the value of a key is data, so that a `$ref` in it is not a reference."""
+    return key in DATA_KEYWORDS or key.startswith("x-")
 
 
-def written(place: Any) -> str:
+def format_pointer(pointer: Any) -> str:
+    """Format a linked list of parts as a JSON pointer."""
     parts: list[str] = []
-    while place is not None:
-        place, part = place
-        parts.append(escape(str(part)))
+    while pointer is not None:
+        pointer, part = pointer
+        parts.append(escape_pointer_part(str(part)))
     return "".join("/" + part for part in reversed(parts))
 
 
 def check_references(documents: Documents, first: str, findings: Findings) -> None:
-    """Follow every reference of every file once, also those of schemas, which are not looked at further."""
+    """Check that every reference of every file resolves, including those of schemas, which are not used."""
     checked: set[str] = set()
     known: set[tuple[str, str]] = set()
-    while waiting := [name for name in documents.values if name not in checked]:
-        for name in waiting:
+    while unchecked := [name for name in documents.values if name not in checked]:
+        for name in unchecked:
             checked.add(name)
-            for place, ref in references(documents.values[name]):
+            for pointer, ref in iterate_references(documents.values[name]):
                 if (name, ref) not in known:
                     known.add((name, ref))
                     try:
                         documents.follow(name, ref)
                     except (RefError, TextError) as error:
-                        findings.error(name, place, str(error))
+                        findings.error(name, pointer, str(error))
--- a/ivymux/routes/table.py
+++ b/ivymux/routes/table.py
@@ -1,4 +1,4 @@
-"""A description in service: its router with each operation's class, key and cost for a request."""
+"""Decides a request's operation, class, effect and cost by the routes of a compiled description."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ivymux.routes import override
 from ivymux.routes.classes import ClassTable
-from ivymux.routes.description import scaled
+from ivymux.routes.description import cost_units
 from ivymux.routes.matcher import NoRoute, Route, Router
 from ivymux.routes.model import Compiled, Operation
 from ivymux.routes.target import Target
@@ -19,89 +19,98 @@
 
 
 class BadParameter(ValueError):
-    """A parameter that decides the cost or the key, and is malformed."""
+    """A parameter that determines the cost, the key or the method is malformed or not allowed."""
 
 
 @dataclass(slots=True)
 class Decision:
-    """What a request is handled by."""
+    """How a request is handled."""
 
     operation: Operation
-    cls: int  # the module's number of its class
+    cls: int  # the decision module's number of its class
     effect: Effect
     units: float
     target: Target
 
 
 class Table:
-    """One generation of routes.  A request keeps the generation that it came in with."""
+    """The routes of one compiled description.  A request keeps the table that it arrived under."""
 
     def __init__(self, compiled: Compiled, classes: ClassTable) -> None:
         self.compiled, self.classes = compiled, classes
         self.router = Router()
-        self.numbers: dict[RequestClass, int] = {}
+        self.class_numbers: dict[RequestClass, int] = {}
 
     def build(self) -> Iterator[int]:
-        """Fill the router bit by bit; `enter` comes when it is full."""
+        """Fill the router, yielding regularly; call `assign_class_numbers` when it is complete."""
         yield from self.router.add_all(self.compiled.operations)
 
-    def wanted(self) -> set[RequestClass]:
-        """The distinct classes of all operations.  A keyed one's requests without a key are unsafe."""
+    def required_classes(self) -> set[RequestClass]:
+        """Return the distinct classes of all operations.
+
+        A keyed operation has two: its requests without a key are unsafe.
+        """
         found = set()
-        for operation in self.distinct().values():
+        for operation in self.distinct_operations().values():
             found.add(self.class_of(operation, operation.effect))
             if operation.effect is Effect.KEYED:
                 found.add(self.class_of(operation, Effect.UNSAFE))
         return found
 
-    def distinct(self) -> dict[tuple[str, str, float, float, float], Operation]:
-        """One operation for each set of traits: there are few, and many operations."""
-        return {traits(operation): operation for operation in self.compiled.operations}
+    def distinct_operations(self) -> dict[tuple[str, str, float, float, float], Operation]:
+        """Return one operation for each set of traits; there are few sets, and may be many operations."""
+        return {class_traits(operation): operation for operation in self.compiled.operations}
 
     def class_of(self, operation: Operation, effect: Effect) -> RequestClass:
-        return self.classes.make(operation.cls, effect, operation.aim, operation.deadline, operation.worth)
-
-    def enter(self) -> None:
-        """Take numbers for the classes.  Raises TooManyClasses, changing nothing."""
-        self.numbers = self.classes.put(self.wanted())
-        of = {}
-        for known, operation in self.distinct().items():
-            unsafe = self.numbers.get(self.class_of(operation, Effect.UNSAFE), -1)
-            of[known] = self.numbers[self.class_of(operation, operation.effect)], unsafe
+        return self.classes.request_class(
+            operation.cls, effect, operation.aim, operation.deadline, operation.worth
+        )
+
+    def assign_class_numbers(self) -> None:
+        """Assign numbers to the classes.  Raises TooManyClasses, and then changes nothing."""
+        self.class_numbers = self.classes.replace_current(self.required_classes())
+        numbers_by_traits = {}
+        for traits, operation in self.distinct_operations().items():
+            unsafe = self.class_numbers.get(self.class_of(operation, Effect.UNSAFE), -1)
+            numbers_by_traits[traits] = self.class_numbers[self.class_of(operation, operation.effect)], unsafe
         for route in self.router.routes:
-            route.class_number, route.keyless_class_number = of[traits(route.operation)]
+            route.class_number, route.keyless_class_number = numbers_by_traits[class_traits(route.operation)]
 
     def decide(self, method: str, target: bytes, headers: list[tuple[bytes, bytes]]) -> Decision:
-        """What a request is handled by.  Raises NoRoute, BadParameter."""
-        route, read = self.router.match(method, target)
+        """Decide how a request is handled.  Raises NoRoute, BadParameter."""
+        route, parsed = self.router.match(method, target)
         operation = route.operation
         for name, _ in headers:
             if name in override.HEADERS and name.decode() not in operation.overrides:
-                raise BadParameter(f"{name.decode()} is not served: it would hide the method")
-        if read.query and (found := override.in_query(read.query)) and found not in operation.overrides:
-            raise BadParameter("a query parameter that overrides the method is not served")
+                raise BadParameter(f"{name.decode()} is not accepted: it overrides the method")
+        if (
+            parsed.query
+            and (found := override.find_in_query(parsed.query))
+            and found not in operation.overrides
+        ):
+            raise BadParameter("a query parameter that overrides the method is not accepted")
         number, effect = route.class_number, operation.effect
-        if effect is Effect.KEYED and not has_key(operation, read, headers):
+        if effect is Effect.KEYED and not has_key(operation, parsed, headers):
             number, effect = route.keyless_class_number, Effect.UNSAFE
-        units = operation.cost.amount if not operation.cost.source else cost(route, read, headers)
-        return Decision(operation, number, effect, units, read)
+        units = operation.cost.amount if not operation.cost.source else request_cost(route, parsed, headers)
+        return Decision(operation, number, effect, units, parsed)
 
 
-def traits(operation: Operation) -> tuple[str, str, float, float, float]:
+def class_traits(operation: Operation) -> tuple[str, str, float, float, float]:
     return operation.cls, operation.effect.value, operation.aim, operation.deadline, operation.worth
 
 
 def has_key(operation: Operation, target: Target, headers: list[tuple[bytes, bytes]]) -> bool:
-    """Whether a keyed request carries its key.  Raises BadParameter for one that could be read two ways."""
+    """Whether a keyed request carries its key.  Raises BadParameter for an ambiguous one."""
     key = operation.key
     assert key is not None
     if key.source == "header":
         name = key.name.lower().encode()
         found = [value for header, value in headers if header == name]
     else:
-        found = [value.encode() for value in override.values(target.query, key.name)]
+        found = [value.encode() for value in override.query_values(target.query, key.name)]
     if len(found) > 1:
-        raise BadParameter(f"the key {key.name} stands twice")
+        raise BadParameter(f"the key {key.name} is given twice")
     if not found or not found[0]:
         return False
     if not KEY.fullmatch(found[0]):
@@ -109,11 +118,14 @@
     return True
 
 
-def cost(route: Route, target: Target, headers: list[tuple[bytes, bytes]]) -> float:
-    """Units by a parameter.  Raises BadParameter: a worker may read it in its own way, and do more."""
+def request_cost(route: Route, target: Target, headers: list[tuple[bytes, bytes]]) -> float:
+    """Compute the cost from the request's parameter.
+
+    Raises BadParameter for a malformed one: a backend may read it differently and do more work.
+    """
     rule = route.operation.cost
     if rule.source == "query":
-        found = override.values(target.query, rule.name)
+        found = override.query_values(target.query, rule.name)
     elif rule.source == "header":
         name = rule.name.encode()
         found = [value.decode("latin-1") for header, value in headers if header == name]
@@ -123,10 +135,10 @@
     if not found:
         return rule.amount
     if len(found) > 1:
-        raise BadParameter(f"{rule.name} stands twice")
+        raise BadParameter(f"{rule.name} is given twice")
     if not AMOUNT.fullmatch(found[0]):
         raise BadParameter(f"{rule.name} is not a number")
-    return scaled(rule, float(found[0]))
+    return cost_units(rule, float(found[0]))
 
 
 __all__ = ["BadParameter", "Decision", "NoRoute", "Table"]
--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -20,7 +20,7 @@
 
 from ivymux import __version__
 from ivymux.routes.model import Compiled, DescriptionError, Finding, Options
-from ivymux.routes.refs import Read
+from ivymux.routes.refs import ReadFile
 from ivymux.text import MAX_BYTES
 
 MAX_MEMORY = 3 << 30  # bytes of address space
@@ -41,7 +41,7 @@
     compiled: Compiled
 
 
-def reader(path: Path) -> Read:
+def reader(path: Path) -> ReadFile:
     """Reads a description's files.  What leads out of its folder, also by a link, is refused."""
     folder = path.parent.resolve()
 
--- a/ivymux/service/frontend.py
+++ b/ivymux/service/frontend.py
@@ -187,7 +187,7 @@
         """A form's field may override the method as a query's may."""
         for name, value in fields:
             if name == b"content-type" and value.strip().lower().startswith(override.FORM):
-                found = override.in_query(content)
+                found = override.find_in_query(content)
                 if found and unquote_plus(found) not in allowed_names:
                     raise BadRequest("a form field that overrides the method is not served")
 
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -12,7 +12,7 @@
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.inventory.change_policy import Limits
 from ivymux.inventory.model import FieldError, Worker, read_address
-from ivymux.routes.model import ClassTerms, Compiled, Options
+from ivymux.routes.model import ClassDefaults, Compiled, Options
 from ivymux.service.callers import CallerError, Callers
 from ivymux.tally.engine import RedisPart, check_redis_settings
 from orchidhill import interface as i
@@ -124,7 +124,7 @@
     listen: str = "127.0.0.1:8080"
     name: str = "door"
     defaults: DefaultsPart = DefaultsPart()
-    classes: dict[str, ClassTerms] = {}
+    classes: dict[str, ClassDefaults] = {}
     keyed: KeyedPart = KeyedPart()
     rules: RulesPart = RulesPart()
     limits: LimitsPart = LimitsPart()
@@ -346,9 +346,9 @@
     found = []
     for plan_ in site.plans:
         most = min(plan_.burst or math.inf, plan_.ceiling_burst or math.inf)
-        dear = [o for o in compiled.operations if o.cost.greatest > most]
+        dear = [o for o in compiled.operations if o.cost.maximum > most]
         if dear:
-            cost = dear[0].cost.greatest
+            cost = dear[0].cost.maximum
             found.append(
                 f"plan {plan_.name} holds {most:g} units, and {dear[0].id} may cost {cost:g}:"
                 f" such requests are refused with 403 ({len(dear)} operations)"
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -73,7 +73,7 @@
         self.table = Table(compiled, self.classes)
         for _ in self.table.build():
             pass
-        self.table.enter()
+        self.table.assign_class_numbers()
         answer = limits.answer_kb * 1024
         policy = AnswerPolicy(True, answer, int(limits.memory_mb * MAX_ANSWERS * (1 << 20)))
         upstream = Upstream(
@@ -86,7 +86,7 @@
         seed = secrets.randbits(64)
         log.info("seed %016x", seed)
         self.random = random.Random(seed)
-        told = settings(site, tuple(self.classes.listed))
+        told = settings(site, tuple(self.classes.class_list))
         self.host = Host(Gateway(told, seed), upstream)
         self.store = CounterStore()
         self.tally: CounterServer | None = None
@@ -245,8 +245,8 @@
         for _ in table.build():
             await asyncio.sleep(0)  # requests go between
         # From here to the end nothing waits: a request has the old description whole, or the new one.
-        table.enter()
-        self.host.post(i.Classes(tuple(self.classes.listed)))
+        table.assign_class_numbers()
+        self.host.post(i.Classes(tuple(self.classes.class_list)))
         self.table = self.frontend.table = table
         self.longest = max(self.longest, *(o.deadline for o in compiled.operations))
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -57,7 +57,7 @@
     good = write(tmp_path, described(PATHS))
     assert main(["routes", "check", good]) == 0
     out = capsys.readouterr().out
-    assert "api.json#/paths/~1write/post: note: POST states no effect: taken as unsafe" in out
+    assert "api.json#/paths/~1write/post: note: POST declares no effect: treated as unsafe" in out
     assert "(2 safe, 1 keyed, 4 unsafe)" in out
     warned = write(tmp_path, described({"/a/{x}": {"get": operation()}, "/a/{y}": {"put": operation()}}))
     assert main(["routes", "check", warned]) == 0 and main(["routes", "check", warned, "--strict"]) == 1
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -331,7 +331,7 @@
             await until(lambda: place.fleet.seen)
             reset(caller)
             await until(lambda: not place.door.host.requests)
-            assert place.door.server.held_bytes == 0 and not any(place.door.classes.held)
+            assert place.door.server.held_bytes == 0 and not any(place.door.classes.open_requests)
             assert max(place.fleet.runs.values()) == 1
 
     run(test())
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -92,7 +92,7 @@
                 assert got.status == 502 and place.fleet.seen["r"] == 1
             else:
                 assert got.status == 200 and place.fleet.seen["r"] == 2
-            assert not any(place.door.classes.held)
+            assert not any(place.door.classes.open_requests)
 
     run(test())
 
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -70,7 +70,7 @@
             call = take(*args)
             if isinstance(call, Call):
                 number = call.make_event(0).cls
-                self.effects[call.request_id.decode()] = place.door.classes.listed[number].effect
+                self.effects[call.request_id.decode()] = place.door.classes.class_list[number].effect
             return call
 
         frontend.accept = noting  # type: ignore[method-assign, assignment]
@@ -160,7 +160,7 @@
     assert set(storm.statuses) <= {200, 500, 502, 503, 504}
     assert max(end - began - pauses.total_within(began, end) for began, end in storm.asked) < DEADLINE + 0.5
     assert storm.statuses[200] > 0.7 * REQUESTS
-    assert door.host.decision_module.settings.classes == tuple(door.classes.listed)
+    assert door.host.decision_module.settings.classes == tuple(door.classes.class_list)
     repeated = 0
     for name, effect in storm.effects.items():
         runs, seen = fleet.runs[name], fleet.seen[name]
@@ -176,6 +176,10 @@
     assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # the storm had all of it
     assert not fleet.together  # never two attempts out at once
     assert not any(name.startswith("half-") for name in fleet.seen)
-    assert not any(door.classes.held) and door.server.held_bytes == 0 and door.host.unanswered_count == 0
-    assert len(door.classes.listed) < 60  # numbers are used again
+    assert (
+        not any(door.classes.open_requests)
+        and door.server.held_bytes == 0
+        and door.host.unanswered_count == 0
+    )
+    assert len(door.classes.class_list) < 60  # numbers are used again
     assert not any(worker.malformed for worker in place.workers)
