--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -19,7 +19,7 @@
 from bench.parts import ANSWER
 from bench.routes import free_port, listening, site, small, standalone_requests
 from ivymux.inventory.change_policy import Limits
-from ivymux.inventory.csv_reader import write_sheet
+from ivymux.inventory.csv_reader import write_csv
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.membership.reader import ReadTask, read_and_check, read_in_child_process
 from ivymux.service.standalone import open_standalone
@@ -47,7 +47,7 @@
     """The reader's own process, and what reading alone takes of it."""
     path = folder / "workers.csv"
     old, new = fleet(SIZE, []), fleet(SIZE, [], 1)
-    path.write_bytes(write_sheet(new))
+    path.write_bytes(write_csv(new))
     beside, alone = [], []
     for _ in range(3 if quick else 7):
         began = time.perf_counter()
@@ -70,7 +70,7 @@
     path = site(folder, [], free_port(), json.dumps(small()).encode())
     path.write_text(path.read_text() + '\n[inventory]\nfile = "workers.csv"\nwatch = 3600.0\nsettle = 0.0\n')
     file = folder / "workers.csv"
-    file.write_bytes(write_sheet(fleet(1, [worker.address])))
+    file.write_bytes(write_csv(fleet(1, [worker.address])))
     door = await open_standalone(path)
     await door.start()
     assert door.inventory is not None
@@ -78,7 +78,7 @@
     try:
         before = resident()
         for turn in range(2 if quick else 5):
-            file.write_bytes(write_sheet(fleet(SIZE, [worker.address], turn)))
+            file.write_bytes(write_csv(fleet(SIZE, [worker.address], turn)))
             began = time.perf_counter()
             await door.inventory.poll()
             await door.inventory.poll()
@@ -111,7 +111,7 @@
 
     def write(inventory: Inventory) -> None:
         part = folder / "part"
-        part.write_bytes(write_sheet(inventory))
+        part.write_bytes(write_csv(inventory))
         part.replace(file)
 
     write(fleet(SIZE, real))
--- a/ivymux/admin/operations.py
+++ b/ivymux/admin/operations.py
@@ -27,7 +27,7 @@
     StoreError,
     StoreFull,
 )
-from ivymux.inventory.change_policy import Judge
+from ivymux.inventory.change_policy import ChangePolicy
 from ivymux.inventory.model import Inventory, InventoryError
 from ivymux.membership.files import Content, parse_content
 from ivymux.routes.model import Compiled, DescriptionError
@@ -460,7 +460,7 @@
             if tenant.inventory.parsed:
                 before = await self.read_text(stored.uid, tenant.inventory.parsed, {})
                 current = msgspec.msgpack.decode(before, type=Inventory)
-                verdict = Judge(tenant.inventory.limits, current).look(reading.inventory, 0.0)
+                verdict = ChangePolicy(tenant.inventory.limits, current).review(reading.inventory, 0.0)
                 if not verdict.passes and confirm != verdict.confirmation:
                     raise ApiError(409, "the change is held back: " + "; ".join(verdict.reasons),
                                    confirmation=verdict.confirmation, change=str(verdict.change))  # fmt: skip
--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -166,11 +166,11 @@
 
 
 def run_show(args: argparse.Namespace) -> int:
-    from ivymux.inventory.csv_reader import write_sheet
+    from ivymux.inventory.csv_reader import write_csv
     from ivymux.inventory.model import InventoryError
 
     try:
-        sys.stdout.write(write_sheet(read(args.file).inventory).decode())
+        sys.stdout.write(write_csv(read(args.file).inventory).decode())
     except InventoryError as error:
         print(error, file=sys.stderr)
         return 1
@@ -180,7 +180,7 @@
 
 
 def run_diff(args: argparse.Namespace) -> int:
-    from ivymux.inventory.change_policy import Judge, Limits, cut_reason, differences
+    from ivymux.inventory.change_policy import ChangePolicy, Limits, differences, truncation_reason
     from ivymux.inventory.model import InventoryError
 
     try:
@@ -191,8 +191,8 @@
     except OSError as error:
         return fail(error)
     change = differences(old.inventory, new.inventory)
-    cut = cut_reason(old.shape, new.shape, old.inventory, new.inventory, change)
-    verdict = Judge(Limits(), old.inventory).look(new.inventory, 0.0, cut)
+    truncation = truncation_reason(old.shape, new.shape, old.inventory, new.inventory, change)
+    verdict = ChangePolicy(Limits(), old.inventory).review(new.inventory, 0.0, truncation)
     print(verdict.change)
     for reason in verdict.reasons:
         print(f"held back: {reason}")
--- a/ivymux/inventory/__init__.py
+++ b/ivymux/inventory/__init__.py
@@ -1,1 +1,1 @@
-"""The list of workers from CSV or YAML, and the judge of its changes.  Pure: no files, sockets or clock."""
+"""Reads lists of workers from CSV or YAML and checks changes of them; it uses no files, sockets or clocks."""
--- a/ivymux/inventory/change_policy.py
+++ b/ivymux/inventory/change_policy.py
@@ -1,7 +1,8 @@
-"""Whether a change of the inventory may go through unasked.  Pure; time is passed in, in seconds.
+"""Decides whether a change of the inventory is applied without confirmation.
 
-What a slip does and a volunteer rarely means: many workers gone, many addresses moved, a room emptied.
-Changes add up within a window, so that one large drop can't pass as many small ones.
+Held back are changes that are rarely intended and often a mistake: many workers removed, many addresses
+changed, a room emptied.  Changes add up within a window, so that a large loss cannot pass as many small ones.
+It does no I/O; times are passed in, in seconds.
 """
 
 from __future__ import annotations
@@ -12,29 +13,29 @@
 
 import msgspec
 
-from ivymux.inventory.model import Inventory, Shape, Worker
+from ivymux.inventory.model import FileShape, Inventory, Worker
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes through unasked.  Parts are of the ready workers at the window's start."""
+    """Limits for changes without confirmation; fractions are of the workers ready at the window's start."""
 
-    fleet: float = 0.25  # of all workers that leave, drain or move
-    bay: float = 0.5  # of one bay's
-    least: int = 1  # so many may always, in the fleet and in a bay
-    moved: float = 0.25  # of all workers that get another address
-    kept: int = 1  # ready workers that a room keeps at least, and the fleet
+    fleet: float = 0.25  # the fraction of all workers that may leave, drain or move
+    bay: float = 0.5  # the same fraction for each bay
+    least: int = 1  # this many workers may always do so, in the fleet and in each bay
+    moved: float = 0.25  # the fraction of all workers that may get another address, room or bay
+    kept: int = 1  # how many ready workers must remain in each room, and in the fleet
     window: float = 600.0  # seconds over which changes add up
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What is other in a new inventory, by worker."""
+    """How a new inventory differs from the current one, by names of workers."""
 
     added: tuple[str, ...] = ()
     removed: tuple[str, ...] = ()
-    drained: tuple[str, ...] = ()  # no longer ready, but listed
-    moved: tuple[str, ...] = ()  # at another address, or in another room or bay
-    other: tuple[str, ...] = ()  # weight, kind, or ready again
+    drained: tuple[str, ...] = ()  # still listed, but no longer ready
+    moved: tuple[str, ...] = ()  # with another address, room or bay
+    other: tuple[str, ...] = ()  # with another weight or kind, or ready again
 
     def __bool__(self) -> bool:
         return any((self.added, self.removed, self.drained, self.moved, self.other))
@@ -73,13 +74,13 @@
 
 
 def confirmation(old: Inventory, new: Inventory) -> str:
-    """What confirms the step from one inventory to another, and no other step."""
+    """Return the code that confirms the change from one inventory to another, and no other change."""
     return sha256(f"{digest(old)} {digest(new)}".encode()).hexdigest()[:24]
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """`reasons` say why a change is held back; with none it goes through."""
+    """The result of a review; a change with `reasons` is held back."""
 
     change: Change
     reasons: tuple[str, ...]
@@ -93,8 +94,8 @@
 DEFAULTS = {"room": "main", "bay": 0, "kind": "standard", "weight": 1.0, "state": "ready"}
 
 
-def lost_its_end(before: Inventory, after: Inventory, name: str) -> bool:
-    """Whether a worker is other only by fields that are back at their defaults, as by lines cut off."""
+def only_reset_to_defaults(before: Inventory, after: Inventory, name: str) -> bool:
+    """Whether a worker differs only by fields that now have their defaults, as if lines were cut off."""
     was, now = before.by_name().get(name), after.by_name().get(name)
     if was is None or now is None:
         return False
@@ -102,63 +103,67 @@
     return bool(differ) and all(DEFAULTS.get(f) == getattr(now, f) for f in differ)
 
 
-def cut_reason(old: Shape, new: Shape, before: Inventory, after: Inventory, change: Change) -> str | None:
-    """Why a file may be one that was cut.  At a line's end that is a valid shorter file: only what it was
-    before tells.  A right count in the last row clears it.  Nor does a folder of variables that lost its
-    mount leave a trace of its own.
+def truncation_reason(
+    old: FileShape, new: FileShape, before: Inventory, after: Inventory, change: Change
+) -> str | None:
+    """Return why a file may be truncated, or None.
+
+    A file cut at a line's end is a valid shorter file, so it can only be recognized by its previous content.
+    A correct count in the last row rules it out.  A folder of variables whose mount was lost can also be
+    recognized only in this way.
     """
     if not change:
         return None
     if lost := sorted(set(old.beside) - set(new.beside)):
-        return f"{' and '.join(lost)} held files before and is empty or gone, as when a mount is lost"
+        return f"{' and '.join(lost)} had files before and is now empty or missing, as when a mount is lost"
     if new.counted:
         return None
     if old.counted:
-        return "the last list ended with its count, this one does not: it may have been cut"
+        return "the previous list ended with its count, this one does not: it may be truncated"
     size = len(new.order)
     if not 0 < size <= len(old.order):
         return None
     same = new.order[:-1] == old.order[: size - 1] and old.order[size - 1].startswith(new.order[-1])
     shorter = size < len(old.order) or (old.ended and not new.ended)
-    if same and (shorter or lost_its_end(before, after, new.order[-1])):
-        return "it is the last list without its end, as one that was cut; end it with a row '# end COUNT'"
+    if same and (shorter or only_reset_to_defaults(before, after, new.order[-1])):
+        return "it is the previous list without its end and may be truncated; add a last row '# end COUNT'"
     return None
 
 
-def ready(inventory: Inventory) -> dict[str, Worker]:
+def ready_workers(inventory: Inventory) -> dict[str, Worker]:
     return {w.name: w for w in inventory.workers if w.state == "ready"}
 
 
 @dataclass(slots=True)
-class Judge:
-    """Keeps what has been taken within the window, and compares each new inventory with its start."""
+class ChangePolicy:
+    """Compares each new inventory with the one at the start of the window in which changes add up."""
 
     limits: Limits
     current: Inventory
-    taken: deque[tuple[float, Inventory]] = field(default_factory=deque)  # what was replaced, and when
-    latest: float = 0.0  # the latest time seen: a clock that goes back must not shorten the window
-
-    def base(self, now: float) -> Inventory:
-        """The inventory that counted when the window began."""
-        self.latest = max(self.latest, now)
-        while self.taken and self.taken[0][0] <= self.latest - self.limits.window:
-            self.taken.popleft()
-        return self.taken[0][1] if self.taken else self.current
-
-    def look(self, new: Inventory, now: float, cut: str | None = None) -> Verdict:
-        """Whether a new inventory may go through; `cut`: why its file may be one that was cut."""
+    accepted: deque[tuple[float, Inventory]] = field(default_factory=deque)  # when, and what was replaced
+    latest_time: float = 0.0  # a clock that goes back must not shorten the window
+
+    def window_start(self, now: float) -> Inventory:
+        """Return the inventory that was in force when the window began."""
+        self.latest_time = max(self.latest_time, now)
+        while self.accepted and self.accepted[0][0] <= self.latest_time - self.limits.window:
+            self.accepted.popleft()
+        return self.accepted[0][1] if self.accepted else self.current
+
+    def review(self, new: Inventory, now: float, truncation: str | None = None) -> Verdict:
+        """Decide whether a new inventory may be applied; `truncation` is why its file may be truncated."""
         change = differences(self.current, new)
-        reasons = tuple(self.reasons(self.base(now), new)) if change else ()
-        # A step back toward the window's start, or one that takes no more away, is not held back for
-        # what earlier, confirmed steps took.
+        reasons = tuple(self.find_reasons(self.window_start(now), new)) if change else ()
+        # A change back toward the window's start, or one that takes no workers away, is not held back for
+        # what earlier, confirmed changes took.
         if reasons and not (change.removed or change.drained or change.moved):
             reasons = ()
-        if cut and change:
-            reasons = (*reasons, cut)
+        if truncation and change:
+            reasons = (*reasons, truncation)
         return Verdict(change, reasons, confirmation(self.current, new))
 
-    def reasons(self, base: Inventory, new: Inventory) -> list[str]:
-        limits, was, now = self.limits, ready(base), ready(new)
+    def find_reasons(self, start: Inventory, new: Inventory) -> list[str]:
+        limits, was, now = self.limits, ready_workers(start), ready_workers(new)
         if not was:
             return []
         found = []
@@ -187,13 +192,14 @@
             found.append(f"the fleet is left with {len(now)} workers")
         return found
 
-    def take(self, new: Inventory, now: float, confirmed: bool = False) -> None:
-        """Go over to a new inventory.  A confirmed one begins the window anew: what it took was meant."""
-        self.latest = max(self.latest, now)
+    def accept(self, new: Inventory, now: float, confirmed: bool = False) -> None:
+        """Make a new inventory the current one.  A confirmed one starts a new window, as it was intended."""
+        self.latest_time = max(self.latest_time, now)
         if confirmed:
-            self.taken.clear()
+            self.accepted.clear()
         elif self.current != new:
-            self.taken.append((self.latest, self.current))
-            while len(self.taken) > 1000:  # a flood of changes: the window's start is what counts
-                del self.taken[1]
+            self.accepted.append((self.latest_time, self.current))
+            # In a flood of changes the first entry is kept, because it is the window's start.
+            while len(self.accepted) > 1000:
+                del self.accepted[1]
         self.current = new
--- a/ivymux/inventory/csv_reader.py
+++ b/ivymux/inventory/csv_reader.py
@@ -1,4 +1,4 @@
-"""CSV as spreadsheets write it (RFC 4180 and what is met beside it) as an inventory."""
+"""Reads an inventory from CSV as spreadsheets export it (RFC 4180 and its common variants)."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import re
 
 from ivymux.inventory.model import (
-    Cell,
+    FileShape,
     Findings,
+    GatewayAddresses,
     Inventory,
     InventoryError,
-    Own,
-    Place,
-    Reading,
-    Shape,
+    ParsedInventory,
+    Position,
+    SourceValue,
     Worker,
-    gather,
+    build_inventory,
     make_worker,
-    mangled,
+    spreadsheet_damage,
 )  # fmt: skip
 
 MAX_BYTES = 16 << 20
@@ -39,16 +39,16 @@
 
 
 def column_name(number: int) -> str:
-    """A column as a spreadsheet names it, from 1."""
-    made = ""
+    """Return a column's name in a spreadsheet; `number` counts from 1."""
+    name = ""
     while number:
         number, rest = divmod(number - 1, 26)
-        made = chr(65 + rest) + made
-    return made
+        name = chr(65 + rest) + name
+    return name
 
 
-def text_of(data: bytes, findings: Findings) -> str | None:
-    """The text of a sheet in UTF-8 or UTF-16; None where it is neither, which is found."""
+def decode_text(data: bytes, findings: Findings) -> str | None:
+    """Decode a file in UTF-8 or UTF-16; add a finding and return None if it is neither."""
     if len(data) > MAX_BYTES:
         findings.error(0, 0, f"larger than {MAX_BYTES >> 20} MiB")
         return None
@@ -74,104 +74,108 @@
     return text
 
 
-def delimiter(text: str) -> str:
-    """What parts the cells: the one that the first line of cells has most of, outside quotes."""
+def detect_delimiter(text: str) -> str:
+    """Return the delimiter that occurs most often outside quotes in the first line with cells."""
     for line in text.splitlines():
-        bare = re.sub(r'"[^"]*"', "", line)
-        if bare.strip(" ,;\t") and not bare.lstrip().startswith("#"):
-            counts = {mark: bare.count(mark) for mark in (",", ";", "\t")}
+        unquoted = re.sub(r'"[^"]*"', "", line)
+        if unquoted.strip(" ,;\t") and not unquoted.lstrip().startswith("#"):
+            counts = {mark: unquoted.count(mark) for mark in (",", ";", "\t")}
             best = max(counts, key=lambda mark: counts[mark])
             return best if counts[best] else ","
     return ","
 
 
-def header_of(cells: list[str], line: int, findings: Findings) -> dict[int, str] | None:
-    """Which field each column holds."""
+def parse_header(cells: list[str], line: int, findings: Findings) -> dict[int, str] | None:
+    """Return the field of each column by the header; None, with a finding, if it lacks a required one."""
     fields: dict[int, str] = {}
-    for number, cell in enumerate(cells, 1):
+    for column, cell in enumerate(cells, 1):
         folded = re.sub(r"[\s_]+", "-", cell.strip().casefold())
         if not folded:
             continue
         field = HEADERS.get(folded)
         if field is None:
-            continue  # a column of the volunteers' own: notes, a telephone number
+            continue  # columns for other purposes are allowed, such as notes or a telephone number
         if field in fields.values():
-            findings.error(line, number, f"two columns hold the {field}; rename or remove one")
-        fields[number] = field
+            findings.error(line, column, f"two columns for the {field}; rename or remove one")
+        fields[column] = field
     known = set(fields.values())
     if "name" not in known or "address" not in known:
         if "address" in known or "name" in known:
             lacking = "name" if "name" not in known else "address"
             findings.error(line, 0, f"the header has no column for the {lacking}")
         else:
-            findings.error(line, 0, "the first row is no header: it needs at least name and address")
+            findings.error(line, 0, "the first row is not a header: it needs at least name and address")
         return None
     return fields
 
 
-def read_sheet(data: bytes, file: str, own: Own = ()) -> Reading:
-    """A sheet as an inventory.  Raises InventoryError with every finding."""
+def read_csv(data: bytes, file: str, gateway_addresses: GatewayAddresses = ()) -> ParsedInventory:
+    """Read an inventory from CSV.  Raises InventoryError with all findings."""
     findings = Findings(file)
-    text = text_of(data, findings)
+    text = decode_text(data, findings)
     if text is None:
         raise InventoryError(findings.kept)
-    if text.startswith("sep=") and len(text) > 4:  # a spreadsheet's own first line
-        mark, _, text = text[4], *text.partition("\n")[1:]
+    if text.startswith("sep=") and len(text) > 4:  # a line by which some spreadsheets declare the delimiter
+        delimiter, _, text = text[4], *text.partition("\n")[1:]
         text = "\n" + text
     else:
-        mark = delimiter(text)
-    rows = sheet_rows(text, mark, findings)
-    workers = read_rows(rows, findings)
+        delimiter = detect_delimiter(text)
+    rows = split_rows(text, delimiter, findings)
+    workers = parse_rows(rows, findings)
     if text and not text.endswith(("\n", "\r")) and not any(row for _, row in rows[-1:] if is_trailer(row)):
-        findings.warning(text.count("\n") + 1, 0, "the last line does not end; it may have been cut")
-    inventory = gather(workers, findings, own)
+        findings.warning(text.count("\n") + 1, 0, "the last line has no line end; the file may be truncated")
+    inventory = build_inventory(workers, findings, gateway_addresses)
     counted = any(is_trailer(row) for _, row in rows[1:])
-    shape = Shape(tuple(w.name for w, _ in workers), counted, text.endswith(("\n", "\r")))
-    return Reading(inventory, list(findings.kept), shape)
+    shape = FileShape(tuple(w.name for w, _ in workers), counted, text.endswith(("\n", "\r")))
+    return ParsedInventory(inventory, list(findings.kept), shape)
 
 
-def sheet_rows(text: str, mark: str, findings: Findings) -> list[tuple[int, list[str]]]:
-    """Rows with the line that each begins in."""
-    reader = csv.reader(io.StringIO(text, newline=""), delimiter=mark, strict=True)
+def split_rows(text: str, delimiter: str, findings: Findings) -> list[tuple[int, list[str]]]:
+    """Split the text into rows, each with the number of its first line."""
+    reader = csv.reader(io.StringIO(text, newline=""), delimiter=delimiter, strict=True)
     rows: list[tuple[int, list[str]]] = []
-    began = 1
+    first_line = 1
     try:
         for row in reader:
-            rows.append((began, row))
-            began = reader.line_num + 1
+            rows.append((first_line, row))
+            first_line = reader.line_num + 1
     except csv.Error as error:
-        told = "a quote that is not closed, or text behind one" if "quote" in str(error) or "expected" in str(
-            error) or "end of data" in str(error) else str(error)  # fmt: skip
-        findings.error(began, 0, told)
+        message = (
+            "an unclosed quote, or text after a closing quote"
+            if "quote" in str(error) or "expected" in str(error) or "end of data" in str(error)
+            else str(error)
+        )
+        findings.error(first_line, 0, message)
     return rows
 
 
 def is_trailer(row: list[str]) -> bool:
+    """Whether a row states the number of workers."""
     return bool(TRAILER.fullmatch(" ".join(cell for cell in row if cell.strip()).strip()))
 
 
-def read_rows(rows: list[tuple[int, list[str]]], findings: Findings) -> list[tuple[Worker, Place]]:
+def parse_rows(rows: list[tuple[int, list[str]]], findings: Findings) -> list[tuple[Worker, Position]]:
     fields: dict[int, str] | None = None
-    header_line, found = 0, list[tuple[Worker, Place]]()
-    told: int | None = None
-    listed = 0
+    header_line, workers = 0, list[tuple[Worker, Position]]()
+    stated_count: int | None = None
+    row_count = 0
     for line, row in rows:
         if not any(cell.strip(" \t\u00a0") for cell in row):
             continue
         joined = " ".join(cell for cell in row if cell.strip()).strip()
         if (trailer := TRAILER.fullmatch(joined)) and fields is not None:
-            told = int(trailer[2])
+            stated_count = int(trailer[2])
             continue
-        if row[0].lstrip().startswith("#") and mangled(row[0]) is None:
-            continue  # a note; a spreadsheet's error begins with the same mark
-        if told is not None:
-            findings.error(line, 0, "a row behind the row with the count")
+        if row[0].lstrip().startswith("#") and spreadsheet_damage(row[0]) is None:
+            continue  # a comment; spreadsheet errors such as #REF! begin with the same character
+        if stated_count is not None:
+            findings.error(line, 0, "a row after the row with the count")
             break
         if len(row) > MAX_COLUMNS:
             findings.error(line, 0, f"more than {MAX_COLUMNS} columns")
             continue
         if fields is None:
-            fields, header_line = header_of(row, line, findings), line
+            fields, header_line = parse_header(row, line, findings), line
             if fields is None:
                 break
             width = len(row)
@@ -179,45 +183,48 @@
         if looks_like_header(row):
             findings.error(line, 0, f"a second header; the first is in line {header_line}")
             continue
-        listed += 1
-        if worker := read_row(row, line, fields, width, findings):
-            found.append((worker, Place(line, 0)))
-    if told is not None and told != listed and fields is not None:
-        findings.error(0, 0, f"the last row counts {told} workers, {listed} rows stand above it: it was cut")
-    return found
+        row_count += 1
+        if worker := parse_row(row, line, fields, width, findings):
+            workers.append((worker, Position(line, 0)))
+    if stated_count is not None and stated_count != row_count and fields is not None:
+        findings.error(
+            0,
+            0,
+            f"the last row states {stated_count} workers, but {row_count} precede it: the file is truncated",
+        )
+    return workers
 
 
 def looks_like_header(row: list[str]) -> bool:
+    """Whether a row has the names of the required columns."""
     folded = {HEADERS.get(re.sub(r"[\s_]+", "-", cell.strip().casefold())) for cell in row}
     return {"name", "address"} <= folded
 
 
-def read_row(
+def parse_row(
     row: list[str], line: int, fields: dict[int, str], width: int, findings: Findings
 ) -> Worker | None:
     if any(cell.strip() for cell in row[width:]):
         findings.error(
-            line, width + 1, f"more cells than the header has: a cell with the mark in it? ({width})"
+            line, width + 1, f"more cells than the header has ({width}): is there a delimiter in a cell?"
         )
         return None
-    values: dict[str, Cell] = {}
-    for number, cell in enumerate(row, 1):
-        field = fields.get(number)
+    values: dict[str, SourceValue] = {}
+    for column, cell in enumerate(row, 1):
+        field = fields.get(column)
         if len(cell) > MAX_CELL:
-            findings.error(
-                line, number, f"column {column_name(number)} holds more than {MAX_CELL} characters"
-            )
+            findings.error(line, column, f"column {column_name(column)} has more than {MAX_CELL} characters")
             return None
         if field is not None:
-            values[field] = Cell(cell, Place(line, number))
+            values[field] = SourceValue(cell, Position(line, column))
     if len(row) < max(n for n, f in fields.items() if f in ("name", "address")):
-        findings.error(line, len(row), "fewer cells than the header needs: the row was cut")
+        findings.error(line, len(row), "fewer cells than the header requires: the row is truncated")
         return None
-    return make_worker(values, Place(line, 0), findings)
+    return make_worker(values, Position(line, 0), findings)
 
 
-def write_sheet(inventory: Inventory) -> bytes:
-    """An inventory as a sheet, with its count in the last row."""
+def write_csv(inventory: Inventory) -> bytes:
+    """Encode an inventory as CSV, with the number of workers in the last row."""
     out = io.StringIO(newline="")
     writer = csv.writer(out)
     writer.writerow(("name", "address", "port", "room", "bay", "kind", "weight", "state"))
--- a/ivymux/inventory/file_stability.py
+++ b/ivymux/inventory/file_stability.py
@@ -1,7 +1,7 @@
-"""When a file counts as whole.  Pure; time is passed in, in seconds on a clock that does not go back.
+"""Decides when a file is stable enough to be read.  It does no I/O; times are seconds of a monotonic clock.
 
-A file is read once what is seen of it (size, times, place on the disk) has stayed as it is for a while.  One
-that flips between versions never is; then the last good list stays, and that is told once.
+A file is read when its metadata (size, times, inode) has not changed for a while.  A file that keeps changing
+is never read; the last good list stays in force, and this is reported once.
 """
 
 from __future__ import annotations
@@ -9,48 +9,49 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-Look = Literal["same", "wait", "read", "restless"]
+Status = Literal["same", "wait", "read", "restless"]
 
 
 @dataclass(slots=True)
-class Settle:
-    """Follows one file, or several that belong together."""
-
-    rest: float = 0.5  # seconds without a change
-    patience: float = 30.0  # seconds of changes after which they are told of
-    seen: object = None  # as last looked at
-    since: float = 0.0
-    restless_since: float | None = None
-    told: bool = False
-    done: object = field(default=None)  # what was read last
-
-    def look(self, stamp: object, now: float) -> Look:
-        """What to do about the file as it is now; `stamp` None where it can't be looked at."""
-        if stamp is None:
-            self.seen = None
+class FileStability:
+    """Follows the metadata of one file, or of several that belong together."""
+
+    quiet_period_s: float = 0.5  # without a change, before the file is read
+    report_after_s: float = 30.0  # of continual changes
+    last_fingerprint: object = None
+    unchanged_since: float = 0.0
+    unstable_since: float | None = None
+    is_reported: bool = False
+    read_fingerprint: object = field(default=None)  # of the state that was read last
+
+    def observe(self, fingerprint: object, now: float) -> Status:
+        """Decide what to do by the file's present fingerprint, None if it is missing or unreadable."""
+        if fingerprint is None:
+            self.last_fingerprint = None
             return "wait"
-        if stamp != self.seen:
-            self.seen, self.since = stamp, now
-            if stamp == self.done:
-                # It is again as it was when it was read: nothing to do, but it may be flipping.
-                return self.restless(now)
-            return self.restless(now)
-        if stamp == self.done:
-            self.restless_since, self.told = None, False
+        if fingerprint != self.last_fingerprint:
+            self.last_fingerprint, self.unchanged_since = fingerprint, now
+            if fingerprint == self.read_fingerprint:
+                # It is as it was when it was read, so there is nothing to read; but it may keep changing.
+                return self.unstable_or_wait(now)
+            return self.unstable_or_wait(now)
+        if fingerprint == self.read_fingerprint:
+            self.unstable_since, self.is_reported = None, False
             return "same"
-        if now - self.since < self.rest:
-            return self.restless(now)
+        if now - self.unchanged_since < self.quiet_period_s:
+            return self.unstable_or_wait(now)
         return "read"
 
-    def restless(self, now: float) -> Look:
-        if self.restless_since is None:
-            self.restless_since = now
-        if not self.told and now - self.restless_since >= self.patience:
-            self.told = True
+    def unstable_or_wait(self, now: float) -> Status:
+        """Return "restless" once if the file has been changing for too long, else "wait"."""
+        if self.unstable_since is None:
+            self.unstable_since = now
+        if not self.is_reported and now - self.unstable_since >= self.report_after_s:
+            self.is_reported = True
             return "restless"
         return "wait"
 
-    def taken(self) -> None:
-        """It was read as it was last seen, whatever became of it."""
-        self.done = self.seen
-        self.restless_since, self.told = None, False
+    def mark_read(self) -> None:
+        """Record that the file was read in its last observed state, whether or not its content was valid."""
+        self.read_fingerprint = self.last_fingerprint
+        self.unstable_since, self.is_reported = None, False
--- a/ivymux/inventory/snapshot.py
+++ b/ivymux/inventory/snapshot.py
@@ -1,4 +1,4 @@
-"""A last good inventory as bytes that tell whether they are whole.  Pure."""
+"""Encodes the last good inventory with a digest and a length, by which damage is detected."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 import msgspec
 
-from ivymux.inventory.model import Inventory, Shape
+from ivymux.inventory.model import FileShape, Inventory
 
 MAGIC = b"ivymux-inventory-1\n"
 
 
 class SnapshotError(ValueError):
-    """Bytes that are no whole snapshot."""
+    """The bytes are not a complete snapshot."""
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """One inventory that counted, in the order in which they did."""
+    """An inventory that was in force."""
 
-    number: int
+    number: int  # in the order in which inventories came into force
     taken: float  # Unix time
     source: str  # the file that it came from
-    content: str  # SHA-256 of what was read
+    content: str  # SHA-256 of the files that were read
     why: str  # changed, confirmed, rolled back or started
     inventory: Inventory
-    shape: Shape = Shape()
+    shape: FileShape = FileShape()
 
 
 def encode(snapshot: Snapshot) -> bytes:
@@ -33,14 +33,14 @@
 
 
 def decode(data: bytes) -> Snapshot:
-    """A snapshot.  Raises SnapshotError for what is cut short or damaged."""
+    """Decode a snapshot.  Raises SnapshotError if it is truncated or damaged."""
     if not data.startswith(MAGIC):
         raise SnapshotError("not a snapshot of this version")
     head, sep, payload = data[len(MAGIC) :].partition(b"\n")
-    told, _, size = head.partition(b" ")
+    expected_digest, _, size = head.partition(b" ")
     if not sep or not size.isdigit() or int(size) != len(payload):
-        raise SnapshotError("cut short")
-    if sha256(payload).hexdigest().encode() != told:
+        raise SnapshotError("truncated")
+    if sha256(payload).hexdigest().encode() != expected_digest:
         raise SnapshotError("damaged")
     try:
         return msgspec.msgpack.decode(payload, type=Snapshot)
--- a/ivymux/membership/files.py
+++ b/ivymux/membership/files.py
@@ -9,9 +9,9 @@
 import msgspec
 from msgspec.structs import replace
 
-from ivymux.inventory.ansible import Beside, read_ansible
-from ivymux.inventory.csv_reader import MAX_BYTES, read_sheet
-from ivymux.inventory.model import Own, Reading
+from ivymux.inventory.ansible import VariableFolders, read_ansible
+from ivymux.inventory.csv_reader import MAX_BYTES, read_csv
+from ivymux.inventory.model import GatewayAddresses, ParsedInventory
 
 SHEET_SUFFIXES = (".csv", ".tsv", ".txt")
 ANSIBLE_SUFFIXES = (".yml", ".yaml", ".json")
@@ -104,11 +104,11 @@
     return Content(path.name, data, folders)
 
 
-def parse_content(content: Content, own: Own = ()) -> Reading:
+def parse_content(content: Content, own: GatewayAddresses = ()) -> ParsedInventory:
     """Parse the inventory in the format of its file name.  Raises InventoryError."""
     if is_sheet(Path(content.name)):
-        return read_sheet(content.data, content.name, own)
-    folders = Beside(content.beside.get("group_vars", {}), content.beside.get("host_vars", {}))
+        return read_csv(content.data, content.name, own)
+    folders = VariableFolders(content.beside.get("group_vars", {}), content.beside.get("host_vars", {}))
     reading = read_ansible(content.data, content.name, folders, own)
     shape = replace(
         reading.shape, beside=tuple(folder for folder in VARIABLE_FOLDERS if content.beside.get(folder))
--- a/ivymux/membership/list_change.py
+++ b/ivymux/membership/list_change.py
@@ -10,9 +10,16 @@
 from pathlib import Path
 
 from ivymux.inventory.ansible import write_ansible
-from ivymux.inventory.change_policy import Judge, Limits, Verdict, cut_reason, differences
-from ivymux.inventory.csv_reader import write_sheet
-from ivymux.inventory.model import Finding, Inventory, InventoryError, Own, Reading, Shape
+from ivymux.inventory.change_policy import ChangePolicy, Limits, Verdict, differences, truncation_reason
+from ivymux.inventory.csv_reader import write_csv
+from ivymux.inventory.model import (
+    FileShape,
+    Finding,
+    GatewayAddresses,
+    Inventory,
+    InventoryError,
+    ParsedInventory,
+)
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import Content, is_sheet, parse_content, read_content
 from ivymux.membership.snapshot_store import SnapshotStore
@@ -26,7 +33,7 @@
 
     target: Path
     data: bytes | None
-    reading: Reading
+    reading: ParsedInventory
     verdict: Verdict | None  # None if there is no earlier list to compare with
 
 
@@ -35,13 +42,15 @@
 
     Raises InventoryError if reading the result would not give the same inventory.
     """
-    data = write_sheet(inventory) if is_sheet(target) else write_ansible(inventory)
+    data = write_csv(inventory) if is_sheet(target) else write_ansible(inventory)
     if parse_content(Content(target.name, data, {})).inventory != inventory:
         raise InventoryError([Finding("error", target.name, 0, 0, "the list can't be written in this form")])
     return data
 
 
-def propose(source: Path, target: Path, limits: Limits, last: Snapshot | None, own: Own = ()) -> Proposal:
+def propose(
+    source: Path, target: Path, limits: Limits, last: Snapshot | None, own: GatewayAddresses = ()
+) -> Proposal:
     """Check `source` as the new content of `target`, the file that a gateway follows.
 
     Raises InventoryError, OSError.
@@ -63,17 +72,17 @@
     if current is not None:
         shape_now = parse_content(proposed, own).shape
         change = differences(current, reading.inventory)
-        cut = cut_reason(shape, shape_now, current, reading.inventory, change)
-        verdict = Judge(limits, current).look(reading.inventory, 0.0, cut)
+        truncation = truncation_reason(shape, shape_now, current, reading.inventory, change)
+        verdict = ChangePolicy(limits, current).review(reading.inventory, 0.0, truncation)
     return Proposal(target, None if data == previous.data else data, reading, verdict)
 
 
-def parse_current(content: Content, own: Own) -> tuple[Inventory | None, Shape]:
+def parse_current(content: Content, own: GatewayAddresses) -> tuple[Inventory | None, FileShape]:
     """Return the target's present inventory and shape; no inventory if it is invalid."""
     try:
         reading = parse_content(content, own)
     except InventoryError:
-        return None, Shape()
+        return None, FileShape()
     return reading.inventory, reading.shape
 
 
--- a/ivymux/membership/reader.py
+++ b/ivymux/membership/reader.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from ivymux.inventory.change_policy import Change, Judge, Limits, cut_reason, differences
-from ivymux.inventory.model import Finding, Inventory, InventoryError, Own, Shape
+from ivymux.inventory.change_policy import Change, ChangePolicy, Limits, differences, truncation_reason
+from ivymux.inventory.model import FileShape, Finding, GatewayAddresses, Inventory, InventoryError
 
 MAX_ADDRESS_SPACE_BYTES = 1 << 30
 MAX_CPU_TIME_S = 30
@@ -29,8 +29,8 @@
     limits: Limits
     current: Inventory | None
     base: Inventory | None  # the list in force at the start of the window in which changes add up
-    shape: Shape = Shape()  # of the file that `current` was read from
-    own: Own = ()
+    shape: FileShape = FileShape()  # of the file that `current` was read from
+    own: GatewayAddresses = ()
 
 
 class ReadResult(msgspec.Struct, frozen=True):
@@ -43,7 +43,7 @@
     reasons: tuple[str, ...] = ()
     confirmation: str = ""
     problem: str = ""
-    shape: Shape = Shape()
+    shape: FileShape = FileShape()
 
 
 def read_and_check(task: ReadTask) -> ReadResult:
@@ -60,12 +60,12 @@
         return ReadResult(content.digest, findings=error.findings)
     if task.current is None:
         return ReadResult(content.digest, reading.inventory, reading.warnings, shape=reading.shape)
-    judge = Judge(task.limits, task.current)
+    policy = ChangePolicy(task.limits, task.current)
     if task.base is not None:
-        judge.taken.append((0.0, task.base))
+        policy.accepted.append((0.0, task.base))
     change = differences(task.current, reading.inventory)
-    cut = cut_reason(task.shape, reading.shape, task.current, reading.inventory, change)
-    verdict = judge.look(reading.inventory, 0.0, cut)
+    truncation = truncation_reason(task.shape, reading.shape, task.current, reading.inventory, change)
+    verdict = policy.review(reading.inventory, 0.0, truncation)
     return ReadResult(
         content.digest, reading.inventory, reading.warnings, verdict.change, verdict.reasons,
         verdict.confirmation, shape=reading.shape,
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ivymux.inventory.change_policy import Judge, Limits
-from ivymux.inventory.file_stability import Settle
-from ivymux.inventory.model import Inventory, Own, Shape
+from ivymux.inventory.change_policy import ChangePolicy, Limits
+from ivymux.inventory.file_stability import FileStability
+from ivymux.inventory.model import FileShape, GatewayAddresses, Inventory
 from ivymux.inventory.snapshot import Snapshot
 from ivymux.membership.files import fingerprint
 from ivymux.membership.reader import ReadResult, ReadTask, read_in_child_process
@@ -45,9 +45,9 @@
     limits: Limits
     apply: Apply
     poll_period_s: float = 0.25
-    own: Own = ()
-    settle: Settle = field(default_factory=Settle)
-    judge: Judge | None = None
+    own: GatewayAddresses = ()
+    stability: FileStability = field(default_factory=FileStability)
+    policy: ChangePolicy | None = None
     pending: Pending | None = None
     ignored_digest: str = ""  # of a content that was rolled back; it is ignored until the file changes
     # A confirmation received before its change was read, and until when it is valid (monotonic seconds).
@@ -55,12 +55,12 @@
     is_missing: bool = False
     last_digest: str = ""  # of the content that was read last
     reread_at: float | None = None  # when to read again, in case a time stamp hides a later write
-    shape: Shape = field(default_factory=Shape)  # of the file that the current list was read from
+    shape: FileShape = field(default_factory=FileShape)  # of the file that the current list was read from
 
     @property
     def current(self) -> Inventory:
-        assert self.judge is not None
-        return self.judge.current
+        assert self.policy is not None
+        return self.policy.current
 
     # --- start ---------------------------------------------------------------------------------------
 
@@ -78,16 +78,16 @@
         result = await read_in_child_process(
             ReadTask(str(self.path), self.limits, current, None, self.shape, self.own)
         )
-        # `settle` does not record this read, so the first poll finds changes made during the start.
+        # `stability` does not record this read, so the first poll finds changes made during the start.
         is_good = result.inventory is not None and not result.problem
         if last is None:
             if result.inventory is None:
                 raise NoInventoryError(describe_failure(result, self.path))
-            self.judge = Judge(self.limits, result.inventory)
+            self.policy = ChangePolicy(self.limits, result.inventory)
             await self.store_snapshot(result, "started", result.inventory)
             await self.apply(result.inventory)
             return
-        self.judge = Judge(self.limits, last.inventory)
+        self.policy = ChangePolicy(self.limits, last.inventory)
         await self.apply(last.inventory)
         if not is_good or result.digest == self.ignored_digest:
             reason = describe_failure(result, self.path) if not is_good else "it was rolled back from"
@@ -121,7 +121,7 @@
             self.is_missing = seen is None
             if self.is_missing:
                 log.error("inventory: %s is not there: the list stays as it was", self.path)
-        match self.settle.look(seen, now):
+        match self.stability.observe(seen, now):
             case "read":
                 await self.read_files()
             case "same" if self.reread_at is not None and now >= self.reread_at:
@@ -131,13 +131,13 @@
                 log.error("inventory: %s does not come to rest: the list stays as it was", self.path)
 
     async def read_files(self) -> None:
-        assert self.judge is not None
-        base = self.judge.base(time.monotonic())
-        seen = self.settle.seen
+        assert self.policy is not None
+        base = self.policy.window_start(time.monotonic())
+        seen = self.stability.last_fingerprint
         result = await read_in_child_process(self.build_task(base))
         if await asyncio.to_thread(fingerprint, self.path) != seen:
             return  # the files changed during the read, so the content may be incomplete
-        self.settle.taken()
+        self.stability.mark_read()
         if result.digest and result.digest == self.last_digest:
             return
         self.last_digest, self.reread_at = result.digest, time.monotonic() + REREAD_DELAY_S
@@ -165,7 +165,7 @@
             await self.accept(result, "confirmed")
             return
         if result.reasons:
-            self.pending = Pending(result, self.settle.seen)
+            self.pending = Pending(result, self.stability.last_fingerprint)
             log.error(
                 "inventory: held back, the list stays as it was: %s; if it is meant: ivymux inventory confirm"
                 " SITE.toml %s", "; ".join(result.reasons), result.confirmation,
@@ -174,9 +174,9 @@
         await self.accept(result, "changed")
 
     async def accept(self, result: ReadResult, why: str) -> None:
-        assert self.judge is not None and result.inventory is not None
+        assert self.policy is not None and result.inventory is not None
         self.pending, self.early_approval = None, ("", 0.0)
-        self.judge.take(result.inventory, time.monotonic(), confirmed=why != "changed")
+        self.policy.accept(result.inventory, time.monotonic(), confirmed=why != "changed")
         await self.store_snapshot(result, why, result.inventory)
         log.info("inventory: %s: %s", why, result.change)
         await self.apply(result.inventory)
@@ -211,14 +211,14 @@
 
     async def roll_back(self, number: str) -> bool:
         """Apply a list of the history; the file's present content is ignored until the file changes."""
-        assert self.judge is not None
+        assert self.policy is not None
         found = [s for s in self.store.load_history() if str(s.number) == number]
         if not found:
             log.error("inventory: no list %s in the history to roll back to", number[:20])
             return False
         result = await read_in_child_process(self.build_task(None))
         self.ignored_digest, self.pending = result.digest, None
-        self.judge.take(found[0].inventory, time.monotonic(), confirmed=True)
+        self.policy.accept(found[0].inventory, time.monotonic(), confirmed=True)
         await self.store_snapshot(result, "rolled back", found[0].inventory)
         log.warning("inventory: rolled back to list %s", number)
         await self.apply(found[0].inventory)
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -11,7 +11,7 @@
 
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.inventory.change_policy import Limits
-from ivymux.inventory.model import FieldError, Worker, read_address
+from ivymux.inventory.model import FieldError, Worker, parse_worker_address
 from ivymux.routes.model import ClassDefaults, Compiled, Options
 from ivymux.service.callers import CallerError, Callers
 from ivymux.tally.engine import RedisPart, check_redis_settings
@@ -306,7 +306,7 @@
         if part.name in found:
             raise ConfigError(f"{at}.name: {part.name!r} stands twice")
         try:
-            host, port = read_address(part.address)
+            host, port = parse_worker_address(part.address)
         except FieldError as error:
             raise ConfigError(f"{at}.address: {error}") from None
         if port is None:
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -16,7 +16,7 @@
 from ivymux.data_plane.limits import BODY_MEMORY_SHARE, Bounds, ConfigError
 from ivymux.data_plane.server import Server
 from ivymux.data_plane.upstream import Upstream
-from ivymux.inventory.file_stability import Settle
+from ivymux.inventory.file_stability import FileStability
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.membership.member_list import MemberList, MemberListError
 from ivymux.membership.resolver import Resolver, is_address
@@ -145,7 +145,7 @@
             state = self.path.parent / part.state if part.state else None
             self.inventory = InventorySource(
                 self.path.parent / part.file, SnapshotStore(state), part.limits, self.apply_inventory,
-                part.watch, ((self.site.listen.host, self.site.listen.port),), Settle(part.settle),
+                part.watch, ((self.site.listen.host, self.site.listen.port),), FileStability(part.settle),
             )  # fmt: skip
             await self.inventory.start()
         except (MemberListError, NoInventoryError) as error:
--- a/tests/admin/calling.py
+++ b/tests/admin/calling.py
@@ -16,7 +16,7 @@
 from ivymux.admin.app import application
 from ivymux.desired.model import Admin, Store
 from ivymux.desired.sqlite import SqliteStore
-from ivymux.inventory.csv_reader import write_sheet
+from ivymux.inventory.csv_reader import write_csv
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants import secret
 from ivymux.tenants.places import ANY_ADDRESS, AddressRules
@@ -24,7 +24,7 @@
 from tests.service.doors import PATHS
 
 NUMBERS = count()
-SHEET = write_sheet(Inventory((Worker("w0", "127.0.0.1", 9),))).decode()
+SHEET = write_csv(Inventory((Worker("w0", "127.0.0.1", 9),))).decode()
 ROUTES = {"main": "api.json", "files": {"api.json": described(PATHS)}}
 
 
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -15,7 +15,7 @@
 from ivymux.admin import operations as operations_module
 from ivymux.admin.app import api_operations, openapi_document
 from ivymux.admin.authorization import ApiError, RateLimiter, parse_if_match
-from ivymux.inventory.csv_reader import write_sheet
+from ivymux.inventory.csv_reader import write_csv
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants.secret import KEY_PATTERN
 from tests.admin.calling import Caller, serving
@@ -116,7 +116,7 @@
 ) -> None:
     def sheet(size: int) -> dict[str, str]:
         workers = tuple(Worker(f"w{n}", "127.0.0.1", 9 + n) for n in range(size))
-        return {"text": write_sheet(Inventory(workers)).decode()}
+        return {"text": write_csv(Inventory(workers)).decode()}
 
     async def test() -> None:
         async with serving(tmp_path) as (operator, _):
--- a/tests/inventory/damage.py
+++ b/tests/inventory/damage.py
@@ -1,7 +1,7 @@
-"""Damaged variants of an inventory, each with the name of its damage and the line that must be told of.
+"""Damaged variants of an inventory, each with a name for its damage and the line that must be reported.
 
-A line of None: only the judge can see it, for the reason in the variant's name: the file is a good one, of
-another fleet.
+If the line is None, the file is valid and only the change policy can detect the damage, by comparing the
+inventory with the former one.
 """
 
 from __future__ import annotations
@@ -20,17 +20,20 @@
 
 @dataclass(frozen=True)
 class Variant:
+    """A damaged inventory file."""
+
     name: str
     data: bytes
-    line: int | None  # that a finding must name; 0: any place in the file
+    line: int | None  # that an error must have; 0 for any line, None for no error
 
 
 def with_row(number: int, row: str) -> str:
-    """The sheet with one row, counted from 0, written otherwise."""
+    """Return the CSV file with one row, counted from 0, replaced."""
     return SHEET.replace(ROWS[number], row)
 
 
 def with_cell(number: int, column: int, text: str) -> str:
+    """Return the CSV file with one cell replaced."""
     cells = ROWS[number].split(",")
     cells[column] = text
     return with_row(number, ",".join(cells))
@@ -52,7 +55,7 @@
 
 
 def sheets() -> Iterator[Variant]:
-    """Damaged sheets."""
+    """Yield damaged CSV files."""
     at = 0
     for field, (column, texts) in BAD_CELLS.items():
         for text in texts:
@@ -123,7 +126,7 @@
 
 
 def tree() -> dict[str, object]:
-    """The same fleet as Ansible keeps it."""
+    """Return the same workers as an Ansible inventory."""
     rooms: dict[str, dict[str, object]] = {}
     for row in ROWS:
         name, address, port, room, bay, kind, weight, state = row.split(",")
@@ -138,7 +141,7 @@
 
 
 def line_of(text: str, part: str, nth: int = 1) -> int:
-    """The line, from 1, in which a part stands for the nth time."""
+    """Return the line, counted from 1, of the nth occurrence of a part."""
     at = -1
     for _ in range(nth):
         at = text.index(part, at + 1)
@@ -146,7 +149,7 @@
 
 
 def trees() -> Iterator[Variant]:
-    """Damaged YAML inventories."""
+    """Yield damaged Ansible inventories."""
 
     def edit(name: str, old: str, new: str, shift: int = 0, nth: int = 1) -> Variant:
         line = line_of(YAML, old, nth)
@@ -199,7 +202,7 @@
     yield edit("a quote that is not closed", "state: ready", 'state: "ready', 0)
     yield edit("an unknown part of a group", "hosts:", "host:")
     listed = edit("hosts that are a list", "        w00:", "        - w00:")
-    yield Variant(listed.name, listed.data, 0)  # the parser notices where the list ends
+    yield Variant(listed.name, listed.data, 0)  # the parser reports where the list ends
     yield edit("vars that are a word", "vars:\n        room: room-a", "vars: room-a", 0)
     yield edit("a room that is a list", "room: room-a", "room: [room-a]")
     yield edit("a template", "ansible_host: 127.0.0.1", 'ansible_host: "{{ address }}"')
@@ -229,7 +232,7 @@
         cut = YAML[: int(len(YAML) * share)]
         yield Variant(f"cut at {share}", (cut.rstrip() + "\n          x").encode(), 0)
     for nth, old in enumerate(("w01:", "w03:", "w05:", "w07:", "w09:", "w11:"), 1):
-        # The first reads on as one text up to the next colon.
+        # Without the first colon, the name and the next line up to its colon become one text.
         yield edit(f"a colon lost behind host {nth}", old, old[:-1], 1 if nth == 1 else 0)
     yield edit("a key twice", "bay: 0", "bay: 0\n          bay: 1", 1)
     yield edit("all twice", "all:", "all: {}\nall:", 1)
@@ -243,7 +246,7 @@
 
 
 def damaged(kind: Callable[[], Iterator[Variant]]) -> list[Variant]:
-    """All variants, each distinct."""
+    """Return all distinct variants."""
     found = list({v.data: v for v in kind()}.values())
     assert len(found) >= 100
     return found
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -1,4 +1,4 @@
-"""Sheets and YAML trees become one inventory; damage is told with its line."""
+"""CSV and YAML inventories are read alike; each kind of damage is reported with its line."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ivymux.inventory.ansible import Beside, RangeError, expand, read_ansible, write_ansible
-from ivymux.inventory.csv_reader import read_sheet, write_sheet
+from ivymux.inventory.ansible import RangeError, VariableFolders, expand_range, read_ansible, write_ansible
+from ivymux.inventory.csv_reader import read_csv, write_csv
 from ivymux.inventory.model import Inventory, InventoryError, Worker
 
 from . import damage
 
 
-def sheet(text: str | bytes) -> Inventory:
-    return read_sheet(text if isinstance(text, bytes) else text.encode(), "w.csv").inventory
+def parse_csv(text: str | bytes) -> Inventory:
+    return read_csv(text if isinstance(text, bytes) else text.encode(), "w.csv").inventory
 
 
-def ansible(text: str, **folders: dict[str, dict[str, bytes]]) -> Inventory:
-    return read_ansible(text.encode(), "w.yml", Beside(**folders)).inventory
+def parse_ansible(text: str, **folders: dict[str, dict[str, bytes]]) -> Inventory:
+    return read_ansible(text.encode(), "w.yml", VariableFolders(**folders)).inventory
 
 
-def only(inventory: Inventory) -> Worker:
+def single_worker(inventory: Inventory) -> Worker:
     (worker,) = inventory.workers
     return worker
 
 
-# --- sheets ------------------------------------------------------------------------------------------
+# --- CSV ---------------------------------------------------------------------------------------------
 
 
-def test_the_same_sheet_in_every_form_that_spreadsheets_write() -> None:
-    good = sheet(damage.SHEET)
+def test_all_forms_that_spreadsheets_export_give_the_same_inventory() -> None:
+    good = parse_csv(damage.SHEET)
     assert len(good.workers) == 12
     assert good.by_name()["w03"] == Worker("w03", "127.0.0.1", 20003, "room-b", 3, "std", 1.0, "ready")
     text = damage.SHEET
@@ -50,77 +50,78 @@
             '# end 12,"a note\nof two lines"', "# end 12"),
     ]  # fmt: skip
     for form in forms:
-        assert sheet(form) == good
+        assert parse_csv(form) == good
 
 
-def test_the_front_doors_own_address_is_no_workers() -> None:
+def test_a_worker_must_not_have_the_gateways_own_address() -> None:
     text = "name,address,port\na,10.0.0.1,80\nb,127.0.0.1,8080\n"
     for listen in ("127.0.0.1", "0.0.0.0"):
-        with pytest.raises(InventoryError, match="b has the front door's own"):
-            read_sheet(text.encode(), "w.csv", ((listen, 8080),))
-    assert read_sheet(text.encode(), "w.csv", (("127.0.0.1", 8081),)).shape.order == ("a", "b")
+        with pytest.raises(InventoryError, match="b has the gateway's own"):
+            read_csv(text.encode(), "w.csv", ((listen, 8080),))
+    assert read_csv(text.encode(), "w.csv", (("127.0.0.1", 8081),)).shape.order == ("a", "b")
 
 
-def test_a_port_may_stand_with_its_address_and_what_is_left_out_has_a_default() -> None:
-    assert only(sheet("name,address\nw,h.example:80\n")) == Worker("w", "h.example", 80)
-    assert only(sheet("name,address\nw,[::1]:80\n")).host == "::1"
-    assert only(sheet("name,address,port\nw,0:0:0:0:0:0:0:1,80\n")).host == "::1"
-    assert only(sheet("name,address,port\nw,H.Example.,80\n")).host == "h.example"
+def test_a_port_may_be_part_of_the_address_and_absent_fields_have_defaults() -> None:
+    assert single_worker(parse_csv("name,address\nw,h.example:80\n")) == Worker("w", "h.example", 80)
+    assert single_worker(parse_csv("name,address\nw,[::1]:80\n")).host == "::1"
+    assert single_worker(parse_csv("name,address,port\nw,0:0:0:0:0:0:0:1,80\n")).host == "::1"
+    assert single_worker(parse_csv("name,address,port\nw,H.Example.,80\n")).host == "h.example"
 
 
-def test_an_identical_duplicate_is_a_warning_and_a_conflicting_one_an_error_with_both_lines() -> None:
+def test_an_identical_duplicate_is_a_warning_and_a_conflicting_one_an_error() -> None:
     text = "name,address,port\na,127.0.0.1,1\nb,127.0.0.1,2\na,127.0.0.1,1\n"
-    reading = read_sheet(text.encode(), "w.csv")
+    reading = read_csv(text.encode(), "w.csv")
     assert len(reading.inventory.workers) == 2
-    assert [str(w) for w in reading.warnings] == ["w.csv:4: warning: a stands already in line 2"]
+    assert [str(w) for w in reading.warnings] == ["w.csv:4: warning: a is already listed in line 2"]
     with pytest.raises(InventoryError) as caught:
-        sheet(text.replace("a,127.0.0.1,1\n", "a,127.0.0.1,7\n", 1))
-    assert str(caught.value) == "w.csv:4: error: a stands in line 2 with another port"
+        parse_csv(text.replace("a,127.0.0.1,1\n", "a,127.0.0.1,7\n", 1))
+    assert str(caught.value) == "w.csv:4: error: a is listed in line 2 with another port"
 
 
 @pytest.mark.parametrize("variant", damage.damaged(damage.sheets), ids=lambda v: v.name)
-def test_a_damaged_sheet_is_told_with_its_line(variant: damage.Variant) -> None:
+def test_damage_to_a_csv_file_is_reported_with_its_line(variant: damage.Variant) -> None:
     if variant.line is None:
-        assert sheet(variant.data) != sheet(damage.SHEET)  # a good file: the judge's matter
+        # A valid file, which the change policy has to hold back.
+        assert parse_csv(variant.data) != parse_csv(damage.SHEET)
         return
     with pytest.raises(InventoryError) as caught:
-        sheet(variant.data)
+        parse_csv(variant.data)
     lines = [f.line for f in caught.value.findings if f.level == "error"]
     assert lines and (variant.line == 0 or variant.line in lines), caught.value.findings
     assert all("\n" not in f.text for f in caught.value.findings)
 
 
-def test_a_sheet_cut_at_any_byte_is_whole_shorter_or_refused_and_the_count_tells() -> None:
+def test_a_csv_file_truncated_at_any_byte_is_refused_or_a_valid_shorter_one() -> None:
     data = damage.SHEET.encode()
-    good = sheet(data)
-    taken = 0
+    good = parse_csv(data)
+    accepted = 0
     for cut in range(len(data)):
         try:
-            found = sheet(data[:cut])
+            found = parse_csv(data[:cut])
         except InventoryError:
             continue
         if found == good:
-            continue  # only the count's row or its end is missing
-        taken += 1
+            continue  # only the row with the count or its line end is missing
+        accepted += 1
         assert {w.name for w in found.workers} < {w.name for w in good.workers} or cut
-    assert taken > 20  # these are valid shorter sheets: they are left to settling and the judge
+    assert accepted > 20  # valid shorter files, which file stability and the change policy deal with
     for keep in range(1, 12):
         with_count = "\n".join([damage.HEADER, *damage.ROWS[:keep], "# end 12"])
-        with pytest.raises(InventoryError, match="it was cut"):
-            sheet(with_count)
+        with pytest.raises(InventoryError, match="the file is truncated"):
+            parse_csv(with_count)
 
 
 # --- YAML --------------------------------------------------------------------------------------------
 
 
-def test_the_same_fleet_in_yaml() -> None:
-    assert ansible(damage.YAML) == sheet(damage.SHEET)
+def test_yaml_gives_the_same_inventory_as_csv() -> None:
+    assert parse_ansible(damage.YAML) == parse_csv(damage.SHEET)
 
 
 @pytest.mark.parametrize("variant", damage.damaged(damage.trees), ids=lambda v: v.name)
-def test_a_damaged_tree_is_told_with_its_line(variant: damage.Variant) -> None:
+def test_damage_to_a_yaml_file_is_reported_with_its_line(variant: damage.Variant) -> None:
     if variant.line is None:
-        assert read_ansible(variant.data, "w.yml").inventory != ansible(damage.YAML)
+        assert read_ansible(variant.data, "w.yml").inventory != parse_ansible(damage.YAML)
         return
     with pytest.raises(InventoryError) as caught:
         read_ansible(variant.data, "w.yml")
@@ -128,7 +129,7 @@
     assert lines and (variant.line == 0 or variant.line in lines), caught.value.findings
 
 
-def test_precedence_is_the_tools_own() -> None:
+def test_variable_precedence_is_that_of_ansible() -> None:
     text = """
 all:
   vars: {ansible_port: 1, room: all, kind: all, state: draining}
@@ -142,21 +143,21 @@
             a: {ansible_host: 10.0.0.1}
             b: {ansible_host: 10.0.0.2, kind: own}
 """
-    a, b = ansible(text).workers
+    a, b = parse_ansible(text).workers
     assert (a.port, a.room, a.kind, a.state) == (1, "parent", "child", "draining")
     assert (b.room, b.kind) == ("parent", "own")
     folders: dict[str, dict[str, bytes]] = {
         "all": {"group_vars/all.yml": b"room: from-all\nstate: ready\n"},
         "parent": {"group_vars/parent.yml": b"kind: from-parent\n"},
     }
-    a, b = ansible(text, group_vars=folders).workers
-    # group_vars/all goes before what the file says of its groups; a host's own goes before both.
+    a, b = parse_ansible(text, group_vars=folders).workers
+    # group_vars/all overrides the file's group variables; a host's own variables override both.
     assert (a.room, a.state, a.kind, b.kind) == ("from-all", "ready", "from-parent", "own")
-    a, b = ansible(text, group_vars=folders, host_vars={"b": {"host_vars/b": b"kind: host\n"}}).workers
+    a, b = parse_ansible(text, group_vars=folders, host_vars={"b": {"host_vars/b": b"kind: host\n"}}).workers
     assert (a.kind, b.kind) == ("from-parent", "host")
 
 
-def test_groups_at_one_depth_go_by_priority_then_by_name() -> None:
+def test_groups_at_the_same_depth_apply_by_priority_and_then_by_name() -> None:
     text = """
 all:
   vars: {ansible_port: 1}
@@ -164,11 +165,14 @@
     x: {vars: {kind: x}, hosts: {h: {ansible_host: 10.0.0.1}}}
     y: {vars: {kind: y}, hosts: {h: }}
 """
-    assert only(ansible(text)).kind == "y"
-    assert only(ansible(text.replace("kind: x}", "kind: x, ansible_group_priority: 9}"))).kind == "x"
+    assert single_worker(parse_ansible(text)).kind == "y"
+    assert (
+        single_worker(parse_ansible(text.replace("kind: x}", "kind: x, ansible_group_priority: 9}"))).kind
+        == "x"
+    )
 
 
-def test_groups_stand_for_rooms_and_bays() -> None:
+def test_names_of_groups_give_rooms_and_bays() -> None:
     text = """
 all: {vars: {ansible_port: 1}}
 room_north:
@@ -176,12 +180,12 @@
     bay_3: {hosts: {"w[01:03]": }}
     bay_4: {hosts: {v: {ansible_port: 2, ansible_host: w04}}}
 """
-    workers = ansible(text).by_name()
+    workers = parse_ansible(text).by_name()
     assert [(w.room, w.bay, w.host) for n, w in sorted(workers.items())] == [
         ("north", 4, "w04"), ("north", 3, "w01"), ("north", 3, "w02"), ("north", 3, "w03"),
     ]  # fmt: skip
     with pytest.raises(InventoryError, match="bay_3 and bay_4"):
-        ansible(text.replace("{v: {", "{w02: {"))
+        parse_ansible(text.replace("{v: {", "{w02: {"))
 
 
 @pytest.mark.parametrize(
@@ -193,24 +197,24 @@
     ],
 )  # fmt: skip
 def test_host_ranges(pattern: str, names: list[str]) -> None:
-    assert expand(pattern) == names
+    assert expand_range(pattern) == names
 
 
 @given(st.integers(0, 500), st.integers(0, 200), st.integers(1, 7), st.integers(0, 4))
-def test_a_range_is_what_it_says(first: int, more: int, step: int, width: int) -> None:
+def test_a_range_expands_to_its_numbers(first: int, more: int, step: int, width: int) -> None:
     last = first + more
     begin, end = str(first).zfill(width), str(last).zfill(width)
     if begin.startswith("0") and len(begin) > 1 and len(end) != len(begin):
         with pytest.raises(RangeError):
-            expand(f"w[{begin}:{end}:{step}]")
+            expand_range(f"w[{begin}:{end}:{step}]")
         return
-    names = expand(f"w[{begin}:{end}:{step}]")
+    names = expand_range(f"w[{begin}:{end}:{step}]")
     assert [int(n[1:]) for n in names] == list(range(first, last + 1, step))
     assert all(len(n) - 1 >= len(begin) for n in names) or not begin.startswith("0")
 
 
-def test_a_name_that_is_a_bare_number_is_warned_of() -> None:
-    reading = read_sheet(b"name,address,port\n7,10.0.0.1,80\n8,10.0.0.2,80\n", "w.csv")
+def test_a_name_that_is_a_plain_number_is_a_warning() -> None:
+    reading = read_csv(b"name,address,port\n7,10.0.0.1,80\n8,10.0.0.2,80\n", "w.csv")
     assert [w.line for w in reading.warnings] == [2] and "leading zeros" in reading.warnings[0].text
 
 
@@ -220,15 +224,15 @@
 
 
 @given(EDGES, KINDS, KINDS, st.sets(st.sampled_from(GROUPS), min_size=1, max_size=3), st.booleans())
-def test_inheritance_is_the_rule_said_plainly(
+def test_inheritance_agrees_with_the_reference_implementation(
     edges: set[tuple[int, int]],
     inline: dict[str, tuple[str, int]],
     beside: dict[str, tuple[str, int]],
     member: set[str],
     own: bool,
 ) -> None:
-    """All groups of a host from the outermost in, at one depth by priority, then by name; folders go over
-    what the file says of groups, the host's own over all.
+    """The reference: groups of a host apply from the outermost in, at equal depth by priority, then name;
+    group_vars override group variables in the file, and the host's own variables override all.
     """
     above = {g: {GROUPS[a] for a, b in edges if GROUPS[b] == g} for g in GROUPS}
     tree: dict[str, Any] = {"all": {"vars": {"ansible_port": 1, "kind": "z"}}}
@@ -259,11 +263,11 @@
         for name in ordered:
             if name in source:
                 expected = source[name][0]
-    found = only(ansible(yaml.safe_dump(tree, sort_keys=False), group_vars=folders))
+    found = single_worker(parse_ansible(yaml.safe_dump(tree, sort_keys=False), group_vars=folders))
     assert found.kind == ("mine" if own else expected)
 
 
-# --- both --------------------------------------------------------------------------------------------
+# --- both formats ------------------------------------------------------------------------------------
 
 LABEL = st.from_regex(r"[a-z][a-z0-9-]{0,6}[a-z0-9]", fullmatch=True)
 WORKER = st.builds(
@@ -285,7 +289,7 @@
 
 
 @given(INVENTORY)
-def test_the_round_trip_between_the_formats(inventory: Inventory) -> None:
+def test_writing_and_reading_gives_the_same_inventory(inventory: Inventory) -> None:
     from ivymux.inventory.model import DATE, EXPONENT
 
     if any(
@@ -294,7 +298,7 @@
         for t in (w.name, w.room, w.kind)
     ):
         return
-    assert sheet(write_sheet(inventory)) == inventory
+    assert parse_csv(write_csv(inventory)) == inventory
     assert read_ansible(write_ansible(inventory), "w.yml").inventory == inventory
 
 
@@ -303,6 +307,6 @@
         f"  g{n}:\n    vars: {{bay: {n}, ansible_port: 8000}}\n    hosts:\n      g{n}-w[00:19]:"
         for n in range(500)
     )
-    made = ansible("all:\n children:\n" + groups.replace("\n", "\n"))
+    made = parse_ansible("all:\n children:\n" + groups.replace("\n", "\n"))
     assert len(made.workers) == 10_000 and made.by_name()["g7-w19"].bay == 7
-    assert sheet(write_sheet(made)) == made
+    assert parse_csv(write_csv(made)) == made
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -18,7 +18,7 @@
 
 from ivymux.data_plane.limits import ConfigError
 from ivymux.inventory.ansible import write_ansible
-from ivymux.inventory.csv_reader import write_sheet
+from ivymux.inventory.csv_reader import write_csv
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.inventory.snapshot import decode
 from ivymux.membership import files as files_module
@@ -94,7 +94,7 @@
     text += f'\n[inventory]\nfile = "{name}"\nstate = "state"\nwatch = 3600.0\nsettle = 0.0\n{extra}'
     (tmp_path / "site.toml").write_text(text)
     setup = FollowedInventory(None, tmp_path, tmp_path / name, workers)  # type: ignore[arg-type]
-    setup.write((write_ansible if name.endswith(".yml") else write_sheet)(setup.fleet(first)))
+    setup.write((write_ansible if name.endswith(".yml") else write_csv)(setup.fleet(first)))
     setup.gateway = await open_standalone(tmp_path / "site.toml")
     await setup.gateway.start()
     load = [asyncio.ensure_future(setup.generate_load()) for _ in range(2)]
@@ -138,7 +138,7 @@
                 assert ("held back" in messages[0]) is (variant.line is None), (variant.name, messages)
             good = setup.fleet(11)
             setup.file = setup.source.path = tmp_path / "workers.csv"
-            setup.write(write_sheet(good))
+            setup.write(write_csv(good))
             await setup.poll()
             assert setup.routing() != before and len(setup.gateway.host.upstream.pools) == 11
 
@@ -160,7 +160,7 @@
         count, name = (4, "workers.yml") if form == "yaml" else (8, "workers.csv")
         async with open_gateway(tmp_path, count, count, name) as setup:
             fleet = setup.fleet(count)
-            data = write_ansible(fleet) if form == "yaml" else write_sheet(fleet)
+            data = write_ansible(fleet) if form == "yaml" else write_csv(fleet)
             if form == "bare":
                 data = data.rpartition(b"# end")[0]
             setup.write(data)
@@ -173,7 +173,7 @@
                 )
                 result = await read_in_process(task)
                 if result.inventory is None:
-                    by_count = any("it was cut" in f.text for f in result.findings)
+                    by_count = any("the file is truncated" in f.text for f in result.findings)
                     caught["count" if by_count else "parser"] += 1
                 elif not result.change:
                     caught["nothing is lost"] += 1
@@ -198,8 +198,8 @@
         async with open_gateway(tmp_path) as setup:
             clock = [1000.0]
             monkeypatch.setattr("ivymux.membership.source.time.monotonic", lambda: clock[0])
-            setup.source.settle.rest = 0.5
-            before, data = setup.routing(), write_sheet(setup.fleet(11))
+            setup.source.stability.quiet_period_s = 0.5
+            before, data = setup.routing(), write_csv(setup.fleet(11))
             for cut in range(0, len(data), 40):  # the writer appends 40 bytes every 0.2 s
                 setup.file.write_bytes(data[:cut])
                 clock[0] += 0.2
@@ -226,11 +226,11 @@
             clock = [1000.0]
             monkeypatch.setattr("ivymux.membership.source.time.monotonic", lambda: clock[0])
             fingerprints[0] = "two"
-            setup.write(write_sheet(setup.fleet(11)))
+            setup.write(write_csv(setup.fleet(11)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 11
             # The second write is within the resolution of the file system's time stamps.
-            setup.write(write_sheet(setup.fleet(10)))
+            setup.write(write_csv(setup.fleet(10)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 11
             clock[0] += source_module.REREAD_DELAY_S
@@ -244,12 +244,12 @@
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
             before = setup.routing()
-            setup.write(write_sheet(setup.fleet(5)))
+            setup.write(write_csv(setup.fleet(5)))
             await setup.poll()
             assert setup.routing() == before and setup.source.pending is not None
             code = setup.source.pending.result.confirmation
             assert not await setup.source.confirm("0" * 24)
-            setup.write(write_sheet(setup.fleet(4)))  # another change, which the code does not confirm
+            setup.write(write_csv(setup.fleet(4)))  # another change, which the code does not confirm
             assert not await setup.source.confirm(code)
             await setup.poll()
             assert setup.source.pending is not None and setup.source.pending.result.confirmation != code
@@ -265,7 +265,7 @@
 def test_a_rollback_stays_in_force_until_the_file_changes(tmp_path: Path) -> None:
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
-            setup.write(write_sheet(setup.fleet(11)))
+            setup.write(write_csv(setup.fleet(11)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 11
             SnapshotStore(tmp_path / "state").write_command("rollback", "1")
@@ -274,7 +274,7 @@
             setup.file.touch()  # the same content, rewritten
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 12
-            setup.write(write_sheet(setup.fleet(10)))
+            setup.write(write_csv(setup.fleet(10)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 10
             numbers = [decode(p.read_bytes()).why for p in setup.source.store.list_files()]
@@ -302,7 +302,7 @@
             sum("serving list 1" in r.getMessage() and "s old" in r.getMessage() for r in caplog.records) == 3
         )
         # A valid file that drops most of the fleet is held back at the start too.
-        setup.write(write_sheet(setup.fleet(3)))
+        setup.write(write_csv(setup.fleet(3)))
         gateway = await open_standalone(tmp_path / "site.toml")
         await gateway.start()
         assert len(gateway.host.upstream.pools) == 12
@@ -343,16 +343,16 @@
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
             before = setup.routing()
-            setup.source.settle.rest, setup.source.settle.patience = 3600.0, 0.0
+            setup.source.stability.quiet_period_s, setup.source.stability.report_after_s = 3600.0, 0.0
             for turn in range(20):
-                setup.write(write_sheet(setup.fleet(11 - turn % 2)))
+                setup.write(write_csv(setup.fleet(11 - turn % 2)))
                 await setup.source.poll()
             setup.file.unlink()
             for _ in range(5):
                 await setup.source.poll()
             assert setup.routing() == before
-            setup.source.settle.rest = 0.0
-            setup.write(write_sheet(setup.fleet(11)))
+            setup.source.stability.quiet_period_s = 0.0
+            setup.write(write_csv(setup.fleet(11)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 11
         text = caplog.text
@@ -372,7 +372,7 @@
             whole = setup.fleet(12)
             lists = [Inventory(whole.workers[:10] + whole.workers[n : n + 1]) for n in (10, 11)]
             names = [{w.name for w in listed.workers} for listed in lists]
-            data = [write_sheet(listed) for listed in lists]
+            data = [write_csv(listed) for listed in lists]
             applied: list[set[str]] = []
             apply = setup.source.apply
 
@@ -449,7 +449,7 @@
                 await setup.poll()
                 assert setup.routing() == before and not setup.source.is_missing
             assert caplog.text.count("is not there") == 2
-            setup.write(write_sheet(setup.fleet(11)))
+            setup.write(write_csv(setup.fleet(11)))
             await setup.poll()
             assert len(setup.gateway.host.upstream.pools) == 11
 
@@ -503,7 +503,7 @@
         async with open_gateway(tmp_path) as setup:
             before = setup.routing()
             monkeypatch.setattr(source_module, "fingerprint", hanging_fingerprint)
-            setup.write(write_sheet(setup.fleet(11)))
+            setup.write(write_csv(setup.fleet(11)))
             polling = asyncio.ensure_future(setup.poll())
             served = setup.served
             await until(lambda: setup.served > served + 200)
@@ -520,7 +520,7 @@
         async with open_gateway(tmp_path) as setup:
             leaving = setup.workers[11]
             await until(lambda: leaving.last is not None)
-            setup.write(write_sheet(setup.fleet(11)))
+            setup.write(write_csv(setup.fleet(11)))
             await setup.poll()
             before = leaving.fleet.seen.total()
             served = setup.served
@@ -557,7 +557,7 @@
 
             writes = [asyncio.ensure_future(write()) for _ in range(2 * len(setup.workers))]
             await until(lambda: held)
-            setup.write(write_sheet(setup.fleet(11)))
+            setup.write(write_csv(setup.fleet(11)))
             await setup.poll()
             assert all(leaving.fleet.out[name] == 1 for name in held)  # still in flight after the removal
             answered.set()
@@ -591,7 +591,7 @@
                 if turn % 2 == 0:
                     listed[0] = Worker(a.name, a.host, b.port, a.room, a.bay, a.kind)
                     listed[1] = Worker(b.name, b.host, a.port, b.room, b.bay, b.kind)
-                setup.write(write_sheet(Inventory(tuple(listed))))
+                setup.write(write_csv(Inventory(tuple(listed))))
                 await setup.poll()
                 for number, member in setup.gateway.member_list.members.items():
                     assert host.upstream.pools[number].address == member.address
@@ -635,9 +635,9 @@
 
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
-            setup.source.settle.rest, setup.source.poll_period_s = 0.5, 0.25
+            setup.source.stability.quiet_period_s, setup.source.poll_period_s = 0.5, 0.25
             setup.gateway.task(setup.source.run())
-            setup.write(write_sheet(setup.fleet(11)))
+            setup.write(write_csv(setup.fleet(11)))
             started_at = time.monotonic()
             await until(lambda: len(setup.gateway.host.upstream.pools) == 11)
             assert time.monotonic() - started_at < 5.0
--- a/tests/tenants/making.py
+++ b/tests/tenants/making.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ivymux.inventory.csv_reader import write_sheet
+from ivymux.inventory.csv_reader import write_csv
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.routes.description import compile_description
 from ivymux.service.site import PlanPart
@@ -40,7 +40,7 @@
     key_id, plain_key, entry = key("c")
     routes = json.dumps(described(paths or PATHS)).encode()
     workers = [Worker(f"w{n}", "127.0.0.1", port, bay=n % 2) for n, port in enumerate(ports)]
-    sheet = write_sheet(Inventory(tuple(workers)))
+    sheet = write_csv(Inventory(tuple(workers)))
     inventory = Inventory(tuple(sorted(workers)))
     compiled, parsed = compiled_of(routes), msgspec.msgpack.encode(inventory)
     state = Tenant(
