--- a/ivymux/routes/__init__.py
+++ b/ivymux/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes, request classes and costs from an OpenAPI description.  Pure: no clock, no sockets, no files."""
+"""Compiles OpenAPI descriptions into routes, request classes and costs; uses no clock, sockets or files."""
--- a/ivymux/text.py
+++ b/ivymux/text.py
@@ -1,4 +1,4 @@
-"""JSON and YAML text as plain values, with bounds on depth and unfolded size."""
+"""Parses JSON and YAML into plain values, with limits on nesting and on the size of expanded aliases."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 
 MAX_BYTES = 64 << 20  # of one file
 MAX_DEPTH = 200
-MAX_NODES = 6_000_000  # with aliases unfolded
+MAX_NODES = 6_000_000  # after expansion of aliases
 BOOLEANS = {"true": True, "True": True, "TRUE": True, "false": False, "False": False, "FALSE": False}
 
 
 class TextError(ValueError):
-    """Text that can't be taken; it begins with line and column where they are known."""
+    """Invalid text.  The message begins with line and column if they are known."""
 
     def __init__(self, text: str, line: int = 0, column: int = 0) -> None:
         super().__init__(f"line {line}, column {column}: {text}" if line else text)
         self.problem, self.line, self.column = text, line, column
 
 
-class NotJson(TextError):
-    """Text that is no JSON.  It may be YAML, which has braces too."""
+class JsonSyntaxError(TextError):
+    """The text is not JSON; it may be YAML, which can begin with a brace or bracket too."""
 
 
-def pairs(items: list[tuple[str, Any]]) -> dict[str, Any]:
-    made = dict(items)
-    if len(made) != len(items):
+def unique_pairs(items: list[tuple[str, Any]]) -> dict[str, Any]:
+    mapping = dict(items)
+    if len(mapping) != len(items):
         seen: set[str] = set()
         for key, _ in items:
             if key in seen:
-                raise TextError(f"the key {key[:80]!r} stands twice in one object")
+                raise TextError(f"duplicate key {key[:80]!r} in an object")
             seen.add(key)
-    return made
+    return mapping
 
 
-def no_constant(name: str) -> Any:
+def reject_constant(name: str) -> Any:
     raise TextError(f"{name} is not a JSON number")
 
 
 def parse_json(text: str) -> Any:
     try:
-        value = json.loads(text, object_pairs_hook=pairs, parse_constant=no_constant)
+        value = json.loads(text, object_pairs_hook=unique_pairs, parse_constant=reject_constant)
     except json.JSONDecodeError as error:
-        raise NotJson(error.msg, error.lineno, error.colno) from None
+        raise JsonSyntaxError(error.msg, error.lineno, error.colno) from None
     except RecursionError:
         raise TextError("nested too deeply") from None
     except ValueError as error:
@@ -54,28 +54,28 @@
 
 
 class Loader(yaml.CSafeLoader):
-    """YAML 1.2's core schema of JSON types: no dates, and yes, no, on and off are words."""
+    """YAML with the types of JSON (YAML 1.2 core schema): no dates, and yes, no, on and off are strings."""
 
-    yaml_implicit_resolvers = {  # noqa: RUF012  # PyYAML's own way to set it
+    yaml_implicit_resolvers = {  # noqa: RUF012  # PyYAML requires a class attribute
         first: [(tag, regexp) for tag, regexp in found if tag.rsplit(":", 1)[1] in ("null", "int", "float")]
         for first, found in yaml.CSafeLoader.yaml_implicit_resolvers.items()
     }
 
     def flatten_mapping(self, node: yaml.MappingNode) -> None:
-        """No merge keys: they are not of YAML 1.2, and a `<<` would be one more way to hide a class."""
+        """Ignore merge keys: YAML 1.2 does not have them, and `<<` would be one more way to hide a class."""
 
 
 def construct_mapping(loader: Loader, node: yaml.MappingNode) -> dict[str, Any]:
-    made: dict[str, Any] = {}
+    mapping: dict[str, Any] = {}
     for key_node, value_node in node.value:
         key = key_node.value if isinstance(key_node, yaml.ScalarNode) else None
         mark = key_node.start_mark
         if key is None:
             raise TextError("a key is not plain text", mark.line + 1, mark.column + 1)
-        if key in made:
-            raise TextError(f"the key {key[:80]!r} stands twice", mark.line + 1, mark.column + 1)
-        made[key] = loader.construct_object(value_node, deep=True)
-    return made
+        if key in mapping:
+            raise TextError(f"duplicate key {key[:80]!r}", mark.line + 1, mark.column + 1)
+        mapping[key] = loader.construct_object(value_node, deep=True)
+    return mapping
 
 
 def construct_scalar(loader: Loader, node: yaml.ScalarNode) -> Any:
@@ -88,8 +88,8 @@
 Loader.add_constructor("tag:yaml.org,2002:str", construct_scalar)
 
 
-def measure(root: yaml.Node) -> None:
-    """Refuse what unfolds beyond the bounds, or into itself, before a value is made of it."""
+def check_expanded_size(root: yaml.Node) -> None:
+    """Refuse aliases that expand beyond the limits or into themselves, before values are constructed."""
     sizes: dict[int, int] = {}
     depths: dict[int, int] = {}
     open_nodes: set[int] = set()
@@ -107,9 +107,9 @@
             sizes[id(node)] = 1 + sum(sizes[id(child)] for child in children)
             depths[id(node)] = 1 + max((depths[id(child)] for child in children), default=0)
             if sizes[id(node)] > MAX_NODES or depths[id(node)] > MAX_DEPTH:
-                raise TextError("unfolds to more than can be read", mark.line + 1, mark.column + 1)
+                raise TextError("too large after expansion of aliases", mark.line + 1, mark.column + 1)
         elif id(node) in open_nodes:
-            raise TextError("an alias holds itself", mark.line + 1, mark.column + 1)
+            raise TextError("an alias contains itself", mark.line + 1, mark.column + 1)
         elif id(node) not in sizes:
             if not children:
                 sizes[id(node)] = depths[id(node)] = 1
@@ -118,13 +118,13 @@
             stack.append((node, True))
             for child in children:
                 if id(child) in open_nodes:
-                    raise TextError("an alias holds itself", mark.line + 1, mark.column + 1)
+                    raise TextError("an alias contains itself", mark.line + 1, mark.column + 1)
                 if id(child) not in sizes:
                     stack.append((child, False))
 
 
-def events_in_bounds(text: str) -> None:
-    """Depth first, from the parser's events: composing a node recurses for each level."""
+def check_nesting(text: str) -> None:
+    """Check the depth and the size by the parser's events, because composing nodes recurses at each level."""
     depth = 0
     for count, event in enumerate(yaml.parse(text, Loader=Loader)):
         if isinstance(event, yaml.CollectionStartEvent):
@@ -137,24 +137,24 @@
         elif isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if count > MAX_NODES:
-            raise TextError("more than can be read")
+            raise TextError("too large")
 
 
 def parse_yaml(text: str) -> Any:
-    return yaml_root(text, lambda loader, root: loader.construct_document(root))
+    return load_yaml(text, lambda loader, root: loader.construct_document(root))
 
 
 def compose_yaml(data: bytes) -> yaml.Node | None:
-    """The nodes of a YAML file, with their places; None for an empty one.  Raises TextError.
+    """Parse YAML into nodes, which have positions; return None for an empty file.  Raises TextError.
 
-    Keys are plain text, each once in its mapping.
+    Keys must be plain text, and unique in their mapping.
     """
     if len(data) > MAX_BYTES:
         raise TextError(f"larger than {MAX_BYTES >> 20} MiB")
     text = decode(data)
     if not text.strip():
         return None
-    root: yaml.Node = yaml_root(text, lambda loader, root: root)
+    root: yaml.Node = load_yaml(text, lambda loader, root: root)
     check_keys(root)
     return root
 
@@ -171,7 +171,7 @@
                 if not isinstance(key, yaml.ScalarNode):
                     raise TextError("a key is not plain text", mark.line + 1, mark.column + 1)
                 if key.value in keys:
-                    text = f"the key {key.value[:80]!r} stands twice"
+                    text = f"duplicate key {key.value[:80]!r}"
                     raise TextError(text, mark.line + 1, mark.column + 1)
                 keys.add(key.value)
                 children.append(value)
@@ -183,21 +183,21 @@
                 stack.append(child)
 
 
-def yaml_root(text: str, made: Callable[[Loader, yaml.Node], Any]) -> Any:
-    """What is made of a YAML text's one document, within the bounds."""
+def load_yaml(text: str, convert: Callable[[Loader, yaml.Node], Any]) -> Any:
+    """Parse a text of one YAML document within the limits, and convert its root node.  Raises TextError."""
     try:
-        events_in_bounds(text)
+        check_nesting(text)
         loader = Loader(text)
         try:
             root = loader.get_single_node()
             if root is None:
                 raise TextError("the file is empty")
-            measure(root)
-            return made(loader, root)
+            check_expanded_size(root)
+            return convert(loader, root)
         finally:
             loader.dispose()
     except yaml.MarkedYAMLError as error:
-        # A quote or a key that does not end is noticed lines later: where it began is what helps.
+        # An unclosed quote or key is detected lines later, so the position of its start is reported.
         scanning = str(error.context or "").startswith("while scanning")
         mark = error.context_mark if scanning and error.context_mark else error.problem_mark
         problem = " ".join(str(error.problem or "not YAML").split())
@@ -220,16 +220,16 @@
 
 
 def parse(data: bytes) -> Any:
-    """The value of a JSON or YAML text in UTF-8, with or without a byte order mark.  Raises TextError."""
+    """Parse a JSON or YAML text in UTF-8, with or without a byte order mark.  Raises TextError."""
     if len(data) > MAX_BYTES:
         raise TextError(f"larger than {MAX_BYTES >> 20} MiB")
     text = decode(data)
     if text.lstrip()[:1] in ("{", "["):
         try:
             return parse_json(text)
-        except NotJson:
+        except JsonSyntaxError:
             if len(data) > 1 << 20:
-                raise  # flow YAML may begin so too, but no file of that size does
+                raise  # YAML in flow style may begin like JSON, but files of this size are JSON
             try:
                 return parse_yaml(text)
             except TextError:
--- a/tests/inventory/damage.py
+++ b/tests/inventory/damage.py
@@ -216,7 +216,7 @@
     bomb = "\n".join(
         [f"a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 9 if n else ['x'] * 9)}]" for n in range(12)]
     )
-    yield Variant("aliases that unfold", bomb.encode(), 0)
+    yield Variant("aliases that expand", bomb.encode(), 0)
     yield Variant("nested too deeply", ("- " * 300).encode(), 1)
     yield Variant("nothing at all", b"", 0)
     yield Variant("null", b"null\n", 1)
--- a/tests/routes/test_description.py
+++ b/tests/routes/test_description.py
@@ -11,7 +11,7 @@
 from ivymux.routes.model import MAX_FINDINGS, ClassDefaults, Cost, Options
 from ivymux.routes.refs import MAX_FILES
 from orchidhill.interface import Effect
-from tests.test_text import bomb
+from tests.test_text import alias_bomb
 
 from .describing import compile_errors, compiled, described, effects, operation
 
@@ -267,8 +267,8 @@
 # --- hostile descriptions ----------------------------------------------------------------------------
 
 
-def test_aliases_that_unfold_to_gigabytes() -> None:
-    assert "unfolds to more" in compile_errors(b"openapi: 3.0.0\n" + bomb(30))
+def test_aliases_that_would_expand_to_gigabytes() -> None:
+    assert "too large after expansion" in compile_errors(b"openapi: 3.0.0\n" + alias_bomb(30))
 
 
 @pytest.mark.parametrize("share", [0.1, 0.5, 0.9, 0.999])
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -25,7 +25,7 @@
 from standins.worker import Reply, Seen, Worker
 from tests.routes.describing import described, operation
 from tests.sockets import run, until
-from tests.test_text import bomb
+from tests.test_text import alias_bomb
 
 from .doors import PATHS, Caller, Place, ask, request, site_text, standing
 
@@ -99,7 +99,7 @@
 
 BROKEN = [
     b"", b"{", b"not: [closed", json.dumps(described(PATHS)).encode()[:-40], b"\xff\xfe\x00", b"[]", b"null",
-    b"openapi: 3.0.0\n" + bomb(30), json.dumps({"openapi": "2.0"}).encode(),
+    b"openapi: 3.0.0\n" + alias_bomb(30), json.dumps({"openapi": "2.0"}).encode(),
     json.dumps(described({"/a": {"get": operation(x={"effect": "sometimes"})}})).encode(),
     json.dumps(described({"/a": {"get": {"$ref": "https://x.example/y"}}})).encode(),
     json.dumps(described({"/a": {"$ref": "../outside.json"}})).encode(),
--- a/tests/test_text.py
+++ b/tests/test_text.py
@@ -1,4 +1,4 @@
-"""Text from outside becomes values within bounds, or one error with its place."""
+"""Parsing JSON and YAML: values, limits, and one error with its position for invalid text."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from ivymux.text import MAX_DEPTH, TextError, parse
 
 
-def bomb(levels: int) -> bytes:
-    """Aliases that unfold to ten to the power of the levels."""
+def alias_bomb(levels: int) -> bytes:
+    """Build YAML whose aliases expand to ten to the power of `levels` values."""
     lines = ["a0: &a0 [x, x, x, x, x, x, x, x, x, x]"]
     for n in range(1, levels):
         lines.append(f"a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 10)}]")
@@ -28,7 +28,7 @@
     assert parse(b"\xef\xbb\xbfa: 1") == {"a": 1}
 
 
-def test_yaml_words_are_not_booleans_nor_dates() -> None:
+def test_yaml_strings_are_not_taken_for_booleans_or_dates() -> None:
     assert parse(b"a: no\nb: on\nc: 2024-01-02\nd: '1'\n") == {
         "a": "no",
         "b": "on",
@@ -42,15 +42,15 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "told"),
+    ("data", "expected"),
     [
-        (b'{"a": 1, "a": 2}', "'a' stands twice"),
-        (b"a: 1\na: 2\n", "line 2, column 1: the key 'a' stands twice"),
+        (b'{"a": 1, "a": 2}', "duplicate key 'a'"),
+        (b"a: 1\na: 2\n", "line 2, column 1: duplicate key 'a'"),
         (b'{"a": NaN}', "NaN"),
         (b'{"a": ', "line 1"),
         (b"a: [1, 2\nb: 3", "line 2"),
-        (b"a: &a [*a]", "holds itself"),
-        (b"a: &a {b: *a}", "holds itself"),
+        (b"a: &a [*a]", "contains itself"),
+        (b"a: &a {b: *a}", "contains itself"),
         (b"", "empty"),
         (b"a: !!python/object/apply:os.system [x]", "could not determine a constructor"),
         (b"? [a]\n: b", "a key is not plain text"),
@@ -59,25 +59,25 @@
         (b"- " * (MAX_DEPTH + 5), "nested too deeply"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(data: bytes, told: str) -> None:
+def test_invalid_text_is_reported_with_its_position(data: bytes, expected: str) -> None:
     with pytest.raises(TextError) as caught:
         parse(data)
-    assert told in str(caught.value) and "\n" not in str(caught.value)
+    assert expected in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_aliases_that_unfold_to_gigabytes_are_refused_before_they_do() -> None:
-    assert len(bomb(3)) < 300 and len(parse(bomb(3))["a2"]) == 10
+def test_aliases_that_would_expand_to_gigabytes_are_refused_first() -> None:
+    assert len(alias_bomb(3)) < 300 and len(parse(alias_bomb(3))["a2"]) == 10
     tracemalloc.start()
     began = time.process_time()
-    with pytest.raises(TextError, match="unfolds to more"):
-        parse(bomb(30))
+    with pytest.raises(TextError, match="too large after expansion"):
+        parse(alias_bomb(30))
     assert tracemalloc.get_traced_memory()[1] < 50 << 20
     assert time.process_time() - began < 5
     tracemalloc.stop()
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_give_a_value_or_one_error(data: bytes) -> None:
+def test_any_bytes_give_a_value_or_an_error_of_one_line(data: bytes) -> None:
     try:
         parse(data)
     except TextError as error:
@@ -85,7 +85,7 @@
 
 
 @given(st.integers(0, 400))
-def test_a_file_cut_short_is_an_error(cut: int) -> None:
+def test_a_truncated_file_is_an_error(cut: int) -> None:
     whole = json.dumps({"openapi": "3.0.0", "paths": {"/a": {"get": {"x": ["y" * 30] * 10}}}}).encode()
     if cut < len(whole):
         with pytest.raises(TextError):
