--- a/ivymux/config_store/leadership.py
+++ b/ivymux/config_store/leadership.py
@@ -42,7 +42,7 @@
         self.renewal_count = 0
         self.last_primary, self.primary_seen_at = "", NEVER  # the last primary that asked for its lease
         self.next_announcement_at = now + 2 * LEASE_S
-        self.departure_granted = False  # whether this process, which was told to end, may end
+        self.departure_granted = False  # whether this process, which was asked to shut down, may exit
         self.no_lease_until = 0.0  # after an epoch was learned from a lease request
 
     # --- the primary -----------------------------------------------------------------------------------
@@ -266,7 +266,7 @@
         self.broadcast(LeadershipReleased(self.identity))
 
     def may_exit(self) -> bool:
-        """Whether this process was told to end and no other machine depends on it any longer."""
+        """Whether this process was asked to shut down and no other machine depends on it any longer."""
         if self.leaving_since is None:
             return False
         is_outsider = self.known_epoch is None or (self.known_epoch.number > 0 and not self.is_member())
--- a/ivymux/config_store/messages.py
+++ b/ivymux/config_store/messages.py
@@ -114,7 +114,7 @@
 
 
 class Leaving(ReplicaMessage, frozen=True, tag="leaving"):
-    """The sender's process was told to end."""
+    """The sender's process was asked to shut down."""
 
 
 class DepartureGranted(ReplicaMessage, frozen=True, tag="departure_granted"):
--- a/ivymux/config_store/replica.py
+++ b/ivymux/config_store/replica.py
@@ -14,7 +14,7 @@
   serves reads; once the next epoch's state is fixed, new changes wait until that epoch is in force.
 * A leaving machine stays until an epoch is in force that has it neither as primary nor as backup, and that
   has removed it from the members where enough others remain.  A copy of the state is therefore never lost
-  with a process that was told to end.
+  with a process that was asked to shut down.
 * A machine with an empty disk that does not take part in the system's first start gets a new identity.  It is
   not a member until an epoch includes it.
 
@@ -116,7 +116,7 @@
         self.next_broadcast_at = 0.0
 
     def leave(self, now: float) -> list[Action]:
-        """Start the end of this process by handing over what it holds; `may_exit` tells when it is done."""
+        """Start to shut down by handing over this process's roles; `may_exit` says when it is complete."""
         self.begin_step(now)
         self.leaving_since = now
         self.broadcast(Leaving(self.identity))
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -65,7 +65,7 @@
         self.leave_announced_at: dict[str, float] = {}  # when each machine last announced that it leaves
         self.distrusted_until: dict[str, float] = {}  # members whose disk did not answer
         self.had_majority_at = now  # when a majority was last known to grant this primary its lease
-        self.leaving_since: float | None = None  # when this machine's own process was told to end
+        self.leaving_since: float | None = None  # when this process was asked to shut down
         # As a member.
         self.leased_to, self.leased_until = "", 0.0  # the lease that this member grants
         # A lease granted before a restart is not remembered: until it must have ended, only the primary of
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -139,7 +139,7 @@
                     if response.compacted:
                         raise Compacted("the watch's first revision is no longer kept")
                     if response.canceled:
-                        raise StoreBusy(f"etcd ended the watch: {response.reason[:100] or 'no reason told'}")
+                        raise StoreBusy(f"etcd ended the watch: {response.reason[:100] or 'no reason given'}")
                     self.set_trouble("watch", "")
                     if response.events:
                         with self.lock:
@@ -162,7 +162,7 @@
                 self.set_trouble("reads", "")
                 self.keep()  # retries what could not be written earlier
                 if is_stalled:
-                    log.warning("etcd: the watch tells nothing of what is there: it begins anew")
+                    log.warning("etcd: the watch is stalled: it misses changes that reads show; restarting")
                     self.stop_watch()
             except StoreError as error:
                 self.set_trouble("reads", str(error))
--- a/orchidhill/proxy_gateway.py
+++ b/orchidhill/proxy_gateway.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class RetrySchedule:
-    """When a customer's refused requests were told to retry."""
+    """When a customer's refused requests were asked to retry."""
 
     next_at: float = 0.0  # earliest time for the next of them
     is_flooded: bool = False
