--- a/ivymux/inventory/ansible.py
+++ b/ivymux/inventory/ansible.py
@@ -56,7 +56,7 @@
     """A group of the inventory."""
 
     name: str
-    place: Position
+    position: Position
     vars: Variables = field(default_factory=dict)
     hosts: dict[str, Position] = field(default_factory=dict)
     children: dict[str, Position] = field(default_factory=dict)
@@ -68,7 +68,7 @@
 class Host:
     """A host of the inventory."""
 
-    place: Position
+    position: Position
     vars: Variables = field(default_factory=dict)
     groups: set[str] = field(default_factory=set)
 
@@ -126,12 +126,12 @@
         self.groups: dict[str, Group] = {}
         self.hosts: dict[str, Host] = {}
 
-    def add_group(self, name: str, place: Position) -> Group:
+    def add_group(self, name: str, position: Position) -> Group:
         """Return the group, added if absent."""
-        return self.groups.setdefault(name, Group(name, place))
+        return self.groups.setdefault(name, Group(name, position))
 
-    def error(self, place: Position, text: str) -> None:
-        self.findings.error(place.line, place.column, text)
+    def error(self, position: Position, text: str) -> None:
+        self.findings.error(position.line, position.column, text)
 
     # --- reading -------------------------------------------------------------------------------------
 
@@ -189,11 +189,11 @@
 
     def read_hosts(self, group: Group, node: yaml.MappingNode) -> None:
         for key, value in node.value:
-            place = position_of(key)
+            position = position_of(key)
             try:
                 names = expand_range(key.value)
             except RangeError as error:
-                self.error(place, str(error))
+                self.error(position, str(error))
                 continue
             own_variables: Variables = {}
             if isinstance(value, yaml.MappingNode):
@@ -201,7 +201,7 @@
             elif not is_empty(value):
                 self.error(position_of(value), f"the host {key.value[:60]} is not a mapping of variables")
             for name in names:
-                host = self.hosts.setdefault(name, Host(place))
+                host = self.hosts.setdefault(name, Host(position))
                 for variable, entry in own_variables.items():
                     previous = host.vars.get(variable)
                     if previous is not None and previous.text != entry.text and variable in KNOWN_VARIABLES:
@@ -211,9 +211,9 @@
                         self.error(entry.place, text)
                     host.vars[variable] = entry
                 host.groups.add(group.name)
-                group.hosts.setdefault(name, place)
+                group.hosts.setdefault(name, position)
             if len(self.hosts) > MAX_WORKERS:
-                self.error(place, f"more than {MAX_WORKERS} hosts")
+                self.error(position, f"more than {MAX_WORKERS} hosts")
                 return
 
     def read_vars(self, node: yaml.MappingNode) -> Variables:
@@ -240,9 +240,9 @@
         for name, group in self.groups.items():
             if name != "all" and not group.parents:
                 group.parents.add("all")
-                top.children.setdefault(name, group.place)
+                top.children.setdefault(name, group.position)
         if top.parents:
-            self.error(top.place, "the group all must not be a child of another group")
+            self.error(top.position, "the group all must not be a child of another group")
             return False
         pending_parents = {name: len(group.parents) for name, group in self.groups.items()}
         unvisited, visited_count = ["all"], 0
@@ -257,7 +257,7 @@
                     unvisited.append(child)
         if visited_count < len(self.groups):
             name = min(n for n, count in pending_parents.items() if count > 0)
-            self.error(self.groups[name].place, f"the group {name} is in or below a cycle of groups")
+            self.error(self.groups[name].position, f"the group {name} is in or below a cycle of groups")
             return False
         return True
 
@@ -296,20 +296,20 @@
                 merged_by_groups[groups] = combined, ordered
             shared, ordered = merged_by_groups[groups]
             values = shared | host.vars | host_vars.get(name, {})
-            entries = {"name": SourceValue(name, host.place)}
+            entries = {"name": SourceValue(name, host.position)}
             for field_, variables in VARIABLES.items():
                 entry = next((values[v] for v in variables if v in values), None)
                 if entry is None:
-                    entry = self.value_from_group(field_, name, ordered, host.place)
+                    entry = self.value_from_group(field_, name, ordered, host.position)
                 if entry is not None:
                     entries[field_] = entry
-            entries.setdefault("address", SourceValue(name, host.place))
-            if worker := make_worker(entries, host.place, self.findings):
-                workers.append((worker, host.place))
+            entries.setdefault("address", SourceValue(name, host.position))
+            if worker := make_worker(entries, host.position, self.findings):
+                workers.append((worker, host.position))
         return workers
 
     def value_from_group(
-        self, field_: str, name: str, groups: list[str], place: Position
+        self, field_: str, name: str, groups: list[str], position: Position
     ) -> SourceValue | None:
         """Return the room or bay that a group's name gives, such as `room_a` or `bay_3`."""
         pattern = GROUP_PATTERNS.get(field_)
@@ -317,8 +317,8 @@
             return None
         found = {match[1]: group for group in groups if (match := pattern.fullmatch(group))}
         if len(found) > 1:
-            self.error(place, f"{name} is in the groups {' and '.join(sorted(found.values()))}")
-        return SourceValue(next(iter(found)), place) if found else None
+            self.error(position, f"{name} is in the groups {' and '.join(sorted(found.values()))}")
+        return SourceValue(next(iter(found)), position) if found else None
 
 
 def is_empty(node: yaml.Node) -> bool:
--- a/ivymux/inventory/model.py
+++ b/ivymux/inventory/model.py
@@ -46,8 +46,8 @@
     text: str
 
     def __str__(self) -> str:
-        place = f":{self.line}:{self.column}" if self.column else f":{self.line}" if self.line else ""
-        return f"{self.file}{place}: {self.level}: {self.text}"
+        location = f":{self.line}:{self.column}" if self.column else f":{self.line}" if self.line else ""
+        return f"{self.file}{location}: {self.level}: {self.text}"
 
 
 class InventoryError(ValueError):
@@ -279,8 +279,12 @@
         findings.error(position.line, position.column, f"{name} has no address")
         return None
     if address_port is not None and port and address_port != port:
-        place = values["address"].place
-        findings.error(place.line, place.column, f"{name} has two different ports, {address_port} and {port}")
+        address_position = values["address"].place
+        findings.error(
+            address_position.line,
+            address_position.column,
+            f"{name} has two different ports, {address_port} and {port}",
+        )
         return None
     if address_port is None and not port:
         findings.error(position.line, position.column, f"{name} has no port")
@@ -309,16 +313,16 @@
     """
     names: dict[str, tuple[Worker, Position]] = {}
     addresses: dict[tuple[str, int], tuple[Worker, Position]] = {}
-    for worker, place in found:
+    for worker, position in found:
         folded = worker.name.casefold()
         if gateway_addresses and is_gateway_address(worker, gateway_addresses):
             text = f"{worker.name} has the gateway's own address {worker.address}"
-            findings.error(place.line, place.column, text)
+            findings.error(position.line, position.column, text)
         if folded in names:
             other, earlier = names[folded]
             if worker == other:
                 findings.warning(
-                    place.line, place.column, f"{worker.name} is already listed in line {earlier.line}"
+                    position.line, position.column, f"{worker.name} is already listed in line {earlier.line}"
                 )
                 continue
             if worker.name != other.name:
@@ -326,21 +330,21 @@
             else:
                 differ = [f for f in worker.__struct_fields__ if getattr(worker, f) != getattr(other, f)]
                 text = f"{worker.name} is listed in line {earlier.line} with another {' and '.join(differ)}"
-            findings.error(place.line, place.column, text)
+            findings.error(position.line, position.column, text)
             continue
-        names[folded] = worker, place
+        names[folded] = worker, position
         key = (worker.host, worker.port)
         if worker.state != "out" and key in addresses:
             other, earlier = addresses[key]
             text = f"{worker.name} has the address {worker.address} of {other.name} in line {earlier.line}"
-            findings.error(place.line, place.column, text)
+            findings.error(position.line, position.column, text)
         elif worker.state != "out":
-            addresses[key] = worker, place
+            addresses[key] = worker, position
     numeric = next(((w, position) for w, position in found if w.name.isdecimal()), None)
     if numeric is not None:
-        worker, place = numeric
+        worker, position = numeric
         text = f"the name {worker.name} is a plain number: spreadsheets drop leading zeros"
-        findings.warning(place.line, place.column, text)
+        findings.warning(position.line, position.column, text)
     if not names and not findings.errors:
         findings.error(0, 0, "no workers: an empty list is never accepted")
     if len(names) > MAX_WORKERS:
--- a/ivymux/routes/extension.py
+++ b/ivymux/routes/extension.py
@@ -40,11 +40,11 @@
             msgspec.structs.astuple(self), msgspec.structs.astuple(outer), strict=True)))  # fmt: skip
 
 
-def parse_number(raw: Any, most: float) -> float | None:
-    """Return the value as a float if it is a finite positive number up to `most`, else None."""
+def parse_number(raw: Any, maximum: float) -> float | None:
+    """Return the value as a float if it is a finite positive number up to `maximum`, else None."""
     if isinstance(raw, bool) or not isinstance(raw, int | float) or not math.isfinite(raw):
         return None
-    return float(raw) if 0 < raw <= most else None
+    return float(raw) if 0 < raw <= maximum else None
 
 
 def parse_extension(raw: Any, most_deadline: float, report: ReportError) -> OperationSettings:
@@ -66,10 +66,10 @@
         except ValueError:
             report("/effect", "an effect is safe, keyed or unsafe")
     times: dict[str, float | None] = {}
-    for name, most in (("aim", most_deadline), ("deadline", most_deadline), ("worth", 1e6)):
-        times[name] = parse_number(raw[name], most) if name in raw else None
+    for name, maximum in (("aim", most_deadline), ("deadline", most_deadline), ("worth", 1e6)):
+        times[name] = parse_number(raw[name], maximum) if name in raw else None
         if name in raw and times[name] is None:
-            report(f"/{name}", f"not a number above 0 and up to {most:g}")
+            report(f"/{name}", f"not a number above 0 and up to {maximum:g}")
     cost = parse_cost(raw["cost"], report) if "cost" in raw else None
     key = parse_key(raw["key"], report) if "key" in raw else None
     return OperationSettings(cls, effect, cost, times["aim"], times["deadline"], times["worth"], key)
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -226,8 +226,8 @@
 @given(EDGES, KINDS, KINDS, st.sets(st.sampled_from(GROUPS), min_size=1, max_size=3), st.booleans())
 def test_inheritance_agrees_with_the_reference_implementation(
     edges: set[tuple[int, int]],
-    inline: dict[str, tuple[str, int]],
-    beside: dict[str, tuple[str, int]],
+    in_file: dict[str, tuple[str, int]],
+    in_folders: dict[str, tuple[str, int]],
     member: set[str],
     own: bool,
 ) -> None:
@@ -242,11 +242,11 @@
             {"h": {"ansible_host": "10.0.0.1"} | ({"kind": "mine"} if own else {})} if name in member else {}
         )
         variables = {}
-        if name in inline:
-            variables = {"kind": inline[name][0], "ansible_group_priority": inline[name][1]}
+        if name in in_file:
+            variables = {"kind": in_file[name][0], "ansible_group_priority": in_file[name][1]}
         tree[name] = {"vars": variables, "children": children, "hosts": hosts}
     folders = {
-        name: {f"group_vars/{name}.yml": f"kind: {kind}".encode()} for name, (kind, _) in beside.items()
+        name: {f"group_vars/{name}.yml": f"kind: {kind}".encode()} for name, (kind, _) in in_folders.items()
     }
 
     def depth(name: str) -> int:
@@ -256,10 +256,11 @@
         return {name}.union(*(ancestors(parent) for parent in above[name]))
 
     ordered = sorted(
-        set().union(*map(ancestors, member)), key=lambda g: (depth(g), inline[g][1] if g in inline else 1, g)
+        set().union(*map(ancestors, member)),
+        key=lambda g: (depth(g), in_file[g][1] if g in in_file else 1, g),
     )
     expected = "z"
-    for source in (inline, beside):
+    for source in (in_file, in_folders):
         for name in ordered:
             if name in source:
                 expected = source[name][0]
@@ -307,6 +308,6 @@
         f"  g{n}:\n    vars: {{bay: {n}, ansible_port: 8000}}\n    hosts:\n      g{n}-w[00:19]:"
         for n in range(500)
     )
-    made = parse_ansible("all:\n children:\n" + groups.replace("\n", "\n"))
-    assert len(made.workers) == 10_000 and made.by_name()["g7-w19"].bay == 7
-    assert parse_csv(write_csv(made)) == made
+    inventory = parse_ansible("all:\n children:\n" + groups.replace("\n", "\n"))
+    assert len(inventory.workers) == 10_000 and inventory.by_name()["g7-w19"].bay == 7
+    assert parse_csv(write_csv(inventory)) == inventory
