--- a/ivymux/membership/files.py
+++ b/ivymux/membership/files.py
@@ -38,14 +38,14 @@
         return sha256(msgspec.msgpack.encode(self)).hexdigest()
 
 
-def is_sheet(path: Path) -> bool:
+def is_csv(path: Path) -> bool:
     return path.suffix.lower() not in ANSIBLE_SUFFIXES
 
 
 def list_variable_files(path: Path) -> list[Path]:
     """Return the files in group_vars and host_vars next to an Ansible inventory.  Raises FilesError."""
     found: list[Path] = []
-    if is_sheet(path):
+    if is_csv(path):
         return found
     for folder in VARIABLE_FOLDERS:
         top = path.parent / folder
@@ -104,12 +104,12 @@
     return Content(path.name, data, folders)
 
 
-def parse_content(content: Content, own: GatewayAddresses = ()) -> ParsedInventory:
+def parse_content(content: Content, gateway_addresses: GatewayAddresses = ()) -> ParsedInventory:
     """Parse the inventory in the format of its file name.  Raises InventoryError."""
-    if is_sheet(Path(content.name)):
-        return read_csv(content.data, content.name, own)
+    if is_csv(Path(content.name)):
+        return read_csv(content.data, content.name, gateway_addresses)
     folders = VariableFolders(content.beside.get("group_vars", {}), content.beside.get("host_vars", {}))
-    reading = read_ansible(content.data, content.name, folders, own)
+    reading = read_ansible(content.data, content.name, folders, gateway_addresses)
     shape = replace(
         reading.shape, beside=tuple(folder for folder in VARIABLE_FOLDERS if content.beside.get(folder))
     )
--- a/ivymux/membership/list_change.py
+++ b/ivymux/membership/list_change.py
@@ -21,7 +21,7 @@
     ParsedInventory,
 )
 from ivymux.inventory.snapshot import Snapshot
-from ivymux.membership.files import Content, is_sheet, parse_content, read_content
+from ivymux.membership.files import Content, is_csv, parse_content, read_content
 from ivymux.membership.snapshot_store import SnapshotStore
 
 POLL_PERIOD_S = 0.1
@@ -42,45 +42,56 @@
 
     Raises InventoryError if reading the result would not give the same inventory.
     """
-    data = write_csv(inventory) if is_sheet(target) else write_ansible(inventory)
+    data = write_csv(inventory) if is_csv(target) else write_ansible(inventory)
     if parse_content(Content(target.name, data, {})).inventory != inventory:
         raise InventoryError([Finding("error", target.name, 0, 0, "the list can't be written in this form")])
     return data
 
 
 def propose(
-    source: Path, target: Path, limits: Limits, last: Snapshot | None, own: GatewayAddresses = ()
+    source: Path,
+    target: Path,
+    limits: Limits,
+    last: Snapshot | None,
+    gateway_addresses: GatewayAddresses = (),
 ) -> Proposal:
     """Check `source` as the new content of `target`, the file that a gateway follows.
 
     Raises InventoryError, OSError.
     """
     content = read_content(source)
-    reading = parse_content(content, own)
+    reading = parse_content(content, gateway_addresses)
     previous = read_content(target) if target.exists() else Content(target.name, b"", {})
-    if is_sheet(source) == is_sheet(target) and not any(content.beside.values()):
+    if is_csv(source) == is_csv(target) and not any(content.beside.values()):
         data = content.data
     else:
         data = convert(reading.inventory, target)
     proposed = Content(target.name, data, previous.beside)
     # group_vars and host_vars beside the target apply to it too and override the list's values.
-    if any(previous.beside.values()) and parse_content(proposed, own).inventory != reading.inventory:
+    if (
+        any(previous.beside.values())
+        and parse_content(proposed, gateway_addresses).inventory != reading.inventory
+    ):
         message = "group_vars or host_vars beside it would change what this list says: change it there"
         raise InventoryError([Finding("error", target.name, 0, 0, message)])
-    current, shape = (last.inventory, last.shape) if last is not None else parse_current(previous, own)
+    current, shape = (
+        (last.inventory, last.shape) if last is not None else parse_current(previous, gateway_addresses)
+    )
     verdict = None
     if current is not None:
-        shape_now = parse_content(proposed, own).shape
+        shape_now = parse_content(proposed, gateway_addresses).shape
         change = differences(current, reading.inventory)
         truncation = truncation_reason(shape, shape_now, current, reading.inventory, change)
         verdict = ChangePolicy(limits, current).review(reading.inventory, 0.0, truncation)
     return Proposal(target, None if data == previous.data else data, reading, verdict)
 
 
-def parse_current(content: Content, own: GatewayAddresses) -> tuple[Inventory | None, FileShape]:
+def parse_current(
+    content: Content, gateway_addresses: GatewayAddresses
+) -> tuple[Inventory | None, FileShape]:
     """Return the target's present inventory and shape; no inventory if it is invalid."""
     try:
-        reading = parse_content(content, own)
+        reading = parse_content(content, gateway_addresses)
     except InventoryError:
         return None, FileShape()
     return reading.inventory, reading.shape
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -45,7 +45,7 @@
     limits: Limits
     apply: Apply
     poll_period_s: float = 0.25
-    own: GatewayAddresses = ()
+    gateway_addresses: GatewayAddresses = ()
     stability: FileStability = field(default_factory=FileStability)
     policy: ChangePolicy | None = None
     pending: Pending | None = None
@@ -76,7 +76,7 @@
         if last is not None:
             self.shape = last.shape
         result = await read_in_child_process(
-            ReadTask(str(self.path), self.limits, current, None, self.shape, self.own)
+            ReadTask(str(self.path), self.limits, current, None, self.shape, self.gateway_addresses)
         )
         # `stability` does not record this read, so the first poll finds changes made during the start.
         is_good = result.inventory is not None and not result.problem
@@ -151,7 +151,7 @@
         await self.handle_result(result)
 
     def build_task(self, base: Inventory | None) -> ReadTask:
-        return ReadTask(str(self.path), self.limits, self.current, base, self.shape, self.own)
+        return ReadTask(str(self.path), self.limits, self.current, base, self.shape, self.gateway_addresses)
 
     async def handle_result(self, result: ReadResult) -> None:
         """Accept a list that was read, or hold it back if its change exceeds the limits."""
