--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -20,7 +20,7 @@
 
 from ivymux import __version__
 from ivymux.routes.model import Compiled, DescriptionError, Finding, Options
-from ivymux.routes.refs import Read
+from ivymux.routes.refs import ReadFile
 from ivymux.text import MAX_BYTES
 
 MAX_MEMORY_BYTES = 3 << 30  # of address space
@@ -43,7 +43,7 @@
     compiled: Compiled
 
 
-def folder_reader(path: Path) -> Read:
+def folder_reader(path: Path) -> ReadFile:
     """Return a function that reads a description's files by name.
 
     It raises OSError for a file outside the description's folder, also if a link leads there.
--- a/ivymux/service/frontend.py
+++ b/ivymux/service/frontend.py
@@ -203,7 +203,7 @@
         """
         for name, value in fields:
             if name == b"content-type" and value.strip().lower().startswith(override.FORM):
-                field_name = override.in_query(content)
+                field_name = override.find_in_query(content)
                 if field_name and unquote_plus(field_name) not in allowed_names:
                     raise BadRequest("a form field that overrides the method is not served")
 
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -11,8 +11,8 @@
 
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.inventory.change_policy import Limits
-from ivymux.inventory.model import FieldError, Worker, read_address
-from ivymux.routes.model import ClassTerms, Compiled, Options
+from ivymux.inventory.model import FieldError, Worker, parse_worker_address
+from ivymux.routes.model import ClassDefaults, Compiled, Options
 from ivymux.service.callers import CallerError, Callers
 from ivymux.tally.engine import RedisPart, check_redis_settings
 from orchidhill import interface as i
@@ -150,7 +150,7 @@
     listen: str = "127.0.0.1:8080"
     name: str = "door"
     defaults: DefaultsPart = DefaultsPart()
-    classes: dict[str, ClassTerms] = {}
+    classes: dict[str, ClassDefaults] = {}
     keyed: KeyedPart = KeyedPart()
     rules: RulesPart = RulesPart()
     limits: LimitsPart = LimitsPart()
@@ -340,7 +340,7 @@
         if part.name in workers:
             raise ConfigError(f"{at}.name: {part.name!r} stands twice")
         try:
-            host, port = read_address(part.address)
+            host, port = parse_worker_address(part.address)
         except FieldError as error:
             raise ConfigError(f"{at}.address: {error}") from None
         if port is None:
@@ -384,9 +384,9 @@
     warnings = []
     for plan in site.plans:
         capacity = min(plan.burst or math.inf, plan.ceiling_burst or math.inf)
-        too_costly = [o for o in compiled.operations if o.cost.greatest > capacity]
+        too_costly = [o for o in compiled.operations if o.cost.maximum > capacity]
         if too_costly:
-            cost = too_costly[0].cost.greatest
+            cost = too_costly[0].cost.maximum
             warnings.append(
                 f"plan {plan.name} holds {capacity:g} units, and {too_costly[0].id} may cost {cost:g}:"
                 f" such requests are refused with 403 ({len(too_costly)} operations)"
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -16,7 +16,7 @@
 from ivymux.data_plane.limits import BODY_MEMORY_SHARE, Bounds, ConfigError
 from ivymux.data_plane.server import Server
 from ivymux.data_plane.upstream import Upstream
-from ivymux.inventory.file_stability import Settle
+from ivymux.inventory.file_stability import FileStability
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.membership.member_list import MemberList, MemberListError
 from ivymux.membership.resolver import Resolver, is_address
@@ -75,7 +75,7 @@
         self.table = Table(compiled, self.classes)
         for _ in self.table.build():
             pass
-        self.table.enter()
+        self.table.assign_class_numbers()
         max_answer_bytes = limits.answer_kb * 1024
         policy = AnswerPolicy(True, max_answer_bytes, int(limits.memory_mb * ANSWER_MEMORY_SHARE * (1 << 20)))
         upstream = Upstream(
@@ -88,7 +88,7 @@
         seed = secrets.randbits(64)
         log.info("seed %016x", seed)
         self.random = random.Random(seed)
-        module_settings = settings(site, tuple(self.classes.listed))
+        module_settings = settings(site, tuple(self.classes.class_list))
         self.host = Host(Gateway(module_settings, seed), upstream)
         self.counter_store = CounterStore()
         self.tally: CounterServer | None = None  # a counter service that runs in this process
@@ -153,7 +153,7 @@
             state = self.path.parent / part.state if part.state else None
             self.inventory = InventorySource(
                 self.path.parent / part.file, SnapshotStore(state), part.limits, self.apply_inventory,
-                part.watch, ((self.site.listen.host, self.site.listen.port),), Settle(part.settle),
+                part.watch, ((self.site.listen.host, self.site.listen.port),), FileStability(part.settle),
             )  # fmt: skip
             await self.inventory.start()
         except (MemberListError, NoInventoryError) as error:
@@ -255,8 +255,8 @@
         for _ in table.build():
             await asyncio.sleep(0)  # requests are handled between the steps
         # No await from here on: each request is handled wholly by the old description or by the new one.
-        table.enter()
-        self.host.post(i.Classes(tuple(self.classes.listed)))
+        table.assign_class_numbers()
+        self.host.post(i.Classes(tuple(self.classes.class_list)))
         self.table = self.frontend.table = table
         self.max_deadline_s = max(self.max_deadline_s, *(o.deadline for o in compiled.operations))
 
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -337,7 +337,7 @@
             await until(lambda: fixture.fleet.seen)
             reset(client)
             await until(lambda: not fixture.gateway.host.requests)
-            assert fixture.gateway.server.held_bytes == 0 and not any(fixture.gateway.classes.held)
+            assert fixture.gateway.server.held_bytes == 0 and not any(fixture.gateway.classes.open_requests)
             assert max(fixture.fleet.runs.values()) == 1
 
     run(test())
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -25,7 +25,7 @@
 from standins.worker import Reply, Seen, Worker
 from tests.routes.describing import described, operation
 from tests.sockets import run, until
-from tests.test_text import bomb
+from tests.test_text import alias_bomb
 
 from .fixtures import PATHS, Client, GatewayFixture, make_request, running_gateway, send_request, site_text
 
@@ -94,14 +94,14 @@
                 assert got.status == 502 and fixture.fleet.seen["r"] == 1
             else:
                 assert got.status == 200 and fixture.fleet.seen["r"] == 2
-            assert not any(fixture.gateway.classes.held)
+            assert not any(fixture.gateway.classes.open_requests)
 
     run(test())
 
 
 BROKEN = [
     b"", b"{", b"not: [closed", json.dumps(described(PATHS)).encode()[:-40], b"\xff\xfe\x00", b"[]", b"null",
-    b"openapi: 3.0.0\n" + bomb(30), json.dumps({"openapi": "2.0"}).encode(),
+    b"openapi: 3.0.0\n" + alias_bomb(30), json.dumps({"openapi": "2.0"}).encode(),
     json.dumps(described({"/a": {"get": operation(x={"effect": "sometimes"})}})).encode(),
     json.dumps(described({"/a": {"get": {"$ref": "https://x.example/y"}}})).encode(),
     json.dumps(described({"/a": {"$ref": "../outside.json"}})).encode(),
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -74,7 +74,7 @@
             call = take(*args)
             if isinstance(call, Call):
                 number = call.make_event(0).cls
-                self.effects[call.request_id.decode()] = fixture.gateway.classes.listed[number].effect
+                self.effects[call.request_id.decode()] = fixture.gateway.classes.class_list[number].effect
             return call
 
         frontend.accept = noting  # type: ignore[method-assign, assignment]
@@ -164,7 +164,7 @@
     assert set(storm.statuses) <= {200, 500, 502, 503, 504}
     assert max(end - began - pauses.total_within(began, end) for began, end in storm.asked) < DEADLINE + 0.5
     assert storm.statuses[200] > 0.7 * REQUESTS
-    assert door.host.decision_module.settings.classes == tuple(door.classes.listed)
+    assert door.host.decision_module.settings.classes == tuple(door.classes.class_list)
     repeated = 0
     for name, effect in storm.effects.items():
         runs, seen = fleet.runs[name], fleet.seen[name]
@@ -180,6 +180,10 @@
     assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # all cases occurred
     assert not fleet.together  # never two attempts in flight for one request
     assert not any(name.startswith("half-") for name in fleet.seen)
-    assert not any(door.classes.held) and door.server.held_bytes == 0 and door.host.unanswered_count == 0
-    assert len(door.classes.listed) < 60  # numbers are reused
+    assert (
+        not any(door.classes.open_requests)
+        and door.server.held_bytes == 0
+        and door.host.unanswered_count == 0
+    )
+    assert len(door.classes.class_list) < 60  # numbers are reused
     assert not any(worker.malformed for worker in fixture.workers)
