--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -252,9 +252,9 @@
             counter = SharedTallyCounter(address, part.timeout, clock)
         elif part.redis is not None:
             from ivymux.hosting.redis_counters import SharedRedisCounter
-            from ivymux.tally.redis import with_passwords
+            from ivymux.tally.redis import read_passwords
 
-            counter = SharedRedisCounter(with_passwords(part.redis, self.folder), part.timeout, clock)
+            counter = SharedRedisCounter(read_passwords(part.redis, self.folder), part.timeout, clock)
         if counter is not None:
             self.settings = replace(
                 self.settings, counter=counter, counter_timeout_s=part.timeout, gateway_number=part.number,
--- a/ivymux/hosting/redis_counters.py
+++ b/ivymux/hosting/redis_counters.py
@@ -18,5 +18,5 @@
     def __init__(self, part: RedisPart, timeout: float, clock: SharedClock) -> None:
         super().__init__(part, timeout, reject_unrouted, clock)
 
-    def tell(self, count: Count, told: Counted | Late) -> None:
-        deliver_to_recipient(count, told)
+    def deliver(self, count: Count, result: Counted | Late) -> None:
+        deliver_to_recipient(count, result)
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -95,9 +95,9 @@
         if site.tally is not None:
             self.counter = Counter(site.tally, file.tally.timeout, self.host.post, self.clock)
         elif file.tally.redis is not None:
-            from ivymux.tally.redis import RedisCounter, with_passwords
+            from ivymux.tally.redis import RedisCounter, read_passwords
 
-            part = with_passwords(file.tally.redis, path.parent)
+            part = read_passwords(file.tally.redis, path.parent)
             self.counter = RedisCounter(part, file.tally.timeout, self.host.post, self.clock)
         if self.counter is not None:
             self.host.counter = self.counter
--- a/tests/tally/test_redis.py
+++ b/tests/tally/test_redis.py
@@ -24,7 +24,7 @@
     retry_delay,
     script_arguments,
 )
-from ivymux.tally.redis import RedisCounter, with_passwords
+from ivymux.tally.redis import RedisCounter, read_passwords
 from orchidhill.interface import Count, Counted, Late, Outcome
 from standins.redis import Node, Redis, slot_of
 from tests.sockets import run, until
@@ -76,8 +76,8 @@
         yield calls
     finally:
         calls.counter.close()
-        assert calls.counter.closing is not None
-        await calls.counter.closing
+        assert calls.counter.close_task is not None
+        await calls.counter.close_task
         world.stop()
 
 
@@ -129,10 +129,10 @@
 def test_passwords_stand_in_files_and_in_no_error(tmp_path: Path) -> None:
     (tmp_path / "word").write_text("secret\nmore")
     part = RedisPart(nodes=["a:1"], password_file="word")
-    assert with_passwords(part, tmp_path).password == "secret"
+    assert read_passwords(part, tmp_path).password == "secret"
     (tmp_path / "word").write_text("\nsecret")
     with pytest.raises(ConfigError, match="password_file: word has no password") as caught:
-        with_passwords(part, tmp_path)
+        read_passwords(part, tmp_path)
     assert "secret" not in str(caught.value)
 
 
@@ -281,7 +281,7 @@
 
 
 def test_a_silent_server_holds_up_no_more_than_its_lanes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(redis_module, "LOST", 0.2)
+    monkeypatch.setattr(redis_module, "ANSWER_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         world = await Redis().start()
