--- a/ivymux/tally/__init__.py
+++ b/ivymux/tally/__init__.py
@@ -1,1 +1,1 @@
-"""The tally: named counts that expire, in the process or on a socket of its own."""
+"""Counters whose names expire: in the process, as a service on a socket, or in Redis."""
--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -1,7 +1,8 @@
-"""Calls to a tally on Redis or Valkey, by its asyncio client.
+"""A counter client for Redis or Valkey, on the asyncio client of redis-py.
 
-The client makes each call once: a call whose connection broke may have been added, and made again it would
-count twice.  Only what the server says it has not done is asked again at once, and only a redirection is.
+Each call is sent once: a call whose connection broke may have been executed, and would count twice if it was
+sent again.  A call is sent again at once only if the server's answer says that it was not executed, such as a
+redirection or NOSCRIPT.
 """
 
 from __future__ import annotations
@@ -40,12 +41,12 @@
 )
 from orchidhill.interface import Count, Counted, Late, Outcome
 
-MAX_PENDING = 1000  # calls in one lane
-ANSWER_TIMEOUT_S = 2.0  # seconds after which an answer is waited for no more
-CONNECT_TIMEOUT_S = 1.0  # seconds for a connection
-MIN_LOG_INTERVAL_S = 1.0  # seconds between lines about trouble
-TIME_PERIOD_S = 2.0  # seconds between questions for the time
-# What the server has not done, by its own words.
+MAX_PENDING = 1000  # queued calls of one lane
+ANSWER_TIMEOUT_S = 2.0  # a call is abandoned after this
+CONNECT_TIMEOUT_S = 1.0
+MIN_LOG_INTERVAL_S = 1.0  # between log lines about errors
+TIME_PERIOD_S = 2.0  # between two requests for the server's time
+# Error answers by which the server says that it has not executed the call.
 NOT_EXECUTED_ERRORS = (
     errors.BusyLoadingError, errors.ReadOnlyError, errors.ClusterDownError, errors.TryAgainError,
     errors.MovedError, errors.AskError, errors.NoScriptError, errors.OutOfMemoryError, errors.MasterDownError,
@@ -56,7 +57,7 @@
 
 
 def create_client(part: RedisPart) -> Redis | RedisCluster:
-    """A client; it opens connections when it is called."""
+    """Create the client of redis-py; it connects with its first command."""
     keywords: dict[str, Any] = {
         "username": part.username or None, "password": part.password or None, "protocol": part.protocol,
         "socket_timeout": ANSWER_TIMEOUT_S, "socket_connect_timeout": CONNECT_TIMEOUT_S,
@@ -81,7 +82,10 @@
 
 
 def read_passwords(part: RedisPart, folder: Path) -> RedisPart:
-    """The same with what stands in its files.  Raises ConfigError."""
+    """Return the settings with the contents of the password files.
+
+    The path of the CA file, given relative to `folder`, is joined with it.  Raises ConfigError.
+    """
     return msgspec.structs.replace(
         part,
         password=read_password(folder, part.password_file, "tally.redis.password_file"),
@@ -93,6 +97,11 @@
 
 
 class Call:
+    """A call to the counter.
+
+    `written`: its lane has begun to send it.  `settled`: its result, possibly a timeout, was reported.
+    """
+
     __slots__ = ("began", "count", "key", "settled", "written")
 
     def __init__(self, count: Count, key: bytes, began: float) -> None:
@@ -101,7 +110,7 @@
 
 
 class Lane:
-    """Calls one behind the other, in the order in which they came."""
+    """A queue whose calls are executed one at a time, in order of arrival."""
 
     def __init__(self, counter: RedisCounter) -> None:
         self.counter = counter
@@ -110,10 +119,10 @@
         self.backoff, self.unreachable_until = MIN_RETRY_DELAY_S, 0.0
 
     def enqueue(self, call: Call) -> bool:
-        """Whether the call may yet be answered; else it is told at once why not."""
+        """Queue a call and return True, or report at once why it fails and return False."""
         if len(self.queue) >= MAX_PENDING:
             self.counter.settle(call, Outcome.FULL)
-        elif call.began < self.unreachable_until:  # nobody could be reached a moment ago
+        elif call.began < self.unreachable_until:  # backing off after a failed connection
             self.counter.settle(call, Outcome.CONNECT_FAILED)
         else:
             self.queue.append(call)
@@ -150,29 +159,32 @@
 
 
 def classify_error(error: Exception) -> Outcome:
-    """How a call ended that was not answered with a total."""
+    """Return the outcome of a call that failed with this error."""
     if isinstance(error, NOT_EXECUTED_ERRORS) or "is now a slave" in str(error):
         return Outcome.FULL
     if isinstance(error, errors.ConnectionError | OSError) and not isinstance(error, TimeoutError):
-        # No connection came up: the call was never written.
+        # These errors come before a connection is established, so the call was not sent.
         never_sent = "connecting to" in str(error) or "No master found" in str(error)
         never_sent = never_sent or isinstance(error, errors.MaxConnectionsError)
         return Outcome.CONNECT_FAILED if never_sent else Outcome.TIMEOUT
     if isinstance(error, errors.RedisClusterException | errors.SlotNotCoveredError):
-        return Outcome.CONNECT_FAILED  # no node that would know the slot
+        return Outcome.CONNECT_FAILED  # no node serves the key's slot
     if isinstance(error, errors.ResponseError):
-        return Outcome.FULL  # an error answer: a script's first call that fails has done nothing
+        return Outcome.FULL  # a script that fails at its first command has added nothing
     return Outcome.TIMEOUT
 
 
 class RedisCounter:
-    """Answers each call once, those of one name in the order of its calls."""
+    """A client that reports one result for each call, in call order for each name."""
 
     def __init__(
         self, part: RedisPart, timeout: float, on_result: Callable[[Counted | Late], None],
         clock: SharedClock, seed: int | None = None,
     ) -> None:  # fmt: skip
-        """`timeout`: seconds until a call is told as timed out.  It may be answered after that (`Late`)."""
+        """`timeout`: of a call, in seconds; `on_result` gets the results.
+
+        A call that is answered after its timeout gives a second result, `Late`.
+        """
         self.part, self.timeout, self.on_result, self.clock = part, timeout, on_result, clock
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(seed)
@@ -180,7 +192,7 @@
         self.prefix = part.prefix.encode()
         self.caller_id = secrets.token_hex(6).encode()
         self.lanes = [Lane(self) for _ in range(LANES)]
-        self.expiring: deque[Call] = deque()  # all wait equally long: oldest first
+        self.expiring: deque[Call] = deque()  # oldest first, as all have the same timeout
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.logged_at = -MIN_LOG_INTERVAL_S
         self.ready = self.loop.create_future()
@@ -188,11 +200,11 @@
         self.clock_task = self.loop.create_task(self.synchronize_clock())
 
     async def synchronize_clock(self) -> None:
-        """Set the clock by the server's, from the start on; of a cluster all doors ask the same node."""
+        """Periodically set the clock by the server's; all gateways read the same node of a cluster."""
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    for _ in range(2):  # the first one may have connected
+                    for _ in range(2):  # the first may include the time to connect
                         sent_at = time.monotonic()
                         seconds, microseconds = await self.request_time()
                         self.clock.on_reading(
@@ -220,29 +232,31 @@
                 self.expiry_timer = self.loop.call_later(self.timeout, self.expire)
 
     async def send(self, call: Call) -> tuple[float, int]:
-        """One call: the total, and which counts it continues."""
+        """Execute a call; return the total and the number that identifies the name's current totals."""
         count, born = call.count, self.rng.getrandbits(52) + 1
         arguments = script_arguments(count.amount, count.expires, born, self.caller_id, count.call)
         try:
             answer = await self.client.execute_command("EVALSHA", SCRIPT_SHA1, 1, call.key, *arguments)
-        except errors.NoScriptError:  # begun anew, or its scripts were flushed: nothing was done
+        except errors.NoScriptError:  # restarted, or its scripts were flushed; nothing was executed
             answer = await self.client.execute_command("EVAL", SCRIPT, 1, call.key, *arguments)
         return float(answer[0]), int(answer[1])
 
     def on_answer(self, call: Call, total: float, born: int) -> None:
+        """Report the result of an answered call, or that the answer is late."""
         if call.settled:
             self.deliver(call.count, Late(call.count.name))
         else:
             self.settle(call, Outcome.OK, total, born)
 
     def settle(self, call: Call, outcome: Outcome, total: float = 0.0, born: int = 0) -> None:
+        """Report the result of a call, once."""
         if not call.settled:
             call.settled = True
             elapsed = time.monotonic() - call.began
             self.deliver(call.count, Counted(call.count.name, outcome, total, elapsed, born))
 
     def deliver(self, count: Count, result: Counted | Late) -> None:
-        """Hand an answer to whom it is for."""
+        """Pass a result on; subclasses choose the receiver by `count`."""
         self.on_result(result)
 
     def expire(self) -> None:
@@ -253,7 +267,7 @@
                 if (time_left := call.began + self.timeout - now) > 0:
                     self.expiry_timer = self.loop.call_later(time_left, self.expire)
                     return
-                # One that waits in its lane is never written any more.
+                # A call that is still in its lane's queue will not be sent any more.
                 self.settle(call, Outcome.TIMEOUT if call.written else Outcome.CONNECT_FAILED)
             self.expiring.popleft()
         self.expiry_timer = None
