--- a/standins/redis.py
+++ b/standins/redis.py
@@ -19,13 +19,13 @@
 import hiredis
 from lupa.lua51 import LuaRuntime  # type: ignore[import-untyped]
 
-SLOTS = 16384
-CRC16 = []
+HASH_SLOTS = 16384
+CRC16_TABLE = []
 for _byte in range(256):
     _crc = _byte << 8
     for _ in range(8):
         _crc = ((_crc << 1) ^ 0x1021) & 0xFFFF if _crc & 0x8000 else (_crc << 1) & 0xFFFF
-    CRC16.append(_crc)
+    CRC16_TABLE.append(_crc)
 
 
 def slot_of(key: bytes) -> int:
@@ -35,15 +35,15 @@
         key = key[begin + 1 : end]
     crc = 0
     for byte in key:
-        crc = ((crc << 8) & 0xFFFF) ^ CRC16[(crc >> 8) ^ byte]
-    return crc % SLOTS
+        crc = ((crc << 8) & 0xFFFF) ^ CRC16_TABLE[(crc >> 8) ^ byte]
+    return crc % HASH_SLOTS
 
 
-class Wrong(Exception):
+class CommandError(Exception):
     """An error answer: its first word is the code."""
 
 
-class Simple(str):
+class SimpleString(str):
     """A status answer."""
 
     __slots__ = ()
@@ -52,7 +52,7 @@
 @dataclass(slots=True)
 class Value:
     fields: dict[bytes, bytes]
-    ends: float | None = None  # loop time
+    expires_at: float | None = None  # loop time
 
 
 @dataclass
@@ -60,32 +60,32 @@
     """What goes wrong at a node, until it is changed."""
 
     silent: bool = False  # takes calls and answers nothing, does nothing
-    hold: float = 0.0  # seconds by which each answer is late; the call has run
-    answer: str = ""  # an error in the place of each call on a key: LOADING ..., BUSY ..., CLUSTERDOWN ...
-    once: deque[str] = field(default_factory=deque)  # errors for the next calls on a key, one each
-    cut: int = 0  # so many calls on a key run, and the connection ends in the place of the answer
-    refuse: bool = False  # new connections are reset
+    delay: float = 0.0  # seconds by which each answer is late; the call has run
+    error: str = ""  # an error in the place of each call on a key: LOADING ..., BUSY ..., CLUSTERDOWN ...
+    next_errors: deque[str] = field(default_factory=deque)  # errors for the next calls on a key, one each
+    answers_to_drop: int = 0  # so many calls on a key run, and the connection ends in the place of the answer
+    reset_connections: bool = False  # new connections are reset
 
 
 class Node:
     """One server on a loopback port of its own."""
 
-    def __init__(self, world: Redis, name: str) -> None:
-        self.world, self.name = world, name
+    def __init__(self, deployment: RedisDeployment, name: str) -> None:
+        self.deployment, self.name = deployment, name
         self.id = secrets.token_hex(20)
         self.run_id = secrets.token_hex(20)
         self.data: dict[bytes, Value] = {}
         self.scripts: dict[str, str] = {}
         self.master: Node | None = None
         self.faults = Faults()
-        self.links: set[Link] = set()
+        self.connections: set[ClientConnection] = set()
         self.server: asyncio.Server | None = None
         self.port = 0
         self.slots: list[tuple[int, int]] = []
-        self.moving: dict[int, Node] = {}  # slots on their way to another node
-        self.coming: dict[int, Node] = {}
-        self.taken = 0  # calls on a key that ran
-        self.opened = 0
+        self.migrating: dict[int, Node] = {}  # slots on their way to another node
+        self.importing: dict[int, Node] = {}
+        self.executed_calls = 0  # calls on a key that ran
+        self.accepted_connections = 0
         self.lua: Any = None
 
     @property
@@ -94,7 +94,7 @@
 
     async def start(self) -> Node:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Link(self), "127.0.0.1", self.port)
+        self.server = await loop.create_server(lambda: ClientConnection(self), "127.0.0.1", self.port)
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self
 
@@ -103,8 +103,8 @@
         if self.server is not None:
             self.server.close()
             self.server = None
-        for link in list(self.links):
-            link.abort()
+        for connection in list(self.connections):
+            connection.abort()
         self.data.clear()
         self.scripts.clear()
 
@@ -116,275 +116,284 @@
 
     def value(self, key: bytes) -> Value | None:
         found = self.data.get(key)
-        if found is not None and found.ends is not None and found.ends <= self.world.now():
+        if found is not None and found.expires_at is not None and found.expires_at <= self.deployment.now():
             del self.data[key]
             return None
         return found
 
     # --- commands ----------------------------------------------------------------------------------
 
-    def keyed(self, name: str, args: list[bytes]) -> bytes | None:
+    def key_of_call(self, name: str, args: list[bytes]) -> bytes | None:
         """The key that a call is for, which its slot follows from."""
         if name in ("EVAL", "EVALSHA"):
             return args[2] if len(args) > 2 and int(args[1]) > 0 else None
-        if name in KEYED:
+        if name in KEY_COMMANDS:
             return args[0] if args else None
         return None
 
-    def call(self, link: Link, name: str, args: list[bytes]) -> Any:
-        key = self.keyed(name, args)
+    def execute(self, connection: ClientConnection, name: str, args: list[bytes]) -> Any:
+        key = self.key_of_call(name, args)
         if key is not None:
-            self.admit(link, key)
-            self.taken += 1
+            self.check_access(connection, key)
+            self.executed_calls += 1
         method = getattr(self, "do_" + name.lower(), None)
         if method is None:
-            raise Wrong(f"ERR unknown command '{name}', with args beginning with: ")
+            raise CommandError(f"ERR unknown command '{name}', with args beginning with: ")
         try:
-            found = method(link, *args)
+            result = method(connection, *args)
         except TypeError:
-            raise Wrong(f"ERR wrong number of arguments for '{name.lower()}' command") from None
+            raise CommandError(f"ERR wrong number of arguments for '{name.lower()}' command") from None
         if key is not None:
-            self.world.wrote(self, key)
-        return found
+            self.deployment.on_write(self, key)
+        return result
 
-    def admit(self, link: Link, key: bytes) -> None:
+    def check_access(self, connection: ClientConnection, key: bytes) -> None:
         """Whether this node serves a key now.  Raises Wrong."""
-        if self.faults.once:
-            raise Wrong(self.faults.once.popleft())
-        if self.faults.answer:
-            raise Wrong(self.faults.answer)
-        asking, link.asking = link.asking, False
-        if not self.world.cluster:
+        if self.faults.next_errors:
+            raise CommandError(self.faults.next_errors.popleft())
+        if self.faults.error:
+            raise CommandError(self.faults.error)
+        asking, connection.asking = connection.asking, False
+        if not self.deployment.cluster:
             return
         slot = slot_of(key)
-        owner = self.world.owner(slot)
+        owner = self.deployment.slot_owner(slot)
         if owner is None:
-            raise Wrong("CLUSTERDOWN Hash slot not served")
+            raise CommandError("CLUSTERDOWN Hash slot not served")
         if owner is not self:
-            if slot in self.coming and asking:
+            if slot in self.importing and asking:
                 return
-            raise Wrong(f"MOVED {slot} {owner.address}")
-        if slot in self.moving and self.value(key) is None:
-            raise Wrong(f"ASK {slot} {self.moving[slot].address}")
+            raise CommandError(f"MOVED {slot} {owner.address}")
+        if slot in self.migrating and self.value(key) is None:
+            raise CommandError(f"ASK {slot} {self.migrating[slot].address}")
 
-    def write(self, key: bytes) -> None:
+    def check_writable(self, key: bytes) -> None:
         """Before a write.  Raises Wrong at a replica."""
         if self.master is not None:
-            raise Wrong("READONLY You can't write against a read only replica.")
+            raise CommandError("READONLY You can't write against a read only replica.")
 
-    def do_ping(self, link: Link, *text: bytes) -> Any:
-        return text[0] if text else Simple("PONG")
+    def do_ping(self, connection: ClientConnection, *text: bytes) -> Any:
+        return text[0] if text else SimpleString("PONG")
 
-    def do_hello(self, link: Link, *args: bytes) -> Any:
+    def do_hello(self, connection: ClientConnection, *args: bytes) -> Any:
         if args:
             if args[0] not in (b"2", b"3"):
-                raise Wrong("NOPROTO unsupported protocol version")
+                raise CommandError("NOPROTO unsupported protocol version")
             if b"AUTH" in args:
-                at = args.index(b"AUTH")
-                self.do_auth(link, *args[at + 1 : at + 3])
-        if not link.known:
-            raise Wrong("NOAUTH HELLO must be called with the client already authenticated")
+                index = args.index(b"AUTH")
+                self.do_auth(connection, *args[index + 1 : index + 3])
+        if not connection.is_authenticated:
+            raise CommandError("NOAUTH HELLO must be called with the client already authenticated")
         if args:
-            link.resp = int(args[0])
-        return {"server": "redis", "version": "7.4.0", "proto": link.resp, "id": 1,
-                "mode": "cluster" if self.world.cluster else "standalone",
+            connection.resp = int(args[0])
+        return {"server": "redis", "version": "7.4.0", "proto": connection.resp, "id": 1,
+                "mode": "cluster" if self.deployment.cluster else "standalone",
                 "role": "replica" if self.master else "master", "modules": []}  # fmt: skip
 
-    def do_auth(self, link: Link, *args: bytes) -> Any:
-        user, word = (b"default", args[0]) if len(args) == 1 else args
-        if (user.decode(), word.decode()) != (self.world.user, self.world.password):
-            raise Wrong("WRONGPASS invalid username-password pair or user is disabled.")
-        link.known = True
-        return Simple("OK")
+    def do_auth(self, connection: ClientConnection, *args: bytes) -> Any:
+        user, password = (b"default", args[0]) if len(args) == 1 else args
+        if (user.decode(), password.decode()) != (self.deployment.user, self.deployment.password):
+            raise CommandError("WRONGPASS invalid username-password pair or user is disabled.")
+        connection.is_authenticated = True
+        return SimpleString("OK")
 
-    def do_client(self, link: Link, *args: bytes) -> Any:
-        return Simple("OK")
+    def do_client(self, connection: ClientConnection, *args: bytes) -> Any:
+        return SimpleString("OK")
 
-    def do_time(self, link: Link) -> Any:
-        seconds, part = divmod(int(time.time() * 1e6), 1_000_000)
-        return [b"%d" % seconds, b"%d" % part]
+    def do_time(self, connection: ClientConnection) -> Any:
+        seconds, microseconds = divmod(int(time.time() * 1e6), 1_000_000)
+        return [b"%d" % seconds, b"%d" % microseconds]
 
-    def do_select(self, link: Link, number: bytes) -> Any:
-        return Simple("OK")
+    def do_select(self, connection: ClientConnection, number: bytes) -> Any:
+        return SimpleString("OK")
 
-    def do_role(self, link: Link) -> Any:
+    def do_role(self, connection: ClientConnection) -> Any:
         if self.master is not None:
             return ["slave", "127.0.0.1", self.master.port, "connected", 0]
         return ["master", 0, []]
 
-    def do_info(self, link: Link, *sections: bytes) -> Any:
+    def do_info(self, connection: ClientConnection, *sections: bytes) -> Any:
         role = "slave" if self.master else "master"
         text = f"# Server\r\nredis_version:7.4.0\r\nrun_id:{self.run_id}\r\n# Replication\r\nrole:{role}\r\n"
         return text.encode()
 
-    def do_asking(self, link: Link) -> Any:
-        link.asking = True
-        return Simple("OK")
+    def do_asking(self, connection: ClientConnection) -> Any:
+        connection.asking = True
+        return SimpleString("OK")
 
-    def do_readonly(self, link: Link) -> Any:
-        return Simple("OK")
+    def do_readonly(self, connection: ClientConnection) -> Any:
+        return SimpleString("OK")
 
-    def do_command(self, link: Link, *args: bytes) -> Any:
-        return [[name.lower(), -2, ["write"], 1, 1, 1, [], [], [], []] for name in sorted(KEYED)] + [
+    def do_command(self, connection: ClientConnection, *args: bytes) -> Any:
+        return [[name.lower(), -2, ["write"], 1, 1, 1, [], [], [], []] for name in sorted(KEY_COMMANDS)] + [
             [name, -3, ["noscript", "movablekeys"], 0, 0, 0, [], [], [], []] for name in ("eval", "evalsha")
         ]
 
-    def do_cluster(self, link: Link, what: bytes, *args: bytes) -> Any:
-        if not self.world.cluster:
-            raise Wrong("ERR This instance has cluster support disabled")
-        match what.upper():
+    def do_cluster(self, connection: ClientConnection, subcommand: bytes, *args: bytes) -> Any:
+        if not self.deployment.cluster:
+            raise CommandError("ERR This instance has cluster support disabled")
+        match subcommand.upper():
             case b"SLOTS":
                 return [
                     [
                         low,
                         high,
-                        *(["127.0.0.1", n.port, n.id, []] for n in (node, *self.world.replicas(node))),
+                        *(["127.0.0.1", n.port, n.id, []] for n in (node, *self.deployment.replicas(node))),
                     ]
-                    for node in self.world.nodes
+                    for node in self.deployment.nodes
                     for low, high in node.slots
                 ]
             case b"MYID":
                 return self.id.encode()
             case b"INFO":
                 return b"cluster_state:ok\r\ncluster_slots_assigned:16384\r\n"
-        raise Wrong(f"ERR unknown subcommand '{what.decode()}'")
+        raise CommandError(f"ERR unknown subcommand '{subcommand.decode()}'")
 
     # --- values ------------------------------------------------------------------------------------
 
-    def made(self, key: bytes) -> Value:
+    def get_or_create(self, key: bytes) -> Value:
         found = self.value(key)
         if found is None:
             found = self.data[key] = Value({})
         return found
 
-    def do_hincrbyfloat(self, link: Link, key: bytes, name: bytes, amount: bytes) -> Any:
-        self.write(key)
-        fields = self.made(key).fields
+    def do_hincrbyfloat(self, connection: ClientConnection, key: bytes, name: bytes, amount: bytes) -> Any:
+        self.check_writable(key)
+        fields = self.get_or_create(key).fields
         try:
             total = float(fields.get(name, b"0")) + float(amount)
         except ValueError:
-            raise Wrong("ERR value is not a valid float") from None
+            raise CommandError("ERR value is not a valid float") from None
         fields[name] = b"%d" % total if total == int(total) else f"{total:.17g}".encode()
         return fields[name]
 
-    def do_hsetnx(self, link: Link, key: bytes, name: bytes, value: bytes) -> Any:
-        self.write(key)
-        fields = self.made(key).fields
+    def do_hsetnx(self, connection: ClientConnection, key: bytes, name: bytes, value: bytes) -> Any:
+        self.check_writable(key)
+        fields = self.get_or_create(key).fields
         if name in fields:
             return 0
         fields[name] = value
         return 1
 
-    def do_hset(self, link: Link, key: bytes, name: bytes, value: bytes) -> Any:
-        self.write(key)
-        fields = self.made(key).fields
+    def do_hset(self, connection: ClientConnection, key: bytes, name: bytes, value: bytes) -> Any:
+        self.check_writable(key)
+        fields = self.get_or_create(key).fields
         new = name not in fields
         fields[name] = value
         return int(new)
 
-    def do_hget(self, link: Link, key: bytes, name: bytes) -> Any:
+    def do_hget(self, connection: ClientConnection, key: bytes, name: bytes) -> Any:
         found = self.value(key)
         return found.fields.get(name) if found is not None else None
 
-    def do_pexpire(self, link: Link, key: bytes, span: bytes) -> Any:
-        self.write(key)
+    def do_pexpire(self, connection: ClientConnection, key: bytes, span: bytes) -> Any:
+        self.check_writable(key)
         found = self.value(key)
         if found is None:
             return 0
-        found.ends = self.world.now() + int(span) / 1000
+        found.expires_at = self.deployment.now() + int(span) / 1000
         return 1
 
-    def do_pttl(self, link: Link, key: bytes) -> Any:
+    def do_pttl(self, connection: ClientConnection, key: bytes) -> Any:
         found = self.value(key)
         if found is None:
             return -2
-        return -1 if found.ends is None else int((found.ends - self.world.now()) * 1000)
+        return -1 if found.expires_at is None else int((found.expires_at - self.deployment.now()) * 1000)
 
-    def do_del(self, link: Link, *keys: bytes) -> Any:
+    def do_del(self, connection: ClientConnection, *keys: bytes) -> Any:
         for key in keys:
-            self.write(key)
+            self.check_writable(key)
         return sum(self.data.pop(key, None) is not None for key in keys)
 
-    def do_flushall(self, link: Link, *how: bytes) -> Any:
+    def do_flushall(self, connection: ClientConnection, *how: bytes) -> Any:
         self.data.clear()
-        return Simple("OK")
+        return SimpleString("OK")
 
     # --- scripts -----------------------------------------------------------------------------------
 
-    def do_script(self, link: Link, what: bytes, *args: bytes) -> Any:
-        match what.upper():
+    def do_script(self, connection: ClientConnection, subcommand: bytes, *args: bytes) -> Any:
+        match subcommand.upper():
             case b"LOAD":
-                return self.keep(args[0].decode()).encode()
+                return self.store_script(args[0].decode()).encode()
             case b"EXISTS":
                 return [int(sha.decode() in self.scripts) for sha in args]
             case b"FLUSH":
                 self.scripts.clear()
-                return Simple("OK")
-        raise Wrong(f"ERR unknown subcommand '{what.decode()}'")
+                return SimpleString("OK")
+        raise CommandError(f"ERR unknown subcommand '{subcommand.decode()}'")
 
-    def keep(self, text: str) -> str:
+    def store_script(self, text: str) -> str:
         sha = hashlib.sha1(text.encode()).hexdigest()
         self.scripts[sha] = text
         return sha
 
-    def do_evalsha(self, link: Link, sha: bytes, count: bytes, *rest: bytes) -> Any:
+    def do_evalsha(self, connection: ClientConnection, sha: bytes, count: bytes, *arguments: bytes) -> Any:
         text = self.scripts.get(sha.decode().lower())
         if text is None:
-            raise Wrong("NOSCRIPT No matching script. Please use EVAL.")
-        return self.play(link, text, int(count), rest)
+            raise CommandError("NOSCRIPT No matching script. Please use EVAL.")
+        return self.run_script(connection, text, int(count), arguments)
 
-    def do_eval(self, link: Link, text: bytes, count: bytes, *rest: bytes) -> Any:
-        self.keep(text.decode())
-        return self.play(link, text.decode(), int(count), rest)
+    def do_eval(self, connection: ClientConnection, text: bytes, count: bytes, *arguments: bytes) -> Any:
+        self.store_script(text.decode())
+        return self.run_script(connection, text.decode(), int(count), arguments)
 
-    def play(self, link: Link, text: str, count: int, rest: tuple[bytes, ...]) -> Any:
+    def run_script(
+        self, connection: ClientConnection, text: str, count: int, arguments: tuple[bytes, ...]
+    ) -> Any:
         """Run a script: nothing comes between its calls."""
         if self.lua is None:
             self.lua = LuaRuntime(unpack_returned_tuples=True, encoding=None)
-        table, calls = self.lua.table_from, self.lua.table()
+        table, redis_table = self.lua.table_from, self.lua.table()
 
         def call(name: bytes, *args: Any) -> Any:
-            texts = [a if isinstance(a, bytes) else str(a).encode() for a in args]
-            found = getattr(self, "do_" + name.decode().lower())(link, *texts)
-            return False if found is None else found
+            encoded = [a if isinstance(a, bytes) else str(a).encode() for a in args]
+            result = getattr(self, "do_" + name.decode().lower())(connection, *encoded)
+            return False if result is None else result
 
-        calls[b"call"] = call
-        spaces = self.lua.globals()
-        spaces[b"redis"] = calls
-        spaces[b"KEYS"], spaces[b"ARGV"] = table(list(rest[:count])), table(list(rest[count:]))
-        found = self.lua.execute(text.encode())
-        return [found[n] for n in range(1, len(found) + 1)] if hasattr(found, "keys") else found
+        redis_table[b"call"] = call
+        lua_globals = self.lua.globals()
+        lua_globals[b"redis"] = redis_table
+        lua_globals[b"KEYS"], lua_globals[b"ARGV"] = (
+            table(list(arguments[:count])),
+            table(list(arguments[count:])),
+        )
+        result = self.lua.execute(text.encode())
+        return [result[n] for n in range(1, len(result) + 1)] if hasattr(result, "keys") else result
 
 
-KEYED = {"HINCRBYFLOAT", "HSETNX", "HSET", "HGET", "PEXPIRE", "PTTL", "DEL"}
+KEY_COMMANDS = {"HINCRBYFLOAT", "HSETNX", "HSET", "HGET", "PEXPIRE", "PTTL", "DEL"}
 
 
 class Sentinel(Node):
     """Tells where the master is."""
 
-    def do_sentinel(self, link: Link, what: bytes, *args: bytes) -> Any:
-        master = self.world.leader
-        match what.upper():
+    def do_sentinel(self, connection: ClientConnection, subcommand: bytes, *args: bytes) -> Any:
+        master = self.deployment.master
+        match subcommand.upper():
             case b"GET-MASTER-ADDR-BY-NAME":
-                return ["127.0.0.1", str(master.port)] if args[0].decode() == self.world.service else None
+                return (
+                    ["127.0.0.1", str(master.port)] if args[0].decode() == self.deployment.service else None
+                )
             case b"MASTERS":
-                return [self.told(link, master, "master")]
+                return [self.describe_node(connection, master, "master")]
             case b"MASTER":
-                if args[0].decode() != self.world.service:
-                    raise Wrong("ERR No such master with that name")
-                return self.told(link, master, "master")
+                if args[0].decode() != self.deployment.service:
+                    raise CommandError("ERR No such master with that name")
+                return self.describe_node(connection, master, "master")
             case b"SLAVES" | b"REPLICAS":
-                return [self.told(link, node, "slave") for node in self.world.replicas(master)]
-        raise Wrong(f"ERR unknown subcommand '{what.decode()}'")
+                return [
+                    self.describe_node(connection, node, "slave") for node in self.deployment.replicas(master)
+                ]
+        raise CommandError(f"ERR unknown subcommand '{subcommand.decode()}'")
 
-    def told(self, link: Link, node: Node, role: str) -> Any:
-        fields = {"name": self.world.service, "ip": "127.0.0.1", "port": str(node.port), "runid": node.run_id,
-                  "flags": role, "num-slaves": "1", "num-other-sentinels": "2", "quorum": "2",
-                  "role-reported": role}  # fmt: skip
-        return fields if link.resp == 3 else [part for pair in fields.items() for part in pair]
+    def describe_node(self, connection: ClientConnection, node: Node, role: str) -> Any:
+        fields = {"name": self.deployment.service, "ip": "127.0.0.1", "port": str(node.port),
+                  "runid": node.run_id, "flags": role, "num-slaves": "1", "num-other-sentinels": "2",
+                  "quorum": "2", "role-reported": role}  # fmt: skip
+        return fields if connection.resp == 3 else [part for pair in fields.items() for part in pair]
 
 
-class Link(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client connection."""
 
     def __init__(self, node: Node) -> None:
@@ -392,17 +401,17 @@
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
         self.resp, self.asking = 2, False
-        self.known = not node.world.password
+        self.is_authenticated = not node.deployment.password
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.node.links.add(self)
-        self.node.opened += 1
-        if self.node.faults.refuse:
+        self.node.connections.add(self)
+        self.node.accepted_connections += 1
+        if self.node.faults.reset_connections:
             self.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.node.links.discard(self)
+        self.node.connections.discard(self)
 
     def abort(self) -> None:
         if self.transport is not None:
@@ -413,28 +422,32 @@
             return
         self.reader.feed(data)
         while (call := self.reader.gets()) is not False:
-            self.take(call)
+            self.handle_call(call)
 
-    def take(self, call: list[bytes]) -> None:
+    def handle_call(self, call: list[bytes]) -> None:
         assert self.transport is not None
         name, faults = call[0].decode().upper(), self.node.faults
         try:
-            if not self.known and name not in ("HELLO", "AUTH", "QUIT"):
-                raise Wrong("NOAUTH Authentication required.")
-            answer = self.node.call(self, name, call[1:])
-        except Wrong as error:
+            if not self.is_authenticated and name not in ("HELLO", "AUTH", "QUIT"):
+                raise CommandError("NOAUTH Authentication required.")
+            answer = self.node.execute(self, name, call[1:])
+        except CommandError as error:
             answer = error
-        if faults.cut and self.node.keyed(name, call[1:]) is not None and not isinstance(answer, Wrong):
-            faults.cut -= 1
+        if (
+            faults.answers_to_drop
+            and self.node.key_of_call(name, call[1:]) is not None
+            and not isinstance(answer, CommandError)
+        ):
+            faults.answers_to_drop -= 1
             self.abort()
             return
         data = encode(answer, self.resp)
-        if faults.hold:
-            asyncio.get_running_loop().call_later(faults.hold, self.say, data)
+        if faults.delay:
+            asyncio.get_running_loop().call_later(faults.delay, self.send, data)
         else:
-            self.say(data)
+            self.send(data)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
@@ -442,9 +455,9 @@
 def encode(value: Any, resp: int) -> bytes:
     """A value as RESP2 or RESP3."""
     match value:
-        case Wrong():
+        case CommandError():
             return f"-{value}\r\n".encode()
-        case Simple():
+        case SimpleString():
             return f"+{value}\r\n".encode()
         case None | False:
             return b"_\r\n" if resp == 3 else b"$-1\r\n"
@@ -463,28 +476,34 @@
     raise TypeError(f"no answer: {value!r}")
 
 
-class Redis:
+class RedisDeployment:
     """A deployment: one master, one with a replica and sentinels, or a cluster."""
 
     def __init__(
-        self, cluster: bool = False, lag: float = 0.0, user: str = "default", password: str = ""
+        self, cluster: bool = False, replication_lag: float = 0.0, user: str = "default", password: str = ""
     ) -> None:
-        self.cluster, self.lag, self.user, self.password = cluster, lag, user, password
+        self.cluster, self.replication_lag, self.user, self.password = (
+            cluster,
+            replication_lag,
+            user,
+            password,
+        )
         self.service = "tally"
         self.nodes: list[Node] = []
         self.sentinels: list[Sentinel] = []
-        self.waiting: deque[tuple[float, Node, bytes, Value | None]] = deque()  # writes not yet replicated
+        # Writes not yet replicated: when they will be, the master, the key and its new value.
+        self.unreplicated: deque[tuple[float, Node, bytes, Value | None]] = deque()
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    async def start(self, masters: int = 1, replicas: int = 0, sentinels: int = 0) -> Redis:
+    async def start(self, masters: int = 1, replicas: int = 0, sentinels: int = 0) -> RedisDeployment:
         for number in range(masters):
             master = await Node(self, f"m{number}").start()
             self.nodes.append(master)
-            master.slots = [(number * SLOTS // masters, (number + 1) * SLOTS // masters - 1)]
-            for copy in range(replicas):
-                replica = await Node(self, f"m{number}r{copy}").start()
+            master.slots = [(number * HASH_SLOTS // masters, (number + 1) * HASH_SLOTS // masters - 1)]
+            for replica_number in range(replicas):
+                replica = await Node(self, f"m{number}r{replica_number}").start()
                 replica.master = master
                 self.nodes.append(replica)
         for number in range(sentinels):
@@ -498,7 +517,7 @@
             node.stop()
 
     @property
-    def leader(self) -> Node:
+    def master(self) -> Node:
         return next(node for node in self.nodes if node.master is None)
 
     @property
@@ -508,28 +527,28 @@
     def replicas(self, master: Node) -> list[Node]:
         return [node for node in self.nodes if node.master is master]
 
-    def owner(self, slot: int) -> Node | None:
+    def slot_owner(self, slot: int) -> Node | None:
         return next((n for n in self.nodes if any(low <= slot <= high for low, high in n.slots)), None)
 
     # --- replication -------------------------------------------------------------------------------
 
-    def wrote(self, master: Node, key: bytes) -> None:
+    def on_write(self, master: Node, key: bytes) -> None:
         """A call on a key has run: what the key is now goes to the replicas when the lag is over."""
         if self.replicas(master):
             found = master.value(key)
-            kept = Value(dict(found.fields), found.ends) if found is not None else None
-            self.waiting.append((self.now() + self.lag, master, key, kept))
+            copy = Value(dict(found.fields), found.expires_at) if found is not None else None
+            self.unreplicated.append((self.now() + self.replication_lag, master, key, copy))
         self.replicate()
 
     def replicate(self) -> None:
         """Hand on what is old enough."""
-        while self.waiting and self.waiting[0][0] <= self.now():
-            _, master, key, found = self.waiting.popleft()
+        while self.unreplicated and self.unreplicated[0][0] <= self.now():
+            _, master, key, found = self.unreplicated.popleft()
             for replica in self.replicas(master):
                 if found is None:
                     replica.data.pop(key, None)
                 else:
-                    replica.data[key] = Value(dict(found.fields), found.ends)
+                    replica.data[key] = Value(dict(found.fields), found.expires_at)
 
     def promote(self, master: Node, demote: bool = False) -> Node:
         """A replica takes a master's place with what it has; what was not replicated is lost.
@@ -538,12 +557,12 @@
         """
         self.replicate()
         replica = self.replicas(master)[0]
-        self.waiting = deque(entry for entry in self.waiting if entry[1] is not master)
+        self.unreplicated = deque(entry for entry in self.unreplicated if entry[1] is not master)
         replica.master, replica.slots = None, master.slots
         master.slots = []
         if demote:
             master.master = replica
-            master.data = {key: Value(dict(v.fields), v.ends) for key, v in replica.data.items()}
+            master.data = {key: Value(dict(v.fields), v.expires_at) for key, v in replica.data.items()}
         else:
             master.stop()
             self.nodes.remove(master)
@@ -551,31 +570,31 @@
 
     # --- slots -------------------------------------------------------------------------------------
 
-    def begin_move(self, slot: int, to: Node) -> None:
+    def begin_migration(self, slot: int, target: Node) -> None:
         """A slot is on its way: keys that are not here any more are asked for there."""
-        owner = self.owner(slot)
+        owner = self.slot_owner(slot)
         assert owner is not None
-        owner.moving[slot], to.coming[slot] = to, owner
+        owner.migrating[slot], target.importing[slot] = target, owner
 
-    def move_key(self, key: bytes) -> None:
-        owner = self.owner(slot_of(key))
+    def migrate_key(self, key: bytes) -> None:
+        owner = self.slot_owner(slot_of(key))
         assert owner is not None
         if (found := owner.data.pop(key, None)) is not None:
-            owner.moving[slot_of(key)].data[key] = found
+            owner.migrating[slot_of(key)].data[key] = found
 
-    def end_move(self, slot: int) -> None:
+    def end_migration(self, slot: int) -> None:
         """The slot is the other node's."""
-        owner = self.owner(slot)
+        owner = self.slot_owner(slot)
         assert owner is not None
-        to = owner.moving.pop(slot)
-        del to.coming[slot]
+        target = owner.migrating.pop(slot)
+        del target.importing[slot]
         for key in [k for k in owner.data if slot_of(k) == slot]:
-            to.data[key] = owner.data.pop(key)
-        kept = []
+            target.data[key] = owner.data.pop(key)
+        remaining = []
         for low, high in owner.slots:
             if low <= slot <= high:
-                kept += [(a, b) for a, b in ((low, slot - 1), (slot + 1, high)) if a <= b]
+                remaining += [(a, b) for a, b in ((low, slot - 1), (slot + 1, high)) if a <= b]
             else:
-                kept.append((low, high))
-        owner.slots = kept
-        to.slots = [*to.slots, (slot, slot)]
+                remaining.append((low, high))
+        owner.slots = remaining
+        target.slots = [*target.slots, (slot, slot)]
--- a/tests/hosting/test_redis_counters.py
+++ b/tests/hosting/test_redis_counters.py
@@ -8,26 +8,26 @@
 
 from ivymux.hosting.site import read_hosting
 from ivymux.service.site import SiteError, read_site
-from standins.redis import Redis
+from standins.redis import RedisDeployment
 from standins.worker import ordinary
 from tests.hosting.fixtures import hosting
 from tests.service.doors import ask, site_text, standing
 from tests.sockets import run, until
 
 
-def table(world: Redis, more: str = "") -> str:
-    return f'redis = {{ nodes = ["{world.leader.address}"], prefix = "t:"{more} }}\ndoors = 2\n'
+def table(deployment: RedisDeployment, more: str = "") -> str:
+    return f'redis = {{ nodes = ["{deployment.master.address}"], prefix = "t:"{more} }}\ndoors = 2\n'
 
 
 def test_a_gateway_counts_in_redis_and_keeps_serving_without_it(tmp_path: Path) -> None:
     async def test() -> None:
-        world = await Redis(password="word").start()
+        deployment = await RedisDeployment(password="word").start()
         (tmp_path / "word").write_text("word\n")
-        tally = table(world, ', password_file = "word"') + "timeout = 0.1"
+        tally = table(deployment, ', password_file = "word"') + "timeout = 0.1"
         async with standing(tmp_path, [ordinary], tally=tally, plan="rate = 20.0\nburst = 20") as place:
             assert [(await ask(place, "GET /read/7")).status for _ in range(30)].count(200) in range(20, 24)
-            assert world.leader.data and all(key.startswith(b"t:") for key in world.leader.data)
-            world.stop()
+            assert deployment.master.data and all(key.startswith(b"t:") for key in deployment.master.data)
+            deployment.stop()
             answers = [await ask(place, "GET /read/7") for _ in range(10)]
             refused = [a for a in answers if a.status != 200]
             assert all(a.status in (429, 503) and a.header("retry-after") for a in refused)
@@ -38,15 +38,15 @@
 
 def test_tenants_have_separate_counts_in_redis(tmp_path: Path) -> None:
     async def test() -> None:
-        world = await Redis().start()
-        async with hosting(tmp_path, "a", "b", extra="[tally]\n" + table(world), rate=5.0) as fixture:
+        deployment = await RedisDeployment().start()
+        async with hosting(tmp_path, "a", "b", extra="[tally]\n" + table(deployment), rate=5.0) as fixture:
             a, b = fixture.tenants["a"], fixture.tenants["b"]
             got = [(await fixture.ask(a)).status for _ in range(20)]
             assert 429 in got
-            keys_of_a = set(world.leader.data)
+            keys_of_a = set(deployment.master.data)
             assert (await fixture.ask(b)).status == 200  # a customer of the same name has its own count
-            assert set(world.leader.data) - keys_of_a
-        world.stop()
+            assert set(deployment.master.data) - keys_of_a
+        deployment.stop()
 
     run(test())
 
--- a/tests/tally/test_redis.py
+++ b/tests/tally/test_redis.py
@@ -26,23 +26,23 @@
 )
 from ivymux.tally.redis import RedisCounter, read_passwords
 from orchidhill.interface import Count, Counted, Late, Outcome
-from standins.redis import Node, Redis, slot_of
+from standins.redis import Node, RedisDeployment, slot_of
 from tests.sockets import run, until
 
 NAMES = range(1, 200)
 
 
-class Calls:
+class RecordingCounter:
     """A counter and what it told."""
 
     def __init__(self, part: RedisPart, timeout: float = 1.0) -> None:
-        self.told: list[Counted | Late] = []
+        self.results: list[Counted | Late] = []
         self.clock = SharedClock(0.0, time.monotonic())
-        self.counter = RedisCounter(part, timeout, self.told.append, self.clock, seed=1)
+        self.counter = RedisCounter(part, timeout, self.results.append, self.clock, seed=1)
 
     async def add(self, name: int, amount: float, life: float = 30.0) -> Counted:
         """One call and its answer; what comes for others meanwhile stays in `told`."""
-        before = len(self.told)
+        before = len(self.results)
         self.counter.add(Count(name, amount, life))
         await until(lambda: self.find(name, before))
         found = self.find(name, before)
@@ -50,9 +50,9 @@
         return found
 
     def find(self, name: int, since: int) -> Counted | None:
-        return next((t for t in self.told[since:] if isinstance(t, Counted) and t.name == name), None)
+        return next((t for t in self.results[since:] if isinstance(t, Counted) and t.name == name), None)
 
-    async def settled(self, name: int, amount: float = 1.0) -> Counted:
+    async def add_until_ok(self, name: int, amount: float = 1.0) -> Counted:
         """Call until the answer is a total: the client has found its way again."""
         while (found := await self.add(name, amount)).outcome is not Outcome.OK:
             await asyncio.sleep(0.01)
@@ -60,30 +60,30 @@
 
 
 @contextlib.asynccontextmanager
-async def calling(
-    world: Redis, mode: str = "single", timeout: float = 1.0, protocol: int = 3, **more: str
-) -> AsyncIterator[Calls]:
+async def recording_counter(
+    deployment: RedisDeployment, mode: str = "single", timeout: float = 1.0, protocol: int = 3, **more: str
+) -> AsyncIterator[RecordingCounter]:
     """A counter at a started deployment, and the end of both."""
     if mode == "sentinel":
-        nodes = [node.address for node in world.sentinels]
+        nodes = [node.address for node in deployment.sentinels]
     else:
-        nodes = [node.address for node in world.nodes][: 1 if mode == "single" else 2]
-    service = world.service if mode == "sentinel" else ""
+        nodes = [node.address for node in deployment.nodes][: 1 if mode == "single" else 2]
+    service = deployment.service if mode == "sentinel" else ""
     part = RedisPart(nodes=nodes, mode=mode, service=service, protocol=protocol, **more)  # type: ignore[arg-type]
-    calls = Calls(part, timeout)
+    recorder = RecordingCounter(part, timeout)
     try:
-        await calls.counter.ready
-        yield calls
+        await recorder.counter.ready
+        yield recorder
     finally:
-        calls.counter.close()
-        assert calls.counter.close_task is not None
-        await calls.counter.close_task
-        world.stop()
+        recorder.counter.close()
+        assert recorder.counter.close_task is not None
+        await recorder.counter.close_task
+        deployment.stop()
 
 
-def name_at(world: Redis, node: Node, prefix: str = "ivymux:") -> int:
+def name_on(deployment: RedisDeployment, node: Node, prefix: str = "ivymux:") -> int:
     """A name that this node of a cluster has."""
-    return next(n for n in NAMES if world.owner(slot_of(b"%s%x" % (prefix.encode(), n))) is node)
+    return next(n for n in NAMES if deployment.slot_owner(slot_of(b"%s%x" % (prefix.encode(), n))) is node)
 
 
 def key(name: int) -> bytes:
@@ -126,7 +126,7 @@
         check_redis_settings(RedisPart(**fields))  # type: ignore[arg-type]
 
 
-def test_passwords_stand_in_files_and_in_no_error(tmp_path: Path) -> None:
+def test_passwords_are_read_from_files_and_are_in_no_error(tmp_path: Path) -> None:
     (tmp_path / "word").write_text("secret\nmore")
     part = RedisPart(nodes=["a:1"], password_file="word")
     assert read_passwords(part, tmp_path).password == "secret"
@@ -140,50 +140,50 @@
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_totals_lives_and_births_of_names(protocol: int) -> None:
+def test_totals_lives_and_incarnations_of_names(protocol: int) -> None:
     async def test() -> None:
-        world = await Redis().start()
-        async with calling(world, protocol=protocol) as calls:
-            first = await calls.add(1, 2.5, life=0.3)
-            second = await calls.add(1, -1.0, life=60.0)
+        deployment = await RedisDeployment().start()
+        async with recording_counter(deployment, protocol=protocol) as recorder:
+            first = await recorder.add(1, 2.5, life=0.3)
+            second = await recorder.add(1, -1.0, life=60.0)
             assert (first.outcome, first.total, second.total) == (Outcome.OK, 2.5, 1.5)
             assert first.born == second.born != 0
-            assert (await calls.add(2, 1.0)).born != first.born
-            node = world.leader
+            assert (await recorder.add(2, 1.0)).born != first.born
+            node = deployment.master
             await until(lambda: node.value(key(1)) is None)  # by the life of its first call
-            again = await calls.add(1, 1.0)
+            again = await recorder.add(1, 1.0)
             assert again.total == 1.0 and again.born != first.born
-            assert {link.resp for link in node.links} == {protocol}
+            assert {link.resp for link in node.connections} == {protocol}
 
     run(test())
 
 
 def test_answers_of_one_name_come_in_the_order_of_its_calls() -> None:
     async def test() -> None:
-        async with calling(await Redis().start()) as calls:
+        async with recording_counter(await RedisDeployment().start()) as recorder:
             for turn in range(50):
                 for name in (1, 2, 3):
-                    calls.counter.add(Count(name, 1.0 + turn % 2, 30.0))
-            await until(lambda: len(calls.told) == 150)
+                    recorder.counter.add(Count(name, 1.0 + turn % 2, 30.0))
+            await until(lambda: len(recorder.results) == 150)
             for name in (1, 2, 3):
-                totals = [t.total for t in calls.told if isinstance(t, Counted) and t.name == name]
+                totals = [t.total for t in recorder.results if isinstance(t, Counted) and t.name == name]
                 assert totals == sorted(totals) and totals[-1] == 75.0
 
     run(test())
 
 
-def test_a_script_that_the_server_lost_is_loaded_again_and_counts_once() -> None:
+def test_a_script_lost_by_the_server_is_loaded_again_and_counts_once() -> None:
     async def test() -> None:
-        world = await Redis().start()
-        async with calling(world) as calls:
-            await calls.add(1, 1.0)
-            assert set(world.leader.scripts) == {SCRIPT_SHA1}
-            world.leader.scripts.clear()
-            assert (await calls.add(1, 1.0)).total == 2.0
-            assert set(world.leader.scripts) == {SCRIPT_SHA1}
-            taken = world.leader.taken
-            assert (await calls.add(1, 1.0)).total == 3.0
-            assert world.leader.taken == taken + 1  # by its digest alone
+        deployment = await RedisDeployment().start()
+        async with recording_counter(deployment) as recorder:
+            await recorder.add(1, 1.0)
+            assert set(deployment.master.scripts) == {SCRIPT_SHA1}
+            deployment.master.scripts.clear()
+            assert (await recorder.add(1, 1.0)).total == 2.0
+            assert set(deployment.master.scripts) == {SCRIPT_SHA1}
+            executed = deployment.master.executed_calls
+            assert (await recorder.add(1, 1.0)).total == 3.0
+            assert deployment.master.executed_calls == executed + 1  # by its digest alone
 
     run(test())
 
@@ -194,23 +194,23 @@
      "OOM command not allowed when used memory > 'maxmemory'.", "READONLY You can't write against it.",
      "MASTERDOWN Link with MASTER is down", "NOPERM no permissions", "ERR something else"],
 )  # fmt: skip
-def test_what_the_server_turns_away_was_not_added(answer: str, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_call_rejected_by_the_server_was_not_added(answer: str, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        world = await Redis().start()
-        async with calling(world) as calls:
-            await calls.add(1, 1.0)
-            world.leader.faults.answer = answer
-            assert (await calls.add(1, 1.0)).outcome is Outcome.FULL
-            world.leader.faults.answer = ""
-            assert (await calls.settled(1)).total == 2.0
+        deployment = await RedisDeployment().start()
+        async with recording_counter(deployment) as recorder:
+            await recorder.add(1, 1.0)
+            deployment.master.faults.error = answer
+            assert (await recorder.add(1, 1.0)).outcome is Outcome.FULL
+            deployment.master.faults.error = ""
+            assert (await recorder.add_until_ok(1)).total == 2.0
 
     run(test())
     assert "tally: redis" in caplog.text
 
 
-def test_a_call_that_comes_again_counts_once() -> None:
+def test_a_repeated_call_counts_once() -> None:
     async def test() -> None:
-        async with calling(await Redis().start()) as calls:
+        async with recording_counter(await RedisDeployment().start()) as recorder:
             for number, total in (
                 (5, 2.0),
                 (5, 2.0),
@@ -221,83 +221,83 @@
                 (0, 8.0),
                 (0, 10.0),
             ):
-                before = len(calls.told)
-                calls.counter.add(Count(1, 2.0, 30.0, number))
-                await until(lambda before=before: len(calls.told) > before)  # type: ignore[misc]
-                told = calls.told[-1]
-                assert isinstance(told, Counted) and told.total == total, number
+                before = len(recorder.results)
+                recorder.counter.add(Count(1, 2.0, 30.0, number))
+                await until(lambda before=before: len(recorder.results) > before)  # type: ignore[misc]
+                result = recorder.results[-1]
+                assert isinstance(result, Counted) and result.total == total, number
 
     run(test())
 
 
-def test_a_connection_that_breaks_under_a_call_is_told_as_unknown_and_it_is_not_made_again() -> None:
+def test_a_call_whose_connection_broke_has_an_unknown_outcome_and_is_not_repeated() -> None:
     async def test() -> None:
-        world = await Redis().start()
-        async with calling(world) as calls:
-            await calls.add(1, 1.0)
-            taken = world.leader.taken
-            world.leader.faults.cut = 1  # it runs, and its answer never comes
-            assert (await calls.add(1, 1.0)).outcome is Outcome.TIMEOUT
-            assert world.leader.taken == taken + 1
-            assert (await calls.settled(1)).total == 3.0  # it had been added, once
+        deployment = await RedisDeployment().start()
+        async with recording_counter(deployment) as recorder:
+            await recorder.add(1, 1.0)
+            executed = deployment.master.executed_calls
+            deployment.master.faults.answers_to_drop = 1  # it runs, and its answer never comes
+            assert (await recorder.add(1, 1.0)).outcome is Outcome.TIMEOUT
+            assert deployment.master.executed_calls == executed + 1
+            assert (await recorder.add_until_ok(1)).total == 3.0  # it had been added, once
 
     run(test())
 
 
-def test_nobody_there_is_told_at_once_and_calls_come_again_with_a_pause() -> None:
+def test_an_unreachable_server_is_reported_at_once_and_retried_with_a_delay() -> None:
     async def test() -> None:
-        world = await Redis().start()
-        async with calling(world) as calls:
-            before = await calls.add(1, 1.0)
-            world.leader.stop()
-            found = [(await calls.add(1, 1.0)).outcome for _ in range(20)]
+        deployment = await RedisDeployment().start()
+        async with recording_counter(deployment) as recorder:
+            before = await recorder.add(1, 1.0)
+            deployment.master.stop()
+            outcomes = [(await recorder.add(1, 1.0)).outcome for _ in range(20)]
             # What stood on the connection when it broke may have run; from then on none was written.
-            assert set(found[1:]) == {Outcome.CONNECT_FAILED}
-            opened = world.leader.opened
-            await world.leader.start()
-            back = await calls.settled(1)
-            assert back.total == 1.0 and back.born != before.born  # begun anew, and it shows
-            assert world.leader.opened <= opened + LANES
+            assert set(outcomes[1:]) == {Outcome.CONNECT_FAILED}
+            accepted = deployment.master.accepted_connections
+            await deployment.master.start()
+            restored = await recorder.add_until_ok(1)
+            assert restored.total == 1.0 and restored.born != before.born  # begun anew, and it shows
+            assert deployment.master.accepted_connections <= accepted + LANES
 
     run(test())
 
 
-def test_an_answer_after_its_time_is_told_as_late_and_those_behind_it_were_never_written() -> None:
+def test_a_late_answer_is_reported_and_calls_queued_behind_it_are_never_sent() -> None:
     async def test() -> None:
-        world = await Redis().start()
-        async with calling(world, timeout=0.1) as calls:
-            await calls.add(1, 1.0)
-            world.leader.faults.hold = 0.4
-            taken = world.leader.taken
+        deployment = await RedisDeployment().start()
+        async with recording_counter(deployment, timeout=0.1) as recorder:
+            await recorder.add(1, 1.0)
+            deployment.master.faults.delay = 0.4
+            executed = deployment.master.executed_calls
             for _ in range(3):
-                calls.counter.add(Count(1, 1.0, 30.0))
-            await until(lambda: len(calls.told) == 5)
-            outcomes = [t.outcome for t in calls.told[1:] if isinstance(t, Counted)]
+                recorder.counter.add(Count(1, 1.0, 30.0))
+            await until(lambda: len(recorder.results) == 5)
+            outcomes = [t.outcome for t in recorder.results[1:] if isinstance(t, Counted)]
             assert outcomes == [Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.CONNECT_FAILED]
-            assert isinstance(calls.told[-1], Late)
-            assert world.leader.taken == taken + 1
+            assert isinstance(recorder.results[-1], Late)
+            assert deployment.master.executed_calls == executed + 1
 
     run(test())
 
 
-def test_a_silent_server_holds_up_no_more_than_its_lanes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_server_blocks_at_most_one_call_per_lane(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(redis_module, "ANSWER_TIMEOUT_S", 0.2)
 
     async def test() -> None:
-        world = await Redis().start()
-        async with calling(world, timeout=0.05) as calls:
-            await calls.add(1, 1.0)
-            world.leader.faults.silent = True
+        deployment = await RedisDeployment().start()
+        async with recording_counter(deployment, timeout=0.05) as recorder:
+            await recorder.add(1, 1.0)
+            deployment.master.faults.silent = True
             for _ in range(3):
                 for name in NAMES:
-                    calls.counter.add(Count(name, 1.0, 30.0))
-            before = len(calls.told)
-            await until(lambda: len(calls.told) >= 1 + 3 * len(NAMES))
-            assert before <= len(calls.told)
-            outcomes = [t.outcome for t in calls.told[1:] if isinstance(t, Counted)]
+                    recorder.counter.add(Count(name, 1.0, 30.0))
+            before = len(recorder.results)
+            await until(lambda: len(recorder.results) >= 1 + 3 * len(NAMES))
+            assert before <= len(recorder.results)
+            outcomes = [t.outcome for t in recorder.results[1:] if isinstance(t, Counted)]
             assert outcomes.count(Outcome.TIMEOUT) <= LANES * 2
-            world.leader.faults.silent = False
-            assert (await calls.settled(1)).outcome is Outcome.OK
+            deployment.master.faults.silent = False
+            assert (await recorder.add_until_ok(1)).outcome is Outcome.OK
 
     run(test())
 
@@ -306,24 +306,24 @@
     monkeypatch.setattr(redis_module, "MAX_PENDING", 3)
 
     async def test() -> None:
-        async with calling(await Redis().start()) as calls:
+        async with recording_counter(await RedisDeployment().start()) as recorder:
             for _ in range(10):
-                calls.counter.add(Count(1, 1.0, 30.0))
-            full = [t for t in calls.told if isinstance(t, Counted) and t.outcome is Outcome.FULL]
+                recorder.counter.add(Count(1, 1.0, 30.0))
+            full = [t for t in recorder.results if isinstance(t, Counted) and t.outcome is Outcome.FULL]
             assert len(full) == 7
-            await until(lambda: len(calls.told) == 10)
+            await until(lambda: len(recorder.results) == 10)
 
     run(test())
 
 
-def test_a_password_is_given_and_a_wrong_one_never_shown(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_password_is_sent_and_a_wrong_one_never_logged(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        world = await Redis(password="right").start()
-        async with calling(world, password="right") as calls:
-            assert (await calls.add(1, 1.0)).outcome is Outcome.OK
-        world = await Redis(password="right").start()
-        async with calling(world, password="wrong-word") as calls:
-            assert (await calls.add(1, 1.0)).outcome is Outcome.FULL
+        deployment = await RedisDeployment(password="right").start()
+        async with recording_counter(deployment, password="right") as recorder:
+            assert (await recorder.add(1, 1.0)).outcome is Outcome.OK
+        deployment = await RedisDeployment(password="right").start()
+        async with recording_counter(deployment, password="wrong-word") as recorder:
+            assert (await recorder.add(1, 1.0)).outcome is Outcome.FULL
 
     run(test())
     assert "AuthenticationError" in caplog.text and "wrong-word" not in caplog.text
@@ -332,33 +332,35 @@
 # --- sentinels ---
 
 
-def test_sentinels_tell_the_master_and_a_failover_loses_what_was_not_replicated() -> None:
+def test_sentinels_name_the_master_and_a_failover_loses_unreplicated_writes() -> None:
     async def test() -> None:
-        world = await Redis(lag=3600.0).start(replicas=1, sentinels=3)
-        async with calling(world, mode="sentinel") as calls:
-            first = await calls.add(1, 5.0)
-            world.lag = 0.0
-            world.waiting.clear()
-            assert (await calls.add(1, 1.0)).total == 6.0  # this one is replicated, with what was before it
-            world.lag = 3600.0
-            assert (await calls.add(1, 2.0)).total == 8.0  # this one is not
-            world.promote(world.leader)
-            found = await calls.settled(1, 0.0)
+        deployment = await RedisDeployment(replication_lag=3600.0).start(replicas=1, sentinels=3)
+        async with recording_counter(deployment, mode="sentinel") as recorder:
+            first = await recorder.add(1, 5.0)
+            deployment.replication_lag = 0.0
+            deployment.unreplicated.clear()
+            assert (
+                await recorder.add(1, 1.0)
+            ).total == 6.0  # this one is replicated, with what was before it
+            deployment.replication_lag = 3600.0
+            assert (await recorder.add(1, 2.0)).total == 8.0  # this one is not
+            deployment.promote(deployment.master)
+            found = await recorder.add_until_ok(1, 0.0)
             assert found.total == 6.0 and found.born == first.born  # the same counts, three seconds old
 
     run(test())
 
 
-def test_a_demoted_master_is_left_for_the_new_one() -> None:
+def test_a_demoted_master_is_replaced_by_the_new_one() -> None:
     async def test() -> None:
-        world = await Redis().start(replicas=1, sentinels=3)
-        async with calling(world, mode="sentinel") as calls:
-            await calls.add(1, 5.0)
-            old = world.leader
-            new = world.promote(old, demote=True)
-            assert (await calls.add(1, 1.0)).outcome is Outcome.FULL  # READONLY: nothing was added
-            assert (await calls.settled(1)).total == 6.0
-            assert old.faults.answer == "" and new.taken > 0
+        deployment = await RedisDeployment().start(replicas=1, sentinels=3)
+        async with recording_counter(deployment, mode="sentinel") as recorder:
+            await recorder.add(1, 5.0)
+            old = deployment.master
+            new = deployment.promote(old, demote=True)
+            assert (await recorder.add(1, 1.0)).outcome is Outcome.FULL  # READONLY: nothing was added
+            assert (await recorder.add_until_ok(1)).total == 6.0
+            assert old.faults.error == "" and new.executed_calls > 0
 
     run(test())
 
@@ -369,82 +371,82 @@
 @pytest.mark.parametrize("protocol", [2, 3])
 def test_a_cluster_serves_each_name_at_its_slots_owner(protocol: int) -> None:
     async def test() -> None:
-        world = await Redis(cluster=True).start(masters=3)
-        async with calling(world, mode="cluster", protocol=protocol) as calls:
+        deployment = await RedisDeployment(cluster=True).start(masters=3)
+        async with recording_counter(deployment, mode="cluster", protocol=protocol) as recorder:
             for name in NAMES:
-                calls.counter.add(Count(name, 1.0, 30.0))
-            await until(lambda: len(calls.told) == len(NAMES))
-            assert all(isinstance(t, Counted) and t.outcome is Outcome.OK for t in calls.told)
-            for node in world.nodes:
-                assert node.data and all(world.owner(slot_of(k)) is node for k in node.data)
+                recorder.counter.add(Count(name, 1.0, 30.0))
+            await until(lambda: len(recorder.results) == len(NAMES))
+            assert all(isinstance(t, Counted) and t.outcome is Outcome.OK for t in recorder.results)
+            for node in deployment.nodes:
+                assert node.data and all(deployment.slot_owner(slot_of(k)) is node for k in node.data)
 
     run(test())
 
 
-def test_a_slot_that_moves_is_followed_and_nothing_counts_twice() -> None:
+def test_a_migrating_slot_is_followed_and_nothing_counts_twice() -> None:
     """ASK while it is on its way, MOVED when it is there; what got TRYAGAIN is added once."""
 
     async def test() -> None:
-        world = await Redis(cluster=True).start(masters=2)
-        async with calling(world, mode="cluster") as calls:
-            source, target = world.nodes
-            name = name_at(world, source)
-            where = slot_of(key(name))
-            born = (await calls.add(name, 1.0)).born
-            world.begin_move(where, target)
-            assert (await calls.add(name, 1.0)).total == 2.0  # still here
-            world.move_key(key(name))
-            asked = await calls.add(name, 1.0)  # by ASK
-            assert asked.total == 3.0 and asked.born == born
-            target.faults.once.append("TRYAGAIN Multiple keys request during rehashing of slot")
-            assert (await calls.add(name, 1.0)).total == 4.0  # which the client asks again by itself
-            world.end_move(where)
-            assert (await calls.settled(name)).total == 5.0  # by MOVED
-            taken = source.taken
-            assert (await calls.add(name, 1.0)).total == 6.0
-            assert source.taken == taken  # and remembered
+        deployment = await RedisDeployment(cluster=True).start(masters=2)
+        async with recording_counter(deployment, mode="cluster") as recorder:
+            source, target = deployment.nodes
+            name = name_on(deployment, source)
+            slot = slot_of(key(name))
+            born = (await recorder.add(name, 1.0)).born
+            deployment.begin_migration(slot, target)
+            assert (await recorder.add(name, 1.0)).total == 2.0  # still here
+            deployment.migrate_key(key(name))
+            redirected = await recorder.add(name, 1.0)  # by ASK
+            assert redirected.total == 3.0 and redirected.born == born
+            target.faults.next_errors.append("TRYAGAIN Multiple keys request during rehashing of slot")
+            assert (await recorder.add(name, 1.0)).total == 4.0  # which the client asks again by itself
+            deployment.end_migration(slot)
+            assert (await recorder.add_until_ok(name)).total == 5.0  # by MOVED
+            executed = source.executed_calls
+            assert (await recorder.add(name, 1.0)).total == 6.0
+            assert source.executed_calls == executed  # and remembered
 
     run(test())
 
 
-def test_one_shard_that_is_away_leaves_the_others() -> None:
+def test_an_unavailable_shard_does_not_affect_the_others() -> None:
     async def test() -> None:
-        world = await Redis(cluster=True).start(masters=2)
-        async with calling(world, mode="cluster", timeout=0.3) as calls:
-            one, two = (name_at(world, node) for node in world.nodes)
-            await calls.add(one, 1.0)
-            await calls.add(two, 1.0)
-            world.nodes[1].faults.answer = "CLUSTERDOWN The cluster is down"
-            assert (await calls.add(two, 1.0)).outcome in (Outcome.FULL, Outcome.TIMEOUT)
-            assert (await calls.settled(one)).total == 2.0
-            world.nodes[1].faults.answer = ""
-            assert (await calls.settled(two)).total == 2.0
+        deployment = await RedisDeployment(cluster=True).start(masters=2)
+        async with recording_counter(deployment, mode="cluster", timeout=0.3) as recorder:
+            one, two = (name_on(deployment, node) for node in deployment.nodes)
+            await recorder.add(one, 1.0)
+            await recorder.add(two, 1.0)
+            deployment.nodes[1].faults.error = "CLUSTERDOWN The cluster is down"
+            assert (await recorder.add(two, 1.0)).outcome in (Outcome.FULL, Outcome.TIMEOUT)
+            assert (await recorder.add_until_ok(one)).total == 2.0
+            deployment.nodes[1].faults.error = ""
+            assert (await recorder.add_until_ok(two)).total == 2.0
 
     run(test())
 
 
 def test_a_failover_in_the_cluster_is_followed() -> None:
     async def test() -> None:
-        world = await Redis(cluster=True).start(masters=2, replicas=1)
-        async with calling(world, mode="cluster") as calls:
-            first = world.masters[0]
-            name = name_at(world, first)
-            await calls.add(name, 3.0)
-            new = world.promote(first)
-            found = await calls.settled(name)
-            assert found.total == 4.0 and world.owner(slot_of(key(name))) is new
+        deployment = await RedisDeployment(cluster=True).start(masters=2, replicas=1)
+        async with recording_counter(deployment, mode="cluster") as recorder:
+            first = deployment.masters[0]
+            name = name_on(deployment, first)
+            await recorder.add(name, 3.0)
+            new = deployment.promote(first)
+            found = await recorder.add_until_ok(name)
+            assert found.total == 4.0 and deployment.slot_owner(slot_of(key(name))) is new
 
     run(test())
 
 
-def test_trouble_is_logged_once_a_second(caplog: pytest.LogCaptureFixture) -> None:
+def test_errors_are_logged_once_a_second(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        world = await Redis().start()
-        async with calling(world) as calls:
-            world.leader.faults.answer = "LOADING Redis is loading the dataset in memory"
+        deployment = await RedisDeployment().start()
+        async with recording_counter(deployment) as recorder:
+            deployment.master.faults.error = "LOADING Redis is loading the dataset in memory"
             for name in NAMES:
-                calls.counter.add(Count(name, 1.0, 30.0))
-            await until(lambda: len(calls.told) == len(NAMES))
+                recorder.counter.add(Count(name, 1.0, 30.0))
+            await until(lambda: len(recorder.results) == len(NAMES))
 
     with caplog.at_level(logging.WARNING):
         run(test())
