--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -265,13 +265,13 @@
     from ivymux.desired.copying import restore_etcd
     from ivymux.desired.etcd.client import Access
     from ivymux.desired.etcd.store import EtcdStore
-    from standins.etcd import serving
+    from standins.etcd import etcd_server
 
     workers = [Child("-m", "bench.parts", "worker")]
     place = folder / "etcd"
     _, requests = installation(place, 50, workers)
     doors, times, starts = list[Door](), list[float](), list[float]()
-    with serving() as server:
+    with etcd_server() as server:
         store = EtcdStore(Access((server.endpoint_url,)))
         await asyncio.to_thread(restore_etcd, place / "desired.db", store)
         try:
--- a/standins/etcd.py
+++ b/standins/etcd.py
@@ -27,25 +27,25 @@
 from starlette.routing import Route
 
 Json = dict[str, Any]
-MAX_REQUEST = 1536 * 1024  # bytes, --max-request-bytes
+MAX_REQUEST_BYTES = 1536 * 1024  # bytes, --max-request-bytes
 MAX_OPERATIONS = 128  # --max-txn-ops
 
 
-class Refused(Exception):
+class EtcdError(Exception):
     def __init__(self, code: int, message: str) -> None:
         self.code, self.message = code, f"etcdserver: {message}"
         super().__init__(message)
 
 
-STATUS = {3: 400, 5: 404, 7: 403, 8: 429, 9: 400, 11: 400, 14: 503, 16: 401}
+HTTP_STATUSES = {3: 400, 5: 404, 7: 403, 8: 429, 9: 400, 11: 400, 14: 503, 16: 401}
 
 
 @dataclass
-class Version:
+class KeyVersion:
     """A key as of one revision; without a value it was deleted."""
 
-    mod: int
-    create: int
+    mod_revision: int
+    create_revision: int
     version: int
     value: bytes | None
     lease: int = 0
@@ -53,15 +53,15 @@
 
 @dataclass
 class Lease:
-    life: int
-    ends: float
+    ttl: int
+    expires_at: float
     keys: set[bytes] = field(default_factory=set)
 
 
 @dataclass
 class Watch:
     key: bytes
-    end: bytes
+    range_end: bytes
     queue: asyncio.Queue[list[tuple[int, bytes]] | None]
 
 
@@ -70,16 +70,16 @@
     """What goes wrong, until it is set back."""
 
     partition: bool = False  # nothing is answered, connections stay
-    refuse: bool = False  # connections end without an answer
-    slow: float = 0.0  # seconds before each answer
-    unanswered: int = 0  # so many transactions that are made and not answered
-    lost: int = 0  # so many transactions that are neither made nor answered
-    full: bool = False  # the alarm NOSPACE
+    disconnect: bool = False  # connections end without an answer
+    delay: float = 0.0  # seconds before each answer
+    unanswered_txns: int = 0  # so many transactions that are made and not answered
+    lost_txns: int = 0  # so many transactions that are neither made nor answered
+    no_space: bool = False  # the alarm NOSPACE
     mute_watches: bool = False  # watches stay open and tell nothing
-    no_watch: bool = False  # watches are refused, all else is served
-    hang_watch: int = 0  # so many watches that never begin
-    cut_watch: bool = False  # the next answer of a watch ends in the middle
-    unavailable: int = 0  # so many calls that are answered with "leader changed"
+    refuse_watches: bool = False  # watches are refused, all else is served
+    watches_to_hang: int = 0  # so many watches that never begin
+    truncate_watch: bool = False  # the next answer of a watch ends in the middle
+    unavailable_calls: int = 0  # so many calls that are answered with "leader changed"
 
 
 class Etcd:
@@ -96,9 +96,9 @@
         """Begin anew, as after the loss of the data folder."""
         self.revision = 1
         self.compacted = 0
-        self.versions: dict[bytes, list[Version]] = {}
-        self.names: list[bytes] = []  # all keys that ever were, sorted
-        self.log: dict[int, list[bytes]] = {}  # which keys each revision changed
+        self.versions: dict[bytes, list[KeyVersion]] = {}
+        self.all_keys: list[bytes] = []  # all keys that ever were, sorted
+        self.changed_keys: dict[int, list[bytes]] = {}  # which keys each revision changed
         self.leases: dict[int, Lease] = {}
         self.tokens: set[str] = set()
         self.end_watches()
@@ -114,215 +114,236 @@
 
     # --- keys ------------------------------------------------------------------------------------------
 
-    def names_in(self, key: bytes, end: bytes) -> list[bytes]:
+    def keys_in_range(self, key: bytes, end: bytes) -> list[bytes]:
         if not end:
             return [key] if key in self.versions else []
-        begin = 0 if key == b"\0" else bisect_left(self.names, key)
-        return self.names[begin:] if end == b"\0" else self.names[begin : bisect_left(self.names, end)]
-
-    def seen(self, name: bytes, at: int) -> Version | None:
-        versions = self.versions.get(name, [])
-        found = bisect_right(versions, at, key=lambda v: v.mod)
+        begin = 0 if key == b"\0" else bisect_left(self.all_keys, key)
+        return (
+            self.all_keys[begin:] if end == b"\0" else self.all_keys[begin : bisect_left(self.all_keys, end)]
+        )
+
+    def version_at(self, key: bytes, revision: int) -> KeyVersion | None:
+        versions = self.versions.get(key, [])
+        found = bisect_right(versions, revision, key=lambda v: v.mod_revision)
         version = versions[found - 1] if found else None
         return version if version is not None and version.value is not None else None
 
-    def shown(self, name: bytes, version: Version, keys_only: bool = False) -> Json:
-        made = {"key": b64encode(name).decode(), "create_revision": str(version.create),
-                "mod_revision": str(version.mod), "version": str(version.version)}  # fmt: skip
+    def encode_kv(self, key: bytes, version: KeyVersion, keys_only: bool = False) -> Json:
+        kv = {"key": b64encode(key).decode(), "create_revision": str(version.create_revision),
+                "mod_revision": str(version.mod_revision), "version": str(version.version)}  # fmt: skip
         if version.value and not keys_only:
-            made["value"] = b64encode(version.value).decode()
+            kv["value"] = b64encode(version.value).decode()
         if version.lease:
-            made["lease"] = str(version.lease)
-        return made
-
-    def range(self, asked: Json) -> Json:
-        at = int(asked.get("revision", 0)) or self.revision
-        if at > self.revision:
-            raise Refused(11, "mvcc: required revision is a future revision")
-        if at < self.compacted:
-            raise Refused(11, "mvcc: required revision has been compacted")
-        names = self.names_in(data(asked, "key"), data(asked, "range_end"))
-        found = [(name, version) for name in names if (version := self.seen(name, at)) is not None]
-        if asked.get("sort_target", "KEY") == "CREATE":
-            found.sort(key=lambda pair: pair[1].create)
-        if asked.get("sort_order") == "DESCEND":
+            kv["lease"] = str(version.lease)
+        return kv
+
+    def range(self, message: Json) -> Json:
+        revision = int(message.get("revision", 0)) or self.revision
+        if revision > self.revision:
+            raise EtcdError(11, "mvcc: required revision is a future revision")
+        if revision < self.compacted:
+            raise EtcdError(11, "mvcc: required revision has been compacted")
+        names = self.keys_in_range(decode_field(message, "key"), decode_field(message, "range_end"))
+        found = [
+            (name, version) for name in names if (version := self.version_at(name, revision)) is not None
+        ]
+        if message.get("sort_target", "KEY") == "CREATE":
+            found.sort(key=lambda pair: pair[1].create_revision)
+        if message.get("sort_order") == "DESCEND":
             found.reverse()
         answer: Json = {"header": self.header()}
         if found:
             answer["count"] = str(len(found))
-        if asked.get("count_only"):
+        if message.get("count_only"):
             return answer
-        limit = int(asked.get("limit", 0))
+        limit = int(message.get("limit", 0))
         if limit and len(found) > limit:
             answer["more"], found = True, found[:limit]
         if found:
-            answer["kvs"] = [self.shown(*pair, bool(asked.get("keys_only"))) for pair in found]
+            answer["kvs"] = [self.encode_kv(*pair, bool(message.get("keys_only"))) for pair in found]
         return answer
 
-    def write(self, name: bytes, value: bytes | None, at: int, lease: int = 0) -> bool:
-        before = self.seen(name, at)
-        if value is None and before is None:
+    def write_version(self, key: bytes, value: bytes | None, revision: int, lease: int = 0) -> bool:
+        previous = self.version_at(key, revision)
+        if value is None and previous is None:
             return False
-        if name not in self.versions:
-            self.versions[name] = []
-            self.names.insert(bisect_left(self.names, name), name)
-        if before is not None and before.lease in self.leases:
-            self.leases[before.lease].keys.discard(name)
+        if key not in self.versions:
+            self.versions[key] = []
+            self.all_keys.insert(bisect_left(self.all_keys, key), key)
+        if previous is not None and previous.lease in self.leases:
+            self.leases[previous.lease].keys.discard(key)
         if lease:
             if lease not in self.leases:
-                raise Refused(5, "requested lease not found")
-            self.leases[lease].keys.add(name)
-        create, number = (before.create, before.version + 1) if before is not None else (at, 1)
-        self.versions[name].append(Version(at, create, number, value, lease))
-        self.log.setdefault(at, []).append(name)
+                raise EtcdError(5, "requested lease not found")
+            self.leases[lease].keys.add(key)
+        create_revision, number = (
+            (previous.create_revision, previous.version + 1) if previous is not None else (revision, 1)
+        )
+        self.versions[key].append(KeyVersion(revision, create_revision, number, value, lease))
+        self.changed_keys.setdefault(revision, []).append(key)
         return True
 
-    def change(self, work: Callable[[int], Json]) -> Json:
+    def commit(self, apply: Callable[[int], Json]) -> Json:
         """Changes of one revision, told to the watches as one."""
-        at = self.revision + 1
-        answer = work(at)
-        if at in self.log:
-            self.revision = at
+        revision = self.revision + 1
+        answer = apply(revision)
+        if revision in self.changed_keys:
+            self.revision = revision
             for watch in [] if self.faults.mute_watches else self.watches:
-                names = [n for n in self.log[at] if inside(n, watch.key, watch.end)]
-                if names:
-                    watch.queue.put_nowait([(at, n) for n in names])
+                keys = [n for n in self.changed_keys[revision] if is_in_range(n, watch.key, watch.range_end)]
+                if keys:
+                    watch.queue.put_nowait([(revision, n) for n in keys])
         answer["header"] = self.header()
         return answer
 
-    def put(self, asked: Json) -> Json:
-        if self.faults.full:
-            raise Refused(8, "mvcc: database space exceeded")
+    def put(self, message: Json) -> Json:
+        if self.faults.no_space:
+            raise EtcdError(8, "mvcc: database space exceeded")
 
-        def work(at: int) -> Json:
-            self.write(data(asked, "key"), data(asked, "value"), at, int(asked.get("lease", 0)))
+        def apply(revision: int) -> Json:
+            self.write_version(
+                decode_field(message, "key"),
+                decode_field(message, "value"),
+                revision,
+                int(message.get("lease", 0)),
+            )
             return {}
 
-        return self.change(work)
+        return self.commit(apply)
 
-    def delete_at(self, asked: Json, at: int) -> Json:
-        names = self.names_in(data(asked, "key"), data(asked, "range_end"))
-        count = sum(self.write(name, None, at) for name in names)
+    def delete_range(self, message: Json, revision: int) -> Json:
+        keys = self.keys_in_range(decode_field(message, "key"), decode_field(message, "range_end"))
+        count = sum(self.write_version(name, None, revision) for name in keys)
         return {"deleted": str(count)} if count else {}
 
     # --- transactions ----------------------------------------------------------------------------------
 
-    def holds(self, compare: Json) -> bool:
-        version = self.seen(data(compare, "key"), self.revision)
+    def comparison_holds(self, compare: Json) -> bool:
+        version = self.version_at(decode_field(compare, "key"), self.revision)
         match compare.get("target", "VERSION"):
             case "MOD":
-                have, wanted = version.mod if version else 0, int(compare.get("mod_revision", 0))
+                actual, expected = version.mod_revision if version else 0, int(compare.get("mod_revision", 0))
             case "CREATE":
-                have, wanted = version.create if version else 0, int(compare.get("create_revision", 0))
+                actual, expected = (
+                    version.create_revision if version else 0,
+                    int(compare.get("create_revision", 0)),
+                )
             case "VERSION":
-                have, wanted = version.version if version else 0, int(compare.get("version", 0))
+                actual, expected = version.version if version else 0, int(compare.get("version", 0))
             case _:
-                raise Refused(3, "this comparison is not served by the stand-in")
-        results = {"EQUAL": have == wanted, "GREATER": have > wanted, "LESS": have < wanted,
-                   "NOT_EQUAL": have != wanted}  # fmt: skip
+                raise EtcdError(3, "this comparison is not served by the stand-in")
+        results = {"EQUAL": actual == expected, "GREATER": actual > expected, "LESS": actual < expected,
+                   "NOT_EQUAL": actual != expected}  # fmt: skip
         return results[compare.get("result", "EQUAL")]
 
-    def txn(self, asked: Json) -> Json:
-        success, failed = asked.get("success", []), asked.get("failure", [])
-        if max(len(asked.get("compare", [])), len(success), len(failed)) > MAX_OPERATIONS:
-            raise Refused(3, "too many operations in txn request")
-        for branch in (success, failed):
-            check_puts(branch)
-        succeeded = all(self.holds(c) for c in asked.get("compare", []))
-        operations = success if succeeded else failed
-        if self.faults.full and any("request_put" in op for op in operations):
-            raise Refused(8, "mvcc: database space exceeded")
-
-        def work(at: int) -> Json:
+    def txn(self, message: Json) -> Json:
+        success, failure = message.get("success", []), message.get("failure", [])
+        if max(len(message.get("compare", [])), len(success), len(failure)) > MAX_OPERATIONS:
+            raise EtcdError(3, "too many operations in txn request")
+        for branch in (success, failure):
+            check_duplicate_keys(branch)
+        succeeded = all(self.comparison_holds(c) for c in message.get("compare", []))
+        operations = success if succeeded else failure
+        if self.faults.no_space and any("request_put" in op for op in operations):
+            raise EtcdError(8, "mvcc: database space exceeded")
+
+        def apply(revision: int) -> Json:
             responses = []
             for op in operations:
                 if "request_range" in op:
                     responses.append({"response_range": self.range(op["request_range"])})
                 elif "request_put" in op:
                     put = op["request_put"]
-                    self.write(data(put, "key"), data(put, "value"), at, int(put.get("lease", 0)))
-                    responses.append({"response_put": {"header": {"revision": str(at)}}})
+                    self.write_version(
+                        decode_field(put, "key"),
+                        decode_field(put, "value"),
+                        revision,
+                        int(put.get("lease", 0)),
+                    )
+                    responses.append({"response_put": {"header": {"revision": str(revision)}}})
                 else:
-                    deleted = self.delete_at(op["request_delete_range"], at)
+                    deleted = self.delete_range(op["request_delete_range"], revision)
                     responses.append({"response_delete_range": deleted})
             return ({"succeeded": True} if succeeded else {}) | (
                 {"responses": responses} if responses else {}
             )
 
-        return self.change(work)
+        return self.commit(apply)
 
-    def compact(self, asked: Json) -> Json:
-        at = int(asked["revision"])
+    def compact(self, message: Json) -> Json:
+        at = int(message["revision"])
         if at <= self.compacted:
-            raise Refused(11, "mvcc: required revision has been compacted")
+            raise EtcdError(11, "mvcc: required revision has been compacted")
         self.compacted = at
-        for revision in [r for r in self.log if r < at]:
-            del self.log[revision]
+        for revision in [r for r in self.changed_keys if r < at]:
+            del self.changed_keys[revision]
         for versions in self.versions.values():
-            keep = bisect_right(versions, at, key=lambda v: v.mod) - 1
+            keep = bisect_right(versions, at, key=lambda v: v.mod_revision) - 1
             del versions[: max(0, keep)]
         return {"header": self.header()}
 
     # --- leases ----------------------------------------------------------------------------------------
 
-    def grant(self, asked: Json) -> Json:
-        number = int(asked.get("ID", 0)) or secrets.randbits(62)
-        life = int(asked["TTL"])
-        self.leases[number] = Lease(life, time.monotonic() + life)
-        return {"header": self.header(), "ID": str(number), "TTL": str(life)}
-
-    def keepalive(self, asked: Json) -> Json:
-        number = int(asked["ID"])
-        found: Json = {"header": self.header(), "ID": str(number)}
-        if (lease := self.leases.get(number)) is not None:
-            lease.ends = time.monotonic() + lease.life
-            found["TTL"] = str(lease.life)
-        return {"result": found}
-
-    def revoke(self, asked: Json) -> Json:
-        lease = self.leases.pop(int(asked["ID"]), None)
+    def grant(self, message: Json) -> Json:
+        lease_id = int(message.get("ID", 0)) or secrets.randbits(62)
+        ttl = int(message["TTL"])
+        self.leases[lease_id] = Lease(ttl, time.monotonic() + ttl)
+        return {"header": self.header(), "ID": str(lease_id), "TTL": str(ttl)}
+
+    def keepalive(self, message: Json) -> Json:
+        lease_id = int(message["ID"])
+        result: Json = {"header": self.header(), "ID": str(lease_id)}
+        if (lease := self.leases.get(lease_id)) is not None:
+            lease.expires_at = time.monotonic() + lease.ttl
+            result["TTL"] = str(lease.ttl)
+        return {"result": result}
+
+    def revoke(self, message: Json) -> Json:
+        lease = self.leases.pop(int(message["ID"]), None)
         if lease is None:
-            raise Refused(5, "requested lease not found")
+            raise EtcdError(5, "requested lease not found")
 
-        def work(at: int) -> Json:
+        def apply(revision: int) -> Json:
             for name in sorted(lease.keys):
-                self.write(name, None, at)
+                self.write_version(name, None, revision)
             return {}
 
-        return self.change(work)
+        return self.commit(apply)
 
-    def expire(self) -> None:
-        for number in [n for n, lease in self.leases.items() if lease.ends <= time.monotonic()]:
-            self.revoke({"ID": str(number)})
+    def expire_leases(self) -> None:
+        for lease_id in [n for n, lease in self.leases.items() if lease.expires_at <= time.monotonic()]:
+            self.revoke({"ID": str(lease_id)})
 
     # --- watches ---------------------------------------------------------------------------------------
 
-    def event(self, name: bytes, at: int) -> Json:
-        version = next(v for v in self.versions[name] if v.mod == at)
+    def encode_event(self, key: bytes, revision: int) -> Json:
+        version = next(v for v in self.versions[key] if v.mod_revision == revision)
         if version.value is None:
-            return {"type": "DELETE", "kv": {"key": b64encode(name).decode(), "mod_revision": str(at)}}
-        return {"kv": self.shown(name, version)}
+            return {"type": "DELETE", "kv": {"key": b64encode(key).decode(), "mod_revision": str(revision)}}
+        return {"kv": self.encode_kv(key, version)}
 
-    def told(self, changed: list[tuple[int, bytes]], at: int) -> Json:
-        header = self.header() | {"revision": str(at)}
-        return {"result": {"header": header, "events": [self.event(name, mod) for mod, name in changed]}}
+    def watch_response(self, changed: list[tuple[int, bytes]], revision: int) -> Json:
+        header = self.header() | {"revision": str(revision)}
+        return {
+            "result": {"header": header, "events": [self.encode_event(name, mod) for mod, name in changed]}
+        }
 
-    async def watch(self, asked: Json) -> AsyncIterator[bytes]:
+    async def watch(self, message: Json) -> AsyncIterator[bytes]:
         """The lines of one watch, each told when it happens."""
-        create = asked["create_request"]
-        key, end = data(create, "key"), data(create, "range_end")
+        create = message["create_request"]
+        key, range_end = decode_field(create, "key"), decode_field(create, "range_end")
         start = int(create.get("start_revision", 0))
-        watch = Watch(key, end, asyncio.Queue())
-        yield line({"result": {"header": self.header(), "created": True}})
+        watch = Watch(key, range_end, asyncio.Queue())
+        yield encode_line({"result": {"header": self.header(), "created": True}})
         if start and start <= self.compacted:
             reason = "mvcc: required revision has been compacted"
-            yield line({"result": {
+            yield encode_line({"result": {
                 "header": self.header(), "canceled": True, "compact_revision": str(self.compacted),
                 "cancel_reason": reason,
             }})  # fmt: skip
             return
-        for at in sorted(r for r in self.log if start and r >= start):
-            if names := [n for n in self.log[at] if inside(n, key, end)]:
+        for at in sorted(r for r in self.changed_keys if start and r >= start):
+            if names := [n for n in self.changed_keys[at] if is_in_range(n, key, range_end)]:
                 watch.queue.put_nowait([(at, n) for n in names])
         self.watches.append(watch)
         try:
@@ -330,52 +351,56 @@
                 # One that began at a revision yet to come tells nothing before it.
                 if changed[0][0] < start:
                     continue
-                text = line(self.told(changed, changed[0][0]))
-                if self.faults.cut_watch:
-                    self.faults.cut_watch = False
-                    yield text[: len(text) // 2]
+                data = encode_line(self.watch_response(changed, changed[0][0]))
+                if self.faults.truncate_watch:
+                    self.faults.truncate_watch = False
+                    yield data[: len(data) // 2]
                     return
-                yield text
+                yield data
         finally:
             if watch in self.watches:
                 self.watches.remove(watch)
 
-    def authenticate(self, asked: Json) -> Json:
-        if not self.users or self.users.get(asked.get("name", "")) != asked.get("password"):
-            raise Refused(3, "authentication failed, invalid user ID or password")
+    def authenticate(self, message: Json) -> Json:
+        if not self.users or self.users.get(message.get("name", "")) != message.get("password"):
+            raise EtcdError(3, "authentication failed, invalid user ID or password")
         token = secrets.token_hex(8)
         self.tokens.add(token)
         return {"header": self.header(), "token": token}
 
 
-def data(asked: Json, name: str) -> bytes:
+def decode_field(message: Json, name: str) -> bytes:
     try:
-        return b64decode(asked.get(name, ""), validate=True)
+        return b64decode(message.get(name, ""), validate=True)
     except ValueError:
-        raise Refused(3, f"{name} is no base64") from None
+        raise EtcdError(3, f"{name} is no base64") from None
 
 
-def inside(name: bytes, key: bytes, end: bytes) -> bool:
-    return name == key if not end else key <= name and (end == b"\0" or name < end)
+def is_in_range(candidate: bytes, key: bytes, range_end: bytes) -> bool:
+    return (
+        candidate == key
+        if not range_end
+        else key <= candidate and (range_end == b"\0" or candidate < range_end)
+    )
 
 
-def check_puts(operations: list[Json]) -> None:
+def check_duplicate_keys(operations: list[Json]) -> None:
     """A key may be put once in a transaction, and not both put and deleted."""
-    puts = [data(op["request_put"], "key") for op in operations if "request_put" in op]
+    puts = [decode_field(op["request_put"], "key") for op in operations if "request_put" in op]
     if len(set(puts)) < len(puts):
-        raise Refused(3, "duplicate key given in txn request")
+        raise EtcdError(3, "duplicate key given in txn request")
     for op in operations:
         if (deletes := op.get("request_delete_range")) is not None:
-            key, end = data(deletes, "key"), data(deletes, "range_end")
-            if any(inside(put, key, end) for put in puts):
-                raise Refused(3, "duplicate key given in txn request")
+            key, range_end = decode_field(deletes, "key"), decode_field(deletes, "range_end")
+            if any(is_in_range(put, key, range_end) for put in puts):
+                raise EtcdError(3, "duplicate key given in txn request")
 
 
-def line(value: Json) -> bytes:
+def encode_line(value: Json) -> bytes:
     return json.dumps(value).encode() + b"\n"
 
 
-class Server:
+class EtcdServer:
     """The gateway on a port of its own, in a thread of its own; faults may be set from any thread."""
 
     def __init__(self, users: dict[str, str] | None = None, ssl: dict[str, Any] | None = None) -> None:
@@ -392,7 +417,9 @@
             "/v3/lease/keepalive": self.etcd.keepalive, "/v3/lease/revoke": self.etcd.revoke,
             "/v3/auth/authenticate": self.etcd.authenticate,
         }  # fmt: skip
-        routes = [Route(path, self.endpoint(path, work), methods=["POST"]) for path, work in paths.items()]
+        routes = [
+            Route(path, self.make_endpoint(path, work), methods=["POST"]) for path, work in paths.items()
+        ]
         routes.append(Route("/v3/watch", self.watch, methods=["POST"]))
         config = uvicorn.Config(
             Starlette(routes=routes), log_level="critical", access_log=False, lifespan="off",
@@ -405,7 +432,7 @@
     def endpoint_url(self) -> str:
         return f"{self.scheme}://127.0.0.1:{self.port}"
 
-    def start(self) -> Server:
+    def start(self) -> EtcdServer:
         self.thread.start()
         while not self.server.started:
             if not self.thread.is_alive():
@@ -418,76 +445,76 @@
 
     async def main(self) -> None:
         self.loop = asyncio.get_running_loop()
-        expiring = self.loop.create_task(self.expiring())
+        expiry_task = self.loop.create_task(self.expire_leases_periodically())
         await self.server.serve(sockets=[self.socket])
-        expiring.cancel()
+        expiry_task.cancel()
 
-    async def expiring(self) -> None:
+    async def expire_leases_periodically(self) -> None:
         while True:
             await asyncio.sleep(0.05)
-            self.etcd.expire()
+            self.etcd.expire_leases()
 
     def stop(self) -> None:
         self.etcd.faults = Faults()  # what hangs goes on
-        self.on_loop(self.etcd.reset)
+        self.run_on_loop(self.etcd.reset)
         self.server.should_exit = self.server.force_exit = True
         self.thread.join(5)
 
-    def on_loop(self, work: Callable[[], Any]) -> Any:
+    def run_on_loop(self, function: Callable[[], Any]) -> Any:
         """Run something where the state lives."""
 
         async def call() -> Any:
-            return work()
+            return function()
 
         return asyncio.run_coroutine_threadsafe(call(), self.loop).result(5)
 
     # --- calls -----------------------------------------------------------------------------------------
 
-    def endpoint(self, path: str, work: Callable[[Json], Json]) -> Callable[[Request], Any]:
+    def make_endpoint(self, path: str, handle: Callable[[Json], Json]) -> Callable[[Request], Any]:
         async def answer(request: Request) -> Response:
             faults = self.etcd.faults
             self.etcd.calls[path] = self.etcd.calls.get(path, 0) + 1
-            self.etcd.expire()
+            self.etcd.expire_leases()
             try:
-                asked = await self.read(request, path)
-                is_change = path == "/v3/kv/txn" and bool(asked.get("compare"))
-                if is_change and faults.lost:
-                    faults.lost -= 1
-                    return await self.hang(request)
-                if faults.unavailable:
-                    faults.unavailable -= 1
-                    raise Refused(14, "leader changed")
-                done = work(asked)
-                if is_change and faults.unanswered:
-                    faults.unanswered -= 1
-                    return await self.hang(request)
-                return JSONResponse(done)
-            except Refused as error:
-                return refusal(error)
+                message = await self.read_message(request, path)
+                is_change = path == "/v3/kv/txn" and bool(message.get("compare"))
+                if is_change and faults.lost_txns:
+                    faults.lost_txns -= 1
+                    return await self.wait_for_disconnect(request)
+                if faults.unavailable_calls:
+                    faults.unavailable_calls -= 1
+                    raise EtcdError(14, "leader changed")
+                result = handle(message)
+                if is_change and faults.unanswered_txns:
+                    faults.unanswered_txns -= 1
+                    return await self.wait_for_disconnect(request)
+                return JSONResponse(result)
+            except EtcdError as error:
+                return error_response(error)
 
         return answer
 
-    async def read(self, request: Request, path: str) -> Json:
+    async def read_message(self, request: Request, path: str) -> Json:
         faults, body = self.etcd.faults, await request.body()
-        if faults.refuse:
+        if faults.disconnect:
             raise ConnectionResetError
         while faults.partition and not await request.is_disconnected():
             await asyncio.sleep(0.01)
-        if faults.slow:
-            await asyncio.sleep(faults.slow)
-        if len(body) > MAX_REQUEST * 4 // 3:
-            raise Refused(3, "request is too large")
-        named = not self.etcd.users or path == "/v3/auth/authenticate"
-        if not named and request.headers.get("authorization", "") not in self.etcd.tokens:
-            raise Refused(16, "invalid auth token")
+        if faults.delay:
+            await asyncio.sleep(faults.delay)
+        if len(body) > MAX_REQUEST_BYTES * 4 // 3:
+            raise EtcdError(3, "request is too large")
+        skips_auth = not self.etcd.users or path == "/v3/auth/authenticate"
+        if not skips_auth and request.headers.get("authorization", "") not in self.etcd.tokens:
+            raise EtcdError(16, "invalid auth token")
         try:
-            asked = json.loads(body)
+            message = json.loads(body)
         except ValueError:
-            raise Refused(3, "the body is no JSON") from None
-        assert isinstance(asked, dict)
-        return asked
+            raise EtcdError(3, "the body is no JSON") from None
+        assert isinstance(message, dict)
+        return message
 
-    async def hang(self, request: Request) -> Response:
+    async def wait_for_disconnect(self, request: Request) -> Response:
         """No answer, for as long as the caller waits."""
         while not await request.is_disconnected():
             await asyncio.sleep(0.01)
@@ -495,25 +522,27 @@
 
     async def watch(self, request: Request) -> Response:
         try:
-            asked = await self.read(request, "/v3/watch")
-            if self.etcd.faults.hang_watch:
-                self.etcd.faults.hang_watch -= 1
-                return await self.hang(request)
-            if self.etcd.faults.no_watch:
-                raise Refused(14, "no leader")
-        except Refused as error:
-            return refusal(error)
-        return StreamingResponse(self.etcd.watch(asked), media_type="application/json")
-
-
-def refusal(error: Refused) -> Response:
+            message = await self.read_message(request, "/v3/watch")
+            if self.etcd.faults.watches_to_hang:
+                self.etcd.faults.watches_to_hang -= 1
+                return await self.wait_for_disconnect(request)
+            if self.etcd.faults.refuse_watches:
+                raise EtcdError(14, "no leader")
+        except EtcdError as error:
+            return error_response(error)
+        return StreamingResponse(self.etcd.watch(message), media_type="application/json")
+
+
+def error_response(error: EtcdError) -> Response:
     body = {"error": error.message, "message": error.message, "code": error.code}
-    return JSONResponse(body, STATUS.get(error.code, 500))
+    return JSONResponse(body, HTTP_STATUSES.get(error.code, 500))
 
 
 @contextlib.contextmanager
-def serving(users: dict[str, str] | None = None, ssl: dict[str, Any] | None = None) -> Iterator[Server]:
-    server = Server(users, ssl)
+def etcd_server(
+    users: dict[str, str] | None = None, ssl: dict[str, Any] | None = None
+) -> Iterator[EtcdServer]:
+    server = EtcdServer(users, ssl)
     server.start()
     try:
         yield server
--- a/tests/admin/test_etcd.py
+++ b/tests/admin/test_etcd.py
@@ -11,7 +11,7 @@
 
 from ivymux.admin import authorization, operations
 from ivymux.desired.etcd.store import EtcdStore
-from standins.etcd import Server, serving
+from standins.etcd import EtcdServer, etcd_server
 from tests.admin.calling import ROUTES, Caller, calling
 from tests.desired.etcd_fixtures import access
 from tests.sockets import run
@@ -26,8 +26,8 @@
 
 
 @contextlib.asynccontextmanager
-async def api_over_etcd(timeout: float = 2.0) -> AsyncIterator[tuple[Caller, Server, EtcdStore]]:
-    with serving() as server:
+async def api_over_etcd(timeout: float = 2.0) -> AsyncIterator[tuple[Caller, EtcdServer, EtcdStore]]:
+    with etcd_server() as server:
         store = EtcdStore(access(server, timeout=timeout))
         async with calling(store) as caller:
             yield caller, server, store
@@ -71,7 +71,7 @@
         async with api_over_etcd(timeout=0.3) as (olga, server, _store):
             await olga.make("a")
             faults = server.etcd.faults
-            faults.unanswered = 1  # the key is created, but etcd's answer is lost
+            faults.unanswered_txns = 1  # the key is created, but etcd's answer is lost
             body = {"customer": "c"}
             first = await olga.call("POST", f"{T}/keys", body, Idempotency_Key="same")
             assert first.status_code == 201
@@ -83,13 +83,13 @@
             got = await olga.call("GET", T)
             assert got.status_code == 503 and got.headers["retry-after"] == "1"
             faults.partition = False
-            faults.full = True
+            faults.no_space = True
             got = await olga.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})
             assert got.status_code == 507 and "defragment" in got.json()["detail"]
-            faults.full = False
+            faults.no_space = False
             got = await olga.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})
             assert got.status_code == 200
-            server.on_loop(server.etcd.reset)  # an empty etcd
+            server.run_on_loop(server.etcd.reset)  # an empty etcd
             got = await olga.call("GET", T)
             assert got.status_code in (401, 503)
             made: Any = await olga.call("POST", "/v1/tenants", {"name": "z"})
--- a/tests/cli/test_tenant.py
+++ b/tests/cli/test_tenant.py
@@ -16,7 +16,7 @@
 import pytest
 
 from ivymux.cli import main
-from standins.etcd import serving
+from standins.etcd import etcd_server
 from tests.admin.calling import ROUTES, SHEET
 from tests.routes.describing import described
 from tests.service.doors import PATHS
@@ -37,7 +37,7 @@
         yield 'store = "desired.db"\n'
         return
     (tmp_path / "password").write_text("s3cret-word\n")
-    with serving(users={"mux": "s3cret-word"}) as server:
+    with etcd_server(users={"mux": "s3cret-word"}) as server:
         yield (
             f'[etcd]\nendpoints = ["{server.endpoint_url}"]\nusername = "mux"\npassword_file = "password"\n'
         )
--- a/tests/desired/etcd_fixtures.py
+++ b/tests/desired/etcd_fixtures.py
@@ -10,17 +10,17 @@
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.model import Admin
 from ivymux.tenants import secret
-from standins.etcd import Server, serving
+from standins.etcd import EtcdServer, etcd_server
 
 
-def access(*servers: Server, **options: Any) -> Access:
+def access(*servers: EtcdServer, **options: Any) -> Access:
     return Access(tuple(s.endpoint_url for s in servers), **({"timeout": 2.0} | options))
 
 
 @contextlib.contextmanager
-def stored(**options: Any) -> Iterator[tuple[Server, EtcdStore]]:
+def stored(**options: Any) -> Iterator[tuple[EtcdServer, EtcdStore]]:
     """A stand-in for etcd with a new desired state, and a store over it."""
-    with serving() as server:
+    with etcd_server() as server:
         store = EtcdStore(access(server, **options))
         begin(store)
         try:
--- a/tests/desired/test_copying.py
+++ b/tests/desired/test_copying.py
@@ -13,7 +13,7 @@
 from ivymux.desired.sqlite import SqliteStore, restore
 from ivymux.tenants.model import text_digests
 from ivymux.tenants.secret import ADMIN_PREFIX, create_key
-from standins.etcd import serving
+from standins.etcd import etcd_server
 from tests.desired.etcd_fixtures import access, begin, stored
 from tests.desired.store_contract import change, put
 from tests.tenants.making import tenant
@@ -44,7 +44,7 @@
         copy = SqliteStore(tmp_path / "copy.db")
         assert_equal_states(store, copy)
         copy.close()
-        with serving() as second:
+        with etcd_server() as second:
             other = EtcdStore(access(second))
             restore_etcd(tmp_path / "copy.db", other)
             assert_equal_states(store, other)
@@ -68,7 +68,7 @@
     at = put(store, "a")
     put(store, "a", at)
     store.backup(tmp_path / "one.db")
-    with serving() as server:
+    with etcd_server() as server:
         etcd = EtcdStore(access(server))
         restore_etcd(tmp_path / "one.db", etcd)
         assert_equal_states(store, etcd)
@@ -89,7 +89,7 @@
         put(store, "a")
         put(store, "b")
         backup_etcd(store, tmp_path / "copy.db")
-    with serving() as server:
+    with etcd_server() as server:
         other = EtcdStore(access(server))
         copy_to_etcd, calls = copying.copy_to_etcd, 0
 
@@ -127,7 +127,7 @@
         empty = EtcdStore(access(server), "/empty/")
         with pytest.raises(StoreDamaged):
             restore_etcd(tmp_path / "cut.db", empty)
-        assert not [n for n in server.etcd.names if n.startswith(b"/empty/")]
+        assert not [n for n in server.etcd.all_keys if n.startswith(b"/empty/")]
         empty.close()
 
 
@@ -135,7 +135,7 @@
     with stored() as (_, store):
         put(store, "a")
         backup_etcd(store, tmp_path / "copy.db")
-    with serving() as server:
+    with etcd_server() as server:
         other = EtcdStore(access(server))
         from ivymux.desired.etcd.wire import Put
 
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -24,7 +24,7 @@
 )
 from ivymux.tenants.model import digest, text_digests
 from ivymux.tenants.secret import ADMIN_PREFIX, KEY_PATTERN, create_key
-from standins.etcd import Server, serving
+from standins.etcd import EtcdServer, etcd_server
 from tests.desired import store_contract
 from tests.desired.etcd_fixtures import access, begin, stored
 from tests.desired.store_contract import change, put
@@ -66,7 +66,7 @@
         assert store.answer_of_repeat("k") is None and store.admin(number) is None
         assert not any(store.blob(name, "u-a") for name in names)
         assert [a.action for a in store.audit("u-a", 1 << 60, 9)] == ["test", "test"]  # audit records stay
-        left = [n for n in server.etcd.names if server.etcd.seen(n, server.etcd.revision)]
+        left = [n for n in server.etcd.all_keys if server.etcd.version_at(n, server.etcd.revision)]
         assert not [n for n in left if b"u-a" in n and b"audit-of" not in n], left
         others = store.get("b")
         assert others is not None and all(store.blob(name, "u-b") for name in text_digests(others.tenant))
@@ -131,7 +131,7 @@
 
 
 def test_only_the_command_line_creates_a_state() -> None:
-    with serving() as server:
+    with etcd_server() as server:
         store = EtcdStore(access(server))
         for call in (store.revision, store.lineage, lambda: put(store, "a")):
             with pytest.raises(StoreError, match="no desired state is here"):
@@ -147,7 +147,7 @@
 # --- faults --------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("fault", ["unanswered", "lost", "unavailable"])
+@pytest.mark.parametrize("fault", ["unanswered_txns", "lost_txns", "unavailable_calls"])
 def test_a_commit_without_an_answer_is_applied_once(fault: str) -> None:
     with stored(timeout=0.3) as (server, store):
         at = put(store, "a")
@@ -164,7 +164,7 @@
     with stored(timeout=0.3) as (server, store):
         at = put(store, "a")
         other = EtcdStore(access(server))
-        server.etcd.faults.unanswered = 1
+        server.etcd.faults.unanswered_txns = 1
         done: list[int] = []
         first_commit = threading.Thread(target=lambda: done.append(put(store, "a", at, who="first")))
         first_commit.start()
@@ -185,14 +185,14 @@
         with pytest.raises(StoreBusy, match="in time"):
             store.get("a")
         faults.partition = False
-        faults.slow = 0.05
+        faults.delay = 0.05
         assert store.get("a") is not None
-        faults.slow = 0.0
-        faults.full = True
+        faults.delay = 0.0
+        faults.no_space = True
         with pytest.raises(StoreFull, match="full"):
             put(store, "a", at)
         assert store.get("a") is not None  # reads still work
-        faults.full = False
+        faults.no_space = False
         assert put(store, "a", at) == at + 1
         port = server.port
     unreachable = EtcdStore(access(server, timeout=0.2))
@@ -204,11 +204,11 @@
 
 def test_another_endpoint_is_used_while_one_is_unreachable() -> None:
     with stored() as (server, _):
-        gone = Server()
+        gone = EtcdServer()
         gone.socket.close()
         both = EtcdStore(access(gone, server, timeout=0.5))
         assert put(both, "a") == 2 and both.get("a") is not None
-        hanging = Server().start()
+        hanging = EtcdServer().start()
         hanging.etcd.faults.partition = True
         third = EtcdStore(access(hanging, server, timeout=0.3))
         assert third.get("a") is not None  # a read is retried at the next endpoint
@@ -242,12 +242,12 @@
 
 
 def test_expired_tokens_are_renewed_and_passwords_are_never_shown() -> None:
-    with serving(users={"mux": "s3cret-word"}) as server:
+    with etcd_server(users={"mux": "s3cret-word"}) as server:
         login = access(server, username="mux", password="s3cret-word")
         store = EtcdStore(login)
         begin(store)
         put(store, "a")
-        server.on_loop(server.etcd.tokens.clear)  # tokens expire, or are lost with a restart
+        server.run_on_loop(server.etcd.tokens.clear)  # tokens expire, or are lost with a restart
         assert store.get("a") is not None
         wrong = EtcdStore(access(server, username="mux", password="other-word"))
         with pytest.raises(StoreError, match="neither this user") as refused:
--- a/tests/desired/test_tls.py
+++ b/tests/desired/test_tls.py
@@ -10,7 +10,7 @@
 
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.model import StoreError
-from standins.etcd import serving
+from standins.etcd import etcd_server
 from tests.desired.etcd_fixtures import access, begin
 from tests.desired.store_contract import put
 
@@ -27,7 +27,7 @@
         "ssl_certfile": str(tmp_path / "server.pem"), "ssl_ca_certs": str(tmp_path / "ca.pem"),
         "ssl_cert_reqs": ssl.CERT_REQUIRED,
     }  # fmt: skip
-    with serving(ssl=tls_options) as server:
+    with etcd_server(ssl=tls_options) as server:
         ca, cert = str(tmp_path / "ca.pem"), str(tmp_path / "client.pem")
         store = EtcdStore(access(server, ca=ca, cert=cert))
         begin(store)
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -19,7 +19,7 @@
 from ivymux.desired.model import StoreBusy, StoreError
 from ivymux.hosting.hosting_gateway import HostingGateway
 from ivymux.hosting.site import read_hosting
-from standins.etcd import Faults, Server, serving
+from standins.etcd import EtcdServer, Faults, etcd_server
 from standins.worker import Fleet, Worker
 from tests.desired.etcd_fixtures import access, begin
 from tests.desired.store_contract import change
@@ -32,7 +32,7 @@
 class EtcdFixture:
     """A stand-in etcd with its store, and the gateways that follow it."""
 
-    server: Server
+    server: EtcdServer
     store: EtcdStore
     folder: Path
     gateways: list[HostingGateway] = field(default_factory=list)
@@ -82,7 +82,7 @@
 
 @contextlib.asynccontextmanager
 async def etcd_installation(folder: Path, *names: str) -> AsyncIterator[EtcdFixture]:
-    with serving() as server:
+    with etcd_server() as server:
         store = EtcdStore(access(server))
         await asyncio.to_thread(begin, store)
         fixture = EtcdFixture(server, store, folder)
@@ -144,7 +144,7 @@
         async with etcd_installation(tmp_path, "a") as fixture:
             first, second = await fixture.start_gateway("d0"), await fixture.start_gateway("d1")
             await fixture.wait_for_status("a")
-            for fault in ("partition", "refuse"):
+            for fault in ("partition", "disconnect"):
                 setattr(fixture.server.etcd.faults, fault, True)
                 await until(lambda: bool(first.store_error and second.store_error))
                 assert await fixture.ask(first, "a") == 200
@@ -163,13 +163,13 @@
             await fixture.wait_for_status("a")
             await fixture.gateways[0].close()
             await asyncio.to_thread(fixture.gateways.pop().store.close)
-            fixture.server.etcd.faults.refuse = True
+            fixture.server.etcd.faults.disconnect = True
             restarted = await fixture.start_gateway("d0")
             await fixture.wait_for_status("a")
             await fixture.wait_for_status("b")
             with pytest.raises(StoreError):
                 await fixture.start_gateway("without", cache=False)
-            fixture.server.etcd.faults.refuse = False
+            fixture.server.etcd.faults.disconnect = False
             await fixture.create("c")
             await fixture.delete("b")
             await fixture.wait_for_status("c", 200, restarted)
@@ -201,12 +201,12 @@
             known = follower.cache.known()
             assert known is not None and [h.name for h in known.heads] == ["a"]
             # A gateway that is killed at this moment starts again from the state that it served.
-            fixture.server.etcd.faults.refuse = True
+            fixture.server.etcd.faults.disconnect = True
             restarted = Follower(access(fixture.server, timeout=0.5), "/ivymux/", "d0", tmp_path / "d0")
             await asyncio.to_thread(restarted.start)
             assert [t.name for t in restarted.changes_since(0)[1]] == ["a"]
             await asyncio.to_thread(restarted.close)
-            fixture.server.etcd.faults.refuse = False
+            fixture.server.etcd.faults.disconnect = False
             monkeypatch.setattr(follower.store, "blob", blob)
             await fixture.wait_for_status("b")
             await until(lambda: len(follower.cache.known().heads) == 2)  # type: ignore[union-attr]
@@ -219,7 +219,7 @@
         async with etcd_installation(tmp_path, "a") as fixture:
             gateway = await fixture.start_gateway("d0")
             etcd = fixture.server.etcd
-            etcd.faults.cut_watch = True  # in the middle of an answer
+            etcd.faults.truncate_watch = True  # in the middle of an answer
             await fixture.create("b")
             await fixture.wait_for_status("b")
             etcd.faults.mute_watches = True  # it stays open without events
@@ -227,21 +227,21 @@
             await fixture.wait_for_status("c")
             etcd.faults.mute_watches = False
             # Changes are made while etcd is unreachable, and compacted before the watch is restarted.
-            etcd.faults.refuse = True
+            etcd.faults.disconnect = True
             await until(lambda: bool(gateway.store_error))
 
             def missed() -> None:
                 for turn in range(5):
-                    value = etcd.seen(fixture.store.keys.state, etcd.revision)
+                    value = etcd.version_at(fixture.store.keys.state, etcd.revision)
                     assert value is not None and value.value is not None
                     at = etcd.revision + 1
-                    etcd.write(fixture.store.keys.at("other", str(turn)), b"x", at)
+                    etcd.write_version(fixture.store.keys.at("other", str(turn)), b"x", at)
                     etcd.revision = at
                 etcd.compact({"revision": str(etcd.revision)})
 
-            fixture.server.on_loop(missed)
+            fixture.server.run_on_loop(missed)
             seen = await asyncio.to_thread(lambda: etcd.compacted)
-            etcd.faults.refuse = False
+            etcd.faults.disconnect = False
             await fixture.create("d")
             await fixture.wait_for_status("d")
             assert isinstance(gateway.store, Follower) and gateway.store.replica.at > seen
@@ -268,13 +268,13 @@
                 load_count.append(1)
                 load()
 
-            etcd.faults.no_watch = True
-            fixture.server.on_loop(etcd.end_watches)
+            etcd.faults.refuse_watches = True
+            fixture.server.run_on_loop(etcd.end_watches)
             await until(lambda: bool(gateway.store_error))
             await fixture.create("b")
-            fixture.server.on_loop(lambda: etcd.compact({"revision": str(etcd.revision)}))
+            fixture.server.run_on_loop(lambda: etcd.compact({"revision": str(etcd.revision)}))
             follower.load = count_load  # type: ignore[method-assign]
-            etcd.faults.no_watch = False
+            etcd.faults.refuse_watches = False
             await fixture.wait_for_status("b")
             assert load_count
 
@@ -294,9 +294,9 @@
             read_count = etcd.calls["/v3/kv/range"]
             await until(lambda: etcd.calls["/v3/kv/range"] > read_count + 30)
             assert follower.end_watch is watch_end and not gateway.store_error
-            etcd.faults.hang_watch = 1
-            fixture.server.on_loop(etcd.end_watches)
-            await until(lambda: etcd.faults.hang_watch == 0)
+            etcd.faults.watches_to_hang = 1
+            fixture.server.run_on_loop(etcd.end_watches)
+            await until(lambda: etcd.faults.watches_to_hang == 0)
             await fixture.create("b")
             await fixture.wait_for_status("b")
             assert await fixture.ask(gateway, "a") == 200
@@ -310,8 +310,8 @@
             gateway = await fixture.start_gateway("d0")
             await fixture.wait_for_status("a")
             etcd = fixture.server.etcd
-            kept = {n: etcd.seen(n, etcd.revision) for n in etcd.names}
-            fixture.server.on_loop(etcd.reset)
+            kept = {n: etcd.version_at(n, etcd.revision) for n in etcd.all_keys}
+            fixture.server.run_on_loop(etcd.reset)
             await until(lambda: "began anew" in gateway.store_error)
             assert await fixture.ask(gateway, "a") == 200
             # The state of another installation in the same etcd is not followed either.
@@ -325,7 +325,7 @@
                     if version is not None and not version.lease:
                         etcd.put({"key": encoded(name), "value": encoded(version.value or b"")})
 
-            fixture.server.on_loop(restore)
+            fixture.server.run_on_loop(restore)
             await until(lambda: not gateway.store_error)
             await fixture.create("b")
             await fixture.wait_for_status("b")
@@ -345,7 +345,7 @@
         async with etcd_installation(tmp_path, "a") as fixture:
             gateway = await fixture.start_gateway("d0")
             await fixture.wait_for_status("a")
-            fixture.server.etcd.faults.slow = 0.3
+            fixture.server.etcd.faults.delay = 0.3
             began = time.monotonic()
             for _ in range(50):
                 assert await fixture.ask(gateway, "a") == 200
