--- a/tests/hosting/fixtures.py
+++ b/tests/hosting/fixtures.py
@@ -17,7 +17,7 @@
 from ivymux.hosting.hosting_gateway import HostingGateway
 from ivymux.hosting.site import read_hosting
 from ivymux.tenants.model import Tenant
-from standins.worker import Fleet, Plan, Worker, ordinary
+from standins.worker import ExecutionRecord, Responder, Worker, reply_normally
 from tests.service.doors import Got, read_answer, request
 from tests.tenants.making import tenant
 
@@ -48,9 +48,11 @@
     tenants: dict[str, TenantFixture] = field(default_factory=dict)
     workers: list[Worker] = field(default_factory=list)
 
-    async def add(self, name: str, plan: Plan = ordinary, uid: str = "", **options: Any) -> TenantFixture:
+    async def add(
+        self, name: str, plan: Responder = reply_normally, uid: str = "", **options: Any
+    ) -> TenantFixture:
         """Create a tenant with a worker; the gateway applies it with its next read of the store."""
-        worker = await Worker(Fleet(), plan).start()
+        worker = await Worker(ExecutionRecord(), plan).start()
         self.workers.append(worker)
         state, blobs, key = tenant(name, [worker.port], **options)
         added = TenantFixture(name, uid or f"uid-{name}", state, blobs, key, worker)
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -20,7 +20,7 @@
 from ivymux.hosting.hosting_gateway import HostingGateway
 from ivymux.hosting.site import read_hosting
 from standins.etcd import EtcdServer, Faults, etcd_server
-from standins.worker import Fleet, Worker
+from standins.worker import ExecutionRecord, Worker
 from tests.desired.etcd_fixtures import access, begin
 from tests.desired.store_contract import change
 from tests.service.doors import read_answer, request
@@ -41,7 +41,7 @@
     revisions: dict[str, int] = field(default_factory=dict)
 
     async def create(self, name: str, uid: str = "", **options: Any) -> int:
-        worker = await Worker(Fleet()).start()
+        worker = await Worker(ExecutionRecord()).start()
         self.workers.append(worker)
         state, blobs, self.keys[name] = tenant(name, [worker.port], **options)
         expected = self.revisions.get(name, 0)
--- a/tests/hosting/test_hosting_gateway.py
+++ b/tests/hosting/test_hosting_gateway.py
@@ -32,10 +32,10 @@
             a, b = fixture.tenants["a"], fixture.tenants["b"]
             for hosted in (a, b):
                 got = await fixture.ask(hosted)
-                assert got.status == 200 and hosted.worker.fleet.seen.total() == 1
+                assert got.status == 200 and hosted.worker.record.received.total() == 1
             for host in ("A.Example", "a.example.", "a.example:80", "a.example.:8080"):
                 assert (await fixture.ask(a, Host=host)).status == 200
-            before = b.worker.fleet.seen.total()
+            before = b.worker.record.received.total()
             # The host name of another tenant with the own key, and the reverse.
             got = await fixture.ask(a, Host=b.host)
             assert got.status == 401 and b"a.example" not in got.body and b"uid" not in got.body
@@ -50,7 +50,7 @@
                 tenants = fixture.gateway.tenants
                 assert tenants[a.uid].share.connections == 0
                 assert tenants[b.uid].share.connections == 1
-            assert b.worker.fleet.seen.total() == before + 1
+            assert b.worker.record.received.total() == before + 1
             await until(lambda: not tenants[b.uid].share.connections)
             assert {r.share.open for r in tenants.values()} == {0}
 
@@ -62,7 +62,7 @@
         async with hosting(tmp_path, "a", rate=4.0) as fixture:
             a = fixture.tenants["a"]
             await asyncio.gather(*(fixture.ask(a) for _ in range(40)))
-            used = a.worker.fleet.runs.total()
+            used = a.worker.record.executions.total()
             assert used < 20
             hosted_tenant = fixture.gateway.tenants[a.uid]
             first = hosted_tenant.generation
@@ -74,7 +74,7 @@
             assert hosted_tenant.generation is not first and hosted_tenant.generation is not None
             await asyncio.gather(*(fixture.ask(a) for _ in range(40)))
             assert (
-                a.worker.fleet.runs.total() < used + 12
+                a.worker.record.executions.total() < used + 12
             )  # no second burst, only the rate of the elapsed seconds
             assert (await fixture.ask(a, key=shown)).status in (200, 429)
             hosted_tenant.close_idle_generations()
@@ -141,10 +141,10 @@
     async def test() -> None:
         async with hosting(tmp_path, "a", "b") as fixture:
             a = fixture.tenants["a"]
-            a.worker.plan = lambda seen: Reply(delay=0.5)
+            a.worker.respond = lambda seen: Reply(delay=0.5)
             hosted_tenant = fixture.gateway.tenants[a.uid]
             slow = [asyncio.ensure_future(fixture.ask(a)) for _ in range(4)]
-            await until(lambda: sum(a.worker.fleet.out.values()) == 4)
+            await until(lambda: sum(a.worker.record.outstanding.values()) == 4)
             async with connect(fixture.gateway) as client:
                 fixture.put(a, None)
                 await fixture.gateway.follow()
@@ -166,7 +166,7 @@
                 and hosted_tenant.frontend is None
             )
             await until(lambda: not a.worker.connections)
-            assert a.worker.fleet.seen.total() == 4
+            assert a.worker.record.received.total() == 4
             assert set(fixture.gateway.tenants) == {"uid-b", "uid-second"}
 
     run(test())
@@ -220,11 +220,11 @@
             limits = TenantLimits(requests=1.0, burst=5.0, open=3, connections=4, held_mb=0.05)
             a, b = await fixture.add("a", limits=limits), fixture.tenants["b"]
             await fixture.gateway.follow()
-            a.worker.plan = lambda seen: Reply(delay=0.3)
+            a.worker.respond = lambda seen: Reply(delay=0.3)
             got = await asyncio.gather(*(fixture.ask(a) for _ in range(4)))
             assert sorted(g.status for g in got) == [200, 200, 200, 429]  # limit of open requests
             assert all(g.header("retry-after") for g in got if g.status == 429)
-            a.worker.plan = lambda seen: Reply()
+            a.worker.respond = lambda seen: Reply()
             got = [await fixture.ask(a) for _ in range(5)]
             assert [g.status for g in got][-1] == 429  # limit of requests per second
             assert (await fixture.ask(b)).status == 200
@@ -331,7 +331,7 @@
             is_done = True
             assert set(got) == {200}
             await asyncio.gather(*slow_clients)
-            assert a.worker.fleet.seen.total() == 0
+            assert a.worker.record.received.total() == 0
             shares = [r.share for r in fixture.gateway.tenants.values()]
             await until(lambda: not any(s.connections for s in shares))
             assert (
@@ -359,7 +359,7 @@
             async with connect(fixture.gateway) as client:
                 got = await client.raw(b"GET /" + b"x" * 65_536 + b" HTTP/1.1\r\n" + host + b"\r\n")
                 assert got.status in (400, 414)
-            assert a.worker.fleet.seen.total() == 0
+            assert a.worker.record.received.total() == 0
             share = fixture.gateway.tenants[a.uid].share
             await until(lambda: not share.connections)
             assert (share.open, share.held_bytes, share.admitted) == (0, 0, 0)
@@ -426,7 +426,7 @@
                 assert (await fixture.ask(a)).status == 200
             for _, writer in open_connections:
                 writer.close()
-            assert a.worker.fleet.seen.total() == 5
+            assert a.worker.record.received.total() == 5
 
     run(test())
 
--- a/tests/hosting/test_places.py
+++ b/tests/hosting/test_places.py
@@ -15,7 +15,7 @@
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants.model import InventoryRef, digest
 from ivymux.tenants.places import AddressRules
-from standins.worker import Fleet
+from standins.worker import ExecutionRecord
 from standins.worker import Worker as StandIn
 from tests.admin.calling import calling
 from tests.hosting.fixtures import HostingFixture, TenantFixture, hosting
@@ -102,7 +102,7 @@
     async def test() -> None:
         async with hosting(tmp_path, "a", "b", follow=0.02) as fixture:
             a, b = fixture.tenants["a"], fixture.tenants["b"]
-            second = await StandIn(Fleet()).start()
+            second = await StandIn(ExecutionRecord()).start()
             fixture.workers.append(second)
             many = [Worker(f"h{n}", f"h{n}.example", 9) for n in range(50)]
             put_inventory(
--- a/tests/hosting/test_redis_counters.py
+++ b/tests/hosting/test_redis_counters.py
@@ -9,7 +9,7 @@
 from ivymux.hosting.site import read_hosting
 from ivymux.service.site import SiteError, read_site
 from standins.redis import RedisDeployment
-from standins.worker import ordinary
+from standins.worker import reply_normally
 from tests.hosting.fixtures import hosting
 from tests.service.doors import ask, site_text, standing
 from tests.sockets import run, until
@@ -24,7 +24,7 @@
         deployment = await RedisDeployment(password="word").start()
         (tmp_path / "word").write_text("word\n")
         tally = table(deployment, ', password_file = "word"') + "timeout = 0.1"
-        async with standing(tmp_path, [ordinary], tally=tally, plan="rate = 20.0\nburst = 20") as place:
+        async with standing(tmp_path, [reply_normally], tally=tally, plan="rate = 20.0\nburst = 20") as place:
             assert [(await ask(place, "GET /read/7")).status for _ in range(30)].count(200) in range(20, 24)
             assert deployment.master.data and all(key.startswith(b"t:") for key in deployment.master.data)
             deployment.stop()
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -519,13 +519,13 @@
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
             leaving = setup.workers[11]
-            await until(lambda: leaving.last is not None)
+            await until(lambda: leaving.last_request is not None)
             setup.write(write_sheet(setup.fleet(11)))
             await setup.poll()
-            before = leaving.fleet.seen.total()
+            before = leaving.record.received.total()
             served = setup.served
             await until(lambda: setup.served > served + 200)
-            assert leaving.fleet.seen.total() == before  # no request after the change
+            assert leaving.record.received.total() == before  # no request after the change
 
     run(test())
 
@@ -540,7 +540,7 @@
             leaving = setup.workers[11]
             answered, held = asyncio.Event(), list[str]()
 
-            def hold_writes(worker: stand.Worker, seen: stand.Seen) -> stand.Reply:
+            def hold_writes(worker: stand.Worker, seen: stand.ReceivedRequest) -> stand.Reply:
                 # Only writes are held: a slow read is retried at another worker.
                 if seen.method != "POST":
                     return stand.Reply()
@@ -549,7 +549,7 @@
                 return stand.Reply(gate=answered)
 
             for worker in setup.workers:  # all workers hold writes, so that each receives some
-                worker.plan = partial(hold_writes, worker)
+                worker.respond = partial(hold_writes, worker)
 
             async def write() -> int:
                 async with Caller(setup.gateway) as caller:
@@ -559,10 +559,12 @@
             await until(lambda: held)
             setup.write(write_sheet(setup.fleet(11)))
             await setup.poll()
-            assert all(leaving.fleet.out[name] == 1 for name in held)  # still in flight after the removal
+            assert all(
+                leaving.record.outstanding[name] == 1 for name in held
+            )  # still in flight after the removal
             answered.set()
             assert set(await asyncio.gather(*writes)) == {200}
-            assert all(leaving.fleet.runs[name] == 1 for name in held)
+            assert all(leaving.record.executions[name] == 1 for name in held)
 
     run(test())
 
@@ -584,7 +586,7 @@
 
             monkeypatch.setattr(host.upstream, "start_attempt", record_attempt)
             for worker in setup.workers:  # requests are in flight while the addresses are swapped
-                worker.plan = lambda seen: stand.Reply(delay=0.002)
+                worker.respond = lambda seen: stand.Reply(delay=0.002)
             for turn in range(6):  # two workers swap their addresses again and again
                 listed = list(setup.fleet(2).workers)
                 a, b = listed[0], listed[1]
@@ -595,18 +597,19 @@
                 await setup.poll()
                 for number, member in setup.gateway.member_list.members.items():
                     assert host.upstream.pools[number].address == member.address
-                before = [len(w.fleet.seen) for w in setup.workers]
+                before = [len(w.record.received) for w in setup.workers]
                 await until(
                     lambda before=before: all(  # type: ignore[misc]
-                        len(w.fleet.seen) > count + 3 for w, count in zip(setup.workers, before, strict=True)
+                        len(w.record.received) > count + 3
+                        for w, count in zip(setup.workers, before, strict=True)
                     )
                 )
             assert len(host.upstream.pools) == 2
             for worker in setup.workers:
                 # A retried request may have been sent to both workers; each attempt has its own target.
-                got = [name for name, _ in meant if worker.fleet.seen[name]]
+                got = [name for name, _ in meant if worker.record.received[name]]
                 assert len(got) > 20
-                assert all(worker.fleet.seen[name] <= meant[name, worker.port] for name in got)
+                assert all(worker.record.received[name] <= meant[name, worker.port] for name in got)
 
     run(test())
 
--- a/tests/service/doors.py
+++ b/tests/service/doors.py
@@ -12,7 +12,7 @@
 
 from ivymux.service.callers import hash_key
 from ivymux.service.standalone import Standalone, open_standalone
-from standins.worker import Fleet, Plan, Worker, ordinary
+from standins.worker import ExecutionRecord, Responder, Worker, reply_normally
 from tests.routes.describing import described, operation
 
 KEY = "iv_test-key"
@@ -44,7 +44,7 @@
     door: Standalone
     folder: Path
     workers: list[Worker]
-    fleet: Fleet
+    fleet: ExecutionRecord
 
     def describe(self, document: Any) -> None:
         data = document if isinstance(document, bytes) else json.dumps(document).encode()
@@ -55,9 +55,9 @@
 
 @contextlib.asynccontextmanager
 async def standing(
-    folder: Path, plans: Sequence[Plan] = (ordinary,), document: Any = None, **site: str
+    folder: Path, plans: Sequence[Responder] = (reply_normally,), document: Any = None, **site: str
 ) -> AsyncIterator[Place]:
-    fleet = Fleet()
+    fleet = ExecutionRecord()
     workers = [await Worker(fleet, plan, bay=n % 2).start() for n, plan in enumerate(plans)]
     document = document or described(PATHS)
     (folder / "api.json").write_bytes(
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from standins.worker import Reply, Seen, answer
+from standins.worker import ReceivedRequest, Reply, encode_answer
 from tests.routes.describing import described, operation
 from tests.sockets import run, until
 
@@ -18,10 +18,10 @@
 
 
 def test_a_request_is_served_and_headers_pass_both_ways(tmp_path: Path) -> None:
-    def plan(seen: Seen) -> Reply:
+    def plan(seen: ReceivedRequest) -> Reply:
         fields = "X-Own: 1\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\nServer-Load: TEXT queue=1\r\n"
         fields += "Connection: X-Hop\r\nX-Hop: secret\r\nKeep-Alive: timeout=5"
-        return Reply(data=answer(418, b"tea", fields))
+        return Reply(data=encode_answer(418, b"tea", fields))
 
     async def test() -> None:
         async with standing(tmp_path, [plan]) as place:
@@ -31,7 +31,7 @@
             assert (got.status, got.body, got.header("x-own")) == (418, b"tea", "1")
             assert [v for k, v in got.headers if k.lower() == "set-cookie"] == ["a=1", "b=2"]
             assert not any(got.header(n) for n in ("x-hop", "keep-alive", "server-load", "connection"))
-            seen = place.workers[0].last
+            seen = place.workers[0].last_request
             assert seen is not None and (seen.method, seen.target) == ("GET", b"/read/7?x=%41")
             assert (seen.header("x-extra"), seen.header("host")) == ("e", "h.example")
             assert seen.header("ivymux-customer") == "c" and len(seen.header("request-id")) == 16
@@ -46,14 +46,14 @@
         lies |= {"X_Original_URL": "/admin", "Ivymux_Customer": "other", "X_Forwarded_Host": "evil"}
         async with standing(tmp_path) as place:
             await ask(place, "GET /read/7", **lies)
-            seen = place.workers[0].last
+            seen = place.workers[0].last_request
             assert seen is not None and seen.header("x-forwarded-for") == "127.0.0.1"
             assert seen.header("forwarded") == 'for=127.0.0.1;host="h.example";proto=http'
             assert seen.header("x-forwarded-host") == "h.example" and seen.header("ivymux-customer") == "c"
             assert not any(b"6.6.6.6" in v or b"/admin" in v for _, v in seen.headers)
         async with standing(tmp_path, top='trusted_proxies = ["127.0.0.0/8"]') as place:
             await ask(place, "GET /read/7", **lies)
-            seen = place.workers[0].last
+            seen = place.workers[0].last_request
             assert seen is not None and seen.header("x-forwarded-for") == "6.6.6.6, 127.0.0.1"
             assert seen.header("forwarded").startswith("for=6.6.6.6, for=127.0.0.1")
             assert seen.header("ivymux-customer") == "c" and not seen.header("x-original-url")
@@ -87,13 +87,13 @@
                 got = await caller.raw(data)
             assert got.status == status
             if status >= 400:
-                assert got.problem["detail"] and not place.fleet.seen
+                assert got.problem["detail"] and not place.fleet.received
             if status in (204, 405):
                 assert got.header("allow").split(", ")[-1] in ("PUT", "POST")
             if status == 401:
                 assert got.header("www-authenticate").startswith("ApiKey")
             if "other" in line:
-                seen = place.workers[0].last
+                seen = place.workers[0].last_request
                 assert seen is not None and (seen.target, seen.header("host")) == (
                     b"/read/7",
                     "other.example",
@@ -107,7 +107,7 @@
         async with standing(tmp_path) as place:
             form = {"Content_Type": "application/x-www-form-urlencoded; charset=utf-8"}
             got = await ask(place, "POST /keyed", b"a=1&%5Fmethod=delete", Idempotency_Key="k", **form)
-            assert got.status == 400 and not place.fleet.seen
+            assert got.status == 400 and not place.fleet.received
             assert (await ask(place, "POST /write", b"_method=delete", **form)).status == 200
             assert (await ask(place, "POST /keyed", b"_method=delete", Idempotency_Key="k")).status == 200
 
@@ -120,7 +120,7 @@
             data = request("GET /read/7").replace(b"\r\n\r\n", b"\r\nX_Http_Method_Override: DELETE\r\n\r\n")
             async with Caller(place.door) as caller:
                 assert (await caller.raw(data)).status == 200
-            seen = place.workers[0].last
+            seen = place.workers[0].last_request
             assert seen is not None and not any(b"_" in name for name, _ in seen.headers)
 
     run(test())
@@ -131,7 +131,7 @@
         async with standing(tmp_path, limits="body_kb = 64") as place:
             assert (await ask(place, "POST /write", b"x" * 65_537)).status == 413
             assert (await ask(place, "POST /write", b"y" * 65_536)).status == 200
-            seen = place.workers[0].last
+            seen = place.workers[0].last_request
             assert seen is not None and seen.body == b"y" * 65_536
 
     run(test())
@@ -150,7 +150,7 @@
             assert 1 <= int(got.header("retry-after")) <= 4  # 8 units come in 4 s
             got = await ask(place, "GET /a?limit=11")
             assert got.status == 403 and "11 units" in got.problem["detail"]
-            assert sum(place.fleet.seen.values()) == 1
+            assert sum(place.fleet.received.values()) == 1
 
     run(test())
 
@@ -158,14 +158,14 @@
 @pytest.mark.parametrize(
     ("reply", "line", "status", "runs"),
     [
-        (Reply(data=answer(500, b"mine")), "GET /read/7", 500, 3),
-        (Reply(data=answer(500, b"mine")), "POST /write", 500, 1),
+        (Reply(data=encode_answer(500, b"mine")), "GET /read/7", 500, 3),
+        (Reply(data=encode_answer(500, b"mine")), "POST /write", 500, 1),
         (Reply(reset=True), "GET /read/7", 502, 3),
         (Reply(reset=True), "POST /write", 502, 1),
         (Reply(delay=60.0), "GET /slow", 504, 1),
-        (Reply(run=False, data=answer(503, headers="Not-Started: 1")), "POST /write", 503, 0),
-        (Reply(data=answer(503, b"later", "Retry-After: 7")), "POST /write", 503, 1),
-        (Reply(data=answer(404, b"gone")), "POST /write", 404, 1),
+        (Reply(execute=False, data=encode_answer(503, headers="Not-Started: 1")), "POST /write", 503, 0),
+        (Reply(data=encode_answer(503, b"later", "Retry-After: 7")), "POST /write", 503, 1),
+        (Reply(data=encode_answer(404, b"gone")), "POST /write", 404, 1),
     ],
 )
 def test_troubles_of_workers_end_as_what_they_are(
@@ -174,9 +174,9 @@
     async def test() -> None:
         async with standing(tmp_path, [lambda seen: reply] * 3) as place:
             got = await ask(place, line, Request_Id="r1")
-            assert got.status == status and place.fleet.runs["r1"] <= runs
+            assert got.status == status and place.fleet.executions["r1"] <= runs
             if runs == 1:
-                assert place.fleet.runs["r1"] == 1
+                assert place.fleet.executions["r1"] == 1
             if reply.data and b"Not-Started" not in reply.data:
                 assert got.body == reply.data.partition(b"\r\n\r\n")[2]  # the worker's own words
             else:
@@ -196,8 +196,9 @@
         ("GET /read/7", b"HTTP/1.1 204 X\r\nContent-Length: 3\r\n\r\n", 204, "", False),
         ("GET /read/7", b"HTTP/1.1 204 X\r\nContent-Length: 3\r\n\r\nabc", 204, "", False),
         ("GET /read/7", b"HTTP/1.1 304 X\r\nContent-Length: 50\r\nETag: x\r\n\r\n", 304, "50", True),
-        ("GET /read/7", b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + answer(200, b"good"), 200, "4", True),
-        ("GET /read/7", b"HTTP/1.1 100 Continue\r\n\r\n" + answer(200, b"good"), 200, "4", True),
+        ("GET /read/7", b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + encode_answer(200, b"good"),
+         200, "4", True),
+        ("GET /read/7", b"HTTP/1.1 100 Continue\r\n\r\n" + encode_answer(200, b"good"), 200, "4", True),
         ("GET /read/7", b"HTTP/1.1 200 X\r\n\r\nto the end", 200, "10", False),
     ],
 )  # fmt: skip
@@ -206,7 +207,7 @@
 ) -> None:
     to_the_end = data.endswith(b"to the end")
 
-    def plan(seen: Seen) -> Reply:
+    def plan(seen: ReceivedRequest) -> Reply:
         return Reply(data=data, close=to_the_end)
 
     async def test() -> None:
@@ -216,7 +217,7 @@
                     got = await caller.ask(line)
                     assert (got.status, got.header("content-length")) == (status, length)
                     assert not got.header("transfer-encoding")
-            assert (place.workers[0].opened == 1) is again
+            assert (place.workers[0].accepted_connections == 1) is again
 
     run(test())
 
@@ -233,8 +234,8 @@
     ],
 )
 def test_an_answer_with_two_readings_is_none(tmp_path: Path, head: bytes) -> None:
-    def plan(seen: Seen) -> Reply:
-        return Reply(data=head + b"4\r\nHTTP\r\n0\r\n\r\n" + answer(200, b"another's"))
+    def plan(seen: ReceivedRequest) -> Reply:
+        return Reply(data=head + b"4\r\nHTTP\r\n0\r\n\r\n" + encode_answer(200, b"another's"))
 
     async def test() -> None:
         async with standing(tmp_path, [plan]) as place:
@@ -242,7 +243,7 @@
                 for _ in range(3):
                     got = await caller.ask("POST /write")
                     assert got.status == 502 and b"another" not in got.body
-            assert place.workers[0].opened == 3
+            assert place.workers[0].accepted_connections == 3
 
     run(test())
 
@@ -269,7 +270,7 @@
                 got = await caller.raw(data)
                 assert got.status in (400, 501)
                 rest = await caller.reader.read()
-            assert rest.count(b"HTTP/1.1 200") <= 1 and not place.fleet.seen
+            assert rest.count(b"HTTP/1.1 200") <= 1 and not place.fleet.received
 
     run(test())
 
@@ -280,7 +281,7 @@
             data = request("POST /write").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
             async with Caller(place.door) as caller:
                 got = await caller.raw(data + b"3\r\nabc\r\n0\r\nX-API-Key: other\r\n\r\n")
-            seen = place.workers[0].last
+            seen = place.workers[0].last_request
             assert got.status == 200 and seen is not None
             assert (seen.body, seen.header("content-length")) == (b"abc", "3")
             assert not seen.header("transfer-encoding") and not seen.header("x-api-key")
@@ -310,7 +311,7 @@
                 caller.writer.write_eof()
                 await caller.reader.read()
             await until(lambda: not place.door.server.clients)
-            assert not place.fleet.seen and place.door.server.held_bytes == 0
+            assert not place.fleet.received and place.door.server.held_bytes == 0
 
     run(test())
 
@@ -328,11 +329,11 @@
             caller = Caller(place.door)
             await caller.__aenter__()
             caller.writer.write(request("POST /write", b"x" * 1000))
-            await until(lambda: place.fleet.seen)
+            await until(lambda: place.fleet.received)
             reset(caller)
             await until(lambda: not place.door.host.requests)
             assert place.door.server.held_bytes == 0 and not any(place.door.classes.held)
-            assert max(place.fleet.runs.values()) == 1
+            assert max(place.fleet.executions.values()) == 1
 
     run(test())
 
@@ -345,7 +346,7 @@
         async with standing(tmp_path, [lambda seen: Reply(delay=20.0)]) as place:
             async with Caller(place.door) as caller:
                 caller.writer.write(request(line))
-                await until(lambda: place.fleet.seen)
+                await until(lambda: place.fleet.received)
                 reset(caller)  # a close alone may be the end of its sending, behind which it still reads
             host = place.door.host
             await until(lambda: host.departures.requests)
@@ -357,7 +358,7 @@
 
 
 def test_clients_that_do_not_read_their_answers_give_way(tmp_path: Path) -> None:
-    big = answer(200, b"z" * (1 << 20))
+    big = encode_answer(200, b"z" * (1 << 20))
 
     async def test() -> None:
         limits = "answer_kb = 2048\nmemory_mb = 128"
@@ -368,7 +369,7 @@
                 await caller.__aenter__()
                 caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 caller.writer.write(request("GET /read/1") * 4)
-            await until(lambda: place.fleet.seen.total() >= most)
+            await until(lambda: place.fleet.received.total() >= most)
             await until(lambda: len(place.door.server.clients) <= most)
             assert len(place.door.server.slow_readers) <= most
             assert (await ask(place, "GET /read/1")).status == 200
@@ -383,11 +384,11 @@
         async with standing(tmp_path) as place:
             assert (await ask(place, "GET /-/ready", b"", "")).body == b"ready\n"
             await ask(place, "GET /read/7", Request_Id="mine-1")
-            seen = place.workers[0].last
+            seen = place.workers[0].last_request
             assert seen is not None and seen.header("request-id") == "mine-1"
             await ask(place, "GET /read/7", Request_Id="a b\tc")
-            assert place.workers[0].last is not None
-            assert len(place.workers[0].last.header("request-id")) == 16
+            assert place.workers[0].last_request is not None
+            assert len(place.workers[0].last_request.header("request-id")) == 16
 
     run(test())
 
@@ -410,7 +411,7 @@
             assert (await ask(place, "GET /read/1", Authorization="Bearer iv_test-key")).status == 200
             assert (await ask(place, "GET /read/1", Authorization="bearer  iv_test-key")).status == 200
             assert (await ask(place, "GET /read/1", Authorization="Basic iv_test-key")).status == 401
-            seen = place.workers[0].last
+            seen = place.workers[0].last_request
             assert seen is not None and not seen.header("authorization")
             await asyncio.sleep(0)
 
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -22,7 +22,7 @@
     reader,
 )  # fmt: skip
 from ivymux.service.standalone import open_standalone
-from standins.worker import Reply, Seen, Worker
+from standins.worker import ReceivedRequest, Reply, Worker
 from tests.routes.describing import described, operation
 from tests.sockets import run, until
 from tests.test_text import bomb
@@ -66,14 +66,14 @@
             gate.set()
             return taken
 
-        def plan(seen: Seen) -> Reply:
+        def plan(seen: ReceivedRequest) -> Reply:
             if len(held) == 0:
                 held.append(seen)
                 tasks.append(asyncio.ensure_future(change(box[0])))
                 return Reply(delay=60.0)  # silent; the test ends its connection
             return Reply()
 
-        held: list[Seen] = []
+        held: list[ReceivedRequest] = []
         box: list[Place] = []
         async with standing(tmp_path, [plan] * 3, document(before), description="watch = 0") as place:
             box.append(place)
@@ -83,15 +83,15 @@
                 assert await tasks[0]
                 for worker in place.workers:  # the first attempt may have run
                     for connection in list(worker.connections):
-                        if connection.out == "r" and connection.transport is not None:
+                        if connection.outstanding_id == "r" and connection.transport is not None:
                             connection.transport.abort()
                 from .doors import read_answer
 
                 got = await read_answer(caller.reader)
             if before == "unsafe":
-                assert got.status == 502 and place.fleet.seen["r"] == 1
+                assert got.status == 502 and place.fleet.received["r"] == 1
             else:
-                assert got.status == 200 and place.fleet.seen["r"] == 2
+                assert got.status == 200 and place.fleet.received["r"] == 2
             assert not any(place.door.classes.held)
 
     run(test())
@@ -257,7 +257,7 @@
             site.write_text(text.replace('name = "w0"', 'name = "other"'))
             await place.door.reload()
             assert (await ask(place, "GET /read/1")).status == 200
-            assert other.last is not None and place.workers[0].last is None
+            assert other.last_request is not None and place.workers[0].last_request is None
             (known,) = place.door.member_list.members.values()
             assert known.worker.name == "other" and known.since > 0  # it begins cold
             site.write_text(site.read_text().replace("sha256:", "sha256:00", 1)[:-2])
@@ -306,7 +306,7 @@
         async with standing(tmp_path, [lambda seen: Reply(delay=0.3)]) as place:
             async with Caller(place.door) as caller:
                 caller.writer.write(request("POST /write"))
-                await until(lambda: place.fleet.seen)
+                await until(lambda: place.fleet.received)
                 draining = asyncio.ensure_future(place.door.drain())
                 from .doors import read_answer
 
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -14,7 +14,7 @@
 
 from ivymux.data_plane.frontend import Call
 from orchidhill.interface import Effect
-from standins.worker import Reply, Seen, troubled
+from standins.worker import ReceivedRequest, Reply, random_faults
 from tests.pauses import Pauses
 from tests.routes.describing import compiled, described, operation
 
@@ -52,9 +52,9 @@
         self.swaps = self.spoilt = 0
 
     def plan(self, seed: int) -> Any:
-        trouble = troubled(random.Random(seed))
+        trouble = random_faults(random.Random(seed))
 
-        def plan(seen: Seen) -> Reply:
+        def plan(seen: ReceivedRequest) -> Reply:
             reply = trouble(seen)
             if reply.data is not None and b"Not-Started" in reply.data:
                 self.not_started[seen.header("request-id")] += 1
@@ -163,7 +163,7 @@
     assert door.host.decision_module.settings.classes == tuple(door.classes.listed)
     repeated = 0
     for name, effect in storm.effects.items():
-        runs, seen = fleet.runs[name], fleet.seen[name]
+        runs, seen = fleet.executions[name], fleet.received[name]
         if effect is Effect.UNSAFE:
             # Sent again only where the worker said that it did not start.
             assert runs <= 1 and seen - storm.not_started[name] <= 1, (name, runs, seen)
@@ -174,8 +174,8 @@
             repeated += runs > 1
     kinds = Counter(storm.effects.values())
     assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # the storm had all of it
-    assert not fleet.together  # never two attempts out at once
-    assert not any(name.startswith("half-") for name in fleet.seen)
+    assert not fleet.overlapping  # never two attempts out at once
+    assert not any(name.startswith("half-") for name in fleet.received)
     assert not any(door.classes.held) and door.server.held_bytes == 0 and door.host.unanswered_count == 0
     assert len(door.classes.listed) < 60  # numbers are used again
-    assert not any(worker.malformed for worker in place.workers)
+    assert not any(worker.malformed_requests for worker in place.workers)
--- a/tests/tally/four.py
+++ b/tests/tally/four.py
@@ -15,7 +15,7 @@
 from ivymux.service.callers import hash_key
 from ivymux.service.standalone import Standalone, load_site
 from standins.tally import Counts, Gate
-from standins.worker import Reply, Seen, Worker
+from standins.worker import ReceivedRequest, Reply, Worker
 from tests.routes.describing import described, operation
 from tests.service.doors import Caller
 
@@ -141,11 +141,11 @@
     counts = Counts()
     cluster = FourGateways([], [], [], counts, folder, loop.time())
 
-    def plan(seen: Seen) -> Reply:
+    def plan(seen: ReceivedRequest) -> Reply:
         cluster.run_times[seen.header("ivymux-customer")].append(cluster.now)
         return Reply(delay=0.005)
 
-    cluster.workers = [await Worker(plan=plan).start() for _ in range(4)]
+    cluster.workers = [await Worker(respond=plan).start() for _ in range(4)]
     cluster.gates = [await Gate(counts).start() for _ in range(GATEWAY_COUNT)]
     (folder / "api.json").write_text(json.dumps(described(PATHS)))
     listed = list(customers)
