--- a/bench/trials.py
+++ b/bench/trials.py
@@ -152,7 +152,7 @@
         for service in SERVICES:
             for n in range(backends):
                 made = await cluster.start_backend(f"i-{service}-{n}", service)
-                made.work = 0.01
+                made.work_s = 0.01
         await cluster.put_configuration(self.document())
         for door in cluster.proxy_ips:
             await cluster.wait_until_ready(door)
@@ -255,7 +255,10 @@
         made.over = True
         await asyncio.gather(*asking)
         made.effects = Counter(
-            ran.target.rpartition("/")[2] for b in cluster.backends for ran in b.ran if ran.method == "POST"
+            ran.target.rpartition("/")[2]
+            for b in cluster.backends
+            for ran in b.executed
+            if ran.method == "POST"
         )
     return made
 
--- a/ivymux/simulation/conversation_load.py
+++ b/ivymux/simulation/conversation_load.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ivymux.simulation.local_cluster import LocalCluster
-from standins.backend import Backend, Ran
+from standins.backend import Backend, ExecutedRequest
 
 HOST = "minutes.example"
 SERVICES = ("archive", "desk", "store")  # the first serves reads, the others actions
@@ -180,7 +180,7 @@
                 group.create_task(self.run_conversation(number, partner, end))
         await faults
         for backend in self.cluster.backends:
-            for ran in backend.ran:
+            for ran in backend.executed:
                 if key := ran.headers.get("idempotency-key"):
                     self.record.effect_counts[key] += 1
 
@@ -204,14 +204,14 @@
 
     def add_backend(self, backend: Backend) -> None:
         """Include a started backend in the test and record its effects."""
-        backend.work = self.settings.work_s
+        backend.work_s = self.settings.work_s
         self.backends[backend.service].append(backend)
         self.record.backend_lifetimes[backend.instance] = [self.now()]
-        backend.plan = lambda ran, backend=backend: self.on_run(ran, backend)  # type: ignore[misc]
+        backend.make_answer = lambda ran, backend=backend: self.on_run(ran, backend)  # type: ignore[misc]
 
-    def on_run(self, ran: Ran, backend: Backend) -> bytes | None:
+    def on_run(self, request: ExecutedRequest, backend: Backend) -> bytes | None:
         """Record an action's effect; None lets the backend answer as usual."""
-        if (name := ran.headers.get("x-conversation")) and "idempotency-key" in ran.headers:
+        if (name := request.headers.get("x-conversation")) and "idempotency-key" in request.headers:
             effect = self.now(), backend.instance
             self.record.effects[f"{name} {backend.service}"].append(effect)
         return None
--- a/ivymux/simulation/local_cluster.py
+++ b/ivymux/simulation/local_cluster.py
@@ -190,7 +190,7 @@
 
     async def send_heartbeat(self, backend: Backend, state: str = "in_service") -> None:
         """Send one heartbeat to one core machine after another until one accepts it."""
-        body = backend.beat(state)
+        body = backend.heartbeat_body(state)
         for ip in self.core_ips:
             status, _ = await self.call_core("PUT", ip, f"/instances/{backend.instance}", body)
             if status == 200:
@@ -199,7 +199,7 @@
     async def replace_backend(self, old: Backend, instance: str) -> Backend:
         """Start a backend for the same service, quiesce the old one and remove it after `QUIESCE_S`."""
         new = await self.start_backend(instance, old.service)
-        new.work = old.work
+        new.work_s = old.work_s
         self.heartbeat_tasks.pop(old.instance).cancel()
         await self.send_heartbeat(old, "quiescing")
         asyncio.get_running_loop().call_later(QUIESCE_S, self.start_removal, old)
--- a/ivymux/simulation/replay.py
+++ b/ivymux/simulation/replay.py
@@ -53,7 +53,7 @@
 HANG_TIMEOUT_S = 60.0  # after a day's last event
 
 
-class HistoryWatcher(standin.Watcher):
+class HistoryObserver(standin.RequestObserver):
     """Records the requests of one backend, and spoils its next answers as ordered."""
 
     def __init__(self, player: Player, name: str, service: str) -> None:
@@ -61,21 +61,21 @@
         self.pending_faults: list[str] = []  # one for each of the next requests
         self.faults: dict[str, str] = {}  # by request id
 
-    def arrived(self, ran: standin.Ran) -> float:
+    def on_request(self, request: standin.ExecutedRequest) -> float:
         fault = self.pending_faults.pop(0) if self.pending_faults else ""
-        self.faults[ran.id] = fault
+        self.faults[request.id] = fault
         extra_work_s = SLOW_WORK_S if fault == "slow" else 0.0
-        remaining_ms = ran.headers.get("time-remaining")
+        remaining_ms = request.headers.get("time-remaining")
         self.player.observations.append(
             BackendRun(
                 at=self.player.now(),
-                id=ran.id,
+                id=request.id,
                 service=self.service,
                 backend=self.name,
-                method=ran.method,
-                target=ran.target,
-                tenant=ran.headers.get("tenant-name", ""),
-                key="authorization" in ran.headers,
+                method=request.method,
+                target=request.target,
+                tenant=request.headers.get("tenant-name", ""),
+                key="authorization" in request.headers,
                 done=fault != "full",
                 remaining=int(remaining_ms) / 1000 if remaining_ms else -1.0,
                 work=self.player.day.work + extra_work_s,
@@ -83,18 +83,18 @@
         )
         return extra_work_s
 
-    def ended(self, ran: standin.Ran, whole: bool) -> None:
-        self.player.observations.append(RunEnd(self.player.now(), ran.id, self.name, whole))
+    def on_end(self, request: standin.ExecutedRequest, completed: bool) -> None:
+        self.player.observations.append(RunEnd(self.player.now(), request.id, self.name, completed))
 
-    def plan(self, ran: standin.Ran) -> bytes | None:
+    def make_answer(self, request: standin.ExecutedRequest) -> bytes | None:
         """Return the bytes of a spoilt answer; None for an ordinary one."""
-        fault = self.faults.pop(ran.id, "")
+        fault = self.faults.pop(request.id, "")
         if fault == "lost":
-            return standin.CLOSE
+            return standin.CLOSE_MARKER
         if fault == "unsealed":
-            return standin.Backend.whole(200, ran.id, b"no seal")
+            return standin.Backend.encode_answer(200, request.id, b"no seal")
         if fault == "full":
-            return standin.Backend.whole(503, ran.id, more="Not-Executed: 1\r\n")
+            return standin.Backend.encode_answer(503, request.id, headers="Not-Executed: 1\r\n")
         return None
 
 
@@ -108,7 +108,7 @@
         self.observations: list[Observation] = []
         self.backends: dict[str, standin.Backend] = {}
         self.configurations: dict[int, bytes] = {}  # text by version
-        self.watchers: dict[str, HistoryWatcher] = {}  # by backend
+        self.observers: dict[str, HistoryObserver] = {}  # by backend
 
     def now(self) -> float:
         """Return the seconds since the beginning of the day."""
@@ -144,7 +144,7 @@
             await self.cluster.wait_until_ready(ip)
             await self.cluster.wait_until_served(ip)
         for backend in self.backends.values():
-            backend.ran.clear()
+            backend.executed.clear()
 
     async def perform_at_its_time(self, event: Event) -> None:
         await asyncio.sleep(max(0.0, self.began_at + event.at - self.loop.time()))
@@ -160,7 +160,7 @@
             case QuiesceBackend():
                 await self.quiesce(event.backend, event.stays)
             case SpoilAnswers():
-                self.watchers[event.backend].pending_faults.extend([event.how] * event.count)
+                self.observers[event.backend].pending_faults.extend([event.how] * event.count)
 
     async def kill(self, event: KillMachine) -> None:
         ip = self.machine_ip(event.machine)
@@ -247,9 +247,9 @@
 
     async def start_backend(self, name: str, service: str) -> None:
         backend = self.backends[name] = await self.cluster.start_backend(name, service)
-        backend.work = self.day.work
-        watcher = self.watchers[name] = HistoryWatcher(self, name, service)
-        backend.watcher, backend.plan = watcher, watcher.plan
+        backend.work_s = self.day.work
+        observer = self.observers[name] = HistoryObserver(self, name, service)
+        backend.observer, backend.make_answer = observer, observer.make_answer
 
     async def quiesce(self, name: str, stays_s: float) -> None:
         """Announce that a backend quiesces, and remove it after `stays_s`."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-CLOSE = b"close"
+CLOSE_MARKER = b"close"
 
 
 @dataclass
-class Ran:
+class ExecutedRequest:
     """A request as a backend has run it."""
 
     id: str
@@ -18,17 +18,17 @@
     target: str
     headers: dict[str, str]
     body: bytes
-    by: str
+    instance: str
 
 
-class Watcher:
+class RequestObserver:
     """Hears of each request at a backend; this one does nothing."""
 
-    def arrived(self, ran: Ran) -> float:
+    def on_request(self, request: ExecutedRequest) -> float:
         """A request is there; the seconds that it takes beyond `work`."""
         return 0.0
 
-    def ended(self, ran: Ran, whole: bool) -> None:
+    def on_end(self, request: ExecutedRequest, completed: bool) -> None:
         """Its work is over: by itself (`whole`), or as its connection closed."""
 
 
@@ -40,24 +40,24 @@
     service: str
     host: str
     zone: str
-    plan: Callable[[Ran], bytes | None] = lambda ran: None
-    gate: asyncio.Event | None = None  # an answer waits for it
-    work: float = 0.0  # seconds that a request takes
-    watcher: Watcher = field(default_factory=Watcher)
-    ran: list[Ran] = field(default_factory=list)
+    make_answer: Callable[[ExecutedRequest], bytes | None] = lambda ran: None
+    answer_gate: asyncio.Event | None = None  # an answer waits for it
+    work_s: float = 0.0  # seconds that a request takes
+    observer: RequestObserver = field(default_factory=RequestObserver)
+    executed: list[ExecutedRequest] = field(default_factory=list)
     finished: list[str] = field(default_factory=list)  # ids of requests that were worked on to their end
-    dropped: list[str] = field(default_factory=list)  # and of those whose connection closed meanwhile
+    disconnected: list[str] = field(default_factory=list)  # and of those whose connection closed meanwhile
     misdirected: int = 0
     address: str = ""
     seq: int = 0
     server: asyncio.Server | None = None
-    open: set[asyncio.StreamWriter] = field(default_factory=set)
+    connections: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self, port: int = 0) -> None:
         self.server = await asyncio.start_server(self.serve, self.host, port)
         self.address = f"{self.host}:{self.server.sockets[0].getsockname()[1]}"
 
-    def beat(self, state: str = "in_service") -> dict[str, object]:
+    def heartbeat_body(self, state: str = "in_service") -> dict[str, object]:
         """The body of the next call to the registry."""
         self.seq += 1
         return {
@@ -66,68 +66,74 @@
             "call_seq": self.seq,
         }  # fmt: skip
 
-    def answer(self, ran: Ran) -> bytes:
-        body = f"{self.service} {ran.target}".encode()
-        return self.whole(200, ran.id, body, f"Server-Seal: seal-{ran.id}\r\n")
+    def default_answer(self, request: ExecutedRequest) -> bytes:
+        body = f"{self.service} {request.target}".encode()
+        return self.encode_answer(200, request.id, body, f"Server-Seal: seal-{request.id}\r\n")
 
     @staticmethod
-    def whole(status: int, id: str, body: bytes = b"", more: str = "") -> bytes:
-        head = f"HTTP/1.1 {status} X\r\nTry-Id: {id}\r\n{more}Content-Length: {len(body)}\r\n\r\n"
+    def encode_answer(status: int, id: str, body: bytes = b"", headers: str = "") -> bytes:
+        head = f"HTTP/1.1 {status} X\r\nTry-Id: {id}\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
         return head.encode() + body
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open.add(writer)
-        early = b""  # of the next request
+        self.connections.add(writer)
+        next_request_start = b""  # its first bytes, if they came while a request was worked on
         try:
             while True:
-                head = (early + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-                early = b""
-                first, *lines = head.rstrip("\r\n").split("\r\n")
-                method, target, _ = first.split(" ")
+                head = (next_request_start + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
+                next_request_start = b""
+                request_line, *lines = head.rstrip("\r\n").split("\r\n")
+                method, target, _ = request_line.split(" ")
                 headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                ran = Ran(headers.get("try-id", ""), method, target, headers, body, self.instance)
+                request = ExecutedRequest(
+                    headers.get("try-id", ""), method, target, headers, body, self.instance
+                )
                 if headers.get("target-instance", self.instance) != self.instance:
                     self.misdirected += 1
-                    writer.write(self.whole(421, ran.id, more=f"Instance-Id: {self.instance}\r\n"))
+                    writer.write(
+                        self.encode_answer(421, request.id, headers=f"Instance-Id: {self.instance}\r\n")
+                    )
                     continue
-                self.ran.append(ran)
-                work = self.work + self.watcher.arrived(ran)
-                if work or self.gate is not None:
-                    closed, early = await self.works_until_closed(reader, work)
-                    (self.dropped if closed else self.finished).append(ran.id)
+                self.executed.append(request)
+                seconds = self.work_s + self.observer.on_request(request)
+                if seconds or self.answer_gate is not None:
+                    closed, next_request_start = await self.work_until_disconnect(reader, seconds)
+                    (self.disconnected if closed else self.finished).append(request.id)
                     if closed:
-                        self.watcher.ended(ran, whole=False)
+                        self.observer.on_end(request, completed=False)
                         break
-                self.watcher.ended(ran, whole=True)
-                data = self.plan(ran)
-                writer.write(self.answer(ran) if data is None else data.removesuffix(CLOSE))
-                if data is not None and data.endswith(CLOSE):
+                self.observer.on_end(request, completed=True)
+                data = self.make_answer(request)
+                writer.write(
+                    self.default_answer(request) if data is None else data.removesuffix(CLOSE_MARKER)
+                )
+                if data is not None and data.endswith(CLOSE_MARKER):
                     break
         except (OSError, asyncio.IncompleteReadError, ValueError):
             pass
         finally:
-            self.open.discard(writer)
+            self.connections.discard(writer)
             writer.close()
 
-    async def works(self, seconds: float) -> None:
+    async def do_work(self, seconds: float) -> None:
         if seconds:
             await asyncio.sleep(seconds)
-        if self.gate is not None:
-            await self.gate.wait()
+        if self.answer_gate is not None:
+            await self.answer_gate.wait()
 
-    async def works_until_closed(self, reader: asyncio.StreamReader, seconds: float) -> tuple[bool, bytes]:
+    async def work_until_disconnect(self, reader: asyncio.StreamReader, seconds: float) -> tuple[bool, bytes]:
         """Work on a request; whether its connection closed before the end, else what came behind it."""
-        working = asyncio.ensure_future(self.works(seconds))
+        working = asyncio.ensure_future(self.do_work(seconds))
         reading = asyncio.ensure_future(reader.read(1))
         await asyncio.wait({working, reading}, return_when=asyncio.FIRST_COMPLETED)
         if reading.done():
-            early = b"" if reading.exception() is not None else reading.result()
-            if not early:
+            next_request_start = b"" if reading.exception() is not None else reading.result()
+            if not next_request_start:
                 working.cancel()
                 return True, b""
             await working
-            return False, early
+            return False, next_request_start
         reading.cancel()
         await asyncio.wait({reading})
         return False, b""
@@ -136,5 +142,5 @@
         """A crash: nothing is said, nobody listens any more."""
         if self.server is not None:
             self.server.close()
-        for writer in list(self.open):
+        for writer in list(self.connections):
             writer.transport.abort()
--- a/tests/system/test_conversations.py
+++ b/tests/system/test_conversations.py
@@ -8,7 +8,7 @@
 from syrupy.assertion import SnapshotAssertion
 
 from ivymux.simulation.local_cluster import LocalCluster, build_configuration, local_cluster
-from standins.backend import CLOSE, Backend
+from standins.backend import CLOSE_MARKER, Backend
 
 
 async def act(
@@ -48,7 +48,7 @@
         await cluster.wait_until_served(proxy)
         await cluster.wait_until_served(proxy, "/sign/0")
     for backend in backends:
-        backend.ran.clear()
+        backend.executed.clear()
     return backends
 
 
@@ -60,8 +60,8 @@
             (desk,) = await started(cluster, "i-desk")
 
             async def note(title: str, *outcomes: str) -> None:
-                summary.append(f"{title}: {' | '.join(outcomes)}; runs {len(desk.ran)}")
-                desk.ran.clear()
+                summary.append(f"{title}: {' | '.join(outcomes)}; runs {len(desk.executed)}")
+                desk.executed.clear()
 
             await note("twice, at two doors", await act(cluster, 0, '"a"'), await settled(cluster, 1, '"a"'))
             await note("the same key bare", await act(cluster, 1, "a"))
@@ -70,23 +70,23 @@
             await note(
                 "no key in the quotes, two keys", await act(cluster, 0, '""'), await act(cluster, 0, 'a" "b')
             )
-            desk.gate = asyncio.Event()
+            desk.answer_gate = asyncio.Event()
             first = asyncio.get_running_loop().create_task(act(cluster, 0, '"b"'))
-            while not desk.ran:
+            while not desk.executed:
                 await asyncio.sleep(0.01)
             second = await act(cluster, 1, '"b"')
-            desk.gate.set()
+            desk.answer_gate.set()
             await note("while the first is at work", second, await first)
-            desk.gate = None
+            desk.answer_gate = None
             await note("and then", await settled(cluster, 1, '"b"'))
-            desk.plan = lambda ran: CLOSE
+            desk.make_answer = lambda ran: CLOSE_MARKER
             await note("its answer is lost", await act(cluster, 0, '"c"'), await settled(cluster, 1, '"c"'))
-            desk.plan = lambda ran: Backend.whole(500, ran.id, b"no ink")
+            desk.make_answer = lambda ran: Backend.encode_answer(500, ran.id, b"no ink")
             await note("the backend fails", await act(cluster, 0, '"d"'), await settled(cluster, 1, '"d"'))
-            desk.plan = lambda ran: Backend.whole(503, ran.id, more="Not-Executed: 1\r\n")
+            desk.make_answer = lambda ran: Backend.encode_answer(503, ran.id, headers="Not-Executed: 1\r\n")
             refused = await act(cluster, 0, '"e"')
-            desk.ran.clear()
-            desk.plan = lambda ran: None
+            desk.executed.clear()
+            desk.make_answer = lambda ran: None
             await note("it did not run at first", refused, await settled(cluster, 1, '"e"'))
             await note("a read is no action", (await cluster.wait_until_served(cluster.proxy_ips[0])).text)
 
@@ -100,10 +100,10 @@
             (desk,) = await started(cluster, "i-desk")
             assert await act(cluster, 0, '"a"') == "200 desk /sign/1"
             assert await settled(cluster, 1, '"a"') == "200 (kept) desk /sign/1"
-            desk.plan = lambda ran: CLOSE
+            desk.make_answer = lambda ran: CLOSE_MARKER
             assert (await act(cluster, 0, '"lost"')).startswith("502")
-            desk.plan = lambda ran: None
-            ran = len(desk.ran)
+            desk.make_answer = lambda ran: None
+            ran = len(desk.executed)
             log = (tmp_path / "log.txt").read_text()
             leader = log.split("is in force: primary ")[-1].split(",")[0]
             await cluster.kill(leader)
@@ -120,7 +120,7 @@
                     await asyncio.sleep(0.02)
                 assert outcome == "200 (kept) desk /sign/1"
                 assert (await act(cluster, proxy, '"lost"')).startswith("502 whether this action ran")
-            assert len(desk.ran) == ran
+            assert len(desk.executed) == ran
             # The current leader loses its disk, and comes back empty.
             log = (tmp_path / "log.txt").read_text()
             leader = log.split("is in force: primary ")[-1].split(",")[0]
@@ -128,7 +128,7 @@
             await cluster.start(leader)
             while (outcome := await act(cluster, 0, '"a"')).startswith(("503", "no")):
                 await asyncio.sleep(0.02)
-            assert outcome == "200 (kept) desk /sign/1" and len(desk.ran) == ran
+            assert outcome == "200 (kept) desk /sign/1" and len(desk.executed) == ran
 
     asyncio.run(scenario())
 
@@ -155,7 +155,7 @@
                 matter = f"matter-{n % 8}"
                 outcome = await act(cluster, n % 2, f'"k-{n}"', f"/sign/{n}", X_Matter=matter)
                 assert outcome.startswith("200")
-                (by,) = [d.instance for d in desks if any(r.target == f"/sign/{n}" for r in d.ran)]
+                (by,) = [d.instance for d in desks if any(r.target == f"/sign/{n}" for r in d.executed)]
                 used.setdefault(matter, set()).add(by)
             assert all(len(by) == 1 for by in used.values()) and len(set.union(*used.values())) > 1
 
@@ -168,15 +168,15 @@
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
             (desk,) = await started(cluster, "i-desk")
-            desk.gate = asyncio.Event()
+            desk.answer_gate = asyncio.Event()
             first = asyncio.get_running_loop().create_task(act(cluster, 0, '"a"', Time_Remaining="600"))
-            while not desk.ran:
+            while not desk.executed:
                 await asyncio.sleep(0.01)
             await cluster.kill(cluster.proxy_ips[0])
-            desk.gate.set()
+            desk.answer_gate.set()
             assert await first == "no answer"
             assert (await act(cluster, 1, '"a"')).startswith("409 come back")
             assert (await settled(cluster, 1, '"a"')).startswith("502 whether this action ran is not known")
-            assert len(desk.ran) == 1
+            assert len(desk.executed) == 1
 
     asyncio.run(scenario())
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -68,13 +68,17 @@
         await cluster.wait_until_ready(cluster.proxy_ips[0])
         await cluster.wait_until_served(cluster.proxy_ips[0])
         await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/0")
-        archive.gate = desk.gate = asyncio.Event()
-        desk.ran, desk.finished, desk.dropped = archive.ran, archive.finished, archive.dropped
+        archive.answer_gate = desk.answer_gate = asyncio.Event()
+        desk.executed, desk.finished, desk.disconnected = (
+            archive.executed,
+            archive.finished,
+            archive.disconnected,
+        )
         yield cluster, cluster.proxy_ips[0], archive
 
 
 async def wait_until_runs(backend: Backend, id: str) -> None:
-    while not any(ran.id == id for ran in backend.ran):
+    while not any(ran.id == id for ran in backend.executed):
         await asyncio.sleep(0.005)
 
 
@@ -83,7 +87,7 @@
     loop = asyncio.get_running_loop()
     began = loop.time()
     async with asyncio.timeout(10):
-        while id not in backend.dropped:
+        while id not in backend.disconnected:
             await asyncio.sleep(0.005)
     return loop.time() - began
 
@@ -148,11 +152,11 @@
             client.leave("close")
             while not await has_departure(cluster, proxy):
                 await asyncio.sleep(0.005)
-            assert backend.gate is not None
-            backend.gate.set()
+            assert backend.answer_gate is not None
+            backend.answer_gate.set()
             while "action" not in backend.finished:
                 await asyncio.sleep(0.005)
-            assert "action" not in backend.dropped
+            assert "action" not in backend.disconnected
             if more:
                 while (
                     again := await cluster.send_request(proxy, "POST", "/sign/1", Idempotency_Key='"a"')
@@ -160,6 +164,6 @@
                     if again.status_code == 200:
                         break
                 assert again is not None and again.headers["idempotent-replayed"] == "true"
-                assert [ran.id for ran in backend.ran].count("action") == 1
+                assert [ran.id for ran in backend.executed].count("action") == 1
 
     asyncio.run(scenario())
--- a/tests/system/test_offsets.py
+++ b/tests/system/test_offsets.py
@@ -37,7 +37,7 @@
     previous_answer = b""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open.add(writer)
+        self.connections.add(writer)
         try:
             while True:
                 first = await reader.readexactly(1)
@@ -53,7 +53,7 @@
         except (OSError, asyncio.IncompleteReadError):
             pass
         finally:
-            self.open.discard(writer)
+            self.connections.discard(writer)
             writer.close()
 
     async def answer_one(self, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -62,7 +62,9 @@
         id = next(line.partition(":")[2].strip() for line in lines if line.lower().startswith("try-id:"))
         self.complete_runs[id] += 1
         self.request_size = max(self.request_size, len(head))
-        answer = self.whole(200, id, f"{self.service} {target}".encode(), f"Server-Seal: seal-{id}\r\n")
+        answer = self.encode_answer(
+            200, id, f"{self.service} {target}".encode(), f"Server-Seal: seal-{id}\r\n"
+        )
         armed, self.armed = self.armed, None
         if armed is None:
             writer.write(answer)
@@ -122,7 +124,7 @@
                 assert answer is not None
                 return answer.status_code
 
-            size = len(desk.whole(200, "a-000", b"desk /sign/a-000", "Server-Seal: seal-a-000\r\n"))
+            size = len(desk.encode_answer(200, "a-000", b"desk /sign/a-000", "Server-Seal: seal-a-000\r\n"))
             statuses: Counter[tuple[str, int]] = Counter()
             cases = [("request", Break(False, 0, reset), desk.request_size) for reset in (True, False)]
             cases += [("answer", Break(True, 0, reset), size + 1) for reset in (True, False)]
--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -11,7 +11,7 @@
 from syrupy.assertion import SnapshotAssertion
 
 from ivymux.simulation.local_cluster import build_configuration, local_cluster
-from standins.backend import CLOSE, Backend, Ran
+from standins.backend import CLOSE_MARKER, Backend, ExecutedRequest
 
 
 def test_normal_operation(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
@@ -46,8 +46,8 @@
                 await cluster.wait_until_ready(proxy)
                 await cluster.wait_until_served(proxy)
                 await cluster.wait_until_served(proxy, "/sign/1")
-            archive.ran.clear()
-            desk.ran.clear()
+            archive.executed.clear()
+            desk.executed.clear()
             answer = await cluster.send_request(
                 cluster.proxy_ips[1],
                 "POST",
@@ -58,7 +58,7 @@
                 X_Own="2",
             )
             assert answer is not None
-            (ran,) = desk.ran
+            (ran,) = desk.executed
             sealed = "server-seal" in answer.headers
             summary.append(f"POST /sign/9?x=1 -> {answer.status_code} {answer.text}; seal {sealed}")
             kept = sorted(set(ran.headers) - {"accept", "accept-encoding", "user-agent", "host"})
@@ -92,21 +92,21 @@
             )
             await cluster.put_configuration(build_configuration(1))
             await cluster.wait_until_ready(cluster.proxy_ips[0])
-            while not (old.ran and other.ran):
+            while not (old.executed and other.executed):
                 await cluster.send_request(cluster.proxy_ips[0])
             cluster.heartbeat_tasks["i-old"].cancel()
             await cluster.send_heartbeat(old, "quiescing")  # acknowledged only once the proxies know of it
-            before = len(old.ran)
+            before = len(old.executed)
             for _ in range(20):
                 assert (await cluster.wait_until_served(cluster.proxy_ips[0])).status_code == 200
-            assert len(old.ran) == before
+            assert len(old.executed) == before
             # A backend of another service takes over the address: no request for the old one runs there.
             port = int(old.address.rpartition(":")[2])
             old.stop()
-            other.plan = lambda ran: Backend.whole(503, ran.id, more="Not-Executed: 1\r\n")
+            other.make_answer = lambda ran: Backend.encode_answer(503, ran.id, headers="Not-Executed: 1\r\n")
             new = await cluster.start_backend("i-new", "desk", port)
             await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/1")
-            assert all(ran.target.startswith("/sign/") for ran in new.ran)
+            assert all(ran.target.startswith("/sign/") for ran in new.executed)
             refused = await cluster.send_request(cluster.proxy_ips[0])
             assert refused is not None and refused.status_code == 503 and "retry-after" in refused.headers
 
@@ -121,32 +121,37 @@
             await cluster.put_configuration(build_configuration(1, sign="desk"))
             await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/0")
             # A second answer to the first request arrives where the answer to the next one is due.
-            desk.plan = lambda ran: (
-                desk.answer(ran) + Backend.whole(200, "try-before", b"no", "Server-Seal: x\r\n")
+            desk.make_answer = lambda ran: (
+                desk.default_answer(ran)
+                + Backend.encode_answer(200, "try-before", b"no", "Server-Seal: x\r\n")
             )
             for n in range(6):
                 answer = await cluster.wait_until_served(cluster.proxy_ips[0], f"/sign/{n}")
                 assert answer.text == f"desk /sign/{n}"
 
-            def late(ran: Ran) -> bytes:
-                return Backend.whole(200, "try-before", b"late", "Server-Seal: x\r\n") + desk.answer(ran)
+            def late(ran: ExecutedRequest) -> bytes:
+                return Backend.encode_answer(
+                    200, "try-before", b"late", "Server-Seal: x\r\n"
+                ) + desk.default_answer(ran)
 
-            desk.plan = late
+            desk.make_answer = late
             assert (await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/7")).text == "desk /sign/7"
             for faulty in (
-                lambda ran: Backend.whole(503, ran.id),  # without the header Not-Executed
-                lambda ran: Backend.whole(200, ran.id, b"no seal"),
-                lambda ran: Backend.whole(
+                lambda ran: Backend.encode_answer(503, ran.id),  # without the header Not-Executed
+                lambda ran: Backend.encode_answer(200, ran.id, b"no seal"),
+                lambda ran: Backend.encode_answer(
                     200, ran.id, b"zip", "Server-Seal: x\r\nContent-Encoding: gzip\r\n"
                 ),
-                lambda ran: desk.answer(ran)[:-3] + CLOSE,
-                lambda ran: b"what is this" + CLOSE,
-                lambda ran: CLOSE,
+                lambda ran: desk.default_answer(ran)[:-3] + CLOSE_MARKER,
+                lambda ran: b"what is this" + CLOSE_MARKER,
+                lambda ran: CLOSE_MARKER,
             ):
-                desk.plan = faulty
-                before = len(desk.ran)
+                desk.make_answer = faulty
+                before = len(desk.executed)
                 response = await cluster.send_request(cluster.proxy_ips[0], "DELETE", "/sign/8")
-                assert response is not None and response.status_code == 502 and len(desk.ran) == before + 1
+                assert (
+                    response is not None and response.status_code == 502 and len(desk.executed) == before + 1
+                )
 
     asyncio.run(scenario())
 
@@ -209,16 +214,16 @@
             archive = await cluster.start_backend("i-archive", "archive")
             await cluster.put_configuration(build_configuration(1))
             await cluster.wait_until_served(cluster.proxy_ips[0])
-            archive.gate = asyncio.Event()
+            archive.answer_gate = asyncio.Event()
             pending = asyncio.get_running_loop().create_task(cluster.send_request(cluster.proxy_ips[0]))
-            before = len(archive.ran)
-            while len(archive.ran) == before:
+            before = len(archive.executed)
+            while len(archive.executed) == before:
                 await asyncio.sleep(0.01)
             (process,) = cluster.processes[cluster.proxy_ips[0]]
             process.send_signal(signal.SIGTERM)
             while await cluster.is_ready(cluster.proxy_ips[0]):
                 await asyncio.sleep(0.01)
-            archive.gate.set()
+            archive.answer_gate.set()
             answer = await pending
             assert (
                 answer is not None and answer.status_code == 200 and answer.headers["connection"] == "close"
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -37,7 +37,7 @@
         await cluster.wait_until_ready(proxy)
         await cluster.wait_until_served(proxy)
         await cluster.wait_until_served(proxy, "/sign/first")
-    desk.ran.clear()
+    desk.executed.clear()
     return desk
 
 
@@ -142,18 +142,20 @@
             )
             await show("and on the other", "/read/1", ("clerks", "key-one-b"))
             await end_trial(cluster, "t-key")
-            assert sum("key-one-b" in str(ran.headers) for ran in desk.ran) == 0 and len(desk.ran) == 4
+            assert (
+                sum("key-one-b" in str(ran.headers) for ran in desk.executed) == 0 and len(desk.executed) == 4
+            )
 
-            desk.ran.clear()
+            desk.executed.clear()
             await start_trial(cluster, "t-lose", does="lose", route="sign")
             await show("run, and its answer lost", "/sign/2", ("clerks", "chairs"))
-            assert len(desk.ran) == 4
+            assert len(desk.executed) == 4
             keyed = await answer_to(cluster, 0, "clerks", "/sign/k", Idempotency_Key="k")
             summary.append(f"an action with a key: {keyed}")
             await end_trial(cluster, "t-lose")
             result = await answer_to(cluster, 1, "clerks", "/sign/k", Idempotency_Key="k")
             summary.append(f"sent again behind the trial: {result}")
-            assert len(desk.ran) == 5
+            assert len(desk.executed) == 5
 
             await start_trial(cluster, "t-delay", does="delay", delay="400ms")
             began = asyncio.get_running_loop().time()
