--- a/tests/tally/four.py
+++ b/tests/tally/four.py
@@ -14,7 +14,7 @@
 from ivymux.routes.description import compile_description
 from ivymux.service.callers import hash_key
 from ivymux.service.standalone import Standalone, load_site
-from standins.tally import Counts, Gate
+from standins.tally import CopyableStore, FaultyCounterServer
 from standins.worker import ReceivedRequest, Reply, Worker
 from tests.routes.describing import described, operation
 from tests.service.doors import Caller
@@ -29,9 +29,9 @@
     """The gateways, their connections to the counter, and what clients and workers observed."""
 
     gateways: list[Standalone]
-    gates: list[Gate]
+    counter_servers: list[FaultyCounterServer]
     workers: list[Worker]
-    counts: Counts
+    store: CopyableStore
     folder: Path
     begin: float
     # By customer: when requests ran, all answers by status, and those to requests sent during the outage.
@@ -64,14 +64,14 @@
         at = self.now
         try:
             async with Caller(self.gateways[gateway]) as caller:
-                got = await caller.ask("GET /read/7", b"", f"iv_{customer}")
+                answer = await caller.ask("GET /read/7", b"", f"iv_{customer}")
         except (OSError, asyncio.IncompleteReadError):
             self.unanswered += 1  # the gateway was killed
             return
-        self.answer_counts[customer][got.status] += 1
+        self.answer_counts[customer][answer.status] += 1
         if self.outage[0] <= at < self.outage[1]:
-            self.outage_answers[customer][got.status] += 1
-        assert got.status == 200 or got.header("retry-after"), got
+            self.outage_answers[customer][answer.status] += 1
+        assert answer.status == 200 or answer.header("retry-after"), answer
 
     async def restart(self, number: int) -> None:
         """Kill a gateway and start another one without state in its place."""
@@ -91,23 +91,27 @@
         found = self.outage_answers[customer]
         return found[200] / max(1, found.total())
 
-    async def set_fault(self, how: str, gateways: Iterable[int] = range(GATEWAY_COUNT)) -> None:
+    async def set_fault(self, fault: str, gateways: Iterable[int] = range(GATEWAY_COUNT)) -> None:
         for gateway in gateways:
-            await self.gates[gateway].trouble(how)
+            await self.counter_servers[gateway].set_fault(fault)
 
-    def use_counter(self, counts: Counts, gateways: Iterable[int] = range(GATEWAY_COUNT)) -> None:
+    def use_counter(self, store: CopyableStore, gateways: Iterable[int] = range(GATEWAY_COUNT)) -> None:
         for gateway in gateways:
-            self.gates[gateway].lead(counts)
+            self.counter_servers[gateway].use_store(store)
 
 
 def write_site_file(
-    folder: Path, number: int, gate: Gate, workers: list[Worker], customers: Iterable[str]
+    folder: Path,
+    number: int,
+    counter_server: FaultyCounterServer,
+    workers: list[Worker],
+    customers: Iterable[str],
 ) -> Path:
     keys = [f'[[callers.keys]]\ncustomer = "{c}"\nplan = "council"\nhash = "{hash_key(f"iv_{c}".encode())}"'
             for c in customers]  # fmt: skip
     text = [
         'listen = "127.0.0.1:0"', '[description]\nfile = "api.json"\nwatch = 0',
-        f"[tally]\naddress = \"127.0.0.1:{gate.port}\"\ndoors = {GATEWAY_COUNT}",
+        f"[tally]\naddress = \"127.0.0.1:{counter_server.port}\"\ndoors = {GATEWAY_COUNT}",
         f"number = {number}\ntimeout = 0.25",
         "[limits]\nmax_retry_after = 2.0",
         f"[plans.council]\nrate = {RATE}\nburst = {BURST}",
@@ -123,10 +127,10 @@
 async def start_gateway(cluster: FourGateways, number: int, clock_error: float = 0.0) -> Standalone:
     """Start a gateway; `clock_error`: seconds by which its machine's wall clock is wrong."""
     path = cluster.folder / f"site{number}.toml"
-    made = load_site(path)
+    site = load_site(path)
     data = (cluster.folder / "api.json").read_bytes()
     gateway = Standalone(
-        path, made, compile_description("api.json", {"api.json": data}.__getitem__, made.options)
+        path, site, compile_description("api.json", {"api.json": data}.__getitem__, site.options)
     )
     gateway.clock.offset += clock_error
     gateway.clock.last_time += clock_error
@@ -138,19 +142,19 @@
 async def run_four_gateways(folder: Path, customers: Iterable[str]) -> AsyncIterator[FourGateways]:
     """Start everything; each worker answers after 5 ms and records when a customer's request ran."""
     loop = asyncio.get_running_loop()
-    counts = Counts()
-    cluster = FourGateways([], [], [], counts, folder, loop.time())
+    store = CopyableStore()
+    cluster = FourGateways([], [], [], store, folder, loop.time())
 
-    def plan(seen: ReceivedRequest) -> Reply:
-        cluster.run_times[seen.header("ivymux-customer")].append(cluster.now)
+    def respond(request: ReceivedRequest) -> Reply:
+        cluster.run_times[request.header("ivymux-customer")].append(cluster.now)
         return Reply(delay=0.005)
 
-    cluster.workers = [await Worker(respond=plan).start() for _ in range(4)]
-    cluster.gates = [await Gate(counts).start() for _ in range(GATEWAY_COUNT)]
+    cluster.workers = [await Worker(respond=respond).start() for _ in range(4)]
+    cluster.counter_servers = [await FaultyCounterServer(store).start() for _ in range(GATEWAY_COUNT)]
     (folder / "api.json").write_text(json.dumps(described(PATHS)))
-    listed = list(customers)
-    for number, gate in enumerate(cluster.gates):
-        write_site_file(folder, number, gate, cluster.workers, listed)
+    customer_list = list(customers)
+    for number, counter_server in enumerate(cluster.counter_servers):
+        write_site_file(folder, number, counter_server, cluster.workers, customer_list)
         cluster.gateways.append(await start_gateway(cluster, number))
     cluster.begin = loop.time()
     try:
@@ -158,7 +162,7 @@
     finally:
         for gateway in cluster.gateways:
             await gateway.close()
-        for gate in cluster.gates:
-            gate.stop()
+        for counter_server in cluster.counter_servers:
+            counter_server.stop()
         for worker in cluster.workers:
             worker.stop()
--- a/tests/tally/test_four_doors.py
+++ b/tests/tally/test_four_doors.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from standins.tally import Counts
+from standins.tally import CopyableStore
 from tests.tally.four import BURST, GATEWAY_COUNT, RATE, FourGateways, run_four_gateways, start_gateway
 from tests.warp import run_in_virtual_time
 
@@ -43,30 +43,30 @@
     """An empty counter replaces the current one three times, in the middle of a window."""
     for at in (35.0, 55.0, 75.0):
         await cluster.sleep_until(at)
-        cluster.use_counter(Counts())
+        cluster.use_counter(CopyableStore())
 
 
 async def replaced_by_old_copy(cluster: FourGateways) -> None:
     """A counter that starts from a copy three seconds old replaces the current one, twice."""
     for at in (40.0, 60.0):
         await cluster.sleep_until(at)
-        copy = cluster.gates[0].counts.copied()
+        copy = cluster.counter_servers[0].store.clone()
         await cluster.sleep_until(at + 3)
         cluster.use_counter(copy)
 
 
 async def replaced_and_back(cluster: FourGateways) -> None:
     await cluster.sleep_until(45.0)
-    cluster.use_counter(Counts())
+    cluster.use_counter(CopyableStore())
     await cluster.sleep_until(52.0)
-    cluster.use_counter(cluster.counts)
+    cluster.use_counter(cluster.store)
 
 
 async def two_counters_at_once(cluster: FourGateways) -> None:
     await cluster.sleep_until(OUTAGE_BEGIN_S)
-    cluster.use_counter(Counts(), (2, 3))
+    cluster.use_counter(CopyableStore(), (2, 3))
     await cluster.sleep_until(OUTAGE_END_S)
-    cluster.use_counter(cluster.counts, (2, 3))
+    cluster.use_counter(cluster.store, (2, 3))
 
 
 async def restarts_in_outage(cluster: FourGateways) -> None:
@@ -168,7 +168,7 @@
             edge = (lease.window + 1) * lease.window_length - lease.phase - loop.time()
             await asyncio.sleep(edge + 2.0)
             before, began = len(cluster.run_times[FLOODING]), cluster.now
-            names = dict(cluster.counts.totals)
+            names = dict(cluster.store.totals)
             window = lease.window
             await cluster.set_fault(how, (0, 1, 2))
             await asyncio.sleep(5.0)
@@ -176,7 +176,7 @@
             await asyncio.sleep(6.0)
             assert lease.window == window and cluster.now - began < 15
             ran = len(cluster.run_times[FLOODING]) - before
-            totals = {n: t - names.get(n, 0.0) for n, t in cluster.counts.totals.items()}
+            totals = {n: t - names.get(n, 0.0) for n, t in cluster.store.totals.items()}
             (counted,) = [t for t in totals.values() if t > 1]
             held = sum(
                 each.credits
