--- a/bench/tally.py
+++ b/bench/tally.py
@@ -25,7 +25,7 @@
 from ivymux.service.site import PACE
 from ivymux.tally.durable import DurableStore
 from ivymux.tally.journal import encode_header, encode_record
-from standins.world import World, plan
+from standins.world import GatewaySimulation, make_plan
 
 LINES, DEPTH = 8, 16  # connections, and calls out on each
 
@@ -154,8 +154,8 @@
     return {f"recovery of {count} names": figure(times, "s")}
 
 
-def mark(world: World, marks: list[tuple[int, int]]) -> None:
-    marks.append((world.calls, sum(world.asked.values())))
+def mark(world: GatewaySimulation, marks: list[tuple[int, int]]) -> None:
+    marks.append((world.calls, sum(world.request_counts.values())))
 
 
 def living(quick: bool) -> tuple[dict[str, Any], dict[str, float]]:
@@ -167,18 +167,18 @@
     ratios: dict[str, float] = {}
     length, rate, burst = (30.0 if quick else 60.0), 20.0, 40.0
     for doors in (4, 32) if quick else (4, 32, 256):
-        world = World(doors, plan(rate, burst, 2.0), seed=3, pace=PACE)
+        world = GatewaySimulation(doors, make_plan(rate, burst, 2.0), seed=3, call_rate=PACE)
         begin, each = world.now, rate / 2 / 10
         spread = [[(n * 7 + k) % doors for k in range(4)] for n in range(40)]
         for customer, at in enumerate(spread, start=2):
-            world.load(customer, 10 * each, at, begin, begin + length)
-        world.load(1, 5 * rate, range(doors), begin, begin + length)
+            world.generate_load(customer, 10 * each, at, begin, begin + length)
+        world.generate_load(1, 5 * rate, range(doors), begin, begin + length)
         marks: list[tuple[int, int]] = []
         cut, healed = begin + length / 3, begin + 2 * length / 3
         for moment, how in ((cut, "silent"), (healed, "ok")):
-            world.after(moment - begin, partial(mark, world, marks))
-            world.after(moment - begin, partial(world.cut, range(doors), how))
-        world.run(begin + length + 1)
+            world.schedule(moment - begin, partial(mark, world, marks))
+            world.schedule(moment - begin, partial(world.set_fault, range(doors), how))
+        world.run_until(begin + length + 1)
         if world.overshoot(1, 2 * rate, 2 * burst) > 0.05 * 2 * burst:
             raise AssertionError("the ceiling was passed")
         (calls_cut, asked_cut), (calls_healed, asked_healed) = marks
@@ -191,16 +191,16 @@
         spans = {"": (begin, cut), " while it is away": (cut, healed), " after": (healed, begin + length)}
         for what, (since, until) in spans.items():
             ratios[f"{name}: served of the quiet{what}"] = statistics.mean(
-                world.served(customer, since, until) for customer in quiet
+                world.served_share(customer, since, until) for customer in quiet
             )
-            flood = sum(since <= let.at < until for let in world.let if let.customer == 1)
+            flood = sum(since <= let.at < until for let in world.admitted if let.customer == 1)
             ratios[f"{name}: the flood's use of its quota{what}"] = flood / (rate * (until - since))
         usual = ratios[f"{name}: served of the quiet"]
         steady = next(
             second
             for second in range(int(length))
             if statistics.mean(
-                world.served(c, healed + second, healed + second + 1) for c in quiet
+                world.served_share(c, healed + second, healed + second + 1) for c in quiet
             ) >= 0.98 * usual
         )  # fmt: skip
         figures[f"{name}: until the quiet are served as before"] = figure([float(steady)], "s")
--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from orchidhill import degraded_mode
-from standins.world import World, plan
+from standins.world import GatewaySimulation, make_plan
 
 GATEWAY_COUNT, SCHEDULE_S = 4, 32.0  # schedules are longer than a window of 20 s
 RATE, BURST, CEILING = 4.0, 12.0, 2.0
@@ -64,36 +64,38 @@
     return maximum
 
 
-def run_schedule(schedule: list[Fault], rate: float = 5 * RATE) -> World:
-    world = World(GATEWAY_COUNT, plan(RATE, BURST, CEILING), seed=1)
-    begin, first = world.now, world.tally
-    world.load(FLOODING, rate, range(GATEWAY_COUNT), begin, begin + SCHEDULE_S)
+def run_schedule(schedule: list[Fault], rate: float = 5 * RATE) -> GatewaySimulation:
+    simulation = GatewaySimulation(GATEWAY_COUNT, make_plan(RATE, BURST, CEILING), seed=1)
+    begin, first = simulation.now, simulation.counter
+    simulation.generate_load(FLOODING, rate, range(GATEWAY_COUNT), begin, begin + SCHEDULE_S)
     copies: list[dict[int, float]] = [{}]
 
     def inject(fault: Fault) -> None:
         match fault.kind:
             case "empty":
-                world.replace(doors=fault.gateways)
+                simulation.replace_counter(gateways=fault.gateways)
             case "copy":
-                world.replace(copies[-1], fault.gateways)
+                simulation.replace_counter(copies[-1], fault.gateways)
             case "old":
                 for gateway in fault.gateways:
-                    world.links[gateway].tally = first
+                    simulation.links[gateway].counter = first
             case "restart":
                 for gateway in fault.gateways:
-                    world.restart(gateway)
+                    simulation.restart(gateway)
             case "skew":  # clocks differ by at most 200 ms
                 for gateway in fault.gateways:
-                    world.skew[gateway] = 0.1 if world.skew[gateway] <= 0 else world.skew[gateway]
+                    simulation.clock_skew[gateway] = (
+                        0.1 if simulation.clock_skew[gateway] <= 0 else simulation.clock_skew[gateway]
+                    )
             case how:
-                world.cut(fault.gateways, how)
+                simulation.set_fault(fault.gateways, how)
 
     for second in range(0, int(SCHEDULE_S), 3):
-        world.after(float(second), lambda: copies.append(world.copy()))
+        simulation.schedule(float(second), lambda: copies.append(simulation.copy_totals()))
     for fault in schedule:
-        world.after(fault.at, lambda f=fault: inject(f))  # type: ignore[misc]
-    world.run(begin + SCHEDULE_S + 1)
-    return world
+        simulation.schedule(fault.at, lambda f=fault: inject(f))  # type: ignore[misc]
+    simulation.run_until(begin + SCHEDULE_S + 1)
+    return simulation
 
 
 @pytest.mark.parametrize("part", range(PART_COUNT))
@@ -107,8 +109,8 @@
     def check(schedule: list[Fault]) -> None:
         nonlocal seen
         seen += 1
-        world = run_schedule(schedule)
-        over = world.overshoot(FLOODING, CEILING * RATE, CEILING * BURST)
+        simulation = run_schedule(schedule)
+        over = simulation.overshoot(FLOODING, CEILING * RATE, CEILING * BURST)
         assert over <= allowed_excess(schedule), (schedule, over)
 
     seed(part)(check)()
@@ -126,8 +128,8 @@
     @settings(max_examples=60, deadline=None, database=None, suppress_health_check=list(HealthCheck))
     @given(schedules)
     def check(schedule: list[Fault]) -> None:
-        world = run_schedule(schedule)
-        if world.overshoot(FLOODING, CEILING * RATE, CEILING * BURST) > allowed_excess(schedule):
+        simulation = run_schedule(schedule)
+        if simulation.overshoot(FLOODING, CEILING * RATE, CEILING * BURST) > allowed_excess(schedule):
             failed.append(schedule)
             raise AssertionError(schedule)
 
@@ -142,24 +144,24 @@
      ("late", {"counter-slow"})],
 )  # fmt: skip
 def test_the_counters_status_follows_from_its_failures(how: str, seen: set[str]) -> None:
-    world = run_schedule([Fault(5.0, how, (0, 1, 2, 3)), Fault(20.0, "ok", (0, 1, 2, 3))])
-    logged = set(world.logs)
+    simulation = run_schedule([Fault(5.0, how, (0, 1, 2, 3)), Fault(20.0, "ok", (0, 1, 2, 3))])
+    logged = set(simulation.logs)
     assert seen <= logged and "counter-well" in logged
     assert logged <= seen | {"counter-well", "counter-silent"}  # a slow one looks silent at first
 
 
 def test_a_replaced_counter_is_logged_and_its_totals_are_restored_once() -> None:
     """Four gateways reach an empty counter in turn: the bucket gets no fuller, and emptier only briefly."""
-    world = World(GATEWAY_COUNT, plan(RATE, BURST, CEILING), seed=1)
-    begin = world.now
-    world.load(FLOODING, 5 * RATE, range(GATEWAY_COUNT), begin, begin + 19.0)
-    world.load(MODERATE, RATE / 2, range(GATEWAY_COUNT), begin, begin + 19.0)
-    world.after(10.0, lambda: world.replace())  # type: ignore[arg-type]
-    world.run(begin + 20.0)
-    assert sum(log.startswith("counter-lost") for log in world.logs) >= 4
-    assert world.overshoot(FLOODING, RATE, BURST) <= BURST
-    assert world.served(MODERATE) == 1.0
-    flood = [let for let in world.let if let.customer == FLOODING and let.at >= begin + 10.0]
+    simulation = GatewaySimulation(GATEWAY_COUNT, make_plan(RATE, BURST, CEILING), seed=1)
+    begin = simulation.now
+    simulation.generate_load(FLOODING, 5 * RATE, range(GATEWAY_COUNT), begin, begin + 19.0)
+    simulation.generate_load(MODERATE, RATE / 2, range(GATEWAY_COUNT), begin, begin + 19.0)
+    simulation.schedule(10.0, lambda: simulation.replace_counter())  # type: ignore[arg-type]
+    simulation.run_until(begin + 20.0)
+    assert sum(log.startswith("counter-lost") for log in simulation.logs) >= 4
+    assert simulation.overshoot(FLOODING, RATE, BURST) <= BURST
+    assert simulation.served_share(MODERATE) == 1.0
+    flood = [let for let in simulation.admitted if let.customer == FLOODING and let.at >= begin + 10.0]
     assert len(flood) >= 0.8 * RATE * 9  # its quota remains available
 
 
@@ -192,13 +194,13 @@
 def test_rate_and_burst_that_a_ceiling_leaves_beside_a_counter_that_grants_all(
     ceiling: float, rate: float, burst: float
 ) -> None:
-    tested = plan(4.0, 8.0, ceiling)
+    tested = make_plan(4.0, 8.0, ceiling)
     assert degraded_mode.rate_factor(tested) == pytest.approx(rate)
     assert degraded_mode.shared_burst(tested) == pytest.approx(burst)
 
 
 def test_if_gateways_outnumber_the_burst_only_the_first_ones_hold_a_unit() -> None:
-    small_plan = plan(1.0, 2.0, 2.0)  # a ceiling of 4 units
+    small_plan = make_plan(1.0, 2.0, 2.0)  # a ceiling of 4 units
     assert [degraded_mode.min_local_capacity(small_plan, 8, rank) for rank in range(8)] == [
         1.0,
         1.0,
@@ -211,51 +213,51 @@
     ]
     assert (
         degraded_mode.min_local_capacity(small_plan, 2, 1) == 1.0
-        and degraded_mode.min_local_capacity(plan(1.0, 2.0), 8, 7) == 1.0
+        and degraded_mode.min_local_capacity(make_plan(1.0, 2.0), 8, 7) == 1.0
     )
-    world = World(8, small_plan, seed=2)
-    begin = world.now
-    world.load(FLOODING, 40.0, range(8), begin, begin + 25.0)
-    world.after(5.0, lambda: world.cut(range(8), "silent"))
-    world.run(begin + 26.0)
-    assert world.overshoot(FLOODING, 2.0, 4.0) <= SLACK_SHARE * 4.0
+    simulation = GatewaySimulation(8, small_plan, seed=2)
+    begin = simulation.now
+    simulation.generate_load(FLOODING, 40.0, range(8), begin, begin + 25.0)
+    simulation.schedule(5.0, lambda: simulation.set_fault(range(8), "silent"))
+    simulation.run_until(begin + 26.0)
+    assert simulation.overshoot(FLOODING, 2.0, 4.0) <= SLACK_SHARE * 4.0
 
 
 def test_a_silent_counter_shard_does_not_affect_customers_of_the_other() -> None:
     rate, burst = 3 * RATE, 3 * BURST
-    world = World(GATEWAY_COUNT, plan(rate, burst, CEILING), seed=1)
-    begin, quiet_customers = world.now, range(2, 12)
-    world.load(FLOODING, 5 * rate, range(GATEWAY_COUNT), begin, begin + 40.0)
+    simulation = GatewaySimulation(GATEWAY_COUNT, make_plan(rate, burst, CEILING), seed=1)
+    begin, quiet_customers = simulation.now, range(2, 12)
+    simulation.generate_load(FLOODING, 5 * rate, range(GATEWAY_COUNT), begin, begin + 40.0)
     for customer in quiet_customers:
-        world.load(customer, 0.4 * rate, range(GATEWAY_COUNT), begin, begin + 40.0)
-    world.after(10.0, lambda: world.cut(range(GATEWAY_COUNT), "silent", shard=0))
-    world.run(begin + 41.0)
-    assert world.overshoot(FLOODING, CEILING * rate, CEILING * burst) <= SLACK_SHARE * CEILING * burst
-    served = [world.served(customer, begin + 10.0) for customer in quiet_customers]
+        simulation.generate_load(customer, 0.4 * rate, range(GATEWAY_COUNT), begin, begin + 40.0)
+    simulation.schedule(10.0, lambda: simulation.set_fault(range(GATEWAY_COUNT), "silent", shard=0))
+    simulation.run_until(begin + 41.0)
+    assert simulation.overshoot(FLOODING, CEILING * rate, CEILING * burst) <= SLACK_SHARE * CEILING * burst
+    served = [simulation.served_share(customer, begin + 10.0) for customer in quiet_customers]
     assert min(served) >= 0.95
 
 
 def test_ten_gateways_that_restart_during_an_outage_keep_the_ceiling() -> None:
-    world = World(10, plan(RATE, BURST, CEILING), seed=1)
-    begin = world.now
-    world.load(FLOODING, 10 * RATE, range(10), begin, begin + 40.0)
+    simulation = GatewaySimulation(10, make_plan(RATE, BURST, CEILING), seed=1)
+    begin = simulation.now
+    simulation.generate_load(FLOODING, 10 * RATE, range(10), begin, begin + 40.0)
 
     def start_all() -> None:
-        world.cut(range(10), "silent")
+        simulation.set_fault(range(10), "silent")
         for gateway in range(10):
-            world.restart(gateway)
+            simulation.restart(gateway)
 
-    world.after(10.0, start_all)
-    world.after(30.0, lambda: world.cut(range(10), "ok"))
-    world.run(begin + 41.0)
-    assert world.overshoot(FLOODING, CEILING * RATE, CEILING * BURST) <= SLACK_SHARE * CEILING * BURST
+    simulation.schedule(10.0, start_all)
+    simulation.schedule(30.0, lambda: simulation.set_fault(range(10), "ok"))
+    simulation.run_until(begin + 41.0)
+    assert simulation.overshoot(FLOODING, CEILING * RATE, CEILING * BURST) <= SLACK_SHARE * CEILING * BURST
 
 
 def test_a_gateway_cut_off_alone_logs_that_the_others_counted_on() -> None:
-    world = run_schedule([Fault(8.0, "silent", (2,)), Fault(16.0, "ok", (2,))])
-    assert any(log.startswith("counter-split") for log in world.logs)
-    world = run_schedule([])
-    assert not [log for log in world.logs if log.startswith("counter-")]
+    simulation = run_schedule([Fault(8.0, "silent", (2,)), Fault(16.0, "ok", (2,))])
+    assert any(log.startswith("counter-split") for log in simulation.logs)
+    simulation = run_schedule([])
+    assert not [log for log in simulation.logs if log.startswith("counter-")]
 
 
 @pytest.mark.parametrize("how", ["silent", "lost", "late"])
@@ -264,16 +266,18 @@
 
     def beyond(trouble: str) -> float:
         """Return what else is in the total: the overflow when the first request came."""
-        world = World(1, plan(RATE, BURST, CEILING), seed=1)
-        begin = world.now
-        world.load(FLOODING, 5 * RATE, [0], begin, begin + 12.0)  # nothing overflows later on
-        world.after(4.0, lambda: world.cut([0], trouble))
-        world.after(6.0, lambda: world.cut([0], "ok"))
-        world.run(begin + 14.0)
-        (lease,) = [each for each in world.gateways[0].leases.values() if not each.for_slots]
-        names = [total for total in world.tally.totals.values() if total > 0]
-        assert not lease.unanswered_adds and len(names) == 1 and len(world.let) > 40  # within one window
-        return names[0] + lease.owed - lease.credits - len(world.let)
+        simulation = GatewaySimulation(1, make_plan(RATE, BURST, CEILING), seed=1)
+        begin = simulation.now
+        simulation.generate_load(FLOODING, 5 * RATE, [0], begin, begin + 12.0)  # nothing overflows later on
+        simulation.schedule(4.0, lambda: simulation.set_fault([0], trouble))
+        simulation.schedule(6.0, lambda: simulation.set_fault([0], "ok"))
+        simulation.run_until(begin + 14.0)
+        (lease,) = [each for each in simulation.gateways[0].leases.values() if not each.for_slots]
+        names = [total for total in simulation.counter.totals.values() if total > 0]
+        assert (
+            not lease.unanswered_adds and len(names) == 1 and len(simulation.admitted) > 40
+        )  # within one window
+        return names[0] + lease.owed - lease.credits - len(simulation.admitted)
 
     assert beyond(how) == pytest.approx(beyond("ok"), abs=1.0)
 
@@ -284,12 +288,14 @@
     """
 
     def served(pace: float) -> float:
-        world = World(64, plan(20.0, 40.0, CEILING), seed=3, pace=pace)
-        begin = world.now
+        simulation = GatewaySimulation(64, make_plan(20.0, 40.0, CEILING), seed=3, call_rate=pace)
+        begin = simulation.now
         for customer in range(1, 41):
-            world.load(customer, 10.0, [(customer * 7 + n) % 64 for n in range(4)], begin, begin + 6.0)
-        world.run(begin + 7.0)
-        return sum(world.served(customer) for customer in range(1, 41)) / 40
+            simulation.generate_load(
+                customer, 10.0, [(customer * 7 + n) % 64 for n in range(4)], begin, begin + 6.0
+            )
+        simulation.run_until(begin + 7.0)
+        return sum(simulation.served_share(customer) for customer in range(1, 41)) / 40
 
     assert served(20_000.0) >= 0.99
     assert served(800.0) >= 0.99
