--- a/bench/fleet_size.py
+++ b/bench/fleet_size.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bench.common import figure, parser, report
-from standins.fleet import Fleet, Played, quantile
+from standins.fleet import FleetResult, FleetSimulation, quantile
 
 DOORS = (4, 16, 64, 200, 800)
 BEARS = 1400.0  # calls a second of the counter
@@ -21,22 +21,22 @@
 SECONDS = 20.0
 
 
-def figures_of(played: Played, seconds: float) -> dict[str, float]:
+def figures_of(played: FleetResult, seconds: float) -> dict[str, float]:
     if played.served == 0 or played.offered < 100 * seconds:
         raise AssertionError("next to nothing was asked or served: the figures would mean nothing")
     refused = max(1, played.refused.total())
     calls = sum(played.calls[kind] for kind in ("add", "take off", "look"))
     found = {
         "served inside the quotas": played.served / played.offered,
-        "units sent on beyond quotas": played.beyond / played.all_sent,
-        "tries refused with a unit in the store": played.inside.total() / played.tries,
-        "tries refused with half of the store": played.half / played.tries,
+        "units sent on beyond quotas": played.beyond_quota / played.sent,
+        "tries refused with a unit in the store": played.refused_within_quota.total() / played.tries,
+        "tries refused with half of the store": played.refused_with_half_bucket / played.tries,
         "calls for each try": calls / played.tries,
         "calls without an answer": played.calls["unanswered"] / max(1, calls),
-        "connections opened for each request sent on": played.connections / played.all_sent,
+        "connections opened for each request sent on": played.connections / played.sent,
     }
     found |= {f"of the refusals: {why}": count / refused for why, count in sorted(played.refused.items())}
-    for plan, (offered, served) in played.plans.items():
+    for plan, (offered, served) in played.by_plan.items():
         found[f"served inside the quotas, {plan}"] = served / max(1, offered)
     return found
 
@@ -70,14 +70,14 @@
     ratios: dict[str, float] = {}
     table: dict[int, dict[str, float]] = {}
     for count in doors:
-        runs = [Fleet(count, seed, bears=BEARS).run(seconds) for seed in seeds]
+        runs = [FleetSimulation(count, seed, counter_rate=BEARS).run(seconds) for seed in seeds]
         rows = [figures_of(played, seconds) for played in runs]
         table[count] = {
             name: statistics.median(row.get(name, 0.0) for row in rows)
             for name in sorted({name for row in rows for name in row})
         }
         ratios |= {f"{count} front doors: {name}": value for name, value in table[count].items()}
-        least = [played.ceiling for played in runs]
+        least = [played.min_ceiling_level for played in runs]
         if min(least) < 0:
             raise AssertionError(f"{count} front doors: a ceiling was passed")
         figures[f"{count} front doors: least that a ceiling's store of 33 held"] = figure(least, "units")
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -11,7 +11,7 @@
 from orchidhill import interface as i
 from orchidhill.call_rate import CallRate
 from orchidhill.gateway import SUBSET_SIZE, Gateway
-from standins.fleet import Fleet
+from standins.fleet import FleetSimulation
 from tests.helpers import (
     START,
     FakeCounter,
@@ -206,21 +206,21 @@
 
 @pytest.mark.parametrize("gateways", [4, 64])
 def test_a_fleet_serves_requests_within_quotas(gateways: int) -> None:
-    result = Fleet(gateways, workers=60, use=0.6).run(4.0)
+    result = FleetSimulation(gateways, workers=60, load_factor=0.6).run(4.0)
     assert result.served >= 0.99 * result.offered
-    assert result.beyond <= 0.04 * result.all_sent
-    assert result.half <= 0.02 * result.tries  # refused with half of the bucket unused
+    assert result.beyond_quota <= 0.04 * result.sent
+    assert result.refused_with_half_bucket <= 0.02 * result.tries  # refused with half of the bucket unused
     assert result.refused["quota"] >= 0.9 * result.refused.total()
 
 
 def test_a_fleet_recovers_from_losing_seven_in_ten_gateways_with_unspent_leases() -> None:
-    fleet = Fleet(64, workers=60, use=0.6)
-    fleet.after(2.0, lambda: fleet.kill(list(range(45))))
+    fleet = FleetSimulation(64, workers=60, load_factor=0.6)
+    fleet.schedule(2.0, lambda: fleet.kill_gateways(list(range(45))))
     result = fleet.run(4.0)
     assert result.refused["killed"] > 20  # their clients retried
     assert result.served >= 0.97 * result.offered
-    assert result.beyond <= 0.08 * result.all_sent
-    assert result.ceiling >= 10.0
+    assert result.beyond_quota <= 0.08 * result.sent
+    assert result.min_ceiling_level >= 10.0
 
 
 def test_overflow_is_added_even_without_spare_calls() -> None:
@@ -244,5 +244,6 @@
 
 
 def test_ceilings_hold_where_calls_are_few_and_demand_far_exceeds_quotas() -> None:
-    result = Fleet(100, seed=3, pace=100.0).run(5.0)
-    assert result.ceiling >= 10.0  # units left of a ceiling's 33, at worst; the rules allow no less than -3
+    result = FleetSimulation(100, seed=3, call_rate=100.0).run(5.0)
+    # Units left of a ceiling's 33, at worst; the rules allow no less than -3.
+    assert result.min_ceiling_level >= 10.0
