--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a front door talks to, as the tests, the demo and the benchmarks need them."""
+"""Stand-ins for the systems around a gateway, for the tests, the demo and the benchmarks."""
--- a/standins/etcd.py
+++ b/standins/etcd.py
@@ -1,8 +1,8 @@
-"""A stand-in of etcd v3 behind its JSON gateway, written from the published API: keys with revisions, ranges,
-transactions, watches, leases, compaction, users; and faults that are scripted.
+"""A stand-in for etcd v3 behind its JSON gateway, with scripted faults.
 
-In memory, one member.  It answers as the gateway does: 64-bit numbers as texts, fields at their default left
-out, errors as `{"error", "message", "code"}`.
+Written from the published API: keys with revisions, ranges, transactions, watches, leases, compaction and
+users.  It has one member and keeps everything in memory.  It answers as the JSON gateway does: 64-bit numbers
+as strings, fields with their default value omitted, errors as `{"error", "message", "code"}`.
 """
 
 from __future__ import annotations
@@ -27,22 +27,25 @@
 from starlette.routing import Route
 
 Json = dict[str, Any]
-MAX_REQUEST_BYTES = 1536 * 1024  # bytes, --max-request-bytes
+MAX_REQUEST_BYTES = 1536 * 1024  # --max-request-bytes
 MAX_OPERATIONS = 128  # --max-txn-ops
 
 
 class EtcdError(Exception):
+    """An error answer; `code` is a gRPC status code."""
+
     def __init__(self, code: int, message: str) -> None:
         self.code, self.message = code, f"etcdserver: {message}"
         super().__init__(message)
 
 
+# The HTTP status for each gRPC status code.
 HTTP_STATUSES = {3: 400, 5: 404, 7: 403, 8: 429, 9: 400, 11: 400, 14: 503, 16: 401}
 
 
 @dataclass
 class KeyVersion:
-    """A key as of one revision; without a value it was deleted."""
+    """A key as of one revision; `value` is None if it was deleted."""
 
     mod_revision: int
     create_revision: int
@@ -53,6 +56,8 @@
 
 @dataclass
 class Lease:
+    """A lease with the keys attached to it."""
+
     ttl: int
     expires_at: float
     keys: set[bytes] = field(default_factory=set)
@@ -60,6 +65,8 @@
 
 @dataclass
 class Watch:
+    """A watch of a range; the queue gets the changed keys with their revision, and None at the end."""
+
     key: bytes
     range_end: bytes
     queue: asyncio.Queue[list[tuple[int, bytes]] | None]
@@ -67,23 +74,23 @@
 
 @dataclass
 class Faults:
-    """What goes wrong, until it is set back."""
+    """The faults, in force until they are changed."""
 
-    partition: bool = False  # nothing is answered, connections stay
-    disconnect: bool = False  # connections end without an answer
+    partition: bool = False  # calls are not answered, connections stay open
+    disconnect: bool = False  # connections are closed without an answer
     delay: float = 0.0  # seconds before each answer
-    unanswered_txns: int = 0  # so many transactions that are made and not answered
-    lost_txns: int = 0  # so many transactions that are neither made nor answered
-    no_space: bool = False  # the alarm NOSPACE
-    mute_watches: bool = False  # watches stay open and tell nothing
-    refuse_watches: bool = False  # watches are refused, all else is served
-    watches_to_hang: int = 0  # so many watches that never begin
-    truncate_watch: bool = False  # the next answer of a watch ends in the middle
-    unavailable_calls: int = 0  # so many calls that are answered with "leader changed"
+    unanswered_txns: int = 0  # number of transactions to apply without an answer
+    lost_txns: int = 0  # number of transactions to neither apply nor answer
+    no_space: bool = False  # the alarm NOSPACE is raised
+    mute_watches: bool = False  # watches stay open without events
+    refuse_watches: bool = False  # refuses watches; other calls are served
+    watches_to_hang: int = 0  # number of watches that never begin
+    truncate_watch: bool = False  # ends the next message of a watch in the middle
+    unavailable_calls: int = 0  # number of calls to answer with "leader changed"
 
 
 class Etcd:
-    """The state; all methods run in the server's loop."""
+    """The state of etcd; all methods run in the server's event loop."""
 
     def __init__(self, users: dict[str, str] | None = None) -> None:
         self.users = users or {}
@@ -93,18 +100,18 @@
         self.reset()
 
     def reset(self) -> None:
-        """Begin anew, as after the loss of the data folder."""
+        """Start without data, as after the loss of the data directory."""
         self.revision = 1
         self.compacted = 0
         self.versions: dict[bytes, list[KeyVersion]] = {}
-        self.all_keys: list[bytes] = []  # all keys that ever were, sorted
-        self.changed_keys: dict[int, list[bytes]] = {}  # which keys each revision changed
+        self.all_keys: list[bytes] = []  # sorted, with the deleted ones
+        self.changed_keys: dict[int, list[bytes]] = {}  # by revision
         self.leases: dict[int, Lease] = {}
         self.tokens: set[str] = set()
         self.end_watches()
 
     def end_watches(self) -> None:
-        """All watches' connections end, as when a member goes."""
+        """End all watches, as when a member leaves."""
         for watch in self.watches:
             watch.queue.put_nowait(None)
         self.watches = []
@@ -123,6 +130,7 @@
         )
 
     def version_at(self, key: bytes, revision: int) -> KeyVersion | None:
+        """Return a key's version as of a revision; None if it did not exist."""
         versions = self.versions.get(key, [])
         found = bisect_right(versions, revision, key=lambda v: v.mod_revision)
         version = versions[found - 1] if found else None
@@ -130,7 +138,7 @@
 
     def encode_kv(self, key: bytes, version: KeyVersion, keys_only: bool = False) -> Json:
         kv = {"key": b64encode(key).decode(), "create_revision": str(version.create_revision),
-                "mod_revision": str(version.mod_revision), "version": str(version.version)}  # fmt: skip
+              "mod_revision": str(version.mod_revision), "version": str(version.version)}  # fmt: skip
         if version.value and not keys_only:
             kv["value"] = b64encode(version.value).decode()
         if version.lease:
@@ -184,7 +192,7 @@
         return True
 
     def commit(self, apply: Callable[[int], Json]) -> Json:
-        """Changes of one revision, told to the watches as one."""
+        """Apply changes as one revision, and send them to the watches as one event."""
         revision = self.revision + 1
         answer = apply(revision)
         if revision in self.changed_keys:
@@ -231,7 +239,7 @@
             case "VERSION":
                 actual, expected = version.version if version else 0, int(compare.get("version", 0))
             case _:
-                raise EtcdError(3, "this comparison is not served by the stand-in")
+                raise EtcdError(3, "this comparison is not supported by the stand-in")
         results = {"EQUAL": actual == expected, "GREATER": actual > expected, "LESS": actual < expected,
                    "NOT_EQUAL": actual != expected}  # fmt: skip
         return results[compare.get("result", "EQUAL")]
@@ -329,7 +337,7 @@
         }
 
     async def watch(self, message: Json) -> AsyncIterator[bytes]:
-        """The lines of one watch, each told when it happens."""
+        """Yield the lines of a watch's answer as the changes happen."""
         create = message["create_request"]
         key, range_end = decode_field(create, "key"), decode_field(create, "range_end")
         start = int(create.get("start_revision", 0))
@@ -348,7 +356,7 @@
         self.watches.append(watch)
         try:
             while (changed := await watch.queue.get()) is not None:
-                # One that began at a revision yet to come tells nothing before it.
+                # A watch that starts at a future revision sends no earlier events.
                 if changed[0][0] < start:
                     continue
                 data = encode_line(self.watch_response(changed, changed[0][0]))
@@ -373,7 +381,7 @@
     try:
         return b64decode(message.get(name, ""), validate=True)
     except ValueError:
-        raise EtcdError(3, f"{name} is no base64") from None
+        raise EtcdError(3, f"{name} is not valid base64") from None
 
 
 def is_in_range(candidate: bytes, key: bytes, range_end: bytes) -> bool:
@@ -385,7 +393,7 @@
 
 
 def check_duplicate_keys(operations: list[Json]) -> None:
-    """A key may be put once in a transaction, and not both put and deleted."""
+    """Raise EtcdError if a transaction puts a key twice, or both puts and deletes it."""
     puts = [decode_field(op["request_put"], "key") for op in operations if "request_put" in op]
     if len(set(puts)) < len(puts):
         raise EtcdError(3, "duplicate key given in txn request")
@@ -401,11 +409,11 @@
 
 
 class EtcdServer:
-    """The gateway on a port of its own, in a thread of its own; faults may be set from any thread."""
+    """The JSON gateway on a free loopback port, in its own thread; faults may be set from any thread."""
 
     def __init__(self, users: dict[str, str] | None = None, ssl: dict[str, Any] | None = None) -> None:
         self.etcd = Etcd(users)
-        # With its protocol named asyncio sets TCP_NODELAY; without that each answer waits 40 ms for an ACK.
+        # asyncio sets TCP_NODELAY if the protocol is named; without it each answer waits 40 ms for an ACK.
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         self.socket.bind(("127.0.0.1", 0))
         self.socket.listen(128)
@@ -436,7 +444,7 @@
         self.thread.start()
         while not self.server.started:
             if not self.thread.is_alive():
-                raise RuntimeError("the stand-in ended")
+                raise RuntimeError("the etcd stand-in exited while starting")
             time.sleep(0.005)
         return self
 
@@ -455,13 +463,13 @@
             self.etcd.expire_leases()
 
     def stop(self) -> None:
-        self.etcd.faults = Faults()  # what hangs goes on
+        self.etcd.faults = Faults()  # lets hanging calls continue
         self.run_on_loop(self.etcd.reset)
         self.server.should_exit = self.server.force_exit = True
         self.thread.join(5)
 
     def run_on_loop(self, function: Callable[[], Any]) -> Any:
-        """Run something where the state lives."""
+        """Run a function in the server's event loop, and return its result."""
 
         async def call() -> Any:
             return function()
@@ -510,12 +518,12 @@
         try:
             message = json.loads(body)
         except ValueError:
-            raise EtcdError(3, "the body is no JSON") from None
+            raise EtcdError(3, "the body is not valid JSON") from None
         assert isinstance(message, dict)
         return message
 
     async def wait_for_disconnect(self, request: Request) -> Response:
-        """No answer, for as long as the caller waits."""
+        """Send no answer until the client disconnects."""
         while not await request.is_disconnected():
             await asyncio.sleep(0.01)
         return Response()
@@ -542,6 +550,7 @@
 def etcd_server(
     users: dict[str, str] | None = None, ssl: dict[str, Any] | None = None
 ) -> Iterator[EtcdServer]:
+    """Run a server during the context.  `ssl`: options of uvicorn for TLS."""
     server = EtcdServer(users, ssl)
     server.start()
     try:
--- a/standins/redis.py
+++ b/standins/redis.py
@@ -1,9 +1,9 @@
-"""A stand-in for Redis and Valkey: nodes, replicas, a cluster with slots, sentinels, scripted faults.
+"""A stand-in for Redis and Valkey: nodes, replicas, a cluster, sentinels, and scripted faults.
 
 Written from the public documentation: RESP2 and RESP3 (redis.io, "Redis serialization protocol
-specification"), the commands' pages, "Redis cluster specification" and "Sentinel".  It knows the commands
-that a client library and the tally's script use; scripts run in a real Lua.  Replication is asynchronous: a
-replica has what its master wrote `lag` seconds ago.
+specification"), the commands' pages, "Redis cluster specification" and "Sentinel".  It implements the
+commands that a client library and the counter's script use; scripts run in a real Lua.  Replication is
+asynchronous: a replica has what its master wrote `replication_lag` seconds ago.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def slot_of(key: bytes) -> int:
-    """CRC16 (XMODEM) of the key, or of its part in braces, modulo 16384."""
+    """Return the hash slot: CRC16 (XMODEM) of the key, or of its part in braces, modulo 16384."""
     begin = key.find(b"{")
     if begin >= 0 and (end := key.find(b"}", begin + 1)) > begin + 1:
         key = key[begin + 1 : end]
@@ -40,35 +40,38 @@
 
 
 class CommandError(Exception):
-    """An error answer: its first word is the code."""
+    """An error answer; its first word is the error code."""
 
 
 class SimpleString(str):
-    """A status answer."""
+    """A simple string of RESP, such as OK."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True)
 class Value:
+    """A hash under a key."""
+
     fields: dict[bytes, bytes]
     expires_at: float | None = None  # loop time
 
 
 @dataclass
 class Faults:
-    """What goes wrong at a node, until it is changed."""
+    """The faults of a node, in force until they are changed."""
 
-    silent: bool = False  # takes calls and answers nothing, does nothing
-    delay: float = 0.0  # seconds by which each answer is late; the call has run
-    error: str = ""  # an error in the place of each call on a key: LOADING ..., BUSY ..., CLUSTERDOWN ...
-    next_errors: deque[str] = field(default_factory=deque)  # errors for the next calls on a key, one each
-    answers_to_drop: int = 0  # so many calls on a key run, and the connection ends in the place of the answer
-    reset_connections: bool = False  # new connections are reset
+    silent: bool = False  # reads calls, but neither executes nor answers them
+    delay: float = 0.0  # seconds before each answer is sent; the call is executed at once
+    error: str = ""  # answers each call on a key: LOADING ..., BUSY ..., CLUSTERDOWN ...
+    next_errors: deque[str] = field(default_factory=deque)  # answer the next calls on a key, one each
+    # This number of calls on a key are executed, and the connection is closed instead of an answer.
+    answers_to_drop: int = 0
+    reset_connections: bool = False  # resets new connections
 
 
 class Node:
-    """One server on a loopback port of its own."""
+    """A server on a loopback port."""
 
     def __init__(self, deployment: RedisDeployment, name: str) -> None:
         self.deployment, self.name = deployment, name
@@ -82,9 +85,9 @@
         self.server: asyncio.Server | None = None
         self.port = 0
         self.slots: list[tuple[int, int]] = []
-        self.migrating: dict[int, Node] = {}  # slots on their way to another node
-        self.importing: dict[int, Node] = {}
-        self.executed_calls = 0  # calls on a key that ran
+        self.migrating: dict[int, Node] = {}  # by slot: the node to which it migrates
+        self.importing: dict[int, Node] = {}  # by slot: the node from which it comes
+        self.executed_calls = 0  # calls on a key
         self.accepted_connections = 0
         self.lua: Any = None
 
@@ -99,7 +102,7 @@
         return self
 
     def stop(self) -> None:
-        """The process dies: nobody listens, connections are reset, what it had is gone."""
+        """Simulate a crash: stop listening, reset the connections and lose all data."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -109,12 +112,13 @@
         self.scripts.clear()
 
     async def restart(self) -> None:
-        """It comes back at its address, empty, and knows no script."""
+        """Crash, and start again at the same address without data and scripts."""
         self.stop()
         self.run_id = secrets.token_hex(20)
         await self.start()
 
     def value(self, key: bytes) -> Value | None:
+        """Return the value of a key that has not expired."""
         found = self.data.get(key)
         if found is not None and found.expires_at is not None and found.expires_at <= self.deployment.now():
             del self.data[key]
@@ -124,7 +128,7 @@
     # --- commands ----------------------------------------------------------------------------------
 
     def key_of_call(self, name: str, args: list[bytes]) -> bytes | None:
-        """The key that a call is for, which its slot follows from."""
+        """Return the key that a call is for, which determines its slot."""
         if name in ("EVAL", "EVALSHA"):
             return args[2] if len(args) > 2 and int(args[1]) > 0 else None
         if name in KEY_COMMANDS:
@@ -132,6 +136,7 @@
         return None
 
     def execute(self, connection: ClientConnection, name: str, args: list[bytes]) -> Any:
+        """Execute a command and return its answer.  Raises CommandError."""
         key = self.key_of_call(name, args)
         if key is not None:
             self.check_access(connection, key)
@@ -148,7 +153,7 @@
         return result
 
     def check_access(self, connection: ClientConnection, key: bytes) -> None:
-        """Whether this node serves a key now.  Raises Wrong."""
+        """Raise CommandError if this node does not serve the key now."""
         if self.faults.next_errors:
             raise CommandError(self.faults.next_errors.popleft())
         if self.faults.error:
@@ -168,7 +173,7 @@
             raise CommandError(f"ASK {slot} {self.migrating[slot].address}")
 
     def check_writable(self, key: bytes) -> None:
-        """Before a write.  Raises Wrong at a replica."""
+        """Raise CommandError on a replica."""
         if self.master is not None:
             raise CommandError("READONLY You can't write against a read only replica.")
 
@@ -340,7 +345,7 @@
     def run_script(
         self, connection: ClientConnection, text: str, count: int, arguments: tuple[bytes, ...]
     ) -> Any:
-        """Run a script: nothing comes between its calls."""
+        """Run a script atomically."""
         if self.lua is None:
             self.lua = LuaRuntime(unpack_returned_tuples=True, encoding=None)
         table, redis_table = self.lua.table_from, self.lua.table()
@@ -365,7 +370,7 @@
 
 
 class Sentinel(Node):
-    """Tells where the master is."""
+    """A sentinel; it names the master."""
 
     def do_sentinel(self, connection: ClientConnection, subcommand: bytes, *args: bytes) -> Any:
         master = self.deployment.master
@@ -394,7 +399,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection."""
+    """A client's connection to a node."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
@@ -453,7 +458,7 @@
 
 
 def encode(value: Any, resp: int) -> bytes:
-    """A value as RESP2 or RESP3."""
+    """Encode a value as RESP2 or RESP3."""
     match value:
         case CommandError():
             return f"-{value}\r\n".encode()
@@ -473,11 +478,11 @@
             return head + b"".join(encode(part, resp) for part in parts)
         case list():
             return b"*%d\r\n" % len(value) + b"".join(encode(part, resp) for part in value)
-    raise TypeError(f"no answer: {value!r}")
+    raise TypeError(f"cannot encode as RESP: {value!r}")
 
 
 class RedisDeployment:
-    """A deployment: one master, one with a replica and sentinels, or a cluster."""
+    """A deployment: one master, a master with replicas and sentinels, or a cluster."""
 
     def __init__(
         self, cluster: bool = False, replication_lag: float = 0.0, user: str = "default", password: str = ""
@@ -533,7 +538,7 @@
     # --- replication -------------------------------------------------------------------------------
 
     def on_write(self, master: Node, key: bytes) -> None:
-        """A call on a key has run: what the key is now goes to the replicas when the lag is over."""
+        """Replicate a key's new value to the replicas after the lag."""
         if self.replicas(master):
             found = master.value(key)
             copy = Value(dict(found.fields), found.expires_at) if found is not None else None
@@ -541,7 +546,7 @@
         self.replicate()
 
     def replicate(self) -> None:
-        """Hand on what is old enough."""
+        """Apply the writes whose lag is over to the replicas."""
         while self.unreplicated and self.unreplicated[0][0] <= self.now():
             _, master, key, found = self.unreplicated.popleft()
             for replica in self.replicas(master):
@@ -551,9 +556,9 @@
                     replica.data[key] = Value(dict(found.fields), found.expires_at)
 
     def promote(self, master: Node, demote: bool = False) -> Node:
-        """A replica takes a master's place with what it has; what was not replicated is lost.
+        """Make a replica the master, with the data that it has; unreplicated writes are lost.
 
-        `demote`: the old master lives on as a replica of it, with its connections; else it is dead.
+        `demote`: the old master continues as a replica, with its connections; otherwise it crashes.
         """
         self.replicate()
         replica = self.replicas(master)[0]
@@ -571,19 +576,20 @@
     # --- slots -------------------------------------------------------------------------------------
 
     def begin_migration(self, slot: int, target: Node) -> None:
-        """A slot is on its way: keys that are not here any more are asked for there."""
+        """Start to migrate a slot: the owner redirects calls on keys that it no longer has, by ASK."""
         owner = self.slot_owner(slot)
         assert owner is not None
         owner.migrating[slot], target.importing[slot] = target, owner
 
     def migrate_key(self, key: bytes) -> None:
+        """Move one key of a migrating slot."""
         owner = self.slot_owner(slot_of(key))
         assert owner is not None
         if (found := owner.data.pop(key, None)) is not None:
             owner.migrating[slot_of(key)].data[key] = found
 
     def end_migration(self, slot: int) -> None:
-        """The slot is the other node's."""
+        """Move the slot's remaining keys and its ownership to the other node."""
         owner = self.slot_owner(slot)
         assert owner is not None
         target = owner.migrating.pop(slot)
