--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in backend of the users' protocol: runs requests, names them in its answers, keeps what ran."""
+"""A stand-in backend of the users' protocol: executes requests, answers with their IDs, and records them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass
 class ExecutedRequest:
-    """A request as a backend has run it."""
+    """A request that a backend executed."""
 
     id: str
     method: str
@@ -22,31 +22,31 @@
 
 
 class RequestObserver:
-    """Hears of each request at a backend; this one does nothing."""
+    """Is notified of each request at a backend; this one does nothing."""
 
     def on_request(self, request: ExecutedRequest) -> float:
-        """A request is there; the seconds that it takes beyond `work`."""
+        """Return how many seconds the request takes beyond `work_s`."""
         return 0.0
 
     def on_end(self, request: ExecutedRequest, completed: bool) -> None:
-        """Its work is over: by itself (`whole`), or as its connection closed."""
+        """Called when the work has ended: `completed`, or because the connection was closed."""
 
 
 @dataclass
 class Backend:
-    """One life of a backend.  `plan` gives the bytes that answer a request; None: an ordinary answer."""
+    """One incarnation of a backend.  `make_answer` returns an answer's bytes; None gives the default one."""
 
     instance: str
     service: str
     host: str
     zone: str
     make_answer: Callable[[ExecutedRequest], bytes | None] = lambda ran: None
-    answer_gate: asyncio.Event | None = None  # an answer waits for it
-    work_s: float = 0.0  # seconds that a request takes
+    answer_gate: asyncio.Event | None = None  # answers wait until it is set
+    work_s: float = 0.0  # the time that a request takes
     observer: RequestObserver = field(default_factory=RequestObserver)
     executed: list[ExecutedRequest] = field(default_factory=list)
-    finished: list[str] = field(default_factory=list)  # ids of requests that were worked on to their end
-    disconnected: list[str] = field(default_factory=list)  # and of those whose connection closed meanwhile
+    finished: list[str] = field(default_factory=list)  # IDs of requests whose work was completed
+    disconnected: list[str] = field(default_factory=list)  # IDs of those whose connection was closed before
     misdirected: int = 0
     address: str = ""
     seq: int = 0
@@ -58,7 +58,7 @@
         self.address = f"{self.host}:{self.server.sockets[0].getsockname()[1]}"
 
     def heartbeat_body(self, state: str = "in_service") -> dict[str, object]:
-        """The body of the next call to the registry."""
+        """Return the body of the next heartbeat to the registry."""
         self.seq += 1
         return {
             "service_name": self.service, "address": self.address, "zone_name": self.zone,
@@ -123,7 +123,10 @@
             await self.answer_gate.wait()
 
     async def work_until_disconnect(self, reader: asyncio.StreamReader, seconds: float) -> tuple[bool, bytes]:
-        """Work on a request; whether its connection closed before the end, else what came behind it."""
+        """Work on a request.
+
+        Returns whether its connection was closed before the end, and otherwise the bytes received after it.
+        """
         working = asyncio.ensure_future(self.do_work(seconds))
         reading = asyncio.ensure_future(reader.read(1))
         await asyncio.wait({working, reading}, return_when=asyncio.FIRST_COMPLETED)
@@ -139,7 +142,7 @@
         return False, b""
 
     def stop(self) -> None:
-        """A crash: nothing is said, nobody listens any more."""
+        """Simulate a crash: stop listening, and abort the connections without a notice."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.connections):
--- a/standins/tally.py
+++ b/standins/tally.py
@@ -1,4 +1,4 @@
-"""A tally with scripted faults: each front door has a port of its own, and sees what is scripted for it."""
+"""A counter service with scripted faults: each gateway has its own port, and its own faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CopyableStore(CounterStore):
-    """Totals with an incarnation of their own."""
+    """A counter store in memory that has an incarnation and can be copied."""
 
     def __init__(
         self, totals: dict[bytes, float] | None = None, expiries: list[tuple[float, bytes]] | None = None
@@ -23,12 +23,12 @@
         self.totals, self.expiries = dict(totals or {}), list(expiries or [])
 
     def clone(self) -> CopyableStore:
-        """Another tally that starts from what this one has now."""
+        """Return another store, with another incarnation, that starts from the current totals."""
         return CopyableStore(self.totals, self.expiries)
 
 
 class GatewayConnection(asyncio.Protocol):
-    """One connection of a front door."""
+    """A connection of a gateway."""
 
     def __init__(self, server: FaultyCounterServer) -> None:
         self.server = server
@@ -45,14 +45,14 @@
     def data_received(self, data: bytes) -> None:
         fault = self.server.fault
         if fault == "silent":
-            return  # dropped on the way, for good
+            return  # the call is lost on the network
         self.reader.feed(data)
         while (call := self.reader.gets()) is not False:
             answer = self.server.execute(call)
             if fault == "late":
                 asyncio.get_running_loop().call_later(self.server.delay, self.send, answer)
             elif fault == "ok":
-                self.send(answer)  # "lost": it was done, and its answer does not come
+                self.send(answer)  # with "lost" the call was executed, but its answer is not sent
 
     def send(self, answer: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -60,11 +60,11 @@
 
 
 class FaultyCounterServer:
-    """The way of one front door to a tally."""
+    """The counter service as one gateway reaches it."""
 
     def __init__(self, store: CopyableStore) -> None:
-        self.fault = "ok"  # silent, refused, late, lost
-        self.delay = 0.5  # seconds
+        self.fault = "ok"  # or silent, refused, late, lost
+        self.delay = 0.5  # of answers with "late", in seconds
         self.connections: set[GatewayConnection] = set()
         self.listener: asyncio.Server | None = None
         self.port = 0
@@ -72,7 +72,7 @@
         self.use_store(store)
 
     def use_store(self, store: CopyableStore) -> None:
-        """From now on the door reaches these counts, on new connections: at another machine, as it were."""
+        """Serve another store on new connections, as if the address led to another machine."""
         self.store = store
         self.executor = CounterServer(store, lambda: asyncio.get_running_loop().time())
         for connection in list(self.connections):
@@ -90,14 +90,14 @@
         return self
 
     async def set_fault(self, fault: str) -> None:
-        """Change what the door meets from now on."""
+        """Change the fault."""
         previous, self.fault = self.fault, fault
         if fault == "refused":
             self.stop()
         elif previous == "refused":
             await self.start()
         elif previous == "silent":
-            # What was dropped never comes: the connection is of no use when the network is back.
+            # Calls were lost in the middle of the stream, so the connections cannot be used further.
             for connection in list(self.connections):
                 if connection.transport is not None:
                     connection.transport.abort()
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in worker: ordinary HTTP, executions counted by request id, keyed memory, scripted faults."""
+"""A stand-in worker: HTTP/1.1, counts executions by request ID, deduplicates by key, has scripted faults."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """A request as it came whole."""
+    """A request that was received completely."""
 
     method: str
     target: bytes
@@ -29,14 +29,15 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What is done with a request: `run` it or not, write bytes after a delay, end the connection or not.
+    """What a worker does with a request: execute it or not, answer after a delay, close the connection.
 
-    `data` None: an ordinary answer is made.  `reset` goes before writing, `close` comes behind it.
+    `data`: the answer's bytes; None gives the default answer.  `reset` resets the connection instead of
+    answering, `close` closes it after the answer.
     """
 
     execute: bool = True
     data: bytes | None = None
-    gate: asyncio.Event | None = None  # answers once this is set
+    gate: asyncio.Event | None = None  # the answer waits until it is set
     delay: float = 0.0
     reset: bool = False
     close: bool = False
@@ -46,27 +47,30 @@
 
 
 def reply_normally(request: ReceivedRequest) -> Reply:
+    """Execute the request, and send the default answer at once."""
     return Reply()
 
 
 def encode_answer(status: int, body: bytes = b"", headers: str = "") -> bytes:
-    """An answer's bytes."""
+    """Encode an HTTP answer."""
     extra = headers + "\r\n" if headers else ""
     return f"HTTP/1.1 {status} X\r\n{extra}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 @dataclass
 class ExecutionRecord:
-    """What the workers of one test share: how often each request ran, and the keys of each bay."""
+    """How often the workers of a test executed each request, and the keys executed in each bay."""
 
     executions: Counter[str] = field(default_factory=Counter)
-    outstanding: Counter[str] = field(default_factory=Counter)  # attempts out, by request
-    overlapping: set[str] = field(default_factory=set)  # requests with two attempts out at once
-    received: Counter[str] = field(default_factory=Counter)  # attempts that came whole
-    executed_keys: set[tuple[int, str]] = field(default_factory=set)
+    outstanding: Counter[str] = field(default_factory=Counter)  # attempts not yet answered, by request
+    overlapping: set[str] = field(default_factory=set)  # requests with two such attempts at once
+    received: Counter[str] = field(default_factory=Counter)  # attempts received completely
+    executed_keys: set[tuple[int, str]] = field(default_factory=set)  # with the bay
 
 
 class ClientConnection(asyncio.Protocol):
+    """A gateway's connection to a worker."""
+
     def __init__(self, worker: Worker) -> None:
         self.worker = worker
         self.parser = httptools.HttpRequestParser(self)
@@ -115,7 +119,7 @@
         record.received[request_id] += 1
         record.outstanding[request_id] += 1
         if record.outstanding[request_id] > 1:
-            # The other one's connection may have ended in this same turn of the loop: look behind it.
+            # The other attempt's connection may close in this turn of the event loop, so check after it.
             asyncio.get_running_loop().call_soon(self.worker.check_overlap, request_id)
         self.outstanding_id = request_id
         reply = self.worker.respond(request)
@@ -146,21 +150,21 @@
         if reply.reset:
             self.transport.abort()
             return
-        self.end_attempt()  # an attempt is out until its answer is written
+        self.end_attempt()  # an attempt is outstanding until its answer is written
         self.transport.write(data)
         if reply.close:
             self.transport.close()
 
 
 class Worker:
-    """One worker on a loopback port of its own."""
+    """A worker on a loopback port."""
 
     def __init__(
         self, record: ExecutionRecord | None = None, respond: Responder = reply_normally, bay: int = 0
     ) -> None:
         self.record, self.respond, self.bay = record or ExecutionRecord(), respond, bay
         self.connections: set[ClientConnection] = set()
-        self.gated_replies: set[asyncio.Future[Any]] = set()  # answers that wait for their gate
+        self.gated_replies: set[asyncio.Future[Any]] = set()  # answers that wait for a gate
         self.accepted_connections = 0
         self.malformed_requests = 0
         self.last_request: ReceivedRequest | None = None
@@ -200,7 +204,7 @@
 
 
 def random_faults(rng: random.Random, fault_share: float = 0.3, max_delay: float = 0.02) -> Responder:
-    """A plan with faults for a part of the requests, before and after they ran."""
+    """Return a responder with faults for a share of the requests, before and after their execution."""
 
     def respond(request: ReceivedRequest) -> Reply:
         if rng.random() > fault_share:
@@ -214,11 +218,11 @@
                 return Reply(execute=True, data=encode_answer(500))
             case 3:
                 return Reply(execute=False, data=encode_answer(503, headers="Not-Started: 1"))
-            case 4:  # cut short in its body
+            case 4:  # truncated in its body
                 return Reply(data=b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this", close=True)
-            case 5:  # cut short in its head
+            case 5:  # truncated in its head
                 return Reply(data=b"HTTP/1.1 200 OK\r\nContent-Le", close=True)
-            case 6:  # too late for anybody
+            case 6:  # after every deadline
                 return Reply(delay=60.0)
             case 7:
                 return Reply(
