--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,9 +1,10 @@
-"""A fleet in simulated time: up to 800 modules, one counter, workers that queue, customers and their clients.
+"""A fleet of up to 800 gateways in simulated time, with a counter, queueing workers, customers and clients.
 
-Front doors hold the decision module itself and nothing else; what is around them is modelled.  The load, the
-workers and the customers are the same however many doors share them, so that what a fleet costs shows alone.
-Everything comes from one seed.  Each customer's true store is kept beside, as the operators keep it: a try
-that is sent on takes a unit if there is one, else it is beyond the quota and takes nothing.
+A gateway is the real decision module; everything around it is modelled.  The load, the workers and the
+customers do not depend on the number of gateways, so the results show the cost of the fleet's size alone.
+Everything is drawn from one seed.  Each customer's exact token bucket is computed separately, as the
+operators define it: a try that is sent to a worker takes a unit if there is one; otherwise it is beyond the
+quota and takes nothing.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
 
-TARGET_LATENCIES_S = (2.6, 3.25, 1.95)  # seconds: read, submit, publish
+TARGET_LATENCIES_S = (2.6, 3.25, 1.95)  # of the classes read, submit, publish
 DEADLINES_S = (6.5, 7.8, 6.5)
-MEAN_WORK_S = (0.2, 0.3, 0.2)  # mean seconds of work of a request
-CLASS_SHARES = (0.4, 0.4, 0.2)  # share of the requests
+MEAN_WORK_S = (0.2, 0.3, 0.2)  # at a worker
+CLASS_SHARES = (0.4, 0.4, 0.2)  # of the requests
 EFFECTS = (i.Effect.SAFE, i.Effect.KEYED, i.Effect.UNSAFE)
 PLANS = (
     i.Plan("community", 0.6, 3.0, 0, 0.9, 0.5, 0.0, 0.0, 0.0, 0.0),
@@ -30,10 +31,10 @@
     i.Plan("council", 9.5, 15.0, 0, 1.8, 0.8, 0.0, 20.0, 33.0, 3.0),
 )
 CUSTOMER_COUNTS = (560, 184, 39)  # of each plan
-MAX_RETRIES = 2  # of a client that is refused
-IDLE_TIMEOUT_S = 15.0  # seconds for which an idle connection is kept
-HANDSHAKE_S = 0.004  # seconds of a new connection
-NETWORK_DELAY_S = 0.001  # seconds to a worker or to the counter, and back
+MAX_RETRIES = 2  # of a client whose request is refused
+IDLE_TIMEOUT_S = 15.0  # of connections to workers
+HANDSHAKE_S = 0.004  # of a new connection
+NETWORK_DELAY_S = 0.001  # in each direction, to a worker or the counter
 BUCKET_TOLERANCE = 1e-9
 
 
@@ -56,39 +57,43 @@
 
 @dataclass(slots=True)
 class Customer:
+    """A customer, its exact token buckets and its totals."""
+
     number: int
     plan: int
     width: int
     first_gateway: int
-    weights: list[float]  # of its doors
-    level: float  # of its true store
+    weights: list[float]  # shares of its gateways
+    level: float  # of its exact token bucket
     level_at: float = 0.0
-    first_try_level: float = 0.0  # of a store from which first tries alone take, at one door that sees all
+    first_try_level: float = 0.0  # of a bucket for first tries only, over all gateways
     first_try_level_at: float = 0.0
-    offered: int = 0  # first tries that found a unit there
-    served: int = 0  # tries that found one in the true store, and were answered within the aim
+    offered: int = 0  # first tries that found a unit in that bucket
+    served: int = 0  # tries within the quota, answered within the target latency
     sent: int = 0
-    beyond_quota: int = 0  # of these
-    ceiling_level: float = 0.0  # what its ceiling's store holds, where it has one
+    beyond_quota: int = 0  # of those sent
+    ceiling_level: float = 0.0  # of the ceiling's token bucket, if its plan has one
     ceiling_level_at: float = 0.0
 
 
 @dataclass(slots=True)
 class ClientTry:
+    """A request as its client sent it to a gateway, for the first time or again."""
+
     customer: Customer
     cls: int
-    first_sent_at: float  # when the client first asked
-    retries_left: int  # tries behind this one
+    first_sent_at: float  # of the first try
+    retries_left: int
     gateway: int = 0
     sent_at: float = 0.0
-    within_quota: bool = False  # whether it took a unit of the true store
-    attempts: int = 0  # attempts so far
+    within_quota: bool = False  # took a unit of the exact bucket
+    attempts: int = 0
     is_open: bool = True
 
 
 @dataclass(slots=True)
 class Worker:
-    """Four cores and a waiting room; work that is turned away was never begun."""
+    """Four cores and a queue; rejected work was never begun."""
 
     cores: int = 4
     max_queued: int = 64
@@ -98,27 +103,30 @@
 
 @dataclass
 class FleetResult:
-    """What came of a run."""
+    """The results of a run."""
 
-    offered: int = 0  # first tries that one door which saw them all would have let in
-    served: int = 0  # requests within their quota answered within their aim, no more than that of a customer
+    offered: int = 0  # first tries that a single gateway would have admitted
+    served: int = 0  # within quota and target latency; at most a customer's offered
     sent: int = 0
-    beyond_quota: int = 0  # units sent on beyond their quota
+    beyond_quota: int = 0  # units sent to workers beyond their quota
     tries: int = 0
-    calls: Counter[str] = field(default_factory=Counter)  # by what they do, and those that went wrong
-    refused: Counter[str] = field(default_factory=Counter)  # by why
-    refused_within_quota: Counter[str] = field(default_factory=Counter)  # of these, with a unit in the store
-    refused_with_half_bucket: int = 0  # and with half of it
-    connections: int = 0  # opened to workers
+    calls: Counter[str] = field(default_factory=Counter)  # to the counter, by kind, and the failed ones
+    refused: Counter[str] = field(default_factory=Counter)  # by reason
+    refused_within_quota: Counter[str] = field(default_factory=Counter)  # with a unit in the bucket
+    refused_with_half_bucket: int = 0  # with half of the bucket or more
+    connections: int = 0  # opened to workers, in all
     open_connections: int = 0  # at the end
-    cancelled_attempts: int = 0  # attempts
-    min_ceiling_level: float = math.inf  # the least that any customer's ceiling store held
+    cancelled_attempts: int = 0
+    min_ceiling_level: float = math.inf  # the lowest level of any ceiling's bucket
     waits: list[float] = field(default_factory=list)  # seconds from a try to its first attempt
     by_plan: dict[str, list[int]] = field(default_factory=dict)  # offered and served
 
 
 class FleetSimulation:
-    """`bears`: calls a second of the counter, in two parts; the doors begin at `pace`, all together."""
+    """`counter_rate`: calls per second that the counter serves, half by each of two shards.
+
+    `call_rate`: the gateways' initial rate of calls, all together.
+    """
 
     def __init__(
         self, gateway_count: int, seed: int = 1, load_factor: float = 1.0, workers: int = 100,
@@ -138,10 +146,10 @@
         # For each gateway and worker: since when its idle connections are unused.
         self.idle_connections: list[dict[int, list[float]]] = [{} for _ in range(gateway_count)]
         self.tries: dict[int, ClientTry] = {}
-        self.backend_of_attempt: dict[tuple[int, int], int] = {}  # attempts, and where they are
+        self.backend_of_attempt: dict[tuple[int, int], int] = {}  # attempts in flight
         self.request_ids = itertools.count(1)
         self.totals: dict[int, float] = {}
-        self.shard_free_at = [0.0, 0.0]  # when each part of the counter has done what it was given
+        self.shard_free_at = [0.0, 0.0]  # when each shard has served its queue
         self.shard_rate = counter_rate / 2
         self.result = FleetResult(by_plan={plan.name: [0, 0] for plan in PLANS})
         self.customers = [
@@ -174,7 +182,7 @@
         heapq.heappush(self.events, (self.now + delay, next(self.event_numbers), function))
 
     def run(self, seconds: float) -> FleetResult:
-        """So many seconds of load; then on until all is answered."""
+        """Generate load for a time, and run until everything is answered."""
         end = self.now + seconds
         for customer in self.customers:
             self.start_load(customer, end)
@@ -182,7 +190,7 @@
             self.now, _, function = heapq.heappop(self.events)
             function()
         if any(t.is_open for t in self.tries.values()):
-            raise AssertionError("a request was left without an answer")
+            raise AssertionError("a request got no answer")
         for customer in self.customers:
             served = min(customer.served, customer.offered)
             self.result.offered += customer.offered
@@ -199,7 +207,7 @@
         return self.result
 
     def start_load(self, customer: Customer, end: float) -> None:
-        """Most use a part of their quota, some nearly all, some ask far more, some in spikes."""
+        """Most customers use a part of their quota, some nearly all, some far more, some come in spikes."""
         kind, rate = self.rng.random(), PLANS[customer.plan].rate
         if kind < 0.09:
             self.schedule_tries(customer, self.load_factor * rate * self.rng.uniform(2.0, 4.8), end)
@@ -289,7 +297,7 @@
         else:
             client_try.is_open = False
 
-    # --- doors -------------------------------------------------------------------------------------
+    # --- gateways ----------------------------------------------------------------------------------
 
     def handle_event(self, index: int, event: i.Event) -> None:
         for action in self.gateways[index].handle(self.now, event):
@@ -346,7 +354,7 @@
         self.schedule(delay, lambda: self.start_work(index, worker_index, request_id, attempt, began))
 
     def take_ceiling_unit(self, customer: Customer) -> None:
-        """Every try that is sent on takes a unit of its ceiling's store, which may not go below nothing."""
+        """Take a unit of the ceiling's bucket for a try that is sent; its level must not fall below zero."""
         plan = PLANS[customer.plan]
         if plan.ceiling_rate:
             filled = customer.ceiling_level + (self.now - customer.ceiling_level_at) * plan.ceiling_rate
@@ -354,7 +362,7 @@
             self.result.min_ceiling_level = min(self.result.min_ceiling_level, customer.ceiling_level)
 
     def cancel_attempt(self, index: int, action: i.Cancel) -> None:
-        """The attempt is given up; the worker does not stop, and its connection is lost."""
+        """Cancel an attempt; the worker continues, and the connection is lost."""
         key = action.request, action.attempt
         if (backend := self.backend_of_attempt.pop(key, None)) is not None:
             self.result.cancelled_attempts += 1
@@ -369,7 +377,7 @@
         if len(worker.queue) >= worker.max_queued:
             self.end_attempt(index, worker_index, request_id, attempt, began, i.Outcome.FULL)
             return
-        # Spread like the site's: half exponential, half of it the same for every request.
+        # Distributed as on the site: half is exponential, half the same for every request.
         seconds = MEAN_WORK_S[client_try.cls] * (0.5 + 0.5 * self.rng.expovariate(1.0))
 
         def begin() -> None:
@@ -393,7 +401,7 @@
         worker, client_try = self.workers[worker_index], self.tries.get(request_id)
         backend = self.backend_of_attempt.pop((request_id, attempt), None)
         if client_try is None or backend is None:
-            return  # it was cancelled
+            return  # cancelled
         self.idle_connections[index].setdefault(worker_index, []).append(self.now)
         closed = outcome is i.Outcome.OK
         if closed and client_try.is_open:
@@ -426,7 +434,7 @@
 
         def serve() -> None:
             total = self.totals[action.name] = self.totals.get(action.name, 0.0) + action.amount
-            total = float(f"{total:.7g}")  # as the platform's counter tells it
+            total = float(f"{total:.7g}")  # with the precision of the platform's counter
             if elapsed < timeout:
                 self.schedule_event(
                     index, NETWORK_DELAY_S, i.Counted(action.name, i.Outcome.OK, total, elapsed)
@@ -440,8 +448,9 @@
     # --- faults ------------------------------------------------------------------------------------
 
     def kill_gateways(self, gateways: list[int]) -> None:
-        """The processes die with all they know and have leased, others begin in their place; clients whose
-        connections break try again, and what workers do for them is lost.
+        """Kill gateways with their state and leases, and start others in their place.
+
+        Clients whose connections break try again; the work that was done for them is lost.
         """
         for index in gateways:
             self.restarts[index] += 1
--- a/standins/world.py
+++ b/standins/world.py
@@ -1,7 +1,8 @@
-"""Front doors' modules, tallies and faults in simulated time: no sockets, no clock, one order of events.
+"""Gateways' decision modules, counters and faults in simulated time: no sockets, no clock, fixed event order.
 
-A tally is a table of totals with an incarnation; each module has a link to one of them and a clock of its
-own.  What is let in is recorded with its time, so that any store can be played over it afterwards.
+A simulated counter is a table of totals with an incarnation; each decision module has a link to one of them
+and its own clock.  Admitted requests are recorded with their time, so that they can be checked against any
+token bucket afterwards.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 from orchidhill import interface as i
 from orchidhill.gateway import Gateway
 
-CALL_TIMEOUT_S = 0.05  # seconds for a call
-ANSWER_DELAY_S = 0.002  # seconds for an answer
-WORK_S = 0.02  # seconds at a worker
+CALL_TIMEOUT_S = 0.05  # of a call to the counter
+ANSWER_DELAY_S = 0.002  # of the counter
+WORK_S = 0.02  # of a request at a worker
 
 
 WORKERS = tuple(i.Entry(n, 0, 0.0, i.State.READY, 0, n % 2, 1.0) for n in range(1, 7))
@@ -28,7 +29,7 @@
 
 
 def make_plan(rate: float, burst: float, ceiling: float = 0.0) -> i.Plan:
-    """`ceiling`: so many times the quota's rate and burst; 0: none."""
+    """Return a plan.  `ceiling`: the ceiling as a multiple of the quota; 0: no ceiling."""
     return i.Plan("p", rate, burst, 0, 1.0, 1.0, 0.0, ceiling * rate, ceiling * burst, 0.1)
 
 
@@ -42,12 +43,13 @@
 
 
 class SimulatedCounter:
+    """A counter's totals; a repeated call counts once."""
+
     def __init__(self, incarnation: int, totals: dict[int, float] | None = None) -> None:
         self.incarnation = incarnation
         self.totals = dict(totals or {})
-        self.counted_calls: set[tuple[int, int, int, int]] = (
-            set()
-        )  # calls that may come again: name, door, life, number
+        # Calls that may be repeated: name, gateway, the gateway's restarts, call number.
+        self.counted_calls: set[tuple[int, int, int, int]] = set()
 
     def add(self, name: int, amount: float, call_id: tuple[int, int, int] = (0, 0, 0)) -> float:
         if call_id[2]:
@@ -60,17 +62,20 @@
 
 @dataclass
 class CounterLink:
-    """How a module reaches its tally: ok, refused, silent, late (all added, after the time-out) or lost (all
-    added, no answer comes)."""
+    """A decision module's link to its counter.
+
+    `fault` is ok, refused, silent, late (calls are added, after the timeout) or lost (calls are added, but
+    not answered).
+    """
 
     counter: SimulatedCounter
     fault: str = "ok"
-    shard: int | None = None  # only names of this half are troubled
+    shard: int | None = None  # the fault is in this half of the names; None: in all
 
 
 @dataclass(slots=True)
 class AdmittedRequest:
-    """One request that was let in."""
+    """A request that was admitted."""
 
     at: float
     customer: int
@@ -79,6 +84,8 @@
 
 
 class GatewaySimulation:
+    """The decision modules of some gateways, their counters, and the requests of customers."""
+
     def __init__(
         self,
         gateway_count: int,
@@ -87,7 +94,7 @@
         sends_incarnation: bool = True,
         call_rate: float = 800.0,
     ) -> None:
-        """`tells`: whether the tally tells its incarnation.  Customer n has plan n modulo their number."""
+        """`sends_incarnation`: whether counters do.  Customer n has plan n modulo the number of plans."""
         self.settings = replace(make_settings(gateway_count, plans), counter_pace=call_rate)
         self.sends_incarnation, self.plan_count = sends_incarnation, len(plans)
         self.rng = random.Random(seed)
@@ -100,9 +107,9 @@
         self.clock_skew = [0.0] * gateway_count
         self.gateways = [self.start_gateway(n) for n in range(gateway_count)]
         self.restarts = [0] * gateway_count
-        self.pending: dict[int, tuple[int, int, float]] = {}  # request: door, customer, units
+        self.pending: dict[int, tuple[int, int, float]] = {}  # by request: gateway, customer, units
         self.admitted: list[AdmittedRequest] = []
-        self.refused: list[tuple[float, int, int]] = []  # when, which customer, at which door
+        self.refused: list[tuple[float, int, int]] = []  # time, customer, gateway
         self.request_counts: dict[int, int] = {}
         self.request_ids = itertools.count(1)
         self.calls = 0
@@ -125,7 +132,7 @@
             function()
         self.now = end
 
-    # --- what happens ------------------------------------------------------------------------------
+    # --- events ------------------------------------------------------------------------------------
 
     def handle_event(self, index: int, event: i.Event) -> None:
         gateway = self.gateways[index]
@@ -200,7 +207,7 @@
     def generate_load(
         self, customer: int, rate: float, gateways: Iterable[int], begin: float, end: float
     ) -> None:
-        """Requests at random times, so many a second over these doors in all; bounded by `end`."""
+        """Send requests at random times, with this total rate per second over the gateways, until `end`."""
         at, indexes, rng = begin, list(gateways), random.Random(f"{customer}-{begin}-{rate}")
         while (at := at + rng.expovariate(rate)) < end:
             index = rng.choice(indexes)
@@ -218,7 +225,7 @@
     def replace_counter(
         self, totals: dict[int, float] | None = None, gateways: Iterable[int] | None = None
     ) -> SimulatedCounter:
-        """Another tally serves these doors from now on: empty, or with a copy of totals."""
+        """Replace the counter of these gateways by one that is empty or has a copy of totals."""
         counter = SimulatedCounter(next(self.incarnations), totals)
         for index in range(len(self.gateways)) if gateways is None else gateways:
             self.links[index].counter = counter
@@ -228,16 +235,16 @@
         return dict(self.links[0].counter.totals)
 
     def restart(self, index: int) -> None:
-        """The process dies with all it knows, and another one begins in its place."""
+        """Kill a gateway and start another one without state in its place."""
         self.restarts[index] += 1
         for number in [n for n, (d, _, _) in self.pending.items() if d == index]:
             del self.pending[number]
         self.gateways[index] = self.start_gateway(index)
 
-    # --- what came of it ---------------------------------------------------------------------------
+    # --- results -----------------------------------------------------------------------------------
 
     def overshoot(self, customer: int, rate: float, burst: float) -> float:
-        """Units by which what was let in passed a store that was full at the start, at the worst moment."""
+        """Return the maximum of units admitted beyond a bucket that was full at first."""
         level, at, worst = burst, 0.0, 0.0
         for request in self.admitted:
             if request.customer == customer:
@@ -251,7 +258,7 @@
         return worst
 
     def served_share(self, customer: int, begin: float = 0.0, end: float = 1e18) -> float:
-        """The share of a customer's requests in a span that were let in."""
+        """Return the share of a customer's requests in a period that were admitted."""
         served = sum(begin <= request.at < end for request in self.admitted if request.customer == customer)
         refused = sum(
             begin <= at < end for at, refused_customer, _ in self.refused if refused_customer == customer
