--- a/tests/tally/test_redis.py
+++ b/tests/tally/test_redis.py
@@ -1,4 +1,4 @@
-"""The tally on Redis by its client library, at the stand-in: what is added once, and what is told of it."""
+"""The Redis counter client against a stand-in for Redis: each call counts at most once, with one result."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class RecordingCounter:
-    """A counter and what it told."""
+    """A counter client that records its results."""
 
     def __init__(self, part: RedisPart, timeout: float = 1.0) -> None:
         self.results: list[Counted | Late] = []
@@ -41,7 +41,7 @@
         self.counter = RedisCounter(part, timeout, self.results.append, self.clock, seed=1)
 
     async def add(self, name: int, amount: float, life: float = 30.0) -> Counted:
-        """One call and its answer; what comes for others meanwhile stays in `told`."""
+        """Make a call and return its result; other calls' results are recorded in `results` only."""
         before = len(self.results)
         self.counter.add(Count(name, amount, life))
         await until(lambda: self.find(name, before))
@@ -53,7 +53,7 @@
         return next((t for t in self.results[since:] if isinstance(t, Counted) and t.name == name), None)
 
     async def add_until_ok(self, name: int, amount: float = 1.0) -> Counted:
-        """Call until the answer is a total: the client has found its way again."""
+        """Repeat a call until its outcome is OK, when the client has recovered."""
         while (found := await self.add(name, amount)).outcome is not Outcome.OK:
             await asyncio.sleep(0.01)
         return found
@@ -63,7 +63,7 @@
 async def recording_counter(
     deployment: RedisDeployment, mode: str = "single", timeout: float = 1.0, protocol: int = 3, **more: str
 ) -> AsyncIterator[RecordingCounter]:
-    """A counter at a started deployment, and the end of both."""
+    """Connect a client to a started deployment; close the client and stop the deployment afterwards."""
     if mode == "sentinel":
         nodes = [node.address for node in deployment.sentinels]
     else:
@@ -82,7 +82,7 @@
 
 
 def name_on(deployment: RedisDeployment, node: Node, prefix: str = "ivymux:") -> int:
-    """A name that this node of a cluster has."""
+    """Return a name whose key this node of a cluster owns."""
     return next(n for n in NAMES if deployment.slot_owner(slot_of(b"%s%x" % (prefix.encode(), n))) is node)
 
 
@@ -90,7 +90,7 @@
     return b"ivymux:%x" % name
 
 
-# --- pure ---
+# --- without a connection ---
 
 
 def test_hash_slots_match_the_specification() -> None:
@@ -150,10 +150,10 @@
             assert first.born == second.born != 0
             assert (await recorder.add(2, 1.0)).born != first.born
             node = deployment.master
-            await until(lambda: node.value(key(1)) is None)  # by the life of its first call
+            await until(lambda: node.value(key(1)) is None)  # expires after the life of its first call
             again = await recorder.add(1, 1.0)
             assert again.total == 1.0 and again.born != first.born
-            assert {link.resp for link in node.connections} == {protocol}
+            assert {connection.resp for connection in node.connections} == {protocol}
 
     run(test())
 
@@ -183,7 +183,7 @@
             assert set(deployment.master.scripts) == {SCRIPT_SHA1}
             executed = deployment.master.executed_calls
             assert (await recorder.add(1, 1.0)).total == 3.0
-            assert deployment.master.executed_calls == executed + 1  # by its digest alone
+            assert deployment.master.executed_calls == executed + 1  # a single EVALSHA
 
     run(test())
 
@@ -236,10 +236,10 @@
         async with recording_counter(deployment) as recorder:
             await recorder.add(1, 1.0)
             executed = deployment.master.executed_calls
-            deployment.master.faults.answers_to_drop = 1  # it runs, and its answer never comes
+            deployment.master.faults.answers_to_drop = 1  # the call is executed, but not answered
             assert (await recorder.add(1, 1.0)).outcome is Outcome.TIMEOUT
             assert deployment.master.executed_calls == executed + 1
-            assert (await recorder.add_until_ok(1)).total == 3.0  # it had been added, once
+            assert (await recorder.add_until_ok(1)).total == 3.0  # the unanswered call was added, once
 
     run(test())
 
@@ -251,12 +251,12 @@
             before = await recorder.add(1, 1.0)
             deployment.master.stop()
             outcomes = [(await recorder.add(1, 1.0)).outcome for _ in range(20)]
-            # What stood on the connection when it broke may have run; from then on none was written.
+            # The call in flight when the connection broke may have been executed; later ones were not sent.
             assert set(outcomes[1:]) == {Outcome.CONNECT_FAILED}
             accepted = deployment.master.accepted_connections
             await deployment.master.start()
             restored = await recorder.add_until_ok(1)
-            assert restored.total == 1.0 and restored.born != before.born  # begun anew, and it shows
+            assert restored.total == 1.0 and restored.born != before.born  # a new incarnation
             assert deployment.master.accepted_connections <= accepted + LANES
 
     run(test())
@@ -339,14 +339,15 @@
             first = await recorder.add(1, 5.0)
             deployment.replication_lag = 0.0
             deployment.unreplicated.clear()
-            assert (
-                await recorder.add(1, 1.0)
-            ).total == 6.0  # this one is replicated, with what was before it
+            # This call is replicated, with those before it.
+            assert (await recorder.add(1, 1.0)).total == 6.0
             deployment.replication_lag = 3600.0
-            assert (await recorder.add(1, 2.0)).total == 8.0  # this one is not
+            assert (await recorder.add(1, 2.0)).total == 8.0  # this one is not replicated
             deployment.promote(deployment.master)
             found = await recorder.add_until_ok(1, 0.0)
-            assert found.total == 6.0 and found.born == first.born  # the same counts, three seconds old
+            assert (
+                found.total == 6.0 and found.born == first.born
+            )  # the same incarnation, without the last call
 
     run(test())
 
@@ -384,7 +385,7 @@
 
 
 def test_a_migrating_slot_is_followed_and_nothing_counts_twice() -> None:
-    """ASK while it is on its way, MOVED when it is there; what got TRYAGAIN is added once."""
+    """During the migration the server redirects by ASK, afterwards by MOVED; TRYAGAIN adds nothing."""
 
     async def test() -> None:
         deployment = await RedisDeployment(cluster=True).start(masters=2)
@@ -394,17 +395,17 @@
             slot = slot_of(key(name))
             born = (await recorder.add(name, 1.0)).born
             deployment.begin_migration(slot, target)
-            assert (await recorder.add(name, 1.0)).total == 2.0  # still here
+            assert (await recorder.add(name, 1.0)).total == 2.0  # the source still has the key
             deployment.migrate_key(key(name))
             redirected = await recorder.add(name, 1.0)  # by ASK
             assert redirected.total == 3.0 and redirected.born == born
             target.faults.next_errors.append("TRYAGAIN Multiple keys request during rehashing of slot")
-            assert (await recorder.add(name, 1.0)).total == 4.0  # which the client asks again by itself
+            assert (await recorder.add(name, 1.0)).total == 4.0  # redis-py repeats the call by itself
             deployment.end_migration(slot)
             assert (await recorder.add_until_ok(name)).total == 5.0  # by MOVED
             executed = source.executed_calls
             assert (await recorder.add(name, 1.0)).total == 6.0
-            assert source.executed_calls == executed  # and remembered
+            assert source.executed_calls == executed  # the client remembers the new owner
 
     run(test())
 
