--- a/tests/admin/calling.py
+++ b/tests/admin/calling.py
@@ -53,8 +53,8 @@
     async def change(self, method: str, path: str, body: Any = None, **more: str) -> httpx.Response:
         """Change a tenant with the entity tag of its current state."""
         tenant = "/".join(path.split("/")[:4])
-        seen = await self.call("GET", tenant)
-        return await self.call(method, path, body, seen.headers.get("etag", '"0"'), **more)
+        current = await self.call("GET", tenant)
+        return await self.call(method, path, body, current.headers.get("etag", '"0"'), **more)
 
     async def make(self, name: str) -> httpx.Response:
         """Create a complete tenant."""
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -46,10 +46,12 @@
             done = await operator.call("PATCH", T, {"customers": {"d": {"plan": "p"}}}, etag)
             assert done.status_code == 200 and done.headers["etag"] != etag
             assert done.headers["ivymux-in-effect"] == "true"  # there is no gateway to wait for
-            lost = await operator.call("PATCH", T, {"customers": {"e": {"plan": "p"}}}, etag)
-            assert lost.status_code == 412 and lost.headers["etag"] == done.headers["etag"]
-            (what,) = lost.json()["changed"]
-            assert what["changes"] == dry.json()["changes"] and "olga" in what["who"]
+            conflict = await operator.call("PATCH", T, {"customers": {"e": {"plan": "p"}}}, etag)
+            assert conflict.status_code == 412 and conflict.headers["etag"] == done.headers["etag"]
+            (conflicting_change,) = conflict.json()["changed"]
+            assert (
+                conflicting_change["changes"] == dry.json()["changes"] and "olga" in conflicting_change["who"]
+            )
             assert (
                 await operator.change("PUT", f"{T}/plans/q", {"rate": 1.0, "burst": 5.0})
             ).status_code == 201
@@ -87,8 +89,8 @@
             assert got.status_code == 422 and got.json()["findings"][0]["path"].startswith("/files/api.json#")
             got = await operator.change("PUT", f"{T}/inventory", {"text": "name,address\nw,10.0.0.1:0\n"})
             assert got.status_code == 422 and got.json()["findings"][0]["line"] == 2
-            dear = described({"/a": {"get": operation(x={"cost": 50})}})
-            got = await operator.change("PUT", f"{T}/routes", {"main": "f", "files": {"f": dear}})
+            expensive_routes = described({"/a": {"get": operation(x={"cost": 50})}})
+            got = await operator.change("PUT", f"{T}/routes", {"main": "f", "files": {"f": expensive_routes}})
             assert got.status_code == 422 and got.json()["findings"][0]["path"] == "/plans/p/burst"
             patches: list[Any] = [{"plans": None}, {"hosts": ["UP"]}, {"nonsense": 1}, {"keys": {}}, [1]]
             for patch in patches:
@@ -142,19 +144,19 @@
         async with serving(tmp_path) as (operator, store):
             await operator.make("a")
             path = f"{T}/keys"
-            made = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
+            created = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
             again = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
-            assert made.status_code == again.status_code == 201
+            assert created.status_code == again.status_code == 201
             assert again.headers["idempotency-replayed"] == "true"
-            assert again.json()["id"] == made.json()["id"] and "key" not in again.json()
+            assert again.json()["id"] == created.json()["id"] and "key" not in again.json()
             other = await operator.call("POST", path, {"customer": "d"}, Idempotency_Key="one")
             assert other.status_code == 422
             assert len((await operator.call("GET", path)).json()["items"]) == 1
-            number, key = made.json()["id"], made.json()["key"]
-            turned = await operator.call("POST", f"{path}/{number}/rotate", {"overlap": 100})
-            assert turned.status_code == 201 and turned.json()["replaces"] == number
+            number, key = created.json()["id"], created.json()["key"]
+            rotated = await operator.call("POST", f"{path}/{number}/rotate", {"overlap": 100})
+            assert rotated.status_code == 201 and rotated.json()["replaces"] == number
             entry = (await operator.call("GET", f"{path}/{number}")).json()
-            assert entry["ends"] == pytest.approx(turned.json()["until"])
+            assert entry["ends"] == pytest.approx(rotated.json()["until"])
             store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
             kept = (tmp_path / "desired.db").read_bytes()
             texts = [
@@ -218,19 +220,19 @@
                 "another's": (bob, {403, 404}), "none": (Caller(operator.client, ""), {401}),
                 "revoked": (revoked, {401}), "a caller's": (Caller(operator.client, "iv_" + "0" * 16), {401}),
             }  # fmt: skip
-            tried = 0
+            call_count = 0
             for path, verbs in openapi_document()["paths"].items():
                 for verb in verbs:
                     at = path.replace("{tenant}", "a").replace("{member}", secret_name)
                     body: Any = {} if "requestBody" in verbs[verb] else None
                     for who, (caller, allowed) in callers.items():
                         got = await caller.call(verb.upper(), at, body, before)
-                        tried += 1
+                        call_count += 1
                         assert got.status_code in allowed, (who, verb, at, got.text)
                         shown = got.text + str(dict(got.headers))
                         for byte in (secret_name, "a.example", "rate", before):
                             assert byte not in shown, (who, verb, at)
-            assert tried == 4 * len(api_operations()) and tried > 100
+            assert call_count == 4 * len(api_operations()) and call_count > 100
             for caller, _ in callers.values():
                 watch = await caller.call("GET", f"{T}/watch")
                 assert watch.status_code in (401, 404)
@@ -254,9 +256,9 @@
 
             async def administrator(number: int) -> None:
                 nonlocal refused
-                made = 0
+                change_count = 0
                 etag = (await operator.call("GET", T)).headers["etag"]
-                while made < 50:
+                while change_count < 50:
                     customer, value = f"c{rng.randrange(5)}", float(rng.randrange(3600))
                     patch: dict[str, Any] = {"rules": {"drain_grace": value}}
                     if number % 2:
@@ -265,7 +267,7 @@
                     if got.status_code == 200:
                         etag = got.headers["etag"]
                         done.append((int(etag.strip('"')), patch))
-                        made += 1
+                        change_count += 1
                     else:
                         assert got.status_code == 412, got.text
                         refused += 1
@@ -342,8 +344,8 @@
     async def test() -> None:
         async with hosting(tmp_path, follow=0.02) as fixture, serving(tmp_path) as (operator, _):
             await fixture.gateway.follow()
-            made = await operator.make("a")
-            assert made.headers["ivymux-in-effect"] == "true"
+            created = await operator.make("a")
+            assert created.headers["ivymux-in-effect"] == "true"
             (hosted,) = fixture.gateway.tenants.values()
             assert hosted.is_ready and hosted.name == "a"
             usage = (await operator.call("GET", f"{T}/usage")).json()
--- a/tests/admin/test_etcd.py
+++ b/tests/admin/test_etcd.py
@@ -42,10 +42,10 @@
             etag = got.headers["etag"]
             done = await olga.call("PATCH", T, {"customers": {"d": {"plan": "p"}}}, etag)
             assert done.status_code == 200 and done.headers["ivymux-in-effect"] == "true"
-            lost = await olga.call("PATCH", T, {"customers": {"e": {"plan": "p"}}}, etag)
-            assert lost.status_code == 412 and lost.headers["etag"] == done.headers["etag"]
-            (what,) = lost.json()["changed"]
-            assert what["changes"] == [{"path": "/customers/d", "after": {"plan": "p"}}]
+            conflict = await olga.call("PATCH", T, {"customers": {"e": {"plan": "p"}}}, etag)
+            assert conflict.status_code == 412 and conflict.headers["etag"] == done.headers["etag"]
+            (conflicting_change,) = conflict.json()["changed"]
+            assert conflicting_change["changes"] == [{"path": "/customers/d", "after": {"plan": "p"}}]
             assert (await olga.call("GET", f"{T}/routes")).json()["main"] == ROUTES["main"]
             assert "w0" in (await olga.call("GET", f"{T}/inventory")).json()["text"]
             ann = await olga.administrator("a")
@@ -92,8 +92,8 @@
             server.run_on_loop(server.etcd.reset)  # an empty etcd
             got = await olga.call("GET", T)
             assert got.status_code in (401, 503)
-            made: Any = await olga.call("POST", "/v1/tenants", {"name": "z"})
-            assert made.status_code in (401, 503) and server.etcd.revision == 1
+            created: Any = await olga.call("POST", "/v1/tenants", {"name": "z"})
+            assert created.status_code in (401, 503) and server.etcd.revision == 1
 
     run(test())
 
--- a/tests/admin/test_schemathesis.py
+++ b/tests/admin/test_schemathesis.py
@@ -49,8 +49,8 @@
     store = SqliteStore(tmp_path_factory.mktemp("api") / "desired.db")
     number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
     store.add_operator(Admin(number, "olga", "", kept), time.time())
-    made, blobs, _ = tenant("a", [9])
-    store.commit(Change(name="a", expected=0, tenant=made, uid="u", at=0.0, who="", origin="", action="",
+    state, blobs, _ = tenant("a", [9])
+    store.commit(Change(name="a", expected=0, tenant=state, uid="u", at=0.0, who="", origin="", action="",
                         blobs=blobs))  # fmt: skip
     server = uvicorn.Server(uvicorn.Config(application(store), port=0, log_level="error", lifespan="off"))
     thread = threading.Thread(target=lambda: asyncio.run(server.serve()))
@@ -89,9 +89,9 @@
     headers = {"Authorization": f"Bearer {api[1]}"}
     if "If-Match" in (case.headers or {}) and next(TURNS) % 4:
         # A made-up ETag never gets beyond 412: most calls have the one that counts.
-        seen = httpx.get(f"{api[0]}/v1/tenants/a", headers=headers)
-        assert seen.status_code == 200
-        headers["If-Match"] = seen.headers["etag"]
+        current = httpx.get(f"{api[0]}/v1/tenants/a", headers=headers)
+        assert current.status_code == 200
+        headers["If-Match"] = current.headers["etag"]
     response = case.call(headers=headers)
     STATUSES.add(response.status_code)
     assert response.status_code < 500, response.text
--- a/tests/desired/test_copying.py
+++ b/tests/desired/test_copying.py
@@ -36,8 +36,8 @@
     number, _, kept = create_key(ADMIN_PREFIX, 0.0)
     with stored() as (_, store):
         at = put(store, "a", add_admins=[Admin(number, "ann", "u-a", kept)])
-        made, blobs, _key = tenant("a", [2])
-        store.commit(change("a", made, at, blobs=blobs))
+        new_tenant, blobs, _key = tenant("a", [2])
+        store.commit(change("a", new_tenant, at, blobs=blobs))
         put(store, "b")
         backup_etcd(store, tmp_path / "copy.db")
         backup_etcd(store, tmp_path / "copy.db")  # replaces the older copy
--- a/tests/tally/test_four_doors.py
+++ b/tests/tally/test_four_doors.py
@@ -29,10 +29,10 @@
 Scenario = Callable[[FourGateways], Awaitable[None]]
 
 
-def interrupt(how: str, *gateways: int) -> Scenario:
+def interrupt(fault: str, *gateways: int) -> Scenario:
     async def scenario(cluster: FourGateways) -> None:
         await cluster.sleep_until(OUTAGE_BEGIN_S)
-        await cluster.set_fault(how, gateways or range(GATEWAY_COUNT))
+        await cluster.set_fault(fault, gateways or range(GATEWAY_COUNT))
         await cluster.sleep_until(OUTAGE_END_S)
         await cluster.set_fault("ok", gateways or range(GATEWAY_COUNT))
 
@@ -149,9 +149,9 @@
     run_in_virtual_time(test, monkeypatch)
 
 
-@pytest.mark.parametrize("how", ["refused", "lost", "late", "silent"])
+@pytest.mark.parametrize("fault", ["refused", "lost", "late", "silent"])
 def test_after_recovery_the_counter_has_what_the_workers_counted(
-    how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Within one window three gateways lose the counter for some seconds; afterwards its total must match, to
     one request for each gateway.  A lease call in flight when the outage began is repeated and counts once.
@@ -160,32 +160,36 @@
     async def test() -> None:
         async with run_four_gateways(tmp_path, LOADS) as cluster:
             loop = asyncio.get_running_loop()
-            deciders = [gateway.host.decision_module for gateway in cluster.gateways]
+            decision_modules = [gateway.host.decision_module for gateway in cluster.gateways]
             # The flood keeps the bucket empty, so nothing overflows: the total is what was admitted.
             load = asyncio.create_task(cluster.generate_load(FLOODING, 5 * RATE, (1, 1, 1, 1), 45.0))
             await cluster.sleep_until(4.0)
-            lease = next(iter(deciders[0].leases.values()))
+            lease = next(iter(decision_modules[0].leases.values()))
             edge = (lease.window + 1) * lease.window_length - lease.phase - loop.time()
             await asyncio.sleep(edge + 2.0)
             before, began = len(cluster.run_times[FLOODING]), cluster.now
-            names = dict(cluster.store.totals)
+            totals_before = dict(cluster.store.totals)
             window = lease.window
-            await cluster.set_fault(how, (0, 1, 2))
+            await cluster.set_fault(fault, (0, 1, 2))
             await asyncio.sleep(5.0)
             await cluster.set_fault("ok", (0, 1, 2))
             await asyncio.sleep(6.0)
             assert lease.window == window and cluster.now - began < 15
-            ran = len(cluster.run_times[FLOODING]) - before
-            totals = {n: t - names.get(n, 0.0) for n, t in cluster.store.totals.items()}
+            run_count = len(cluster.run_times[FLOODING]) - before
+            totals = {n: t - totals_before.get(n, 0.0) for n, t in cluster.store.totals.items()}
             (counted,) = [t for t in totals.values() if t > 1]
-            held = sum(
+            held_units = sum(
                 each.credits
                 - each.owed
                 + sum(call.amount for calls in g.pending_calls.values() for call in calls)
-                for g in deciders
+                for g in decision_modules
                 for each in g.leases.values()
             )
-            assert ran > 20 and abs(counted - ran - held) <= GATEWAY_COUNT, (counted, ran, held)
+            assert run_count > 20 and abs(counted - run_count - held_units) <= GATEWAY_COUNT, (
+                counted,
+                run_count,
+                held_units,
+            )
             load.cancel()
             await asyncio.gather(load, return_exceptions=True)
 
--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -87,8 +87,8 @@
                     simulation.clock_skew[gateway] = (
                         0.1 if simulation.clock_skew[gateway] <= 0 else simulation.clock_skew[gateway]
                     )
-            case how:
-                simulation.set_fault(fault.gateways, how)
+            case kind:
+                simulation.set_fault(fault.gateways, kind)
 
     for second in range(0, int(SCHEDULE_S), 3):
         simulation.schedule(float(second), lambda: copies.append(simulation.copy_totals()))
@@ -139,15 +139,15 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "seen"),
+    ("fault", "expected"),
     [("refused", {"counter-refused"}), ("silent", {"counter-silent"}), ("lost", {"counter-silent"}),
      ("late", {"counter-slow"})],
 )  # fmt: skip
-def test_the_counters_status_follows_from_its_failures(how: str, seen: set[str]) -> None:
-    simulation = run_schedule([Fault(5.0, how, (0, 1, 2, 3)), Fault(20.0, "ok", (0, 1, 2, 3))])
+def test_the_counters_status_follows_from_its_failures(fault: str, expected: set[str]) -> None:
+    simulation = run_schedule([Fault(5.0, fault, (0, 1, 2, 3)), Fault(20.0, "ok", (0, 1, 2, 3))])
     logged = set(simulation.logs)
-    assert seen <= logged and "counter-well" in logged
-    assert logged <= seen | {"counter-well", "counter-silent"}  # a slow one looks silent at first
+    assert expected <= logged and "counter-well" in logged
+    assert logged <= expected | {"counter-well", "counter-silent"}  # a slow one looks silent at first
 
 
 def test_a_replaced_counter_is_logged_and_its_totals_are_restored_once() -> None:
@@ -161,7 +161,11 @@
     assert sum(log.startswith("counter-lost") for log in simulation.logs) >= 4
     assert simulation.overshoot(FLOODING, RATE, BURST) <= BURST
     assert simulation.served_share(MODERATE) == 1.0
-    flood = [let for let in simulation.admitted if let.customer == FLOODING and let.at >= begin + 10.0]
+    flood = [
+        request
+        for request in simulation.admitted
+        if request.customer == FLOODING and request.at >= begin + 10.0
+    ]
     assert len(flood) >= 0.8 * RATE * 9  # its quota remains available
 
 
@@ -260,8 +264,8 @@
     assert not [log for log in simulation.logs if log.startswith("counter-")]
 
 
-@pytest.mark.parametrize("how", ["silent", "lost", "late"])
-def test_a_lease_call_without_an_answer_is_repeated_and_counts_once(how: str) -> None:
+@pytest.mark.parametrize("fault", ["silent", "lost", "late"])
+def test_a_lease_call_without_an_answer_is_repeated_and_counts_once(fault: str) -> None:
     """The counter has what was admitted and what is held unspent, however the answer was lost."""
 
     def beyond(trouble: str) -> float:
@@ -279,7 +283,7 @@
         )  # within one window
         return names[0] + lease.owed - lease.credits - len(simulation.admitted)
 
-    assert beyond(how) == pytest.approx(beyond("ok"), abs=1.0)
+    assert beyond(fault) == pytest.approx(beyond("ok"), abs=1.0)
 
 
 def test_a_large_fleet_soon_uses_a_counter_of_higher_capacity() -> None:
