--- a/tests/hosting/test_hosting_gateway.py
+++ b/tests/hosting/test_hosting_gateway.py
@@ -141,7 +141,7 @@
     async def test() -> None:
         async with hosting(tmp_path, "a", "b") as fixture:
             a = fixture.tenants["a"]
-            a.worker.respond = lambda seen: Reply(delay=0.5)
+            a.worker.respond = lambda request: Reply(delay=0.5)
             hosted_tenant = fixture.gateway.tenants[a.uid]
             slow = [asyncio.ensure_future(fixture.ask(a)) for _ in range(4)]
             await until(lambda: sum(a.worker.record.outstanding.values()) == 4)
@@ -220,11 +220,11 @@
             limits = TenantLimits(requests=1.0, burst=5.0, open=3, connections=4, held_mb=0.05)
             a, b = await fixture.add("a", limits=limits), fixture.tenants["b"]
             await fixture.gateway.follow()
-            a.worker.respond = lambda seen: Reply(delay=0.3)
+            a.worker.respond = lambda request: Reply(delay=0.3)
             got = await asyncio.gather(*(fixture.ask(a) for _ in range(4)))
             assert sorted(g.status for g in got) == [200, 200, 200, 429]  # limit of open requests
             assert all(g.header("retry-after") for g in got if g.status == 429)
-            a.worker.respond = lambda seen: Reply()
+            a.worker.respond = lambda request: Reply()
             got = [await fixture.ask(a) for _ in range(5)]
             assert [g.status for g in got][-1] == 429  # limit of requests per second
             assert (await fixture.ask(b)).status == 200
--- a/tests/hosting/test_redis_counters.py
+++ b/tests/hosting/test_redis_counters.py
@@ -15,8 +15,8 @@
 from tests.sockets import run, until
 
 
-def table(deployment: RedisDeployment, more: str = "") -> str:
-    return f'redis = {{ nodes = ["{deployment.master.address}"], prefix = "t:"{more} }}\ndoors = 2\n'
+def table(deployment: RedisDeployment, extra: str = "") -> str:
+    return f'redis = {{ nodes = ["{deployment.master.address}"], prefix = "t:"{extra} }}\ndoors = 2\n'
 
 
 def test_a_gateway_counts_in_redis_and_keeps_serving_without_it(tmp_path: Path) -> None:
@@ -52,16 +52,16 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "place"),
+    ("extra", "error_pattern"),
     [('address = "h:1"\n', "tally: write address"), ("number = 2\n", r"tally\.number"),
      ('redis = { nodes = ["h"] }\n', r"tally\.redis\.nodes")],
 )  # fmt: skip
-def test_invalid_tables_are_refused(more: str, place: str) -> None:
-    redis = "" if "redis" in more else 'redis = { nodes = ["h:1"] }\n'
-    tally = f"doors = 2\n{redis}{more}"
-    with pytest.raises(SiteError, match=place):
+def test_invalid_tables_are_refused(extra: str, error_pattern: str) -> None:
+    redis = "" if "redis" in extra else 'redis = { nodes = ["h:1"] }\n'
+    tally = f"doors = 2\n{redis}{extra}"
+    with pytest.raises(SiteError, match=error_pattern):
         read_hosting(f'store = "x"\n[tally]\n{tally}', "hosting.toml")
-    with pytest.raises(SiteError, match=place):
+    with pytest.raises(SiteError, match=error_pattern):
         workers = '[[workers]]\nname = "w"\naddress = "127.0.0.1:1"'
         read_site(site_text([], tally=tally) + "\n" + workers, "site.toml")
 
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -559,9 +559,8 @@
             await until(lambda: held)
             setup.write(write_sheet(setup.fleet(11)))
             await setup.poll()
-            assert all(
-                leaving.record.outstanding[name] == 1 for name in held
-            )  # still in flight after the removal
+            # The requests are still in flight after the removal.
+            assert all(leaving.record.outstanding[name] == 1 for name in held)
             answered.set()
             assert set(await asyncio.gather(*writes)) == {200}
             assert all(leaving.record.executions[name] == 1 for name in held)
--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -268,22 +268,21 @@
 def test_a_lease_call_without_an_answer_is_repeated_and_counts_once(fault: str) -> None:
     """The counter has what was admitted and what is held unspent, however the answer was lost."""
 
-    def beyond(trouble: str) -> float:
+    def remainder(fault: str) -> float:
         """Return what else is in the total: the overflow when the first request came."""
         simulation = GatewaySimulation(1, make_plan(RATE, BURST, CEILING), seed=1)
         begin = simulation.now
         simulation.generate_load(FLOODING, 5 * RATE, [0], begin, begin + 12.0)  # nothing overflows later on
-        simulation.schedule(4.0, lambda: simulation.set_fault([0], trouble))
+        simulation.schedule(4.0, lambda: simulation.set_fault([0], fault))
         simulation.schedule(6.0, lambda: simulation.set_fault([0], "ok"))
         simulation.run_until(begin + 14.0)
         (lease,) = [each for each in simulation.gateways[0].leases.values() if not each.for_slots]
-        names = [total for total in simulation.counter.totals.values() if total > 0]
-        assert (
-            not lease.unanswered_adds and len(names) == 1 and len(simulation.admitted) > 40
-        )  # within one window
-        return names[0] + lease.owed - lease.credits - len(simulation.admitted)
+        totals = [total for total in simulation.counter.totals.values() if total > 0]
+        # A single name: the whole run is within one window.
+        assert not lease.unanswered_adds and len(totals) == 1 and len(simulation.admitted) > 40
+        return totals[0] + lease.owed - lease.credits - len(simulation.admitted)
 
-    assert beyond(fault) == pytest.approx(beyond("ok"), abs=1.0)
+    assert remainder(fault) == pytest.approx(remainder("ok"), abs=1.0)
 
 
 def test_a_large_fleet_soon_uses_a_counter_of_higher_capacity() -> None:
--- a/tests/tally/test_redis.py
+++ b/tests/tally/test_redis.py
@@ -345,9 +345,8 @@
             assert (await recorder.add(1, 2.0)).total == 8.0  # this one is not replicated
             deployment.promote(deployment.master)
             found = await recorder.add_until_ok(1, 0.0)
-            assert (
-                found.total == 6.0 and found.born == first.born
-            )  # the same incarnation, without the last call
+            # The same incarnation, without the unreplicated call.
+            assert found.total == 6.0 and found.born == first.born
 
     run(test())
 
