--- a/ivymux/tally/durable.py
+++ b/ivymux/tally/durable.py
@@ -69,16 +69,16 @@
             os.fsync(self.fd)
             return
         contents = parse_journal(data)
-        if contents.good < len(data):
+        if contents.valid_bytes < len(data):
             # The process was killed during a write, or the file is damaged: then the records behind the
             # damaged one are lost too.
             log.warning(
                 "tally: discarding %d bytes at the end of the file that are incomplete or damaged",
-                len(data) - contents.good,
+                len(data) - contents.valid_bytes,
             )
-            os.ftruncate(self.fd, contents.good)
-        os.lseek(self.fd, contents.good, os.SEEK_SET)
-        self.size, self.incarnation, now = contents.good, contents.incarnation, time.time()
+            os.ftruncate(self.fd, contents.valid_bytes)
+        os.lseek(self.fd, contents.valid_bytes, os.SEEK_SET)
+        self.size, self.incarnation, now = contents.valid_bytes, contents.incarnation, time.time()
         for name, (total, expires_at) in contents.totals.items():
             if expires_at > now:
                 self.totals[name], self.expires_at[name] = total, expires_at
--- a/ivymux/tally/journal.py
+++ b/ivymux/tally/journal.py
@@ -27,7 +27,7 @@
 
     incarnation: bytes
     totals: dict[bytes, tuple[float, float]]  # by name: total and expiry (Unix time)
-    good: int  # bytes up to the end of the last valid record
+    valid_bytes: int  # up to the end of the last valid record
     records: int
 
 
@@ -62,5 +62,5 @@
         totals[name] = total, expires_at
         offset = next_offset
         contents.records += 1
-    contents.good = offset
+    contents.valid_bytes = offset
     return contents
--- a/tests/tally/test_durable.py
+++ b/tests/tally/test_durable.py
@@ -41,11 +41,11 @@
         ends.append(len(data))
     contents = parse_journal(data)
     assert contents.totals == states[-1]
-    assert contents.good == len(data) and contents.records == len(changes)
+    assert contents.valid_bytes == len(data) and contents.records == len(changes)
     for cut in range(ends[0], len(data)):
         contents = parse_journal(data[:cut])
         at = max(n for n, end in enumerate(ends) if end <= cut)
-        assert contents.totals == states[at] and contents.good == ends[at]
+        assert contents.totals == states[at] and contents.valid_bytes == ends[at]
 
 
 def test_flipped_bit_never_yields_a_wrong_total() -> None:
