--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -18,7 +18,7 @@
 from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants.secret import KEY_PATTERN
-from tests.admin.calling import Caller, serving
+from tests.admin.api_client import ApiClient, api_over_sqlite
 from tests.hosting.fixtures import hosting
 from tests.routes.describing import described, operation
 from tests.service.doors import PATHS
@@ -35,8 +35,8 @@
 
 def test_a_tenant_is_created_changed_read_and_deleted(tmp_path: Path, without_rate_limit: None) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, _store):
+            await operator.create_tenant("a")
             got = await operator.call("GET", T)
             etag = got.headers["etag"]
             assert got.json()["customers"] == {"c": {"plan": "p"}}
@@ -81,8 +81,8 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, _store):
+            await operator.create_tenant("a")
             before = (await operator.call("GET", T)).headers["etag"]
             broken = {"main": "api.json", "files": {"api.json": {"openapi": "3.0.3", "paths": {"no": {}}}}}
             got = await operator.change("PUT", f"{T}/routes", broken)
@@ -121,8 +121,8 @@
         return {"text": write_sheet(Inventory(workers)).decode()}
 
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, _):
+            await operator.create_tenant("a")
             assert (await operator.change("PUT", f"{T}/inventory", sheet(8))).status_code == 200
             held = await operator.change("PUT", f"{T}/inventory", sheet(2))
             assert held.status_code == 409
@@ -141,8 +141,8 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, store):
+            await operator.create_tenant("a")
             path = f"{T}/keys"
             created = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
             again = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
@@ -177,10 +177,10 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
-            await operator.make("a")
-            await operator.make("b")
-            ann = await operator.administrator("a")
+        async with api_over_sqlite(tmp_path) as (operator, _):
+            await operator.create_tenant("a")
+            await operator.create_tenant("b")
+            ann = await operator.create_administrator("a")
             assert (await ann.call("GET", T)).status_code == 200
             assert (await ann.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})).status_code == 200
             for patch in ({"limits": {"open": 5}}, {"hosts": ["b.example"]}, {"suspended": True}):
@@ -194,7 +194,7 @@
             gone = await operator.change("DELETE", f"{T}/administrators/{listed[0]['id']}")
             assert gone.status_code == 204 and (await ann.call("GET", T)).status_code == 401
             # The deletion of a tenant revokes all its keys.
-            bob = await operator.administrator("b")
+            bob = await operator.create_administrator("b")
             assert (await operator.change("DELETE", "/v1/tenants/b")).status_code == 204
             assert (await bob.call("GET", "/v1/tenants/b")).status_code == 401
 
@@ -205,20 +205,21 @@
     """Calls each method of each resource with another tenant's key, none, a revoked one and a caller's."""
 
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
+        async with api_over_sqlite(tmp_path) as (operator, _):
             for name in ("a", "b"):
-                await operator.make(name)
+                await operator.create_tenant(name)
             secret_name = "confidential-customer"
             put = await operator.change("PUT", f"{T}/customers/{secret_name}", {"plan": "p"})
             assert put.status_code == 201
-            bob = await operator.administrator("b")
-            revoked = await operator.administrator("a")
+            bob = await operator.create_administrator("b")
+            revoked = await operator.create_administrator("a")
             number = revoked.key.split("_")[1]
             assert (await operator.change("DELETE", f"{T}/administrators/{number}")).status_code == 204
             before = (await operator.call("GET", T)).headers["etag"]
             callers = {
-                "another's": (bob, {403, 404}), "none": (Caller(operator.client, ""), {401}),
-                "revoked": (revoked, {401}), "a caller's": (Caller(operator.client, "iv_" + "0" * 16), {401}),
+                "another's": (bob, {403, 404}), "none": (ApiClient(operator.client, ""), {401}),
+                "revoked": (revoked, {401}),
+                "a caller's": (ApiClient(operator.client, "iv_" + "0" * 16), {401}),
             }  # fmt: skip
             call_count = 0
             for path, verbs in openapi_document()["paths"].items():
@@ -248,8 +249,8 @@
     """The final state is that of the accepted changes in some order, and the audit record lists them all."""
 
     async def test() -> None:
-        async with serving(tmp_path) as (operator, store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, store):
+            await operator.create_tenant("a")
             audit_before = len(store.audit("", 1 << 60, 10_000))
             rng, done = random.Random(3), list[tuple[int, dict[str, Any]]]()
             refused = 0
@@ -296,8 +297,8 @@
 
 def test_concurrent_repeats_of_a_creation_create_one_key(tmp_path: Path, without_rate_limit: None) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, _):
+            await operator.create_tenant("a")
             path, body = f"{T}/keys", {"customer": "c"}
             got = await asyncio.gather(
                 *(operator.call("POST", path, body, Idempotency_Key="same") for _ in range(10)),
@@ -315,8 +316,8 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, store):
+            await operator.create_tenant("a")
             other = sqlite3.connect(tmp_path / "desired.db", isolation_level=None)
             other.execute("BEGIN IMMEDIATE")
             got = await operator.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})
@@ -342,9 +343,9 @@
     tmp_path: Path, without_rate_limit: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with hosting(tmp_path, follow=0.02) as fixture, serving(tmp_path) as (operator, _):
+        async with hosting(tmp_path, follow=0.02) as fixture, api_over_sqlite(tmp_path) as (operator, _):
             await fixture.gateway.follow()
-            created = await operator.make("a")
+            created = await operator.create_tenant("a")
             assert created.headers["ivymux-in-effect"] == "true"
             (hosted,) = fixture.gateway.tenants.values()
             assert hosted.is_ready and hosted.name == "a"
@@ -357,7 +358,7 @@
                 and not fixture.gateway.tenants_by_host
             )
             # A live gateway that does not apply the change is reported as such.
-            await operator.make("a")
+            await operator.create_tenant("a")
             monkeypatch.setattr(operations_module, "EFFECT_WAIT_S", 0.05)
             for task in list(fixture.gateway.tasks):
                 task.cancel()
@@ -376,8 +377,8 @@
             return False
 
     async def test() -> None:
-        async with serving(tmp_path) as (operator, store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, store):
+            await operator.create_tenant("a")
             api, uid = Api(store), store.get("a").uid  # type: ignore[union-attr]
             admin = store.admins("")[0]
             events: list[str] = []
@@ -401,9 +402,10 @@
 
 def test_wrong_keys_and_floods_are_rate_limited(tmp_path: Path) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
+        async with api_over_sqlite(tmp_path) as (operator, _):
             got = [
-                await Caller(operator.client, f"ivadm_{n:016x}_{'x' * 43}").call("GET", T) for n in range(12)
+                await ApiClient(operator.client, f"ivadm_{n:016x}_{'x' * 43}").call("GET", T)
+                for n in range(12)
             ]
             assert [g.status_code for g in got][:5] == [401] * 5 and got[-1].status_code == 429
             assert int(got[-1].headers["retry-after"]) >= 1
@@ -430,12 +432,12 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
+        async with api_over_sqlite(tmp_path) as (operator, _):
             for method, path, status in (("GET", "/nowhere", 404), ("PUT", "/v1/tenants", 405)):
                 got = await operator.call(method, path)
                 assert got.status_code == status, got.text
                 assert got.headers["content-type"] == "application/problem+json"
-            await operator.make("a")
+            await operator.create_tenant("a")
             sent = {"Authorization": f"Bearer {operator.key}", "Idempotency-Key": "k"}
             good = "application/json"
             deep = b"[" * 100_000
--- a/tests/admin/test_etcd.py
+++ b/tests/admin/test_etcd.py
@@ -12,7 +12,7 @@
 from ivymux.admin import authorization, operations
 from ivymux.desired.etcd.store import EtcdStore
 from standins.etcd import EtcdServer, etcd_server
-from tests.admin.calling import ROUTES, Caller, calling
+from tests.admin.api_client import ROUTES, ApiClient, api_over_store
 from tests.desired.etcd_fixtures import access
 from tests.sockets import run
 
@@ -26,10 +26,10 @@
 
 
 @contextlib.asynccontextmanager
-async def api_over_etcd(timeout: float = 2.0) -> AsyncIterator[tuple[Caller, EtcdServer, EtcdStore]]:
+async def api_over_etcd(timeout: float = 2.0) -> AsyncIterator[tuple[ApiClient, EtcdServer, EtcdStore]]:
     with etcd_server() as server:
         store = EtcdStore(access(server, timeout=timeout))
-        async with calling(store) as caller:
+        async with api_over_store(store) as caller:
             yield caller, server, store
         store.close()
 
@@ -37,7 +37,7 @@
 def test_a_tenant_is_created_changed_read_and_deleted() -> None:
     async def test() -> None:
         async with api_over_etcd() as (olga, _server, store):
-            await olga.make("a")
+            await olga.create_tenant("a")
             got = await olga.call("GET", T)
             etag = got.headers["etag"]
             done = await olga.call("PATCH", T, {"customers": {"d": {"plan": "p"}}}, etag)
@@ -48,7 +48,7 @@
             assert conflicting_change["changes"] == [{"path": "/customers/d", "after": {"plan": "p"}}]
             assert (await olga.call("GET", f"{T}/routes")).json()["main"] == ROUTES["main"]
             assert "w0" in (await olga.call("GET", f"{T}/inventory")).json()["text"]
-            ann = await olga.administrator("a")
+            ann = await olga.create_administrator("a")
             assert (await ann.call("GET", T)).status_code == 200
             assert (await ann.call("GET", "/v1/tenants/b")).status_code == 404
             history = (await olga.call("GET", f"{T}/history")).json()["items"]
@@ -60,7 +60,7 @@
             assert taken.status_code == 409
             assert (await olga.change("DELETE", T)).status_code == 204
             assert (await ann.call("GET", T)).status_code == 401
-            again = await olga.make("a")
+            again = await olga.create_tenant("a")
             assert again.status_code == 200 and store.admins(store.get("a").uid) == []  # type: ignore[union-attr]
 
     run(test())
@@ -69,7 +69,7 @@
 def test_errors_of_etcd_are_answered_and_a_repeated_creation_creates_one_key() -> None:
     async def test() -> None:
         async with api_over_etcd(timeout=0.3) as (olga, server, _store):
-            await olga.make("a")
+            await olga.create_tenant("a")
             faults = server.etcd.faults
             faults.unanswered_txns = 1  # the key is created, but etcd's answer is lost
             body = {"customer": "c"}
@@ -101,11 +101,11 @@
 def test_concurrent_changes_of_two_apis_over_one_etcd_keep_all_fields() -> None:
     async def test() -> None:
         async with api_over_etcd() as (olga, server, _store):
-            await olga.make("a")
+            await olga.create_tenant("a")
             other = EtcdStore(access(server))
-            async with calling(other) as ann:
+            async with api_over_store(other) as ann:
 
-                async def add_customers(caller: Caller, names: list[str]) -> None:
+                async def add_customers(caller: ApiClient, names: list[str]) -> None:
                     for name in names:
                         patch = {"customers": {name: {"plan": "p"}}}
                         while (await caller.change("PATCH", T, patch)).status_code == 412:
@@ -125,9 +125,9 @@
 
     async def test() -> None:
         async with api_over_etcd() as (olga, _, _store):
-            await olga.make("a")
+            await olga.create_tenant("a")
             for _ in range(2):
-                await olga.administrator("a")
+                await olga.create_administrator("a")
             got = await olga.call("POST", f"{T}/administrators", {"name": "third"})
             assert got.status_code == 409 and "dismiss" in got.json()["detail"]
 
--- a/tests/admin/test_schemathesis.py
+++ b/tests/admin/test_schemathesis.py
@@ -23,7 +23,7 @@
 from ivymux.desired.model import Admin, Change
 from ivymux.desired.sqlite import SqliteStore
 from ivymux.tenants import secret
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 TURNS = count()
 STATUSES: set[int] = set()  # seen so far; the test is only meaningful with answers of all kinds
--- a/tests/cli/test_tenant.py
+++ b/tests/cli/test_tenant.py
@@ -17,7 +17,7 @@
 
 from ivymux.cli import main
 from standins.etcd import etcd_server
-from tests.admin.calling import ROUTES, SHEET
+from tests.admin.api_client import ROUTES, SHEET
 from tests.routes.describing import described
 from tests.service.doors import PATHS
 
--- a/tests/desired/store_contract.py
+++ b/tests/desired/store_contract.py
@@ -8,7 +8,7 @@
 
 from ivymux.desired.model import Change, RevisionConflict, Store
 from ivymux.tenants.model import Tenant
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 
 def change(name: str, new_tenant: Tenant | None, expected: int = 0, uid: str = "", **options: Any) -> Change:
--- a/tests/desired/test_copying.py
+++ b/tests/desired/test_copying.py
@@ -16,7 +16,7 @@
 from standins.etcd import etcd_server
 from tests.desired.etcd_fixtures import access, begin, stored
 from tests.desired.store_contract import change, put
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 
 def assert_equal_states(one: SqliteStore | EtcdStore, other: SqliteStore | EtcdStore) -> None:
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -28,7 +28,7 @@
 from tests.desired import store_contract
 from tests.desired.etcd_fixtures import access, begin, stored
 from tests.desired.store_contract import change, put
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 
 def test_a_change_against_an_outdated_revision_is_refused() -> None:
--- a/tests/desired/test_sqlite.py
+++ b/tests/desired/test_sqlite.py
@@ -30,7 +30,7 @@
 from ivymux.tenants.secret import ADMIN_PREFIX, KEY_PATTERN, create_key
 from tests.desired import store_contract
 from tests.desired.store_contract import change, put
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 
 def test_a_change_against_an_outdated_revision_is_refused(tmp_path: Path) -> None:
--- a/tests/hosting/fixtures.py
+++ b/tests/hosting/fixtures.py
@@ -19,7 +19,7 @@
 from ivymux.tenants.model import Tenant
 from standins.worker import ExecutionRecord, Responder, Worker, reply_normally
 from tests.service.doors import Got, read_answer, request
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 
 @dataclass
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -25,7 +25,7 @@
 from tests.desired.store_contract import change
 from tests.service.doors import read_answer, request
 from tests.sockets import run, until
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 
 @dataclass
--- a/tests/hosting/test_flood.py
+++ b/tests/hosting/test_flood.py
@@ -20,7 +20,7 @@
 from ivymux.desired.sqlite import SqliteStore
 from tests.service.doors import read_answer, request
 from tests.sockets import run
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 TENANTS = 50
 QUOTA_PER_S = 20.0  # of each tenant, in requests
--- a/tests/hosting/test_hosting_gateway.py
+++ b/tests/hosting/test_hosting_gateway.py
@@ -23,7 +23,7 @@
 from tests.routes.describing import described, operation
 from tests.service.doors import read_answer, request
 from tests.sockets import run, until
-from tests.tenants.making import OPTIONS, compiled_of, key
+from tests.tenants.fixtures import OPTIONS, compile_routes, key
 
 
 def test_each_tenant_has_its_own_workers_routes_and_keys(tmp_path: Path) -> None:
@@ -84,7 +84,7 @@
             # A change of the routes alone keeps the decision module.
             generation = hosted_tenant.generation
             routes = msgspec.json.encode(described({"/other": {"get": operation()}}))
-            compiled = compiled_of(routes)
+            compiled = compile_routes(routes)
             fixture.put(a, replace(a.tenant, routes=replace(
                 a.tenant.routes, files={"api.json": digest(routes)}, compiled=digest(compiled))),
                 {digest(routes): routes, digest(compiled): compiled})  # fmt: skip
--- a/tests/hosting/test_places.py
+++ b/tests/hosting/test_places.py
@@ -17,7 +17,7 @@
 from ivymux.tenants.places import AddressRules
 from standins.worker import ExecutionRecord
 from standins.worker import Worker as StandIn
-from tests.admin.calling import calling
+from tests.admin.api_client import api_over_store
 from tests.hosting.fixtures import HostingFixture, TenantFixture, hosting
 from tests.sockets import run, until
 
@@ -68,7 +68,7 @@
         extra = 'worker_networks = ["127.0.0.0/16"]\nadmin = "127.0.0.1:8099"\n'
         async with hosting(tmp_path, "a", follow=0.02, extra=extra) as fixture:
             a, rules = fixture.tenants["a"], fixture.gateway.hosting.address_rules
-            async with calling(fixture.store, rules) as client:
+            async with api_over_store(fixture.store, rules) as client:
                 for address in ("127.3.0.1:80", "127.0.0.1:8099"):
                     body = {"form": "csv", "text": f"name,address\nw,{address}\n"}
                     got = await client.change("PUT", "/v1/tenants/a/inventory", body)
--- a/tests/tenants/making.py
+++ b/tests/tenants/fixtures.py
@@ -22,7 +22,7 @@
 
 
 @lru_cache
-def compiled_of(routes: bytes) -> bytes:
+def compile_routes(routes: bytes) -> bytes:
     return msgspec.msgpack.encode(compile_description("api.json", {"api.json": routes}.__getitem__, OPTIONS))
 
 
@@ -42,7 +42,7 @@
     workers = [Worker(f"w{n}", "127.0.0.1", port, bay=n % 2) for n, port in enumerate(ports)]
     sheet = write_sheet(Inventory(tuple(workers)))
     inventory = Inventory(tuple(sorted(workers)))
-    compiled, parsed = compiled_of(routes), msgspec.msgpack.encode(inventory)
+    compiled, parsed = compile_routes(routes), msgspec.msgpack.encode(inventory)
     state = Tenant(
         hosts=[f"{name}.example"], plans={"p": PlanPart(rate=rate, burst=rate)},
         customers={"c": CustomerPart(plan="p")}, keys={key_id: entry},
--- a/tests/tenants/test_model.py
+++ b/tests/tenants/test_model.py
@@ -17,7 +17,7 @@
     public_document,
     text_digests,
 )
-from tests.tenants.making import tenant
+from tests.tenants.fixtures import tenant
 
 VALID, TEXTS, KEY = tenant("a", [1])
 DOCUMENT: dict[str, Any] = msgspec.to_builtins(VALID)
