--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -18,7 +18,7 @@
 from ivymux.inventory.csv_reader import write_csv
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants.secret import KEY_PATTERN
-from tests.admin.calling import Caller, serving
+from tests.admin.api_client import ApiClient, api_over_sqlite
 from tests.hosting.fixtures import hosting
 from tests.routes.describing import described, operation
 from tests.service.fixtures import PATHS
@@ -35,8 +35,8 @@
 
 def test_a_tenant_is_created_changed_read_and_deleted(tmp_path: Path, without_rate_limit: None) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, _store):
+            await operator.create_tenant("a")
             got = await operator.call("GET", T)
             etag = got.headers["etag"]
             assert got.json()["customers"] == {"c": {"plan": "p"}}
@@ -46,10 +46,12 @@
             done = await operator.call("PATCH", T, {"customers": {"d": {"plan": "p"}}}, etag)
             assert done.status_code == 200 and done.headers["etag"] != etag
             assert done.headers["ivymux-in-effect"] == "true"  # there is no gateway to wait for
-            lost = await operator.call("PATCH", T, {"customers": {"e": {"plan": "p"}}}, etag)
-            assert lost.status_code == 412 and lost.headers["etag"] == done.headers["etag"]
-            (what,) = lost.json()["changed"]
-            assert what["changes"] == dry.json()["changes"] and "olga" in what["who"]
+            conflict = await operator.call("PATCH", T, {"customers": {"e": {"plan": "p"}}}, etag)
+            assert conflict.status_code == 412 and conflict.headers["etag"] == done.headers["etag"]
+            (conflicting_change,) = conflict.json()["changed"]
+            assert (
+                conflicting_change["changes"] == dry.json()["changes"] and "olga" in conflicting_change["who"]
+            )
             assert (
                 await operator.change("PUT", f"{T}/plans/q", {"rate": 1.0, "burst": 5.0})
             ).status_code == 201
@@ -79,16 +81,16 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, _store):
+            await operator.create_tenant("a")
             before = (await operator.call("GET", T)).headers["etag"]
             broken = {"main": "api.json", "files": {"api.json": {"openapi": "3.0.3", "paths": {"no": {}}}}}
             got = await operator.change("PUT", f"{T}/routes", broken)
             assert got.status_code == 422 and got.json()["findings"][0]["path"].startswith("/files/api.json#")
             got = await operator.change("PUT", f"{T}/inventory", {"text": "name,address\nw,10.0.0.1:0\n"})
             assert got.status_code == 422 and got.json()["findings"][0]["line"] == 2
-            dear = described({"/a": {"get": operation(x={"cost": 50})}})
-            got = await operator.change("PUT", f"{T}/routes", {"main": "f", "files": {"f": dear}})
+            expensive_routes = described({"/a": {"get": operation(x={"cost": 50})}})
+            got = await operator.change("PUT", f"{T}/routes", {"main": "f", "files": {"f": expensive_routes}})
             assert got.status_code == 422 and got.json()["findings"][0]["path"] == "/plans/p/burst"
             patches: list[Any] = [{"plans": None}, {"hosts": ["UP"]}, {"nonsense": 1}, {"keys": {}}, [1]]
             for patch in patches:
@@ -119,8 +121,8 @@
         return {"text": write_csv(Inventory(workers)).decode()}
 
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, _):
+            await operator.create_tenant("a")
             assert (await operator.change("PUT", f"{T}/inventory", sheet(8))).status_code == 200
             held = await operator.change("PUT", f"{T}/inventory", sheet(2))
             assert held.status_code == 409
@@ -139,22 +141,22 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, store):
+            await operator.create_tenant("a")
             path = f"{T}/keys"
-            made = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
+            created = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
             again = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
-            assert made.status_code == again.status_code == 201
+            assert created.status_code == again.status_code == 201
             assert again.headers["idempotency-replayed"] == "true"
-            assert again.json()["id"] == made.json()["id"] and "key" not in again.json()
+            assert again.json()["id"] == created.json()["id"] and "key" not in again.json()
             other = await operator.call("POST", path, {"customer": "d"}, Idempotency_Key="one")
             assert other.status_code == 422
             assert len((await operator.call("GET", path)).json()["items"]) == 1
-            number, key = made.json()["id"], made.json()["key"]
-            turned = await operator.call("POST", f"{path}/{number}/rotate", {"overlap": 100})
-            assert turned.status_code == 201 and turned.json()["replaces"] == number
+            number, key = created.json()["id"], created.json()["key"]
+            rotated = await operator.call("POST", f"{path}/{number}/rotate", {"overlap": 100})
+            assert rotated.status_code == 201 and rotated.json()["replaces"] == number
             entry = (await operator.call("GET", f"{path}/{number}")).json()
-            assert entry["ends"] == pytest.approx(turned.json()["until"])
+            assert entry["ends"] == pytest.approx(rotated.json()["until"])
             store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
             kept = (tmp_path / "desired.db").read_bytes()
             texts = [
@@ -175,10 +177,10 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
-            await operator.make("a")
-            await operator.make("b")
-            ann = await operator.administrator("a")
+        async with api_over_sqlite(tmp_path) as (operator, _):
+            await operator.create_tenant("a")
+            await operator.create_tenant("b")
+            ann = await operator.create_administrator("a")
             assert (await ann.call("GET", T)).status_code == 200
             assert (await ann.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})).status_code == 200
             for patch in ({"limits": {"open": 5}}, {"hosts": ["b.example"]}, {"suspended": True}):
@@ -192,7 +194,7 @@
             gone = await operator.change("DELETE", f"{T}/administrators/{listed[0]['id']}")
             assert gone.status_code == 204 and (await ann.call("GET", T)).status_code == 401
             # The deletion of a tenant revokes all its keys.
-            bob = await operator.administrator("b")
+            bob = await operator.create_administrator("b")
             assert (await operator.change("DELETE", "/v1/tenants/b")).status_code == 204
             assert (await bob.call("GET", "/v1/tenants/b")).status_code == 401
 
@@ -203,34 +205,35 @@
     """Calls each method of each resource with another tenant's key, none, a revoked one and a caller's."""
 
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
+        async with api_over_sqlite(tmp_path) as (operator, _):
             for name in ("a", "b"):
-                await operator.make(name)
+                await operator.create_tenant(name)
             secret_name = "confidential-customer"
             put = await operator.change("PUT", f"{T}/customers/{secret_name}", {"plan": "p"})
             assert put.status_code == 201
-            bob = await operator.administrator("b")
-            revoked = await operator.administrator("a")
+            bob = await operator.create_administrator("b")
+            revoked = await operator.create_administrator("a")
             number = revoked.key.split("_")[1]
             assert (await operator.change("DELETE", f"{T}/administrators/{number}")).status_code == 204
             before = (await operator.call("GET", T)).headers["etag"]
             callers = {
-                "another's": (bob, {403, 404}), "none": (Caller(operator.client, ""), {401}),
-                "revoked": (revoked, {401}), "a caller's": (Caller(operator.client, "iv_" + "0" * 16), {401}),
+                "another's": (bob, {403, 404}), "none": (ApiClient(operator.client, ""), {401}),
+                "revoked": (revoked, {401}),
+                "a caller's": (ApiClient(operator.client, "iv_" + "0" * 16), {401}),
             }  # fmt: skip
-            tried = 0
+            call_count = 0
             for path, verbs in openapi_document()["paths"].items():
                 for verb in verbs:
                     at = path.replace("{tenant}", "a").replace("{member}", secret_name)
                     body: Any = {} if "requestBody" in verbs[verb] else None
                     for who, (caller, allowed) in callers.items():
                         got = await caller.call(verb.upper(), at, body, before)
-                        tried += 1
+                        call_count += 1
                         assert got.status_code in allowed, (who, verb, at, got.text)
                         shown = got.text + str(dict(got.headers))
                         for byte in (secret_name, "a.example", "rate", before):
                             assert byte not in shown, (who, verb, at)
-            assert tried == 4 * len(api_operations()) and tried > 100
+            assert call_count == 4 * len(api_operations()) and call_count > 100
             for caller, _ in callers.values():
                 watch = await caller.call("GET", f"{T}/watch")
                 assert watch.status_code in (401, 404)
@@ -246,17 +249,17 @@
     """The final state is that of the accepted changes in some order, and the audit record lists them all."""
 
     async def test() -> None:
-        async with serving(tmp_path) as (operator, store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, store):
+            await operator.create_tenant("a")
             audit_before = len(store.audit("", 1 << 60, 10_000))
             rng, done = random.Random(3), list[tuple[int, dict[str, Any]]]()
             refused = 0
 
             async def administrator(number: int) -> None:
                 nonlocal refused
-                made = 0
+                change_count = 0
                 etag = (await operator.call("GET", T)).headers["etag"]
-                while made < 50:
+                while change_count < 50:
                     customer, value = f"c{rng.randrange(5)}", float(rng.randrange(3600))
                     patch: dict[str, Any] = {"rules": {"drain_grace": value}}
                     if number % 2:
@@ -265,7 +268,7 @@
                     if got.status_code == 200:
                         etag = got.headers["etag"]
                         done.append((int(etag.strip('"')), patch))
-                        made += 1
+                        change_count += 1
                     else:
                         assert got.status_code == 412, got.text
                         refused += 1
@@ -294,8 +297,8 @@
 
 def test_concurrent_repeats_of_a_creation_create_one_key(tmp_path: Path, without_rate_limit: None) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, _):
+            await operator.create_tenant("a")
             path, body = f"{T}/keys", {"customer": "c"}
             got = await asyncio.gather(
                 *(operator.call("POST", path, body, Idempotency_Key="same") for _ in range(10)),
@@ -313,8 +316,8 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, store):
+            await operator.create_tenant("a")
             other = sqlite3.connect(tmp_path / "desired.db", isolation_level=None)
             other.execute("BEGIN IMMEDIATE")
             got = await operator.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})
@@ -340,10 +343,10 @@
     tmp_path: Path, without_rate_limit: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with hosting(tmp_path, follow=0.02) as fixture, serving(tmp_path) as (operator, _):
+        async with hosting(tmp_path, follow=0.02) as fixture, api_over_sqlite(tmp_path) as (operator, _):
             await fixture.gateway.follow()
-            made = await operator.make("a")
-            assert made.headers["ivymux-in-effect"] == "true"
+            created = await operator.create_tenant("a")
+            assert created.headers["ivymux-in-effect"] == "true"
             (hosted,) = fixture.gateway.tenants.values()
             assert hosted.is_ready and hosted.name == "a"
             usage = (await operator.call("GET", f"{T}/usage")).json()
@@ -355,7 +358,7 @@
                 and not fixture.gateway.tenants_by_host
             )
             # A live gateway that does not apply the change is reported as such.
-            await operator.make("a")
+            await operator.create_tenant("a")
             monkeypatch.setattr(operations_module, "EFFECT_WAIT_S", 0.05)
             for task in list(fixture.gateway.tasks):
                 task.cancel()
@@ -374,8 +377,8 @@
             return False
 
     async def test() -> None:
-        async with serving(tmp_path) as (operator, store):
-            await operator.make("a")
+        async with api_over_sqlite(tmp_path) as (operator, store):
+            await operator.create_tenant("a")
             api, uid = Api(store), store.get("a").uid  # type: ignore[union-attr]
             admin = store.admins("")[0]
             events: list[str] = []
@@ -399,9 +402,10 @@
 
 def test_wrong_keys_and_floods_are_rate_limited(tmp_path: Path) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
+        async with api_over_sqlite(tmp_path) as (operator, _):
             got = [
-                await Caller(operator.client, f"ivadm_{n:016x}_{'x' * 43}").call("GET", T) for n in range(12)
+                await ApiClient(operator.client, f"ivadm_{n:016x}_{'x' * 43}").call("GET", T)
+                for n in range(12)
             ]
             assert [g.status_code for g in got][:5] == [401] * 5 and got[-1].status_code == 429
             assert int(got[-1].headers["retry-after"]) >= 1
@@ -428,12 +432,12 @@
     tmp_path: Path, without_rate_limit: None
 ) -> None:
     async def test() -> None:
-        async with serving(tmp_path) as (operator, _):
+        async with api_over_sqlite(tmp_path) as (operator, _):
             for method, path, status in (("GET", "/nowhere", 404), ("PUT", "/v1/tenants", 405)):
                 got = await operator.call(method, path)
                 assert got.status_code == status, got.text
                 assert got.headers["content-type"] == "application/problem+json"
-            await operator.make("a")
+            await operator.create_tenant("a")
             sent = {"Authorization": f"Bearer {operator.key}", "Idempotency-Key": "k"}
             good = "application/json"
             deep = b"[" * 100_000
--- a/tests/hosting/test_places.py
+++ b/tests/hosting/test_places.py
@@ -15,9 +15,9 @@
 from ivymux.inventory.model import Inventory, Worker
 from ivymux.tenants.model import InventoryRef, digest
 from ivymux.tenants.places import AddressRules
-from standins.worker import Fleet
+from standins.worker import ExecutionRecord
 from standins.worker import Worker as StandIn
-from tests.admin.calling import calling
+from tests.admin.api_client import api_over_store
 from tests.hosting.fixtures import HostingFixture, TenantFixture, hosting
 from tests.sockets import run, until
 
@@ -68,7 +68,7 @@
         extra = 'worker_networks = ["127.0.0.0/16"]\nadmin = "127.0.0.1:8099"\n'
         async with hosting(tmp_path, "a", follow=0.02, extra=extra) as fixture:
             a, rules = fixture.tenants["a"], fixture.gateway.hosting.address_rules
-            async with calling(fixture.store, rules) as client:
+            async with api_over_store(fixture.store, rules) as client:
                 for address in ("127.3.0.1:80", "127.0.0.1:8099"):
                     body = {"form": "csv", "text": f"name,address\nw,{address}\n"}
                     got = await client.change("PUT", "/v1/tenants/a/inventory", body)
@@ -102,7 +102,7 @@
     async def test() -> None:
         async with hosting(tmp_path, "a", "b", follow=0.02) as fixture:
             a, b = fixture.tenants["a"], fixture.tenants["b"]
-            second = await StandIn(Fleet()).start()
+            second = await StandIn(ExecutionRecord()).start()
             fixture.workers.append(second)
             many = [Worker(f"h{n}", f"h{n}.example", 9) for n in range(50)]
             put_inventory(
--- a/tests/service/fixtures.py
+++ b/tests/service/fixtures.py
@@ -12,7 +12,7 @@
 
 from ivymux.service.callers import hash_key
 from ivymux.service.standalone import StandaloneGateway, open_standalone
-from standins.worker import Fleet, Plan, Worker, ordinary
+from standins.worker import ExecutionRecord, Responder, Worker, reply_normally
 from tests.routes.describing import described, operation
 
 KEY = "iv_test-key"
@@ -48,7 +48,7 @@
     gateway: StandaloneGateway
     folder: Path
     workers: list[Worker]
-    fleet: Fleet
+    fleet: ExecutionRecord
 
     def write_description(self, document: Any) -> None:
         """Replace the description atomically."""
@@ -60,10 +60,10 @@
 
 @contextlib.asynccontextmanager
 async def running_gateway(
-    folder: Path, plans: Sequence[Plan] = (ordinary,), document: Any = None, **site: str
+    folder: Path, plans: Sequence[Responder] = (reply_normally,), document: Any = None, **site: str
 ) -> AsyncIterator[GatewayFixture]:
     """Run a gateway with a worker for each of `plans`; `site` has further arguments of `site_text`."""
-    fleet = Fleet()
+    fleet = ExecutionRecord()
     workers = [await Worker(fleet, plan, bay=n % 2).start() for n, plan in enumerate(plans)]
     document = document or described(PATHS)
     (folder / "api.json").write_bytes(
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from standins.worker import Reply, Seen, answer
+from standins.worker import ReceivedRequest, Reply, encode_answer
 from tests.routes.describing import described, operation
 from tests.sockets import run, until
 
@@ -18,10 +18,10 @@
 
 
 def test_a_request_is_served_and_headers_pass_both_ways(tmp_path: Path) -> None:
-    def plan(seen: Seen) -> Reply:
+    def plan(seen: ReceivedRequest) -> Reply:
         fields = "X-Own: 1\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\nServer-Load: TEXT queue=1\r\n"
         fields += "Connection: X-Hop\r\nX-Hop: secret\r\nKeep-Alive: timeout=5"
-        return Reply(data=answer(418, b"tea", fields))
+        return Reply(data=encode_answer(418, b"tea", fields))
 
     async def test() -> None:
         async with running_gateway(tmp_path, [plan]) as fixture:
@@ -31,7 +31,7 @@
             assert (got.status, got.body, got.header("x-own")) == (418, b"tea", "1")
             assert [v for k, v in got.headers if k.lower() == "set-cookie"] == ["a=1", "b=2"]
             assert not any(got.header(n) for n in ("x-hop", "keep-alive", "server-load", "connection"))
-            seen = fixture.workers[0].last
+            seen = fixture.workers[0].last_request
             assert seen is not None and (seen.method, seen.target) == ("GET", b"/read/7?x=%41")
             assert (seen.header("x-extra"), seen.header("host")) == ("e", "h.example")
             assert seen.header("ivymux-customer") == "c" and len(seen.header("request-id")) == 16
@@ -46,14 +46,14 @@
         lies |= {"X_Original_URL": "/admin", "Ivymux_Customer": "other", "X_Forwarded_Host": "evil"}
         async with running_gateway(tmp_path) as fixture:
             await send_request(fixture, "GET /read/7", **lies)
-            seen = fixture.workers[0].last
+            seen = fixture.workers[0].last_request
             assert seen is not None and seen.header("x-forwarded-for") == "127.0.0.1"
             assert seen.header("forwarded") == 'for=127.0.0.1;host="h.example";proto=http'
             assert seen.header("x-forwarded-host") == "h.example" and seen.header("ivymux-customer") == "c"
             assert not any(b"6.6.6.6" in v or b"/admin" in v for _, v in seen.headers)
         async with running_gateway(tmp_path, top='trusted_proxies = ["127.0.0.0/8"]') as fixture:
             await send_request(fixture, "GET /read/7", **lies)
-            seen = fixture.workers[0].last
+            seen = fixture.workers[0].last_request
             assert seen is not None and seen.header("x-forwarded-for") == "6.6.6.6, 127.0.0.1"
             assert seen.header("forwarded").startswith("for=6.6.6.6, for=127.0.0.1")
             assert seen.header("ivymux-customer") == "c" and not seen.header("x-original-url")
@@ -87,13 +87,13 @@
                 got = await client.send_bytes(data)
             assert got.status == status
             if status >= 400:
-                assert got.problem["detail"] and not fixture.fleet.seen
+                assert got.problem["detail"] and not fixture.fleet.received
             if status in (204, 405):
                 assert got.header("allow").split(", ")[-1] in ("PUT", "POST")
             if status == 401:
                 assert got.header("www-authenticate").startswith("ApiKey")
             if "other" in line:
-                seen = fixture.workers[0].last
+                seen = fixture.workers[0].last_request
                 assert seen is not None and (seen.target, seen.header("host")) == (
                     b"/read/7",
                     "other.example",
@@ -109,7 +109,7 @@
             got = await send_request(
                 fixture, "POST /keyed", b"a=1&%5Fmethod=delete", Idempotency_Key="k", **form
             )
-            assert got.status == 400 and not fixture.fleet.seen
+            assert got.status == 400 and not fixture.fleet.received
             assert (await send_request(fixture, "POST /write", b"_method=delete", **form)).status == 200
             assert (
                 await send_request(fixture, "POST /keyed", b"_method=delete", Idempotency_Key="k")
@@ -126,7 +126,7 @@
             )
             async with Client(fixture.gateway) as client:
                 assert (await client.send_bytes(data)).status == 200
-            seen = fixture.workers[0].last
+            seen = fixture.workers[0].last_request
             assert seen is not None and not any(b"_" in name for name, _ in seen.headers)
 
     run(test())
@@ -137,7 +137,7 @@
         async with running_gateway(tmp_path, limits="body_kb = 64") as fixture:
             assert (await send_request(fixture, "POST /write", b"x" * 65_537)).status == 413
             assert (await send_request(fixture, "POST /write", b"y" * 65_536)).status == 200
-            seen = fixture.workers[0].last
+            seen = fixture.workers[0].last_request
             assert seen is not None and seen.body == b"y" * 65_536
 
     run(test())
@@ -156,7 +156,7 @@
             assert 1 <= int(got.header("retry-after")) <= 4  # 8 units are refilled in 4 s
             got = await send_request(fixture, "GET /a?limit=11")
             assert got.status == 403 and "11 units" in got.problem["detail"]
-            assert sum(fixture.fleet.seen.values()) == 1
+            assert sum(fixture.fleet.received.values()) == 1
 
     run(test())
 
@@ -164,14 +164,14 @@
 @pytest.mark.parametrize(
     ("reply", "line", "status", "runs"),
     [
-        (Reply(data=answer(500, b"mine")), "GET /read/7", 500, 3),
-        (Reply(data=answer(500, b"mine")), "POST /write", 500, 1),
+        (Reply(data=encode_answer(500, b"mine")), "GET /read/7", 500, 3),
+        (Reply(data=encode_answer(500, b"mine")), "POST /write", 500, 1),
         (Reply(reset=True), "GET /read/7", 502, 3),
         (Reply(reset=True), "POST /write", 502, 1),
         (Reply(delay=60.0), "GET /slow", 504, 1),
-        (Reply(run=False, data=answer(503, headers="Not-Started: 1")), "POST /write", 503, 0),
-        (Reply(data=answer(503, b"later", "Retry-After: 7")), "POST /write", 503, 1),
-        (Reply(data=answer(404, b"gone")), "POST /write", 404, 1),
+        (Reply(execute=False, data=encode_answer(503, headers="Not-Started: 1")), "POST /write", 503, 0),
+        (Reply(data=encode_answer(503, b"later", "Retry-After: 7")), "POST /write", 503, 1),
+        (Reply(data=encode_answer(404, b"gone")), "POST /write", 404, 1),
     ],
 )
 def test_failures_of_workers_reach_the_client_as_what_they_are(
@@ -180,9 +180,9 @@
     async def test() -> None:
         async with running_gateway(tmp_path, [lambda seen: reply] * 3) as fixture:
             got = await send_request(fixture, line, Request_Id="r1")
-            assert got.status == status and fixture.fleet.runs["r1"] <= runs
+            assert got.status == status and fixture.fleet.executions["r1"] <= runs
             if runs == 1:
-                assert fixture.fleet.runs["r1"] == 1
+                assert fixture.fleet.executions["r1"] == 1
             if reply.data and b"Not-Started" not in reply.data:
                 assert got.body == reply.data.partition(b"\r\n\r\n")[2]  # the worker's own body
             else:
@@ -202,8 +202,9 @@
         ("GET /read/7", b"HTTP/1.1 204 X\r\nContent-Length: 3\r\n\r\n", 204, "", False),
         ("GET /read/7", b"HTTP/1.1 204 X\r\nContent-Length: 3\r\n\r\nabc", 204, "", False),
         ("GET /read/7", b"HTTP/1.1 304 X\r\nContent-Length: 50\r\nETag: x\r\n\r\n", 304, "50", True),
-        ("GET /read/7", b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + answer(200, b"good"), 200, "4", True),
-        ("GET /read/7", b"HTTP/1.1 100 Continue\r\n\r\n" + answer(200, b"good"), 200, "4", True),
+        ("GET /read/7", b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + encode_answer(200, b"good"),
+         200, "4", True),
+        ("GET /read/7", b"HTTP/1.1 100 Continue\r\n\r\n" + encode_answer(200, b"good"), 200, "4", True),
         ("GET /read/7", b"HTTP/1.1 200 X\r\n\r\nto the end", 200, "10", False),
     ],
 )  # fmt: skip
@@ -212,7 +213,7 @@
 ) -> None:
     to_the_end = data.endswith(b"to the end")
 
-    def plan(seen: Seen) -> Reply:
+    def plan(seen: ReceivedRequest) -> Reply:
         return Reply(data=data, close=to_the_end)
 
     async def test() -> None:
@@ -222,7 +223,7 @@
                     got = await client.send_request(line)
                     assert (got.status, got.header("content-length")) == (status, length)
                     assert not got.header("transfer-encoding")
-            assert (fixture.workers[0].opened == 1) is again
+            assert (fixture.workers[0].accepted_connections == 1) is again
 
     run(test())
 
@@ -239,8 +240,8 @@
     ],
 )
 def test_an_ambiguous_answer_is_invalid(tmp_path: Path, head: bytes) -> None:
-    def plan(seen: Seen) -> Reply:
-        return Reply(data=head + b"4\r\nHTTP\r\n0\r\n\r\n" + answer(200, b"another's"))
+    def plan(seen: ReceivedRequest) -> Reply:
+        return Reply(data=head + b"4\r\nHTTP\r\n0\r\n\r\n" + encode_answer(200, b"another's"))
 
     async def test() -> None:
         async with running_gateway(tmp_path, [plan]) as fixture:
@@ -248,7 +249,7 @@
                 for _ in range(3):
                     got = await client.send_request("POST /write")
                     assert got.status == 502 and b"another" not in got.body
-            assert fixture.workers[0].opened == 3
+            assert fixture.workers[0].accepted_connections == 3
 
     run(test())
 
@@ -275,7 +276,7 @@
                 got = await client.send_bytes(data)
                 assert got.status in (400, 501)
                 rest = await client.reader.read()
-            assert rest.count(b"HTTP/1.1 200") <= 1 and not fixture.fleet.seen
+            assert rest.count(b"HTTP/1.1 200") <= 1 and not fixture.fleet.received
 
     run(test())
 
@@ -286,7 +287,7 @@
             data = make_request("POST /write").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
             async with Client(fixture.gateway) as client:
                 got = await client.send_bytes(data + b"3\r\nabc\r\n0\r\nX-API-Key: other\r\n\r\n")
-            seen = fixture.workers[0].last
+            seen = fixture.workers[0].last_request
             assert got.status == 200 and seen is not None
             assert (seen.body, seen.header("content-length")) == (b"abc", "3")
             assert not seen.header("transfer-encoding") and not seen.header("x-api-key")
@@ -316,7 +317,7 @@
                 client.writer.write_eof()
                 await client.reader.read()
             await until(lambda: not fixture.gateway.server.clients)
-            assert not fixture.fleet.seen and fixture.gateway.server.held_bytes == 0
+            assert not fixture.fleet.received and fixture.gateway.server.held_bytes == 0
 
     run(test())
 
@@ -334,11 +335,11 @@
             client = Client(fixture.gateway)
             await client.__aenter__()
             client.writer.write(make_request("POST /write", b"x" * 1000))
-            await until(lambda: fixture.fleet.seen)
+            await until(lambda: fixture.fleet.received)
             reset(client)
             await until(lambda: not fixture.gateway.host.requests)
             assert fixture.gateway.server.held_bytes == 0 and not any(fixture.gateway.classes.open_requests)
-            assert max(fixture.fleet.runs.values()) == 1
+            assert max(fixture.fleet.executions.values()) == 1
 
     run(test())
 
@@ -349,7 +350,7 @@
         async with running_gateway(tmp_path, [lambda seen: Reply(delay=20.0)]) as fixture:
             async with Client(fixture.gateway) as client:
                 client.writer.write(make_request(line))
-                await until(lambda: fixture.fleet.seen)
+                await until(lambda: fixture.fleet.received)
                 reset(client)  # after a plain close the client might still read its answer
             host = fixture.gateway.host
             await until(lambda: host.departures.requests)
@@ -361,7 +362,7 @@
 
 
 def test_clients_that_do_not_read_their_answers_are_closed(tmp_path: Path) -> None:
-    big = answer(200, b"z" * (1 << 20))
+    big = encode_answer(200, b"z" * (1 << 20))
 
     async def test() -> None:
         limits = "answer_kb = 2048\nmemory_mb = 128"
@@ -372,7 +373,7 @@
                 await client.__aenter__()
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 client.writer.write(make_request("GET /read/1") * 4)
-            await until(lambda: fixture.fleet.seen.total() >= max_unread)
+            await until(lambda: fixture.fleet.received.total() >= max_unread)
             await until(lambda: len(fixture.gateway.server.clients) <= max_unread)
             assert len(fixture.gateway.server.slow_readers) <= max_unread
             assert (await send_request(fixture, "GET /read/1")).status == 200
@@ -387,11 +388,11 @@
         async with running_gateway(tmp_path) as fixture:
             assert (await send_request(fixture, "GET /-/ready", b"", "")).body == b"ready\n"
             await send_request(fixture, "GET /read/7", Request_Id="mine-1")
-            seen = fixture.workers[0].last
+            seen = fixture.workers[0].last_request
             assert seen is not None and seen.header("request-id") == "mine-1"
             await send_request(fixture, "GET /read/7", Request_Id="a b\tc")
-            assert fixture.workers[0].last is not None
-            assert len(fixture.workers[0].last.header("request-id")) == 16
+            assert fixture.workers[0].last_request is not None
+            assert len(fixture.workers[0].last_request.header("request-id")) == 16
 
     run(test())
 
@@ -420,7 +421,7 @@
             assert (
                 await send_request(fixture, "GET /read/1", Authorization="Basic iv_test-key")
             ).status == 401
-            seen = fixture.workers[0].last
+            seen = fixture.workers[0].last_request
             assert seen is not None and not seen.header("authorization")
             await asyncio.sleep(0)
 
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -22,7 +22,7 @@
     store_cached,
 )  # fmt: skip
 from ivymux.service.standalone import open_standalone
-from standins.worker import Reply, Seen, Worker
+from standins.worker import ReceivedRequest, Reply, Worker
 from tests.routes.describing import described, operation
 from tests.sockets import run, until
 from tests.test_text import alias_bomb
@@ -66,14 +66,14 @@
             gate.set()
             return taken
 
-        def plan(seen: Seen) -> Reply:
+        def plan(seen: ReceivedRequest) -> Reply:
             if len(held) == 0:
                 held.append(seen)
                 tasks.append(asyncio.ensure_future(change(box[0])))
                 return Reply(delay=60.0)  # no answer; the test aborts the connection
             return Reply()
 
-        held: list[Seen] = []
+        held: list[ReceivedRequest] = []
         box: list[GatewayFixture] = []
         async with running_gateway(
             tmp_path, [plan] * 3, document(before), description="watch = 0"
@@ -85,15 +85,15 @@
                 assert await tasks[0]
                 for worker in fixture.workers:  # end the first attempt, which may have run
                     for connection in list(worker.connections):
-                        if connection.out == "r" and connection.transport is not None:
+                        if connection.outstanding_id == "r" and connection.transport is not None:
                             connection.transport.abort()
                 from .fixtures import read_answer
 
                 got = await read_answer(client.reader)
             if before == "unsafe":
-                assert got.status == 502 and fixture.fleet.seen["r"] == 1
+                assert got.status == 502 and fixture.fleet.received["r"] == 1
             else:
-                assert got.status == 200 and fixture.fleet.seen["r"] == 2
+                assert got.status == 200 and fixture.fleet.received["r"] == 2
             assert not any(fixture.gateway.classes.open_requests)
 
     run(test())
@@ -259,7 +259,7 @@
             site.write_text(text.replace('name = "w0"', 'name = "other"'))
             await fixture.gateway.reload()
             assert (await send_request(fixture, "GET /read/1")).status == 200
-            assert other.last is not None and fixture.workers[0].last is None
+            assert other.last_request is not None and fixture.workers[0].last_request is None
             (known,) = fixture.gateway.member_list.members.values()
             assert known.worker.name == "other" and known.since > 0  # it starts cold
             site.write_text(site.read_text().replace("sha256:", "sha256:00", 1)[:-2])
@@ -308,7 +308,7 @@
         async with running_gateway(tmp_path, [lambda seen: Reply(delay=0.3)]) as fixture:
             async with Client(fixture.gateway) as client:
                 client.writer.write(make_request("POST /write"))
-                await until(lambda: fixture.fleet.seen)
+                await until(lambda: fixture.fleet.received)
                 draining = asyncio.ensure_future(fixture.gateway.drain())
                 from .fixtures import read_answer
 
--- a/tests/service/test_storm.py
+++ b/tests/service/test_storm.py
@@ -18,7 +18,7 @@
 
 from ivymux.data_plane.frontend import Call
 from orchidhill.interface import Effect
-from standins.worker import Reply, Seen, troubled
+from standins.worker import ReceivedRequest, Reply, random_faults
 from tests.pauses import Pauses
 from tests.routes.describing import compiled, described, operation
 
@@ -56,9 +56,9 @@
         self.swaps = self.spoilt = 0
 
     def plan(self, seed: int) -> Any:
-        trouble = troubled(random.Random(seed))
+        trouble = random_faults(random.Random(seed))
 
-        def plan(seen: Seen) -> Reply:
+        def plan(seen: ReceivedRequest) -> Reply:
             reply = trouble(seen)
             if reply.data is not None and b"Not-Started" in reply.data:
                 self.not_started[seen.header("request-id")] += 1
@@ -167,7 +167,7 @@
     assert door.host.decision_module.settings.classes == tuple(door.classes.class_list)
     repeated = 0
     for name, effect in storm.effects.items():
-        runs, seen = fleet.runs[name], fleet.seen[name]
+        runs, seen = fleet.executions[name], fleet.received[name]
         if effect is Effect.UNSAFE:
             # Retried only if the worker said that it had not started.
             assert runs <= 1 and seen - storm.not_started[name] <= 1, (name, runs, seen)
@@ -178,12 +178,12 @@
             repeated += runs > 1
     kinds = Counter(storm.effects.values())
     assert min(kinds.values()) > REQUESTS / 10 and repeated > REQUESTS / 100  # all cases occurred
-    assert not fleet.together  # never two attempts in flight for one request
-    assert not any(name.startswith("half-") for name in fleet.seen)
+    assert not fleet.overlapping  # never two attempts in flight for one request
+    assert not any(name.startswith("half-") for name in fleet.received)
     assert (
         not any(door.classes.open_requests)
         and door.server.held_bytes == 0
         and door.host.unanswered_count == 0
     )
     assert len(door.classes.class_list) < 60  # numbers are reused
-    assert not any(worker.malformed for worker in fixture.workers)
+    assert not any(worker.malformed_requests for worker in fixture.workers)
