--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -175,7 +175,7 @@
 
 
 class RedisCounter:
-    """A client that reports one result for each call, in call order for each name."""
+    """A client that reports one outcome for each call, in call order for each name."""
 
     def __init__(
         self, part: RedisPart, timeout: float, on_result: Callable[[Counted | Late], None],
