--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from bench.common import figure, report
+from bench.common import summarize, write_report
 from ivymux.config_store import messages
 from ivymux.config_store.actions import Persist
 from ivymux.config_store.durable_store import DurableStore
@@ -347,7 +347,7 @@
             cells = " | ".join(f"{value:.3g}" for _, value in values)
             told = f"{line.slope:.3g} | {100 * line.residual:.0f}% | {line.at(wanted):.3g}"
             lines.append(f"| {name}, {unit} | {cells} | {told} |")
-            figures[f"{title}: {name}, projected at {wanted}"] = figure([line.at(wanted)], unit)
+            figures[f"{title}: {name}, projected at {wanted}"] = summarize([line.at(wanted)], unit)
         lines.append("")
     return "\n".join(lines), figures
 
@@ -374,7 +374,7 @@
     if args.markdown:
         print(text)
     load = f"a configuration of {MAX_TEXT_BYTES >> 20} MiB at most"
-    report(args, load, figures, {})
+    write_report(args, load, figures, {})
 
 
 if __name__ == "__main__":
--- a/bench/control.py
+++ b/bench/control.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bench.common import figure, parser, report
+from bench.common import argument_parser, summarize, write_report
 from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
 from ivymux.simulation.loss_scenarios import (
     CATCH_UP_S,
@@ -71,7 +71,7 @@
 
 
 def main() -> None:
-    arguments = parser("control")
+    arguments = argument_parser("control")
     arguments.add_argument("--runs", type=int, default=0)
     arguments.add_argument("--jobs", type=int, default=multiprocessing.cpu_count())
     args = arguments.parse_args()
@@ -84,17 +84,19 @@
                 raise AssertionError(found)
         for kind in PLAYS:
             played = sum(case[0] == kind for case in wanted)
-            figures[f"{kind}: runs in 3, 4 and 5 machines, none broken"] = figure([played], "runs")
+            figures[f"{kind}: runs in 3, 4 and 5 machines, none broken"] = summarize([played], "runs")
         ends = QUICK if args.quick else ENDS
         waits = pool.map(hang, [(seed, COUNTS[seed % 3], 0.0) for seed in range(ends)])
-        figures["a change while the backup's disk hangs"] = figure(waits, "s")
+        figures["a change while the backup's disk hangs"] = summarize(waits, "s")
         for role in ROLES:
             took = pool.map(end, [(seed, COUNTS[seed % 3], role) for seed in range(ends)])
-            figures[f"planned end of the {role}, until its process ends"] = figure([t for t, _ in took], "s")
-            figures[f"planned end of the {role}, longest that a change waits"] = figure(
+            figures[f"planned end of the {role}, until its process ends"] = summarize(
+                [t for t, _ in took], "s"
+            )
+            figures[f"planned end of the {role}, longest that a change waits"] = summarize(
                 [w for _, w in took], "s"
             )
-    report(args, f"{runs} runs of each kind and size", figures, {})
+    write_report(args, f"{runs} runs of each kind and size", figures, {})
 
 
 if __name__ == "__main__":
--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -17,7 +17,7 @@
 import uvloop
 from msgspec.structs import replace
 
-from bench.common import Child, Load, arguments, figure, quantile, report
+from bench.common import ChildProcess, Load, parse_arguments, quantile, summarize, write_report
 from bench.parts import ANSWER
 from bench.routes import WORKERS
 from bench.system import CORES, TENANTS, System, document
@@ -64,20 +64,20 @@
     return {**made, "route_table": [read, act]}
 
 
-async def round_of(doors: dict[str, Child], port: int, keyed: bool, count: int) -> tuple[float, float]:
+async def round_of(doors: dict[str, ChildProcess], port: int, keyed: bool, count: int) -> tuple[float, float]:
     """Microseconds of CPU for each action at the doors, and the median time in ms; all doors at once."""
     loads = {ip: Actions(count, keyed) for ip in doors}
-    before = sum(door.cpu() for door in doors.values())
+    before = sum(door.cpu_seconds() for door in doors.values())
     each = max(1, CONNECTIONS // len(doors))
     await asyncio.gather(*(load.run(port, each, ip) for ip, load in loads.items()))
-    spent = sum(door.cpu() for door in doors.values()) - before
-    times = [t for load in loads.values() for t in load.times]
+    spent = sum(door.cpu_seconds() for door in doors.values()) - before
+    times = [t for load in loads.values() for t in load.latencies_s]
     return spent / (count * len(doors)) * 1e6, 1000 * quantile(times, 0.5)
 
 
 async def measure(quick: bool, folder: Path, count: int) -> tuple[dict[str, Any], dict[str, float]]:
     each, runs = max(10, (400 if quick else 1200) // count), 5 if quick else 11
-    sealed = [Child("-m", "bench.parts", "sealed") for _ in range(WORKERS)]
+    sealed = [ChildProcess("-m", "bench.parts", "sealed") for _ in range(WORKERS)]
     system = System(folder, with_actions())
     try:
         for ip in CORES:
@@ -103,10 +103,10 @@
         beating.cancel()
         figures = {}
         for keyed, name in ((False, "without a key"), (True, "with one")):
-            figures[f"{count} doors: CPU for each action {name}"] = figure(cpu[keyed], "us")
-            figures[f"{count} doors: median time of an action {name}"] = figure(times[keyed], "ms")
+            figures[f"{count} doors: CPU for each action {name}"] = summarize(cpu[keyed], "us")
+            figures[f"{count} doors: median time of an action {name}"] = summarize(times[keyed], "ms")
         if count == DOORS[0]:
-            figures[f"peak memory of a core process, before and after {KNOWN} keys more"] = figure(
+            figures[f"peak memory of a core process, before and after {KNOWN} keys more"] = summarize(
                 [before, max(c.peak_mb() for c in core)], "MB"
             )
     finally:
@@ -141,7 +141,7 @@
 
 
 async def main() -> None:
-    args = arguments("conversations")
+    args = parse_arguments("conversations")
     figures: dict[str, Any] = {}
     ratios: dict[str, float] = {}
     for count in DOORS:
@@ -149,11 +149,11 @@
             found, compared = await measure(args.quick, Path(name), count)
         figures |= found
         ratios |= compared
-    figures["bytes between core machines for an action with a key"] = figure([between()], "bytes")
+    figures["bytes between core machines for an action with a key"] = summarize([between()], "bytes")
     load = (
         f"{CONNECTIONS} connections, {PAUSE} s between their actions, {TENANTS} tenants, {WORKERS} backends"
     )
-    report(args, load, figures, ratios)
+    write_report(args, load, figures, ratios)
 
 
 if __name__ == "__main__":
--- a/bench/epochs.py
+++ b/bench/epochs.py
@@ -13,7 +13,7 @@
 import time
 from collections.abc import Iterator
 
-from bench.common import figure, parser, report
+from bench.common import argument_parser, summarize, write_report
 from ivymux.simulation.core_cluster import CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import (
     Fault,
@@ -84,7 +84,7 @@
 
 
 def main() -> None:
-    arguments = parser("epochs")
+    arguments = argument_parser("epochs")
     arguments.add_argument("--schedules", type=int, default=0)
     arguments.add_argument("--first", type=int, default=1_000_000)
     arguments.add_argument("--jobs", type=int, default=multiprocessing.cpu_count())
@@ -106,15 +106,15 @@
         runs = checked(pool.imap_unordered(pairs_behind, firsts))
         waits = {n: pool.map(takeover, [(seed, n) for seed in range(TAKEOVERS)]) for n in (3, 4)}
     figures = {
-        "random schedules": figure([wanted], "schedules"),
-        "changes acknowledged in them": figure([changes], "changes"),
-        "schedules in a second": figure([wanted / played_s], "schedules/s"),
-        "steps of two changes without a fault": figure([steps], "steps"),
-        "runs with one or two faults": figure([runs], "runs"),
+        "random schedules": summarize([wanted], "schedules"),
+        "changes acknowledged in them": summarize([changes], "changes"),
+        "schedules in a second": summarize([wanted / played_s], "schedules/s"),
+        "steps of two changes without a fault": summarize([steps], "steps"),
+        "runs with one or two faults": summarize([runs], "runs"),
     }
     for count, spent in waits.items():
-        figures[f"from a lost leader of {count} to a change acknowledged"] = figure(spent, "s")
-    report(args, f"seeds from {args.first} on; {len(firsts)} first faults", figures, {})
+        figures[f"from a lost leader of {count} to a change acknowledged"] = summarize(spent, "s")
+    write_report(args, f"seeds from {args.first} on; {len(firsts)} first faults", figures, {})
 
 
 if __name__ == "__main__":
--- a/bench/evening.py
+++ b/bench/evening.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from bench.common import figure, html, parser, report
+from bench.common import argument_parser, render_html, summarize, write_report
 from ivymux.simulation.conversation_load import LoadRecord, LoadSettings, LoadTest
 from ivymux.simulation.local_cluster import local_cluster
 
@@ -56,11 +56,11 @@
     axes[2].boxplot(spent, tick_labels=partners, whis=(1, 99), showfliers=False)
     axes[2].set(title="ms to an answer, each partner (1, 25, 50, 75, 99 of 100)", yscale="log")
     figure_.tight_layout()
-    return html("A busy evening", figure_, found)
+    return render_html("A busy evening", figure_, found)
 
 
 def main() -> None:
-    arguments = parser("evening")
+    arguments = argument_parser("evening")
     arguments.add_argument("--seconds", type=float, default=600.0)
     arguments.add_argument("--seed", type=int, default=1)
     arguments.add_argument("--page", type=Path)
@@ -74,9 +74,9 @@
     for name in NEVER:
         if found[name]:
             raise AssertionError(f"{name}: {found[name]}")
-    figures = {n: figure([v], "") for n, v in found.items() if isinstance(v, int | float)}
+    figures = {n: summarize([v], "") for n, v in found.items() if isinstance(v, int | float)}
     load = f"{settings.duration_s:.0f} s, {found['troubles']}, reads {found['reads']}"
-    report(args, load, figures, {})
+    write_report(args, load, figures, {})
 
 
 if __name__ == "__main__":
--- a/bench/explore.py
+++ b/bench/explore.py
@@ -11,7 +11,7 @@
 import time
 from typing import Any
 
-from bench.common import figure, parser, report
+from bench.common import argument_parser, summarize, write_report
 from ivymux.simulation.exploration import WORLDS, Finding, explore, shrink
 from ivymux.simulation.seeded_faults import FAULTS, RARE, UNSEEN
 
@@ -59,7 +59,7 @@
 
 
 def main() -> None:
-    arguments = parser("explore")
+    arguments = argument_parser("explore")
     arguments.add_argument("--seeds", type=int, default=0)
     arguments.add_argument("--first", type=int, default=1)
     arguments.add_argument("--jobs", type=int, default=multiprocessing.cpu_count())
@@ -87,21 +87,23 @@
                 if found is not None:
                     raise AssertionError(str(found))
             rate = wanted / (time.monotonic() - began)
-            figures[f"{make().name}: days without a find"] = figure([wanted], "days")
-            figures[f"{make().name}: days an hour, {args.jobs} processes"] = figure([3600 * rate], "days/h")
+            figures[f"{make().name}: days without a find"] = summarize([wanted], "days")
+            figures[f"{make().name}: days an hour, {args.jobs} processes"] = summarize(
+                [3600 * rate], "days/h"
+            )
         cases = [(name, args.first, 100_000) for name in FAULTS]
         for name, spent, found, least in pool.imap_unordered(seeded, cases):
             if found is None or least is None or spent > MAX_S or len(least.events) > MAX_EVENTS:
                 raise AssertionError(f"{name}: {spent:.0f} s, {least or found}")
             print(f"{name}: {least}")
-            figures[f"{name}: until found"] = figure([spent], "s")
-            figures[f"{name}: events, as found and shrunk"] = figure(
+            figures[f"{name}: until found"] = summarize([spent], "s")
+            figures[f"{name}: events, as found and shrunk"] = summarize(
                 [len(least.events), len(found.events)], "events"
             )
-    figures["seeded faults that are not looked for, as none was found before"] = figure(
+    figures["seeded faults that are not looked for, as none was found before"] = summarize(
         [len(UNSEEN)], "faults"
     )
-    report(args, f"{wanted} days of each world, {len(FAULTS)} seeded faults", figures, {})
+    write_report(args, f"{wanted} days of each world, {len(FAULTS)} seeded faults", figures, {})
 
 
 if __name__ == "__main__":
--- a/bench/fleet_size.py
+++ b/bench/fleet_size.py
@@ -12,7 +12,7 @@
 import statistics
 from typing import Any
 
-from bench.common import figure, parser, report
+from bench.common import argument_parser, summarize, write_report
 from standins.fleet import Fleet, Played, quantile
 
 DOORS = (4, 16, 64, 200, 800)
@@ -61,7 +61,7 @@
 
 
 def main() -> None:
-    told = parser("fleet_size")
+    told = argument_parser("fleet_size")
     told.add_argument("--svg", metavar="FILE", help="draw the shares there")
     args = told.parse_args()
     doors = (4, 64, 200) if args.quick else DOORS
@@ -80,16 +80,16 @@
         least = [played.ceiling for played in runs]
         if min(least) < 0:
             raise AssertionError(f"{count} front doors: a ceiling was passed")
-        figures[f"{count} front doors: least that a ceiling's store of 33 held"] = figure(least, "units")
+        figures[f"{count} front doors: least that a ceiling's store of 33 held"] = summarize(least, "units")
         for part in (0.5, 0.99):
             waits = [1000 * quantile(played.waits, part) for played in runs]
-            figures[f"{count} front doors: until the first attempt, p{round(100 * part)}"] = figure(
+            figures[f"{count} front doors: until the first attempt, p{round(100 * part)}"] = summarize(
                 waits, "ms"
             )
     if args.svg:
         draw(args.svg, table)
     load = f"783 customers, {seconds:.0f} s, a counter of {BEARS:.0f} calls a second, seeds {seeds}"
-    report(args, load, figures, ratios)
+    write_report(args, load, figures, ratios)
 
 
 if __name__ == "__main__":
--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -15,7 +15,7 @@
 
 import uvloop
 
-from bench.common import Child, Load, arguments, figure, quantile, report
+from bench.common import ChildProcess, Load, parse_arguments, quantile, summarize, write_report
 from bench.parts import ANSWER
 from bench.routes import free_port, listening, site, small, standalone_requests
 from ivymux.inventory.change_policy import Limits
@@ -59,14 +59,14 @@
         read_and_check(ReadTask(str(path), Limits(), old, None))
         alone.append(time.perf_counter() - began)
     return {
-        "10000 workers read and judged in a process of its own": figure(beside, "s"),
-        "of that reading and judging": figure(alone, "s"),
+        "10000 workers read and judged in a process of its own": summarize(beside, "s"),
+        "of that reading and judging": summarize(alone, "s"),
     }
 
 
 async def applying(quick: bool, folder: Path) -> dict[str, Any]:
     """A door in this process takes over lists of 10,000; memory by what it grows."""
-    worker = Child("-m", "bench.parts", "worker")
+    worker = ChildProcess("-m", "bench.parts", "worker")
     path = site(folder, [], free_port(), json.dumps(small()).encode())
     path.write_text(path.read_text() + '\n[inventory]\nfile = "workers.csv"\nwatch = 3600.0\nsettle = 0.0\n')
     file = folder / "workers.csv"
@@ -89,8 +89,8 @@
         await door.close()
         worker.stop()
     return {
-        "10000 workers read, judged and applied": figure(times, "s"),
-        "memory for each worker": figure([grown / SIZE], "KB"),
+        "10000 workers read, judged and applied": summarize(times, "s"),
+        "memory for each worker": summarize([grown / SIZE], "KB"),
     }
 
 
@@ -102,7 +102,7 @@
 
 async def serving_on(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
     """p99 at a steady pace with and without 10,000 changes on their way in; from rename to effect."""
-    workers = [Child("-m", "bench.parts", "worker") for _ in range(2)]
+    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(2)]
     real = [w.address for w in workers]
     port = free_port()
     path = site(folder, [], port, json.dumps(small()).encode())
@@ -116,36 +116,36 @@
 
     write(fleet(SIZE, real))
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
-    door = Child("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
+    door = ChildProcess("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
     quiet, busy, effects = [], [], []
     try:
         await listening(port)
         for turn in range(1, 3 if quick else 6):
-            load = Load(standalone_requests(), len(ANSWER), 2_000, pause=0.01)
+            load = Load(standalone_requests(), len(ANSWER), 2_000, pause_s=0.01)
             await load.run(port, 8)
-            quiet.append(quantile(load.times, 0.99) * 1e3)
-            load = Load(standalone_requests(), len(ANSWER), 2_000, pause=0.01)
+            quiet.append(quantile(load.latencies_s, 0.99) * 1e3)
+            load = Load(standalone_requests(), len(ANSWER), 2_000, pause_s=0.01)
             write(fleet(SIZE, real, turn))
             await load.run(port, 8)
-            busy.append(quantile(load.times, 0.99) * 1e3)
+            busy.append(quantile(load.latencies_s, 0.99) * 1e3)
     finally:
         door.stop()
     # The effect is seen at a worker: one that joins gets its first request.
     write(fleet(1, real[:1]))
-    door = Child("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
+    door = ChildProcess("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
     try:
         await listening(port)
         for _ in range(3 if quick else 7):
-            fresh = Child("-m", "bench.parts", "worker")
-            load = Load(standalone_requests(), len(ANSWER), 1 << 30, pause=0.002)
+            fresh = ChildProcess("-m", "bench.parts", "worker")
+            load = Load(standalone_requests(), len(ANSWER), 1 << 30, pause_s=0.002)
             task = asyncio.ensure_future(load.run(port, 8))
-            before = fresh.cpu()
+            before = fresh.cpu_seconds()
             write(fleet(2, [real[0], fresh.address]))
             began = time.perf_counter()
-            while fresh.cpu() - before < 0.0005 and time.perf_counter() - began < 10:
+            while fresh.cpu_seconds() - before < 0.0005 and time.perf_counter() - began < 10:
                 await asyncio.sleep(0.01)
             effects.append(time.perf_counter() - began)
-            load.left = 1
+            load.remaining = 1
             await task
             write(fleet(1, real[:1]))
             await asyncio.sleep(1.5)
@@ -156,15 +156,15 @@
             w.stop()
     more = sorted(b - q for b, q in zip(busy, quiet, strict=True))
     return {
-        "p99 at a steady pace": figure(quiet, "ms"),
-        "p99 while 10000 workers change": figure(busy, "ms"),
-        "p99 more while they do": figure(more, "ms"),
-        "from a file's rename to a new worker's first request": figure(effects, "s"),
+        "p99 at a steady pace": summarize(quiet, "ms"),
+        "p99 while 10000 workers change": summarize(busy, "ms"),
+        "p99 more while they do": summarize(more, "ms"),
+        "from a file's rename to a new worker's first request": summarize(effects, "s"),
     }, {"p99 while changing over quiet": busy[len(busy) // 2] / quiet[len(quiet) // 2]}
 
 
 async def main() -> None:
-    args = arguments("inventory")
+    args = parse_arguments("inventory")
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         for part in ("read", "apply", "on"):
@@ -173,7 +173,7 @@
         figures |= await applying(args.quick, folder / "apply")
         more, ratios = await serving_on(args.quick, folder / "on")
         figures |= more
-    report(args, f"{SIZE} workers in 500 bays; 200 customers at a steady pace", figures, ratios)
+    write_report(args, f"{SIZE} workers in 500 bays; 200 customers at a steady pace", figures, ratios)
 
 
 if __name__ == "__main__":
--- a/bench/parts.py
+++ b/bench/parts.py
@@ -155,12 +155,12 @@
 
 async def flood(port: int, request: bytes, connections: int, pause: float) -> None:
     """Ask again and again, whatever the answers are."""
-    from bench.common import Load, Loader
+    from bench.common import Load, LoadConnection
 
     load = Load([request], 0, 1 << 30, pause)
     loop = asyncio.get_running_loop()
     for number in range(connections):
-        await loop.create_connection(lambda n=number: Loader(load, n), "127.0.0.1", port)  # type: ignore[misc]
+        await loop.create_connection(lambda n=number: LoadConnection(load, n), "127.0.0.1", port)  # type: ignore[misc]
     print(port, flush=True)
     await asyncio.sleep(MAX_FLOOD)
 
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from bench.common import figure, parser, report
+from bench.common import argument_parser, summarize, write_report
 from ivymux.simulation.event_queue import START_TIME
 from ivymux.simulation.quota_sharing import DistributedQuotaSimulation, QuotaSimulation, Tenant, quota_plan
 
@@ -81,16 +81,16 @@
         for rate, part in ((33.0, 0.62), (33.0, 0.9), (66.0, 0.8), (198.0, 0.7)):
             refused = list(pool.map(one_cut, [(rate, part, seed) for seed in range(cut)]))
             name = f"two of 8 doors back from a cut, tenants at {part} of {rate:.0f}/s: refused in 4 s"
-            figures[name] = figure(refused, "of requests")
+            figures[name] = summarize(refused, "of requests")
         found = list(pool.map(many_cuts, range(schedules)))
-    figures["random cuts with floods: used of what the rule leaves"] = figure(found, "part")
+    figures["random cuts with floods: used of what the rule leaves"] = summarize(found, "part")
     broken = [seed for seed, part in enumerate(found) if part > 1]
     if broken:
         raise AssertionError(f"a quota was passed by random cuts of seeds {broken}")
 
 
 def main() -> None:
-    args = parser("quotas").parse_args()
+    args = argument_parser("quotas").parse_args()
     doors, seeds, seconds = (DOORS[:3], (1,), 11.0) if args.quick else (DOORS, (1, 2, 3), SECONDS)
     figures: dict[str, Any] = {}
     ratios: dict[str, float] = {}
@@ -118,13 +118,13 @@
                 ratios[f"{count} doors, seed {seed}, {trouble or 'calm'}: others refused in their quota"] = (
                     given_up
                 )
-        figures[f"{count} doors: calls to holders for each request"] = figure(calls, "calls")
-        figures[f"{count} doors: refused to the end inside quotas, calm"] = figure(refused, "of requests")
-        figures[f"{count} doors: used of what the rule leaves, worst tenant"] = figure(worst, "part")
-        figures[f"{count} doors: the same where counts are lost in a flood"] = figure(lost, "part")
+        figures[f"{count} doors: calls to holders for each request"] = summarize(calls, "calls")
+        figures[f"{count} doors: refused to the end inside quotas, calm"] = summarize(refused, "of requests")
+        figures[f"{count} doors: used of what the rule leaves, worst tenant"] = summarize(worst, "part")
+        figures[f"{count} doors: the same where counts are lost in a flood"] = summarize(lost, "part")
     cuts(args.quick, figures)
     load = f"{len(TENANTS)} tenants, {sum(r * p for r, p in TENANTS):.0f} requests a second, {seconds:.0f} s"
-    report(args, load, figures, ratios)
+    write_report(args, load, figures, ratios)
 
 
 if __name__ == "__main__":
--- a/bench/routes.py
+++ b/bench/routes.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from bench.common import Child, Load, arguments, figure, quantile, report
+from bench.common import ChildProcess, Load, parse_arguments, quantile, summarize, write_report
 from bench.descriptions import large, text
 from bench.parts import ANSWER
 from ivymux.routes.classes import ClassTable
@@ -68,7 +68,7 @@
     }
 
 
-def site(folder: Path, workers: list[Child], port: int, document: bytes) -> Path:
+def site(folder: Path, workers: list[ChildProcess], port: int, document: bytes) -> Path:
     (folder / "api.json").write_bytes(document)
     lines = [f'listen = "127.0.0.1:{port}"', '[description]\nfile = "api.json"\nwatch = 0',
              "[plans.p]\nrate = 10000.0\nburst = 20000"]  # fmt: skip
@@ -87,7 +87,7 @@
     ]
 
 
-def platform_config(folder: Path, workers: list[Child], tally: Child, port: int) -> Path:
+def platform_config(folder: Path, workers: list[ChildProcess], tally: ChildProcess, port: int) -> Path:
     known = [
         {"host": f"s-{n:08x}", "dial": w.address, "site": "a", "class": "m", "block": 0, "health": "Ready",
          "share": 1.0, "born_ms": 0}
@@ -134,19 +134,19 @@
         ) % (turn % CUSTOMERS, self.number)
 
 
-async def cpu_for_each(door: Child, load: Load, port: int) -> float:
+async def cpu_for_each(door: ChildProcess, load: Load, port: int) -> float:
     """Microseconds of CPU for each request."""
-    count = load.left
-    before = door.cpu()
+    count = load.remaining
+    before = door.cpu_seconds()
     await load.run(port, CONNECTIONS)
-    return (door.cpu() - before) / count * 1e6
+    return (door.cpu_seconds() - before) / count * 1e6
 
 
 async def requests(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
     count, runs = (2_000, 11) if quick else (5_000, 21)  # short rounds in turn: the machine is shared
-    workers = [Child("-m", "bench.parts", "worker") for _ in range(WORKERS)]
-    floor = Child("-m", "bench.parts", "floor", workers[0].address)
-    tally = Child("-m", "bench.parts", "tally")
+    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(WORKERS)]
+    floor = ChildProcess("-m", "bench.parts", "floor", workers[0].address)
+    tally = ChildProcess("-m", "bench.parts", "tally")
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
     own, theirs, many = free_port(), free_port(), free_port()
     (folder / "many").mkdir()
@@ -155,10 +155,10 @@
     large_one = site(folder / "many", workers, many, with_small(1200))
     doors = {
         "floor": (floor, floor.port),
-        "platform": (Child("-m", "ivymux", env=config, prints_port=False), theirs),
-        "standalone": (Child("-m", "ivymux", "serve", str(one), env=env, prints_port=False), own),
+        "platform": (ChildProcess("-m", "ivymux", env=config, prints_port=False), theirs),
+        "standalone": (ChildProcess("-m", "ivymux", "serve", str(one), env=env, prints_port=False), own),
         "standalone, 1200 operations": (
-            Child("-m", "ivymux", "serve", str(large_one), env=env, prints_port=False), many),
+            ChildProcess("-m", "ivymux", "serve", str(large_one), env=env, prints_port=False), many),
     }  # fmt: skip
     try:
         for _, port in doors.values():
@@ -177,8 +177,8 @@
     finally:
         for child in [c for c, _ in doors.values()] + workers + [tally]:
             child.stop()
-    figures = {f"CPU for each request, {name}": figure(values, "us") for name, values in spent.items()}
-    figures["peak memory, standalone, 1200 operations"] = figure([peak], "MB")
+    figures = {f"CPU for each request, {name}": summarize(values, "us") for name, values in spent.items()}
+    figures["peak memory, standalone, 1200 operations"] = summarize([peak], "MB")
     pairs = {name: sorted(a / b for a, b in zip(values, spent["floor"], strict=True))
              for name, values in spent.items()}  # fmt: skip
     ratios = {f"{name} over the floor": values[len(values) // 2] for name, values in pairs.items()}
@@ -212,7 +212,7 @@
             for operation, target in targets:
                 router.match(operation.method, target)
             times.append((time.perf_counter() - began) / len(targets) * 1e6)
-        figures[f"match, {size} operations"] = figure(times, "us")
+        figures[f"match, {size} operations"] = summarize(times, "us")
         table = Table(compiled, ClassTable(0.0, Scope.ALL))
         for _ in table.build():
             pass
@@ -223,7 +223,7 @@
             for operation, target in targets:
                 table.decide(operation.method, target, FIELDS)
             times.append((time.perf_counter() - began) / len(targets) * 1e6)
-        figures[f"all that is decided of a route, {size} operations"] = figure(times, "us")
+        figures[f"all that is decided of a route, {size} operations"] = summarize(times, "us")
         medians[size] = figures[f"match, {size} operations"]["median"]
     return figures, {"match at 12000 over 1200": medians[12_000] / medians[1_200]}
 
@@ -258,49 +258,49 @@
         peaks.append(peak)
         second.append(start_alone(path, cache)[0])
     return {
-        "size of the large description": figure([path.stat().st_size / 1e6], "MB"),
-        "load, 1200 operations": figure(first, "s"),
-        "load from the cache": figure(second, "s"),
-        "peak memory of the compiler": figure(peaks, "MB"),
+        "size of the large description": summarize([path.stat().st_size / 1e6], "MB"),
+        "load, 1200 operations": summarize(first, "s"),
+        "load from the cache": summarize(second, "s"),
+        "peak memory of the compiler": summarize(peaks, "MB"),
     }
 
 
 async def serving_on(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
     """Latencies at a steady pace, with and without a large description on its way in."""
-    worker = Child("-m", "bench.parts", "worker")
+    worker = ChildProcess("-m", "bench.parts", "worker")
     port = free_port()
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
     path = site(folder, [worker], port, json.dumps(small()).encode())
-    door = Child("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
+    door = ChildProcess("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
     document = json.loads(text(1_200, 10_500))
     quiet, busy = [], []
     try:
         await listening(port)
         for run in range(2 if quick else 5):
-            load = Load(standalone_requests(), len(ANSWER), 2_000, pause=0.01)
+            load = Load(standalone_requests(), len(ANSWER), 2_000, pause_s=0.01)
             await load.run(port, 8)
-            quiet.append(quantile(load.times, 0.99) * 1e3)
+            quiet.append(quantile(load.latencies_s, 0.99) * 1e3)
             document["info"]["version"] = str(run)
             document["paths"].update(small()["paths"])
             (folder / "api.json").write_text(json.dumps(document))
-            load = Load(standalone_requests(), len(ANSWER), 2_000, pause=0.01)
+            load = Load(standalone_requests(), len(ANSWER), 2_000, pause_s=0.01)
             door.process.send_signal(signal.SIGHUP)
             await load.run(port, 8)
-            busy.append(quantile(load.times, 0.99) * 1e3)
+            busy.append(quantile(load.latencies_s, 0.99) * 1e3)
     finally:
         door.stop()
         worker.stop()
     more = sorted(b - q for b, q in zip(busy, quiet, strict=True))
     figures = {
-        "p99 at a steady pace": figure(quiet, "ms"),
-        "p99 while a large description comes in": figure(busy, "ms"),
-        "p99 more while it does": figure(more, "ms"),
+        "p99 at a steady pace": summarize(quiet, "ms"),
+        "p99 while a large description comes in": summarize(busy, "ms"),
+        "p99 more while it does": summarize(more, "ms"),
     }
     return figures, {"p99 while loading over quiet": busy[len(busy) // 2] / quiet[len(quiet) // 2]}
 
 
 async def main() -> None:
-    args = arguments("routes")
+    args = parse_arguments("routes")
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         (folder / "site").mkdir()
@@ -311,7 +311,7 @@
             ratios |= others
         figures |= loading(args.quick, folder)
     workload = f"{CONNECTIONS} connections, {CUSTOMERS} customers, {WORKERS} workers; GET with a small answer"
-    report(args, workload, figures, ratios)
+    write_report(args, workload, figures, ratios)
 
 
 if __name__ == "__main__":
--- a/bench/servers.py
+++ b/bench/servers.py
@@ -11,7 +11,7 @@
 
 from typing import Any
 
-from bench.common import figure, parser, report
+from bench.common import argument_parser, summarize, write_report
 from ivymux.simulation.backend_selection import BackendSelectionSimulation, ServiceLoad
 from ivymux.simulation.event_queue import START_TIME
 from orchidhill import proxy_gateway
@@ -47,29 +47,31 @@
 
 
 def main() -> None:
-    args = parser("servers").parse_args()
+    args = argument_parser("servers").parse_args()
     figures: dict[str, Any] = {}
     for doors in DOORS[:2] if args.quick else DOORS:
         for form in FORMS:
             runs = [play(doors, seed, form) for seed in ((1,) if args.quick else (1, 2, 3))]
             name = f"{doors} doors{form}: "
             figures |= {
-                name + "late in the first 3 s": figure([r.late_share(0.0, 3.0) for r in runs], "of requests"),
-                name + "late from 3 s to the failures": figure(
+                name + "late in the first 3 s": summarize(
+                    [r.late_share(0.0, 3.0) for r in runs], "of requests"
+                ),
+                name + "late from 3 s to the failures": summarize(
                     [r.late_share(3.0, 4.5) for r in runs], "of requests"
                 ),
-                name + "most at one server in the first second": figure(
+                name + "most at one server in the first second": summarize(
                     [max(r.first_second_requests.values()) for r in runs], "requests"
                 ),
-                name + "never served": figure([r.failed / r.requested for r in runs], "of requests"),
-                name + "new connections": figure(
+                name + "never served": summarize([r.failed / r.requested for r in runs], "of requests"),
+                name + "new connections": summarize(
                     [r.opened_connections / r.requested for r in runs], "of requests"
                 ),
-                name + "begun again": figure([r.retries / r.requested for r in runs], "of requests"),
+                name + "begun again": summarize([r.retries / r.requested for r in runs], "of requests"),
             }
     rate, backends = sum(k.request_rate for k in KINDS), sum(k.backends for k in KINDS)
     load = f"{rate:.0f} requests a second, {backends} servers"
-    report(args, load, figures, {})
+    write_report(args, load, figures, {})
 
 
 if __name__ == "__main__":
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -19,7 +19,7 @@
 import httpx
 import uvloop
 
-from bench.common import arguments, figure, report
+from bench.common import parse_arguments, summarize, write_report
 from bench.system import CORES, System, document
 from ivymux.data_plane.limits import Address
 from ivymux.transport.connection import Connection, Connector
@@ -135,11 +135,14 @@
 
         async def busiest() -> tuple[float, float, float]:
             """Per cent of a core of the busiest registry and store; bytes a second of a door."""
-            before, since = [c.cpu() for c in (*registries, *stores)], time.perf_counter()
+            before, since = [c.cpu_seconds() for c in (*registries, *stores)], time.perf_counter()
             Counted.counted = 0
             await asyncio.sleep(SPAN)
             spent = time.perf_counter() - since
-            used = [100 * (c.cpu() - b) / spent for c, b in zip((*registries, *stores), before, strict=True)]
+            used = [
+                100 * (c.cpu_seconds() - b) / spent
+                for c, b in zip((*registries, *stores), before, strict=True)
+            ]
             return max(used[: len(CORES)]), max(used[len(CORES) :]), Counted.counted / spent / count
 
         idle = await busiest()
@@ -147,7 +150,7 @@
         await asyncio.sleep(2 * BEAT)
         called = await busiest()
         spans, answered, calls = [], [], 0
-        before = [c.cpu() for c in registries]
+        before = [c.cpu_seconds() for c in registries]
         for version in range(2, changes + 2):
             began = time.perf_counter()
             url = f"http://{CORES[0]}:{system.control}/configuration"
@@ -158,7 +161,7 @@
                     await asyncio.sleep(0.002)
             spans.append(max(d.at for d in doors) - began)
         memory = max(c.peak_mb() for c in registries)
-        change = max(c.cpu() - b for c, b in zip(registries, before, strict=True)) / changes
+        change = max(c.cpu_seconds() - b for c, b in zip(registries, before, strict=True)) / changes
     finally:
         if calling is not None:
             calling.cancel()
@@ -170,29 +173,29 @@
             child.stop()
     name = f"{count} doors: "
     return {
-        name + "CPU of the busiest registry, idle": figure([idle[0]], "% of a core"),
-        name + f"the same with {BACKENDS} backends that call each {BEAT} s": figure(
+        name + "CPU of the busiest registry, idle": summarize([idle[0]], "% of a core"),
+        name + f"the same with {BACKENDS} backends that call each {BEAT} s": summarize(
             [called[0]], "% of a core"
         ),
-        name + "CPU of the busiest configuration store": figure([called[1]], "% of a core"),
-        name + "bytes of a door, idle": figure([idle[2]], "bytes/s"),
-        name + "from a change to the last door": figure(spans, "s"),
-        name + "until it is answered": figure(answered, "s"),
-        name + "calls of the operator for a change": figure([calls / changes], "calls"),
-        name + "CPU of a change at the busiest registry": figure([1000 * change], "ms"),
-        name + "peak memory of a registry": figure([memory], "MB"),
+        name + "CPU of the busiest configuration store": summarize([called[1]], "% of a core"),
+        name + "bytes of a door, idle": summarize([idle[2]], "bytes/s"),
+        name + "from a change to the last door": summarize(spans, "s"),
+        name + "until it is answered": summarize(answered, "s"),
+        name + "calls of the operator for a change": summarize([calls / changes], "calls"),
+        name + "CPU of a change at the busiest registry": summarize([1000 * change], "ms"),
+        name + "peak memory of a registry": summarize([memory], "MB"),
     }
 
 
 async def main() -> None:
-    args = arguments("sizing")
+    args = parse_arguments("sizing")
     figures: dict[str, Any] = {}
     for count in DOORS[:2] if args.quick else DOORS:
         with tempfile.TemporaryDirectory() as name:
             figures |= await measure(Path(name), count, 3 if args.quick else 10)
     size = len(encode_frame({"k": "text", "v": 1, "t": json.dumps(configuration(1))}))
     load = f"{len(CORES)} core machines, {BACKENDS} backends, a configuration of {size} bytes"
-    report(args, load, figures, {})
+    write_report(args, load, figures, {})
 
 
 if __name__ == "__main__":
--- a/bench/system.py
+++ b/bench/system.py
@@ -21,7 +21,7 @@
 import uvloop
 import yaml
 
-from bench.common import Child, arguments, figure, report
+from bench.common import ChildProcess, parse_arguments, summarize, write_report
 from bench.parts import ANSWER
 from bench.routes import (
     CONNECTIONS,
@@ -71,14 +71,14 @@
     """Three core machines and a door on loopback addresses."""
 
     def __init__(self, folder: Path, configuration: dict[str, Any] | None = None) -> None:
-        self.folder, self.children = folder, list[Child]()
+        self.folder, self.children = folder, list[ChildProcess]()
         self.configuration = configuration or document()
         self.descriptors = 1300  # of a process
         self.slack = SLACK
         self.seq = itertools.count(1)
         self.control, self.front, self.ready, self.inner = free_port(), free_port(), free_port(), free_port()
 
-    def start(self, ip: str, role: str) -> Child:
+    def start(self, ip: str, role: str) -> ChildProcess:
         listen = {"control_addr": f"{ip}:{self.control}"}
         if role == "proxy":
             listen = {"front_addr": f"{ip}:{self.front}", "ready_addr": f"{ip}:{self.ready}"}
@@ -92,11 +92,11 @@
             "terms_table": {"timing_bounds": {"quota_slack": self.slack}},
         }))  # fmt: skip
         env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
-        made = Child("-m", "ivymux", role, "--settings", str(path), env=env, prints_port=False)
+        made = ChildProcess("-m", "ivymux", role, "--settings", str(path), env=env, prints_port=False)
         self.children.append(made)
         return made
 
-    async def take(self, workers: list[Child]) -> None:
+    async def take(self, workers: list[ChildProcess]) -> None:
         """A configuration and the backends, once the core takes them."""
         async with httpx.AsyncClient(trust_env=False, timeout=2.0) as http:
             calls: list[tuple[str, Any]] = [("/configuration", self.configuration)]
@@ -116,7 +116,7 @@
                             pass
                         await asyncio.sleep(0.02)
 
-    async def beat(self, workers: list[Child]) -> None:
+    async def beat(self, workers: list[ChildProcess]) -> None:
         while True:
             await self.take(workers)
             await asyncio.sleep(1)
@@ -140,7 +140,7 @@
         self.started = 0.0
 
     async def measure(self, count: int, runs: int) -> dict[str, list[float]]:
-        platform = Child("-m", "ivymux", prints_port=False, env=self.env)
+        platform = ChildProcess("-m", "ivymux", prints_port=False, env=self.env)
         began = time.perf_counter()
         door = self.system.start("127.0.0.1", "proxy")
         try:
@@ -154,9 +154,9 @@
                 if run:  # the first warms up
                     spent["platform"].append(of_platform)
                     spent["system"].append(of_system)
-            before, since = door.cpu(), time.perf_counter()
+            before, since = door.cpu_seconds(), time.perf_counter()
             await asyncio.sleep(1)
-            self.idle = 100 * (door.cpu() - before) / (time.perf_counter() - since)
+            self.idle = 100 * (door.cpu_seconds() - before) / (time.perf_counter() - since)
             self.peak_mb = door.peak_mb()
             return spent
         finally:
@@ -171,9 +171,9 @@
 
 async def measure(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
     count, runs, rounds = (1_000, 3, 5) if quick else (3_000, 5, 11)
-    workers = [Child("-m", "bench.parts", "worker") for _ in range(WORKERS)]
-    sealed = [Child("-m", "bench.parts", "sealed") for _ in range(WORKERS)]
-    tally = Child("-m", "bench.parts", "tally")
+    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(WORKERS)]
+    sealed = [ChildProcess("-m", "bench.parts", "sealed") for _ in range(WORKERS)]
+    tally = ChildProcess("-m", "bench.parts", "tally")
     system, port = System(folder), free_port()
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
     env |= {"NODE_CONFIG": str(platform_config(folder, workers, tally, port))}
@@ -199,13 +199,13 @@
                 peak.append(made.peak_mb)
                 started.append(made.started)
             ratios[f"system over platform{name}"] = middle(pairs)
-            figures[f"CPU for each request, system{name}"] = figure(spent["system"], "us")
+            figures[f"CPU for each request, system{name}"] = summarize(spent["system"], "us")
             if not name:
-                figures["CPU for each request, platform"] = figure(spent["platform"], "us")
-                figures["idle CPU of a door"] = figure(idle, "% of a core")
-                figures["peak memory of a door"] = figure(peak, "MB")
-                figures["a door started, configuration in force"] = figure(started, "s")
-        figures["peak memory of a core process"] = figure([c.peak_mb() for c in system.children], "MB")
+                figures["CPU for each request, platform"] = summarize(spent["platform"], "us")
+                figures["idle CPU of a door"] = summarize(idle, "% of a core")
+                figures["peak memory of a door"] = summarize(peak, "MB")
+                figures["a door started, configuration in force"] = summarize(started, "s")
+        figures["peak memory of a core process"] = summarize([c.peak_mb() for c in system.children], "MB")
         beating.cancel()
     finally:
         for child in (*workers, *sealed, tally, *system.children):
@@ -214,13 +214,13 @@
 
 
 async def main() -> None:
-    args = arguments("system")
+    args = parse_arguments("system")
     with tempfile.TemporaryDirectory() as name:
         figures, ratios = await measure(args.quick, Path(name))
     workload = (
         f"{CONNECTIONS} connections, {TENANTS} tenants, {WORKERS} backends; GET with {len(ANSWER)} bytes"
     )
-    report(args, workload, figures, ratios)
+    write_report(args, workload, figures, ratios)
 
 
 if __name__ == "__main__":
--- a/bench/tally.py
+++ b/bench/tally.py
@@ -21,7 +21,7 @@
 import hiredis
 import uvloop
 
-from bench.common import Child, arguments, figure, quantile, report
+from bench.common import ChildProcess, parse_arguments, quantile, summarize, write_report
 from ivymux.service.site import PACE
 from ivymux.tally.durable import DurableStore
 from ivymux.tally.journal import encode_header, encode_record
@@ -72,14 +72,14 @@
 
 async def ask(port: int, child: Any, count: int) -> tuple[float, float, float]:
     """Calls a second of CPU, calls a second, and p99 in milliseconds."""
-    loop, began, before = asyncio.get_running_loop(), time.perf_counter(), child.cpu()
+    loop, began, before = asyncio.get_running_loop(), time.perf_counter(), child.cpu_seconds()
     made = [
         (await loop.create_connection(lambda n=n: Asker(count // LINES, n), "127.0.0.1", port))[1]  # type: ignore[misc]
         for n in range(LINES)
     ]
     async with asyncio.timeout(60):
         await asyncio.gather(*(asker.done for asker in made))
-    spent, cpu = time.perf_counter() - began, child.cpu() - before
+    spent, cpu = time.perf_counter() - began, child.cpu_seconds() - before
     times = [t for asker in made for t in asker.times]
     for asker in made:
         asker.transport.close()
@@ -88,7 +88,7 @@
     return len(times) / cpu, len(times) / spent, quantile(times, 0.99) * 1e3
 
 
-class Program(Child):
+class Program(ChildProcess):
     """`ivymux tally` in a process of its own."""
 
     def __init__(self, *more: str) -> None:
@@ -107,8 +107,8 @@
 
 
 async def calls(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
-    children: dict[str, Child] = {
-        "a bare echo": Child("-m", "bench.parts", "echo"),
+    children: dict[str, ChildProcess] = {
+        "a bare echo": ChildProcess("-m", "bench.parts", "echo"),
         "in memory": Program(),
         "with a file": Program("--file", str(folder / "counts")),
     }
@@ -124,9 +124,9 @@
             child.stop()
     figures = {}
     for name, runs in found.items():
-        figures[f"{name}: calls a second of CPU"] = figure([r[0] for r in runs], "1/s")
-        figures[f"{name}: calls a second"] = figure([r[1] for r in runs], "1/s")
-        figures[f"{name}: p99"] = figure([r[2] for r in runs], "ms")
+        figures[f"{name}: calls a second of CPU"] = summarize([r[0] for r in runs], "1/s")
+        figures[f"{name}: calls a second"] = summarize([r[1] for r in runs], "1/s")
+        figures[f"{name}: p99"] = summarize([r[2] for r in runs], "ms")
     echo = found.pop("a bare echo")
     return figures, {
         f"CPU for a call {name} over a bare echo": statistics.median(
@@ -151,7 +151,7 @@
         if len(store.totals) != count:
             raise AssertionError("names were lost")
         store.close()
-    return {f"recovery of {count} names": figure(times, "s")}
+    return {f"recovery of {count} names": summarize(times, "s")}
 
 
 def mark(world: World, marks: list[tuple[int, int]]) -> None:
@@ -203,18 +203,18 @@
                 world.served(c, healed + second, healed + second + 1) for c in quiet
             ) >= 0.98 * usual
         )  # fmt: skip
-        figures[f"{name}: until the quiet are served as before"] = figure([float(steady)], "s")
+        figures[f"{name}: until the quiet are served as before"] = summarize([float(steady)], "s")
     return figures, ratios
 
 
 async def main() -> None:
-    args = arguments("tally")
+    args = parse_arguments("tally")
     with tempfile.TemporaryDirectory() as name:
         figures, ratios = await calls(args.quick, Path(name))
         figures |= recovery(args.quick, Path(name))
     more, also = living(args.quick)
     figures, ratios = figures | more, ratios | also
-    report(args, f"{LINES} connections with {DEPTH} calls out each, 40,000 names", figures, ratios)
+    write_report(args, f"{LINES} connections with {DEPTH} calls out each, 40,000 names", figures, ratios)
 
 
 if __name__ == "__main__":
--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -19,7 +19,15 @@
 import msgspec
 import uvloop
 
-from bench.common import Child, Load, Loader, arguments, figure, quantile, report
+from bench.common import (
+    ChildProcess,
+    Load,
+    LoadConnection,
+    parse_arguments,
+    quantile,
+    summarize,
+    write_report,
+)
 from bench.routes import free_port, listening, site, small, standalone_requests
 from ivymux.desired.model import Change
 from ivymux.desired.sqlite import SqliteStore
@@ -40,7 +48,7 @@
 
 
 def installation(
-    folder: Path, tenants: int, workers: list[Child], **limits: float
+    folder: Path, tenants: int, workers: list[ChildProcess], **limits: float
 ) -> tuple[Path, list[bytes]]:
     """Files of an installation, and one request of each tenant."""
     folder.mkdir()
@@ -78,7 +86,7 @@
     def __init__(self, path: Path) -> None:
         self.port = int(path.read_text().split(":")[1].split('"')[0])
         env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
-        self.child = Child("-m", "ivymux", "host", str(path), env=env, prints_port=False)
+        self.child = ChildProcess("-m", "ivymux", "host", str(path), env=env, prints_port=False)
 
 
 async def sizes(quick: bool, folder: Path) -> dict[str, Any]:
@@ -95,33 +103,33 @@
             starts.append(time.perf_counter() - began)
             memory.append(door.child.peak_mb())
             await asyncio.sleep(0.5)
-            before = door.child.cpu()
+            before = door.child.cpu_seconds()
             await asyncio.sleep(1.0)
-            idle.append((door.child.cpu() - before) * 1e3)
+            idle.append((door.child.cpu_seconds() - before) * 1e3)
             door.child.stop()
-        figures[f"{count} tenants: start"] = figure(starts, "s")
-        figures[f"{count} tenants: memory"] = figure(memory, "MB")
-        figures[f"{count} tenants asleep: CPU in a second"] = figure(idle, "ms")
+        figures[f"{count} tenants: start"] = summarize(starts, "s")
+        figures[f"{count} tenants: memory"] = summarize(memory, "MB")
+        figures[f"{count} tenants asleep: CPU in a second"] = summarize(idle, "ms")
     return figures
 
 
-async def cpu_for_each(child: Child, port: int, requests: list[bytes], count: int) -> float:
+async def cpu_for_each(child: ChildProcess, port: int, requests: list[bytes], count: int) -> float:
     """Microseconds of CPU for each request; also of refused ones."""
     load = Load(requests, 0, count)
-    before = child.cpu()
+    before = child.cpu_seconds()
     loop = asyncio.get_running_loop()
     made = [
-        await loop.create_connection(lambda n=n: Loader(load, n), "127.0.0.1", port)  # type: ignore[misc]
+        await loop.create_connection(lambda n=n: LoadConnection(load, n), "127.0.0.1", port)  # type: ignore[misc]
         for n in range(16)
     ]
     async with asyncio.timeout(60):
         await asyncio.gather(*(loader.done for _, loader in made))
-    return (child.cpu() - before) / len(load.times) * 1e6
+    return (child.cpu_seconds() - before) / len(load.latencies_s) * 1e6
 
 
 async def cpu_costs(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
     """A served request, one refused early, and one of a front door of one tenant."""
-    workers = [Child("-m", "bench.parts", "worker") for _ in range(4)]
+    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(4)]
     one, requests = installation(folder / "one", 1, workers)
     low, refused_requests = installation(folder / "low", 1, workers, requests=1.0, burst=1.0)
     (folder / "alone").mkdir()
@@ -134,7 +142,7 @@
         # as long as they live: new ones for each round.
         for _ in range(3 if quick else 11):
             first, second = Door(one), Door(low)
-            third = Child("-m", "ivymux", "serve", str(alone), prints_port=False)
+            third = ChildProcess("-m", "ivymux", "serve", str(alone), prints_port=False)
             try:
                 for at in (first.port, second.port, port):
                     await listening(at)
@@ -163,26 +171,26 @@
         return statistics.median(x / y for x, y in zip(one, other, strict=True))
 
     return {
-        "CPU of a served request": figure(costs["served"], "us"),
-        "CPU of one refused beyond the tenant's limits": figure(costs["refused"], "us"),
-        "CPU of one at a front door of one tenant": figure(costs["single"], "us"),
+        "CPU of a served request": summarize(costs["served"], "us"),
+        "CPU of one refused beyond the tenant's limits": summarize(costs["refused"], "us"),
+        "CPU of one at a front door of one tenant": summarize(costs["single"], "us"),
     }, {
         "refused over served": over(costs["refused"], costs["served"]),
         "hosted over single": over(costs["served"], costs["single"]),
     }
 
 
-def itself(loader: Loader) -> Loader:
+def itself(loader: LoadConnection) -> LoadConnection:
     return loader
 
 
 async def steady(port: int, requests: list[bytes]) -> Load:
     """Each tenant asks ten times a second, none at the same moment as another."""
-    load = Load(requests, 0, 20 * len(requests), pause=0.1)
-    loop, made = asyncio.get_running_loop(), list[Loader]()
+    load = Load(requests, 0, 20 * len(requests), pause_s=0.1)
+    loop, made = asyncio.get_running_loop(), list[LoadConnection]()
     async with asyncio.timeout(60):
         for number in range(len(requests)):
-            made.append(Loader(load, number))
+            made.append(LoadConnection(load, number))
             await loop.create_connection(partial(itself, made[-1]), "127.0.0.1", port)
             await asyncio.sleep(0.1 / len(requests))
         await asyncio.gather(*(loader.done for loader in made))
@@ -191,7 +199,7 @@
 
 async def flood(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
     """The others' p99 while one of 50 tenants floods from a process of its own, beside that without it."""
-    workers = [Child("-m", "bench.parts", "worker") for _ in range(2)]
+    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(2)]
     path, requests = installation(folder / "flood", 50, workers, requests=50.0, burst=50.0)
     door = Door(path)
     times: dict[str, list[float]] = {"no flood": [], "20 times its quota": [], "all it can": []}
@@ -204,19 +212,19 @@
                 child = None
                 if kind in floods:
                     connections, pause = floods[kind]
-                    child = Child("-m", "bench.parts", "flood", str(door.port), requests[0].hex(),
+                    child = ChildProcess("-m", "bench.parts", "flood", str(door.port), requests[0].hex(),
                                   str(connections), str(pause))  # fmt: skip
                 load = await steady(door.port, requests[1:])
                 if child is not None:
                     child.stop()
-                if load.refused > 0.01 * len(load.times):
+                if load.refused > 0.01 * len(load.latencies_s):
                     raise AssertionError(f"{load.refused} requests of others were not served beside {kind}")
                 if turn:  # the first one warms up
-                    kept.append(quantile(load.times, 0.99) * 1e3)
+                    kept.append(quantile(load.latencies_s, 0.99) * 1e3)
     finally:
         for process in (door.child, *workers):
             process.stop()
-    figures = {f"p99 of the 49 others, {kind}": figure(kept, "ms") for kind, kept in times.items()}
+    figures = {f"p99 of the 49 others, {kind}": summarize(kept, "ms") for kind, kept in times.items()}
     alone = times.pop("no flood")
     return figures, {
         f"p99 beside a flood of {kind} over without": statistics.median(
@@ -228,7 +236,7 @@
 
 async def effect(quick: bool, folder: Path) -> dict[str, Any]:
     """From a commit until it is served: a tenant's new host name at a front door of 50."""
-    workers = [Child("-m", "bench.parts", "worker")]
+    workers = [ChildProcess("-m", "bench.parts", "worker")]
     path, requests = installation(folder / "effect", 50, workers)
     store, door, times = SqliteStore(folder / "effect" / "desired.db"), Door(path), []
     try:
@@ -257,7 +265,7 @@
         door.child.stop()
         workers[0].stop()
         store.close()
-    return {"from a commit to its effect, 50 tenants": figure(times, "s")}
+    return {"from a commit to its effect, 50 tenants": summarize(times, "s")}
 
 
 async def effect_by_etcd(quick: bool, folder: Path) -> dict[str, Any]:
@@ -267,7 +275,7 @@
     from ivymux.desired.etcd.store import EtcdStore
     from standins.etcd import serving
 
-    workers = [Child("-m", "bench.parts", "worker")]
+    workers = [ChildProcess("-m", "bench.parts", "worker")]
     place = folder / "etcd"
     _, requests = installation(place, 50, workers)
     doors, times, starts = list[Door](), list[float](), list[float]()
@@ -305,8 +313,8 @@
             for process in (*(door.child for door in doors), *workers):
                 process.stop()
     return {
-        "from a commit to its effect at 3 front doors by etcd, 50 tenants": figure(times, "s"),
-        "50 tenants: start by etcd": figure(starts, "s"),
+        "from a commit to its effect at 3 front doors by etcd, 50 tenants": summarize(times, "s"),
+        "50 tenants: start by etcd": summarize(starts, "s"),
     }
 
 
@@ -319,7 +327,7 @@
 
 
 async def main() -> None:
-    args = arguments("tenants")
+    args = parse_arguments("tenants")
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         figures = await sizes(args.quick, folder)
@@ -327,7 +335,9 @@
         beside, also = await flood(args.quick, folder)
         figures |= more | beside | await effect(args.quick, folder) | await effect_by_etcd(args.quick, folder)
         ratios |= also
-    report(args, "one operation, one customer each; 4 and 2 workers that answer at once", figures, ratios)
+    write_report(
+        args, "one operation, one customer each; 4 and 2 workers that answer at once", figures, ratios
+    )
 
 
 if __name__ == "__main__":
--- a/bench/trials.py
+++ b/bench/trials.py
@@ -27,7 +27,7 @@
 import httptools
 import uvloop
 
-from bench.common import figure, html, parser, quantile, report
+from bench.common import argument_parser, quantile, render_html, summarize, write_report
 from ivymux.fault_injection.request_matcher import LEASE_S
 from ivymux.simulation.local_cluster import LocalCluster, local_cluster
 
@@ -367,7 +367,7 @@
         made.over = True
         await asyncio.gather(*asking)
     return {
-        f"{doors} doors: from a trial's {kind} to its effect at the last": figure(values, "s")
+        f"{doors} doors: from a trial's {kind} to its effect at the last": summarize(values, "s")
         for kind, values in found.items()
     }
 
@@ -397,11 +397,11 @@
         "share failed by door and second: the caller red, others blue; grey: doors, dark: leader"
     )
     plot.tight_layout()
-    return html("Trials of one caller", plot, found)
+    return render_html("Trials of one caller", plot, found)
 
 
 async def main() -> None:
-    arguments = parser("trials")
+    arguments = argument_parser("trials")
     arguments.add_argument("--seed", type=int, default=1)
     arguments.add_argument("--page", type=Path)
     args = arguments.parse_args()
@@ -409,7 +409,7 @@
     with tempfile.TemporaryDirectory() as folder:
         made = await evening(Path(folder), args.quick, args.seed)
     told = judge(made)
-    figures |= {name: figure([value], "") for name, value in told.items()}
+    figures |= {name: summarize([value], "") for name, value in told.items()}
     ratios = spans(made)
     if args.page is not None:
         args.page.write_text(page(made, told | ratios))
@@ -418,7 +418,7 @@
             figures |= await speed(Path(folder), doors, 10 if args.quick else 100)
     what = Counter(kind for _, kind in made.events)
     load = f"{DOORS} doors, {CORES} core machines, {PARTNERS} partners, {dict(what)}, lease {LEASE_S:g} s"
-    report(args, load, figures, ratios)
+    write_report(args, load, figures, ratios)
 
 
 if __name__ == "__main__":
