--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -18,9 +18,9 @@
 from msgspec.structs import replace
 
 from bench.common import ChildProcess, Load, parse_arguments, quantile, summarize, write_report
-from bench.parts import ANSWER
-from bench.routes import WORKERS
-from bench.system import CORES, TENANTS, System, document
+from bench.parts import ANSWER_BODY
+from bench.routes import BACKENDS
+from bench.system import CORE_IPS, TENANTS, LocalSystem, routing_configuration
 from ivymux.config_store.calls import ClaimAction, EndAction
 from ivymux.config_store.calls import encode as encode_call
 from ivymux.config_store.messages import RecordStored, RecordWrite, encode
@@ -41,7 +41,7 @@
     """Actions, each with a key of its own or none."""
 
     def __init__(self, count: int, keyed: bool) -> None:
-        super().__init__([b""], len(ANSWER), count, PAUSE)
+        super().__init__([b""], len(ANSWER_BODY), count, PAUSE)
         self.requests = self  # type: ignore[assignment]
         self.keyed = keyed
 
@@ -58,7 +58,7 @@
 
 
 def with_actions() -> dict[str, Any]:
-    made = document()
+    made = routing_configuration()
     (read,) = made["route_table"]
     act = {**read, "name": "act", "path_prefix": "/acts/", "route_type": "non_idempotent"}
     return {**made, "route_table": [read, act]}
@@ -77,29 +77,29 @@
 
 async def measure(quick: bool, folder: Path, count: int) -> tuple[dict[str, Any], dict[str, float]]:
     each, runs = max(10, (400 if quick else 1200) // count), 5 if quick else 11
-    sealed = [ChildProcess("-m", "bench.parts", "sealed") for _ in range(WORKERS)]
-    system = System(folder, with_actions())
+    sealed = [ChildProcess("-m", "bench.parts", "sealed") for _ in range(BACKENDS)]
+    system = LocalSystem(folder, with_actions())
     try:
-        for ip in CORES:
+        for ip in CORE_IPS:
             system.start(ip, "config_store")
             system.start(ip, "registry")
         doors = {ip: system.start(ip, "proxy") for ip in (f"127.0.0.{10 + n}" for n in range(count))}
-        await system.take(sealed)
-        beating = asyncio.get_running_loop().create_task(system.beat(sealed))
+        await system.configure(sealed)
+        beating = asyncio.get_running_loop().create_task(system.send_heartbeats(sealed))
         for ip in doors:
-            await system.serves(ip)
+            await system.wait_until_ready(ip)
         cpu: dict[bool, list[float]] = {False: [], True: []}
         times: dict[bool, list[float]] = {False: [], True: []}
         for run in range(runs + 1):
             for keyed in (False, True):
-                spent, median = await round_of(doors, system.front, keyed, each)
+                spent, median = await round_of(doors, system.frontend_port, keyed, each)
                 if run:
                     cpu[keyed].append(spent)
                     times[keyed].append(median)
         core = [c for c in system.children if c not in doors.values()]
         before = max(c.peak_mb() for c in core)
         if count == DOORS[0]:
-            await Actions(KNOWN, True).run(system.front, 200, next(iter(doors)))
+            await Actions(KNOWN, True).run(system.frontend_port, 200, next(iter(doors)))
         beating.cancel()
         figures = {}
         for keyed, name in ((False, "without a key"), (True, "with one")):
@@ -124,7 +124,7 @@
     """Bytes from a core machine to who leads, from there to the backup and back, for a claim and its end."""
     record = IdempotencyRecord("a" * KEY_DIGITS, "partner-one", f"{'b' * 16}/12345", "c" * 16, "d" * 16, 3.2)
     fields = [(b"content-type", b"text/plain"), (b"server-seal", b"e" * 24)]
-    answer = encode_answer(Answer(200, ANSWER, headers=fields), 9999)
+    answer = encode_answer(Answer(200, ANSWER_BODY, headers=fields), 9999)
     passed = {"passed": True, "w": 0.85, "n": 1234}
     claimed = ClaimAction(
         record.key, record.tenant, record.claim, record.request_digest, record.body_digest, record.lifetime_s
@@ -151,7 +151,7 @@
         ratios |= compared
     figures["bytes between core machines for an action with a key"] = summarize([between()], "bytes")
     load = (
-        f"{CONNECTIONS} connections, {PAUSE} s between their actions, {TENANTS} tenants, {WORKERS} backends"
+        f"{CONNECTIONS} connections, {PAUSE} s between their actions, {TENANTS} tenants, {BACKENDS} backends"
     )
     write_report(args, load, figures, ratios)
 
--- a/bench/descriptions.py
+++ b/bench/descriptions.py
@@ -34,7 +34,7 @@
 ]
 
 
-def large(operations: int, weight: int = 0, seed: int = 1) -> dict[str, Any]:
+def large_description(operations: int, weight: int = 0, seed: int = 1) -> dict[str, Any]:
     """A description with about so many operations; `weight` is the bytes of schemas beside each."""
     rng = random.Random(seed)
     paths: dict[str, Any] = {}
@@ -92,5 +92,5 @@
     return {"type": "object", "properties": properties}
 
 
-def text(operations: int, weight: int = 0, seed: int = 1) -> bytes:
-    return json.dumps(large(operations, weight, seed)).encode()
+def large_description_text(operations: int, weight: int = 0, seed: int = 1) -> bytes:
+    return json.dumps(large_description(operations, weight, seed)).encode()
--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from bench.common import ChildProcess, Load, parse_arguments, quantile, summarize, write_report
-from bench.parts import ANSWER
-from bench.routes import free_port, listening, site, small, standalone_requests
+from bench.parts import ANSWER_BODY
+from bench.routes import free_port, small_description, standalone_requests, wait_until_listening, write_site
 from ivymux.inventory.change_policy import Limits
 from ivymux.inventory.csv_reader import write_sheet
 from ivymux.inventory.model import Inventory, Worker
@@ -67,7 +67,7 @@
 async def applying(quick: bool, folder: Path) -> dict[str, Any]:
     """A door in this process takes over lists of 10,000; memory by what it grows."""
     worker = ChildProcess("-m", "bench.parts", "worker")
-    path = site(folder, [], free_port(), json.dumps(small()).encode())
+    path = write_site(folder, [], free_port(), json.dumps(small_description()).encode())
     path.write_text(path.read_text() + '\n[inventory]\nfile = "workers.csv"\nwatch = 3600.0\nsettle = 0.0\n')
     file = folder / "workers.csv"
     file.write_bytes(write_sheet(fleet(1, [worker.address])))
@@ -105,7 +105,7 @@
     workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(2)]
     real = [w.address for w in workers]
     port = free_port()
-    path = site(folder, [], port, json.dumps(small()).encode())
+    path = write_site(folder, [], port, json.dumps(small_description()).encode())
     path.write_text(path.read_text() + '\n[inventory]\nfile = "workers.csv"\n')
     file = folder / "workers.csv"
 
@@ -119,12 +119,12 @@
     door = ChildProcess("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
     quiet, busy, effects = [], [], []
     try:
-        await listening(port)
+        await wait_until_listening(port)
         for turn in range(1, 3 if quick else 6):
-            load = Load(standalone_requests(), len(ANSWER), 2_000, pause_s=0.01)
+            load = Load(standalone_requests(), len(ANSWER_BODY), 2_000, pause_s=0.01)
             await load.run(port, 8)
             quiet.append(quantile(load.latencies_s, 0.99) * 1e3)
-            load = Load(standalone_requests(), len(ANSWER), 2_000, pause_s=0.01)
+            load = Load(standalone_requests(), len(ANSWER_BODY), 2_000, pause_s=0.01)
             write(fleet(SIZE, real, turn))
             await load.run(port, 8)
             busy.append(quantile(load.latencies_s, 0.99) * 1e3)
@@ -134,10 +134,10 @@
     write(fleet(1, real[:1]))
     door = ChildProcess("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
     try:
-        await listening(port)
+        await wait_until_listening(port)
         for _ in range(3 if quick else 7):
             fresh = ChildProcess("-m", "bench.parts", "worker")
-            load = Load(standalone_requests(), len(ANSWER), 1 << 30, pause_s=0.002)
+            load = Load(standalone_requests(), len(ANSWER_BODY), 1 << 30, pause_s=0.002)
             task = asyncio.ensure_future(load.run(port, 8))
             before = fresh.cpu_seconds()
             write(fleet(2, [real[0], fresh.address]))
--- a/bench/parts.py
+++ b/bench/parts.py
@@ -15,8 +15,8 @@
 import uvloop
 
 MAX_FLOOD = 30.0  # seconds
-ANSWER = b'{"id":7,"title":"minutes of the last meeting"}'
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(ANSWER)
+ANSWER_BODY = b'{"id":7,"title":"minutes of the last meeting"}'
+HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(ANSWER_BODY)
 
 
 class Quick(asyncio.Protocol):
@@ -32,7 +32,7 @@
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        self.transport.write(HEAD + ANSWER)
+        self.transport.write(HEAD + ANSWER_BODY)
 
 
 class Sealed(Quick):
@@ -44,7 +44,7 @@
 
     def on_message_complete(self) -> None:
         head = HEAD.replace(b"\r\n\r\n", b"\r\nServer-Seal: s\r\nTry-Id: %s\r\n\r\n" % self.named)
-        self.transport.write(head + ANSWER)
+        self.transport.write(head + ANSWER_BODY)
 
 
 class Back(asyncio.Protocol):
--- a/bench/routes.py
+++ b/bench/routes.py
@@ -21,8 +21,8 @@
 import uvloop
 
 from bench.common import ChildProcess, Load, parse_arguments, quantile, summarize, write_report
-from bench.descriptions import large, text
-from bench.parts import ANSWER
+from bench.descriptions import large_description, large_description_text
+from bench.parts import ANSWER_BODY
 from ivymux.routes.classes import ClassTable
 from ivymux.routes.description import compile_description
 from ivymux.routes.matcher import Router
@@ -30,7 +30,7 @@
 from ivymux.service.callers import hash_key
 from orchidhill.interface import Scope
 
-CONNECTIONS, CUSTOMERS, WORKERS = 32, 200, 4
+CONNECTIONS, CUSTOMERS, BACKENDS = 32, 200, 4
 FIELDS = [(b"user-agent", b"bench"), (b"accept", b"*/*")]
 KEYS = [f"iv_bench-key-{n:04d}" for n in range(CUSTOMERS)]
 
@@ -41,7 +41,7 @@
         return int(probe.getsockname()[1])
 
 
-async def listening(port: int) -> None:
+async def wait_until_listening(port: int) -> None:
     async with asyncio.timeout(30):
         while True:
             try:
@@ -55,7 +55,7 @@
 # --- the doors ---------------------------------------------------------------------------------------
 
 
-def small() -> dict[str, Any]:
+def small_description() -> dict[str, Any]:
     return {
         "openapi": "3.0.3",
         "info": {"title": "small", "version": "1"},
@@ -68,7 +68,7 @@
     }
 
 
-def site(folder: Path, workers: list[ChildProcess], port: int, document: bytes) -> Path:
+def write_site(folder: Path, workers: list[ChildProcess], port: int, document: bytes) -> Path:
     (folder / "api.json").write_bytes(document)
     lines = [f'listen = "127.0.0.1:{port}"', '[description]\nfile = "api.json"\nwatch = 0',
              "[plans.p]\nrate = 10000.0\nburst = 20000"]  # fmt: skip
@@ -87,7 +87,7 @@
     ]
 
 
-def platform_config(folder: Path, workers: list[ChildProcess], tally: ChildProcess, port: int) -> Path:
+def write_platform_config(folder: Path, workers: list[ChildProcess], tally: ChildProcess, port: int) -> Path:
     known = [
         {"host": f"s-{n:08x}", "dial": w.address, "site": "a", "class": "m", "block": 0, "health": "Ready",
          "share": 1.0, "born_ms": 0}
@@ -118,23 +118,23 @@
     """Each request has an id of its own there."""
 
     def __init__(self, count: int) -> None:
-        super().__init__([b""], len(ANSWER), count)
+        super().__init__([b""], len(ANSWER_BODY), count)
         self.requests = self  # type: ignore[assignment]
-        self.number = 0
+        self.request_number = 0
 
     def __len__(self) -> int:
         return 1 << 60
 
     def __getitem__(self, turn: int) -> bytes:
-        self.number += 1
+        self.request_number += 1
         return (
             b"GET /meetings?customer=%016x HTTP/1.1\r\nHost: h\r\nRequest-Id: %016x\r\n"
             b"Request-Class: meetings\r\nX-Tier: p\r\nRequest-Timeout: 9000m\r\n"
             b"X-Call-Terms: units=1,spread=1,first=0\r\n\r\n"
-        ) % (turn % CUSTOMERS, self.number)
+        ) % (turn % CUSTOMERS, self.request_number)
 
 
-async def cpu_for_each(door: ChildProcess, load: Load, port: int) -> float:
+async def cpu_per_request_us(door: ChildProcess, load: Load, port: int) -> float:
     """Microseconds of CPU for each request."""
     count = load.remaining
     before = door.cpu_seconds()
@@ -144,15 +144,15 @@
 
 async def requests(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
     count, runs = (2_000, 11) if quick else (5_000, 21)  # short rounds in turn: the machine is shared
-    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(WORKERS)]
+    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(BACKENDS)]
     floor = ChildProcess("-m", "bench.parts", "floor", workers[0].address)
     tally = ChildProcess("-m", "bench.parts", "tally")
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
     own, theirs, many = free_port(), free_port(), free_port()
     (folder / "many").mkdir()
-    config = env | {"NODE_CONFIG": str(platform_config(folder, workers, tally, theirs))}
-    one = site(folder, workers, own, json.dumps(small()).encode())
-    large_one = site(folder / "many", workers, many, with_small(1200))
+    config = env | {"NODE_CONFIG": str(write_platform_config(folder, workers, tally, theirs))}
+    one = write_site(folder, workers, own, json.dumps(small_description()).encode())
+    large_one = write_site(folder / "many", workers, many, with_small(1200))
     doors = {
         "floor": (floor, floor.port),
         "platform": (ChildProcess("-m", "ivymux", env=config, prints_port=False), theirs),
@@ -162,15 +162,15 @@
     }  # fmt: skip
     try:
         for _, port in doors.values():
-            await listening(port)
+            await wait_until_listening(port)
         spent: dict[str, list[float]] = {name: [] for name in doors}
         for run in range(runs + 1):
             for name, (child, port) in doors.items():
                 if name == "platform":
                     load: Load = PlatformLoad(count)
                 else:
-                    load = Load(standalone_requests(), len(ANSWER), count)
-                found = await cpu_for_each(child, load, port)
+                    load = Load(standalone_requests(), len(ANSWER_BODY), count)
+                found = await cpu_per_request_us(child, load, port)
                 if run:  # the first warms up
                     spent[name].append(found)
         peak = doors["standalone, 1200 operations"][0].peak_mb()
@@ -188,8 +188,8 @@
 
 
 def with_small(operations: int) -> bytes:
-    document = large(operations)
-    document["paths"].update(small()["paths"])
+    document = large_description(operations)
+    document["paths"].update(small_description()["paths"])
     return json.dumps(document).encode()
 
 
@@ -199,7 +199,7 @@
 def matching(quick: bool) -> tuple[dict[str, Any], dict[str, float]]:
     figures, medians = {}, {}
     for size in (1_200, 12_000):
-        data = text(size)
+        data = large_description_text(size)
         compiled = compile_description("api.json", lambda _, data=data: data)  # type: ignore[misc]
         operations = compiled.operations
         router = Router.of(operations)
@@ -249,7 +249,7 @@
 
 def loading(quick: bool, folder: Path) -> dict[str, Any]:
     path = folder / "large.json"
-    path.write_bytes(text(1_200, 10_500))
+    path.write_bytes(large_description_text(1_200, 10_500))
     first, second, peaks = [], [], []
     for run in range(2 if quick else 5):
         cache = folder / f"cache{run}"
@@ -270,20 +270,20 @@
     worker = ChildProcess("-m", "bench.parts", "worker")
     port = free_port()
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
-    path = site(folder, [worker], port, json.dumps(small()).encode())
+    path = write_site(folder, [worker], port, json.dumps(small_description()).encode())
     door = ChildProcess("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
-    document = json.loads(text(1_200, 10_500))
+    document = json.loads(large_description_text(1_200, 10_500))
     quiet, busy = [], []
     try:
-        await listening(port)
+        await wait_until_listening(port)
         for run in range(2 if quick else 5):
-            load = Load(standalone_requests(), len(ANSWER), 2_000, pause_s=0.01)
+            load = Load(standalone_requests(), len(ANSWER_BODY), 2_000, pause_s=0.01)
             await load.run(port, 8)
             quiet.append(quantile(load.latencies_s, 0.99) * 1e3)
             document["info"]["version"] = str(run)
-            document["paths"].update(small()["paths"])
+            document["paths"].update(small_description()["paths"])
             (folder / "api.json").write_text(json.dumps(document))
-            load = Load(standalone_requests(), len(ANSWER), 2_000, pause_s=0.01)
+            load = Load(standalone_requests(), len(ANSWER_BODY), 2_000, pause_s=0.01)
             door.process.send_signal(signal.SIGHUP)
             await load.run(port, 8)
             busy.append(quantile(load.latencies_s, 0.99) * 1e3)
@@ -310,7 +310,9 @@
             figures |= more
             ratios |= others
         figures |= loading(args.quick, folder)
-    workload = f"{CONNECTIONS} connections, {CUSTOMERS} customers, {WORKERS} workers; GET with a small answer"
+    workload = (
+        f"{CONNECTIONS} connections, {CUSTOMERS} customers, {BACKENDS} workers; GET with a small answer"
+    )
     write_report(args, workload, figures, ratios)
 
 
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from bench.common import parse_arguments, summarize, write_report
-from bench.system import CORES, System, document
+from bench.system import CORE_IPS, LocalSystem, routing_configuration
 from ivymux.data_plane.limits import Address
 from ivymux.transport.connection import Connection, Connector
 from ivymux.transport.frames import Message, encode_frame
@@ -55,7 +55,7 @@
     def __init__(self, number: int, port: int) -> None:
         self.id = f"10.9.{number // 250}.{number % 250}:7342"
         self.version, self.at = -1, 0.0
-        self.lines = [Held(Address(core, port), self.heard, on_connect=self.up) for core in CORES]
+        self.lines = [Held(Address(core, port), self.heard, on_connect=self.up) for core in CORE_IPS]
 
     def up(self, line: Connection) -> None:
         line.send(
@@ -84,7 +84,7 @@
          "burst_size": 9}
         for n in range(TENANTS)
     ]  # fmt: skip
-    return {**document(), "config_version": version, "tenant_table": tenants}
+    return {**routing_configuration(), "config_version": version, "tenant_table": tenants}
 
 
 async def put(http: httpx.AsyncClient, url: str, body: Any) -> int:
@@ -109,7 +109,7 @@
             seq += 1
             body = {"service_name": "archive", "address": f"127.0.1.1:{1000 + number}", "zone_name": "a",
                     "capacity": 2, "oper_state": "in_service", "call_seq": seq}  # fmt: skip
-            url = f"http://{CORES[number % len(CORES)]}:{control}/instances/b-{number}"
+            url = f"http://{CORE_IPS[number % len(CORE_IPS)]}:{control}/instances/b-{number}"
             await put(http, url, body)
             await asyncio.sleep(BEAT)
 
@@ -119,16 +119,16 @@
 
 
 async def measure(folder: Path, count: int, changes: int) -> dict[str, Any]:
-    system = System(folder, configuration(1))
-    system.descriptors = 4096
+    system = LocalSystem(folder, configuration(1))
+    system.fd_limit = 4096
     http = httpx.AsyncClient(trust_env=False, timeout=5.0)
     doors: list[Door] = []
     calling: asyncio.Task[None] | None = None
     try:
-        stores = [system.start(ip, "config_store") for ip in CORES]
-        registries = [system.start(ip, "registry") for ip in CORES]
-        await system.take([])
-        doors = [Door(n, system.inner + 1) for n in range(count)]
+        stores = [system.start(ip, "config_store") for ip in CORE_IPS]
+        registries = [system.start(ip, "registry") for ip in CORE_IPS]
+        await system.configure([])
+        doors = [Door(n, system.inner_port + 1) for n in range(count)]
         async with asyncio.timeout(60):
             while any(d.version < 1 or not all(line.is_connected for line in d.lines) for d in doors):
                 await asyncio.sleep(0.05)
@@ -143,17 +143,17 @@
                 100 * (c.cpu_seconds() - b) / spent
                 for c, b in zip((*registries, *stores), before, strict=True)
             ]
-            return max(used[: len(CORES)]), max(used[len(CORES) :]), Counted.counted / spent / count
+            return max(used[: len(CORE_IPS)]), max(used[len(CORE_IPS) :]), Counted.counted / spent / count
 
         idle = await busiest()
-        calling = asyncio.get_running_loop().create_task(beats(http, system.control, BACKENDS))
+        calling = asyncio.get_running_loop().create_task(beats(http, system.control_port, BACKENDS))
         await asyncio.sleep(2 * BEAT)
         called = await busiest()
         spans, answered, calls = [], [], 0
         before = [c.cpu_seconds() for c in registries]
         for version in range(2, changes + 2):
             began = time.perf_counter()
-            url = f"http://{CORES[0]}:{system.control}/configuration"
+            url = f"http://{CORE_IPS[0]}:{system.control_port}/configuration"
             calls += await put(http, url, configuration(version))
             answered.append(time.perf_counter() - began)
             async with asyncio.timeout(20):
@@ -194,7 +194,7 @@
         with tempfile.TemporaryDirectory() as name:
             figures |= await measure(Path(name), count, 3 if args.quick else 10)
     size = len(encode_frame({"k": "text", "v": 1, "t": json.dumps(configuration(1))}))
-    load = f"{len(CORES)} core machines, {BACKENDS} backends, a configuration of {size} bytes"
+    load = f"{len(CORE_IPS)} core machines, {BACKENDS} backends, a configuration of {size} bytes"
     write_report(args, load, figures, {})
 
 
--- a/bench/system.py
+++ b/bench/system.py
@@ -1,7 +1,7 @@
-"""A door of the system beside the platform's: CPU for each request, in turn; start and memory.
+"""A proxy compared with the platform gateway: CPU per request, measured alternately; start-up and memory.
 
-Two processes of one program differ by up to a fifth as long as they live, so each round has fresh ones, and
-the ratio is that of the median round.
+Two processes of the same program differ in CPU per request by up to a fifth for as long as they run.  Each
+round therefore starts new processes, and the reported ratio is that of the median round.
 
 `python -m bench.system [--quick] [--json FILE|-]`
 """
@@ -22,26 +22,26 @@
 import yaml
 
 from bench.common import ChildProcess, parse_arguments, summarize, write_report
-from bench.parts import ANSWER
+from bench.parts import ANSWER_BODY
 from bench.routes import (
+    BACKENDS,
     CONNECTIONS,
     CUSTOMERS,
-    WORKERS,
     PlatformLoad,
-    cpu_for_each,
+    cpu_per_request_us,
     free_port,
-    listening,
-    platform_config,
+    wait_until_listening,
+    write_platform_config,
 )  # fmt: skip
 
-CORES = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
+CORE_IPS = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
 TENANTS = 8
-# What the rule on quotas leaves, in requests: a call to the holder for each fourth request or so, as doors of
-# the deployments make; without any there is one for each request, which is measured beside.
-SLACK = 8.0
+# The slack of the quota rule in requests: proxies then call the holder about once in four requests, as those
+# of the deployments do.  Without slack they call it for each request; the benchmark measures that too.
+QUOTA_SLACK = 8.0
 
 
-def document() -> dict[str, Any]:
+def routing_configuration() -> dict[str, Any]:
     return {
         "config_version": 1,
         "route_table": [
@@ -59,156 +59,172 @@
 
 
 class SystemLoad(PlatformLoad):
-    def __getitem__(self, turn: int) -> bytes:
-        self.number += 1
+    """Requests to a proxy, each with its own try id."""
+
+    def __getitem__(self, request_index: int) -> bytes:
+        self.request_number += 1
         return (
             b"GET /meetings/%d HTTP/1.1\r\nHost: h.example\r\nTry-Id: %016x\r\nTime-Remaining: 9000\r\n"
             b"Authorization: Bearer key-%d\r\n\r\n"
-        ) % (turn % CUSTOMERS, self.number, turn % TENANTS)
+        ) % (request_index % CUSTOMERS, self.request_number, request_index % TENANTS)
 
 
-class System:
-    """Three core machines and a door on loopback addresses."""
+class LocalSystem:
+    """Processes of three core machines and of proxies on loopback addresses."""
 
-    def __init__(self, folder: Path, configuration: dict[str, Any] | None = None) -> None:
-        self.folder, self.children = folder, list[ChildProcess]()
-        self.configuration = configuration or document()
-        self.descriptors = 1300  # of a process
-        self.slack = SLACK
-        self.seq = itertools.count(1)
-        self.control, self.front, self.ready, self.inner = free_port(), free_port(), free_port(), free_port()
+    def __init__(self, directory: Path, configuration: dict[str, Any] | None = None) -> None:
+        self.directory, self.children = directory, list[ChildProcess]()
+        self.configuration = configuration or routing_configuration()
+        self.fd_limit = 1300  # file descriptors per process
+        self.quota_slack = QUOTA_SLACK
+        self.call_numbers = itertools.count(1)
+        self.control_port, self.frontend_port, self.readiness_port, self.inner_port = (
+            free_port(),
+            free_port(),
+            free_port(),
+            free_port(),
+        )
 
     def start(self, ip: str, role: str) -> ChildProcess:
-        listen = {"control_addr": f"{ip}:{self.control}"}
+        listen_addresses = {"control_addr": f"{ip}:{self.control_port}"}
         if role == "proxy":
-            listen = {"front_addr": f"{ip}:{self.front}", "ready_addr": f"{ip}:{self.ready}"}
-        path = self.folder / f"{role}-{ip}.yaml"
-        path.write_text(yaml.safe_dump({
+            listen_addresses = {
+                "front_addr": f"{ip}:{self.frontend_port}",
+                "ready_addr": f"{ip}:{self.readiness_port}",
+            }
+        settings_path = self.directory / f"{role}-{ip}.yaml"
+        settings_path.write_text(yaml.safe_dump({
             "self_entity": {"node_name": ip, "ip_address": ip, "zone_name": "a", "initial_start": True,
-                            "data_path": str(self.folder / ip),
-                            "limits": {"memory_mb": 512, "fd_limit": self.descriptors}},
-            "network_table": {"listen_addrs": listen, "inner_port_range": [self.inner, self.inner + 3],
-                              "seed_nodes": [f"{core}:{self.control}" for core in CORES]},
-            "terms_table": {"timing_bounds": {"quota_slack": self.slack}},
+                            "data_path": str(self.directory / ip),
+                            "limits": {"memory_mb": 512, "fd_limit": self.fd_limit}},
+            "network_table": {"listen_addrs": listen_addresses,
+                              "inner_port_range": [self.inner_port, self.inner_port + 3],
+                              "seed_nodes": [f"{core}:{self.control_port}" for core in CORE_IPS]},
+            "terms_table": {"timing_bounds": {"quota_slack": self.quota_slack}},
         }))  # fmt: skip
         env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
-        made = ChildProcess("-m", "ivymux", role, "--settings", str(path), env=env, prints_port=False)
-        self.children.append(made)
-        return made
-
-    async def take(self, workers: list[ChildProcess]) -> None:
-        """A configuration and the backends, once the core takes them."""
+        process = ChildProcess(
+            "-m", "ivymux", role, "--settings", str(settings_path), env=env, prints_port=False
+        )
+        self.children.append(process)
+        return process
+
+    async def configure(self, backends: list[ChildProcess]) -> None:
+        """Sends the configuration and a heartbeat of each backend; repeats each call until it succeeds."""
         async with httpx.AsyncClient(trust_env=False, timeout=2.0) as http:
             calls: list[tuple[str, Any]] = [("/configuration", self.configuration)]
             calls += [
-                (f"/instances/w{n}", {"service_name": "archive", "address": w.address, "zone_name": "a",
-                                      "capacity": 20, "oper_state": "in_service", "call_seq": next(self.seq)})
-                for n, w in enumerate(workers)
+                (f"/instances/w{n}", {"service_name": "archive", "address": backend.address, "zone_name": "a",
+                                      "capacity": 20, "oper_state": "in_service",
+                                      "call_seq": next(self.call_numbers)})
+                for n, backend in enumerate(backends)
             ]  # fmt: skip
             async with asyncio.timeout(30):
                 for path, body in calls:
                     while True:
                         try:
-                            url = f"http://{CORES[0]}:{self.control}{path}"
+                            url = f"http://{CORE_IPS[0]}:{self.control_port}{path}"
                             if (await http.put(url, content=json.dumps(body))).status_code == 200:
                                 break
                         except httpx.HTTPError:
                             pass
                         await asyncio.sleep(0.02)
 
-    async def beat(self, workers: list[ChildProcess]) -> None:
+    async def send_heartbeats(self, backends: list[ChildProcess]) -> None:
         while True:
-            await self.take(workers)
+            await self.configure(backends)
             await asyncio.sleep(1)
 
-    async def serves(self, ip: str = "127.0.0.1") -> None:
+    async def wait_until_ready(self, ip: str = "127.0.0.1") -> None:
         async with httpx.AsyncClient(trust_env=False, timeout=2.0) as http, asyncio.timeout(30):
             while True:
                 try:
-                    if (await http.get(f"http://{ip}:{self.ready}/readiness")).status_code == 200:
+                    if (await http.get(f"http://{ip}:{self.readiness_port}/readiness")).status_code == 200:
                         return
                 except httpx.HTTPError:
                     pass
                 await asyncio.sleep(0.005)
 
 
-class Round:
-    """Fresh doors of both kinds; microseconds of CPU for each request, by kind, a figure a run."""
+class GatewayComparison:
+    """Starts a gateway of each kind for one round; measures their CPU per request and the proxy's memory."""
 
-    def __init__(self, system: System, platform: dict[str, str], port: int) -> None:
-        self.system, self.env, self.port = system, platform, port
-        self.started = 0.0
+    def __init__(self, system: LocalSystem, platform_env: dict[str, str], platform_port: int) -> None:
+        self.system, self.platform_env, self.platform_port = system, platform_env, platform_port
+        self.startup_s = 0.0
 
     async def measure(self, count: int, runs: int) -> dict[str, list[float]]:
-        platform = ChildProcess("-m", "ivymux", prints_port=False, env=self.env)
-        began = time.perf_counter()
-        door = self.system.start("127.0.0.1", "proxy")
+        """Microseconds of CPU per request by kind of gateway, one value per run."""
+        platform = ChildProcess("-m", "ivymux", prints_port=False, env=self.platform_env)
+        started_at = time.perf_counter()
+        proxy = self.system.start("127.0.0.1", "proxy")
         try:
-            await self.system.serves()
-            self.started = time.perf_counter() - began
-            await listening(self.port)
-            spent: dict[str, list[float]] = {"platform": [], "system": []}
+            await self.system.wait_until_ready()
+            self.startup_s = time.perf_counter() - started_at
+            await wait_until_listening(self.platform_port)
+            cpu_us: dict[str, list[float]] = {"platform": [], "system": []}
             for run in range(runs + 1):
-                of_platform = await cpu_for_each(platform, PlatformLoad(count), self.port)
-                of_system = await cpu_for_each(door, SystemLoad(count), self.system.front)
-                if run:  # the first warms up
-                    spent["platform"].append(of_platform)
-                    spent["system"].append(of_system)
-            before, since = door.cpu_seconds(), time.perf_counter()
+                platform_us = await cpu_per_request_us(platform, PlatformLoad(count), self.platform_port)
+                system_us = await cpu_per_request_us(proxy, SystemLoad(count), self.system.frontend_port)
+                if run:  # the first run is a warm-up
+                    cpu_us["platform"].append(platform_us)
+                    cpu_us["system"].append(system_us)
+            cpu_before, idle_since = proxy.cpu_seconds(), time.perf_counter()
             await asyncio.sleep(1)
-            self.idle = 100 * (door.cpu_seconds() - before) / (time.perf_counter() - since)
-            self.peak_mb = door.peak_mb()
-            return spent
+            self.idle_percent = 100 * (proxy.cpu_seconds() - cpu_before) / (time.perf_counter() - idle_since)
+            self.peak_mb = proxy.peak_mb()
+            return cpu_us
         finally:
-            door.stop()
+            proxy.stop()
             platform.stop()
-            self.system.children.remove(door)
+            self.system.children.remove(proxy)
 
 
-def middle(values: list[float]) -> float:
+def median(values: list[float]) -> float:
+    """The median; the upper of the two middle values if their number is even."""
     return sorted(values)[len(values) // 2]
 
 
-async def measure(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
+async def measure(quick: bool, directory: Path) -> tuple[dict[str, Any], dict[str, float]]:
     count, runs, rounds = (1_000, 3, 5) if quick else (3_000, 5, 11)
-    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(WORKERS)]
-    sealed = [ChildProcess("-m", "bench.parts", "sealed") for _ in range(WORKERS)]
-    tally = ChildProcess("-m", "bench.parts", "tally")
-    system, port = System(folder), free_port()
+    backends = [ChildProcess("-m", "bench.parts", "worker") for _ in range(BACKENDS)]
+    sealing_backends = [ChildProcess("-m", "bench.parts", "sealed") for _ in range(BACKENDS)]
+    counter = ChildProcess("-m", "bench.parts", "tally")
+    system, platform_port = LocalSystem(directory), free_port()
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
-    env |= {"NODE_CONFIG": str(platform_config(folder, workers, tally, port))}
+    env |= {"NODE_CONFIG": str(write_platform_config(directory, backends, counter, platform_port))}
     figures: dict[str, Any] = {}
     ratios: dict[str, float] = {}
     try:
-        for ip in CORES:
+        for ip in CORE_IPS:
             system.start(ip, "config_store")
             system.start(ip, "registry")
-        await system.take(sealed)
-        beating = asyncio.get_running_loop().create_task(system.beat(sealed))
-        made = Round(system, env, port)
-        for slack, name in ((SLACK, ""), (0.0, ", quotas without slack")):
-            system.slack = slack
-            spent: dict[str, list[float]] = {"platform": [], "system": []}
-            pairs, idle, peak, started = [], list[float](), list[float](), list[float]()
+        await system.configure(sealing_backends)
+        heartbeats = asyncio.get_running_loop().create_task(system.send_heartbeats(sealing_backends))
+        comparison = GatewayComparison(system, env, platform_port)
+        for quota_slack, name in ((QUOTA_SLACK, ""), (0.0, ", quotas without slack")):
+            system.quota_slack = quota_slack
+            cpu_us: dict[str, list[float]] = {"platform": [], "system": []}
+            pair_ratios, idle_percents, peaks_mb, startups_s = [], list[float](), list[float](), list[float]()
             for _ in range(rounds):
-                found = await made.measure(count, runs)
-                for kind, values in found.items():
-                    spent[kind].append(middle(values))
-                pairs.append(spent["system"][-1] / spent["platform"][-1])
-                idle.append(made.idle)
-                peak.append(made.peak_mb)
-                started.append(made.started)
-            ratios[f"system over platform{name}"] = middle(pairs)
-            figures[f"CPU for each request, system{name}"] = summarize(spent["system"], "us")
+                round_us = await comparison.measure(count, runs)
+                for kind, values in round_us.items():
+                    cpu_us[kind].append(median(values))
+                pair_ratios.append(cpu_us["system"][-1] / cpu_us["platform"][-1])
+                idle_percents.append(comparison.idle_percent)
+                peaks_mb.append(comparison.peak_mb)
+                startups_s.append(comparison.startup_s)
+            ratios[f"system over platform{name}"] = median(pair_ratios)
+            figures[f"CPU for each request, system{name}"] = summarize(cpu_us["system"], "us")
             if not name:
-                figures["CPU for each request, platform"] = summarize(spent["platform"], "us")
-                figures["idle CPU of a door"] = summarize(idle, "% of a core")
-                figures["peak memory of a door"] = summarize(peak, "MB")
-                figures["a door started, configuration in force"] = summarize(started, "s")
+                figures["CPU for each request, platform"] = summarize(cpu_us["platform"], "us")
+                figures["idle CPU of a door"] = summarize(idle_percents, "% of a core")
+                figures["peak memory of a door"] = summarize(peaks_mb, "MB")
+                figures["a door started, configuration in force"] = summarize(startups_s, "s")
         figures["peak memory of a core process"] = summarize([c.peak_mb() for c in system.children], "MB")
-        beating.cancel()
+        heartbeats.cancel()
     finally:
-        for child in (*workers, *sealed, tally, *system.children):
+        for child in (*backends, *sealing_backends, counter, *system.children):
             child.stop()
     return figures, ratios
 
@@ -218,7 +234,8 @@
     with tempfile.TemporaryDirectory() as name:
         figures, ratios = await measure(args.quick, Path(name))
     workload = (
-        f"{CONNECTIONS} connections, {TENANTS} tenants, {WORKERS} backends; GET with {len(ANSWER)} bytes"
+        f"{CONNECTIONS} connections, {TENANTS} tenants, {BACKENDS} backends; "
+        f"GET with {len(ANSWER_BODY)} bytes"
     )
     write_report(args, workload, figures, ratios)
 
--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -28,7 +28,7 @@
     summarize,
     write_report,
 )
-from bench.routes import free_port, listening, site, small, standalone_requests
+from bench.routes import free_port, small_description, standalone_requests, wait_until_listening, write_site
 from ivymux.desired.model import Change
 from ivymux.desired.sqlite import SqliteStore
 from ivymux.inventory.model import Inventory, Worker
@@ -54,7 +54,7 @@
     folder.mkdir()
     store, requests = SqliteStore(folder / "desired.db"), []
     plans = {"p": PlanPart(rate=10_000.0, burst=20_000.0)}  # as the front door of one tenant has
-    routes = json.dumps(small()).encode()
+    routes = json.dumps(small_description()).encode()
     options = site_of(Tenant(plans=plans)).options
     compiled = msgspec.msgpack.encode(compile_description("a", {"a": routes}.__getitem__, options))
     listed = [Worker(f"w{n}", "127.0.0.1", w.port) for n, w in enumerate(workers)]
@@ -99,7 +99,7 @@
         for _ in range(1 if quick else 3):
             began = time.perf_counter()
             door = Door(path)
-            await listening(door.port)
+            await wait_until_listening(door.port)
             starts.append(time.perf_counter() - began)
             memory.append(door.child.peak_mb())
             await asyncio.sleep(0.5)
@@ -133,7 +133,9 @@
     one, requests = installation(folder / "one", 1, workers)
     low, refused_requests = installation(folder / "low", 1, workers, requests=1.0, burst=1.0)
     (folder / "alone").mkdir()
-    alone = site(folder / "alone", workers, port := free_port(), json.dumps(small()).encode())
+    alone = write_site(
+        folder / "alone", workers, port := free_port(), json.dumps(small_description()).encode()
+    )
     costs: dict[str, list[float]] = {"served": [], "refused": [], "single": []}
     count = 1_000 if quick else 3_000
     rng = random.Random(1)
@@ -145,7 +147,7 @@
             third = ChildProcess("-m", "ivymux", "serve", str(alone), prints_port=False)
             try:
                 for at in (first.port, second.port, port):
-                    await listening(at)
+                    await wait_until_listening(at)
                 doors = {
                     "served": (first.child, first.port, requests),
                     "refused": (second.child, second.port, refused_requests),
@@ -206,7 +208,7 @@
     # Connections and the seconds between a connection's answer and its next request.
     floods = {"20 times its quota": (20, 0.02), "all it can": (32, 0.0)}
     try:
-        await listening(door.port)
+        await wait_until_listening(door.port)
         for turn in range(3 if quick else 12):
             for kind, kept in times.items():
                 child = None
@@ -240,7 +242,7 @@
     path, requests = installation(folder / "effect", 50, workers)
     store, door, times = SqliteStore(folder / "effect" / "desired.db"), Door(path), []
     try:
-        await listening(door.port)
+        await wait_until_listening(door.port)
         stored = store.get("t7")
         assert stored is not None
         revision = stored.revision
@@ -291,7 +293,7 @@
                 )
                 began = time.perf_counter()
                 doors.append(Door(file))
-                await listening(doors[-1].port)
+                await wait_until_listening(doors[-1].port)
                 starts.append(time.perf_counter() - began)
             stored = await asyncio.to_thread(store.get, "t7")
             assert stored is not None
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -142,11 +142,11 @@
 
 
 def test_serving_goes_on_while_a_description_is_compiled(tmp_path: Path) -> None:
-    from bench.descriptions import text
+    from bench.descriptions import large_description_text
 
     async def test() -> None:
         async with standing(tmp_path, description="watch = 0") as place:
-            place.describe(text(1200, 2000))
+            place.describe(large_description_text(1200, 2000))
             work = asyncio.ensure_future(place.door.reload_description())
             served = 0
             async with Caller(place.door) as caller:
