--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,12 +1,12 @@
-"""What state, messages and processor time each role has at growing sizes, the slopes, and where they lead.
+"""Memory, messages and CPU time of each role at growing sizes, with fitted lines and projections.
 
     python -m bench.capacity [--quick] [--json FILE|-] [--markdown]     # the tables of docs/CAPACITY.md
     python -m bench.capacity --measure PART SIZE                        # one point, in this process
 
-Each point is measured in a process of its own.  A line is fitted through four sizes or more (least squares);
-its residual is the most that a point lies off it, as a part of the point.  What a line gives at the wanted
-size is a projection, no measurement.  The registry's connections are real: `bench.sizing`, with hollow
-proxies in one process.
+Each point is measured in a separate process.  A line is fitted to four or more sizes by least squares; its
+residual is the largest deviation of a point from it, relative to the point.  A value at the projected size is
+an extrapolation, not a measurement.  The registry's connections are real: `bench.sizing` makes them with
+stand-in proxies in one process.
 """
 
 from __future__ import annotations
@@ -44,32 +44,32 @@
 
 PROXIES, BACKENDS, SERVICES, ROUTES, TENANTS = 830, 6800, 130, 4700, 60_000
 CORE_MACHINES = 5
-QUIET = 10.0  # simulated seconds over which a core without changes is listened to
-Values = dict[str, tuple[float, str]]  # by what was measured: its value and its unit
+OBSERVED_S = 10.0  # simulated seconds over which the messages of an idle core are counted
+Values = dict[str, tuple[float, str]]  # by name of the figure: its value and its unit
 
 
-def held_mb(work: Callable[[], Any]) -> float:
-    """Memory that what some work gives holds, in MB."""
+def allocated_mb(build: Callable[[], Any]) -> float:
+    """Memory in MB that the result of `build` takes up."""
     gc.collect()
     tracemalloc.start()
-    made = work()
+    result = build()
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del made
-    return held / 1e6
+    del result
+    return allocated_bytes / 1e6
 
 
-def timed(work: Callable[[], Any]) -> tuple[Any, float]:
-    """What some work gives, and the processor seconds that it took."""
-    began = time.process_time()
-    made = work()
-    return made, time.process_time() - began
+def measure_cpu(work: Callable[[], Any]) -> tuple[Any, float]:
+    """The result of `work`, and its CPU time in seconds."""
+    started_at = time.process_time()
+    result = work()
+    return result, time.process_time() - started_at
 
 
-def configuration(routes: int, tenants: int) -> bytes:
+def configuration_text(routes: int, tenants: int) -> bytes:
     services = [f"service-{n}" for n in range(SERVICES)]
-    made = {
+    document = {
         "config_version": 1,
         "route_table": [
             {
@@ -86,24 +86,24 @@
             for n in range(tenants)
         ],
     }  # fmt: skip
-    return json.dumps(made, separators=(",", ":")).encode()
+    return json.dumps(document, separators=(",", ":")).encode()
 
 
 def proxy_configuration(routes: int, tenants: int) -> Values:
-    """A configuration as a proxy takes it in."""
-    text = configuration(routes, tenants)
+    """A proxy that loads a configuration."""
+    text = configuration_text(routes, tenants)
 
-    def take() -> tuple[NameTables, RoutePlan]:
+    def load() -> tuple[NameTables, RoutePlan]:
         tables = NameTables()
         plan = parse_route_plan(text)
         tables.update(plan)
         return tables, plan
 
-    _, spent = timed(take)
+    _, cpu_s = measure_cpu(load)
     return {
         "text": (len(text) / 1e6, "MB"),
-        "processor time to take it in": (spent, "s"),
-        "memory of a proxy": (held_mb(take), "MB"),
+        "processor time to take it in": (cpu_s, "s"),
+        "memory of a proxy": (allocated_mb(load), "MB"),
     }
 
 
@@ -115,14 +115,14 @@
     return proxy_configuration(size, 100)
 
 
-def registry(size: int) -> BackendRecords:
-    made = BackendRecords(3.5)
+def build_backend_records(size: int) -> BackendRecords:
+    records = BackendRecords(3.5)
     for number in range(size):
-        made.heartbeat(f"i-{number:08x}", beat(number, 1), 0.0)
-    return made
+        records.heartbeat(f"i-{number:08x}", heartbeat_body(number, 1), 0.0)
+    return records
 
 
-def beat(number: int, seq: int) -> dict[str, Any]:
+def heartbeat_body(number: int, seq: int) -> dict[str, Any]:
     return {
         "service_name": f"service-{number % SERVICES}",
         "address": f"10.1.{number // 250}.{number % 250}:8080",
@@ -136,218 +136,222 @@
 
 
 def registry_backends(size: int) -> Values:
-    """Backends at one registry: their beats, the whole list for a proxy that comes."""
-    made = registry(size)
-    bodies = [msgspec.json.encode(beat(number, 2)) for number in range(size)]
+    """Backends of one registry: their heartbeats, and the snapshot for a proxy that connects."""
+    records = build_backend_records(size)
+    bodies = [msgspec.json.encode(heartbeat_body(number, 2)) for number in range(size)]
 
-    def all_beat() -> None:
+    def receive_heartbeats() -> None:
         for number, body in enumerate(bodies):
-            made.heartbeat(f"i-{number:08x}", msgspec.json.decode(body), 1.0)
+            records.heartbeat(f"i-{number:08x}", msgspec.json.decode(body), 1.0)
 
-    _, beats = timed(all_beat)
-    whole, listed = timed(lambda: encode_frame({"k": "here", "i": made.encode_all(1.0)}))
-    _, swept = timed(lambda: made.expire(1.5))
+    _, heartbeats_cpu_s = measure_cpu(receive_heartbeats)
+    snapshot, snapshot_cpu_s = measure_cpu(lambda: encode_frame({"k": "here", "i": records.encode_all(1.0)}))
+    _, expiry_cpu_s = measure_cpu(lambda: records.expire(1.5))
     return {
-        "processor time of all beats once, without HTTP": (1000 * beats, "ms"),
-        "the whole list": (len(whole) / 1e6, "MB"),
-        "processor time to write it": (1000 * listed, "ms"),
-        "processor time of a sweep": (1000 * swept, "ms"),
-        "memory of a registry": (held_mb(lambda: registry(size)), "MB"),
+        "processor time of all beats once, without HTTP": (1000 * heartbeats_cpu_s, "ms"),
+        "the whole list": (len(snapshot) / 1e6, "MB"),
+        "processor time to write it": (1000 * snapshot_cpu_s, "ms"),
+        "processor time of a sweep": (1000 * expiry_cpu_s, "ms"),
+        "memory of a registry": (allocated_mb(lambda: build_backend_records(size)), "MB"),
     }
 
 
 def proxy_backends(size: int) -> Values:
-    """The whole list as a proxy takes it in."""
-    lines = registry(size).encode_all(1.0)
+    """A proxy that applies a snapshot of all backends."""
+    entries = build_backend_records(size).encode_all(1.0)
 
-    def take() -> MembershipView:
-        made = MembershipView()
-        made.apply_snapshot("a", "run", size, True, lines, [], 1.0)
-        return made
+    def apply_snapshot() -> MembershipView:
+        view = MembershipView()
+        view.apply_snapshot("a", "run", size, True, entries, [], 1.0)
+        return view
 
-    membership, taken = timed(take)
-    _, swept = timed(lambda: membership.expire_backends(1.5))
+    view, snapshot_cpu_s = measure_cpu(apply_snapshot)
+    _, expiry_cpu_s = measure_cpu(lambda: view.expire_backends(1.5))
     return {
-        "processor time to take the list in": (1000 * taken, "ms"),
-        "processor time of a sweep": (1000 * swept, "ms"),
-        "memory of a proxy": (held_mb(take), "MB"),
+        "processor time to take the list in": (1000 * snapshot_cpu_s, "ms"),
+        "processor time of a sweep": (1000 * expiry_cpu_s, "ms"),
+        "memory of a proxy": (allocated_mb(apply_snapshot), "MB"),
     }
 
 
 def proxy_proxies(size: int) -> Values:
-    """The other proxies, who may hold a tenant's counts."""
-    doors = [
+    """The other proxies, each of which may hold a tenant's counts."""
+    proxies = [
         [f"10.9.{n // 250}.{n % 250}:7342", f"10.9.{n // 250}.{n % 250}", 7342, "zone", float(n)]
         for n in range(size)
     ]
-    membership = MembershipView()
-    membership.apply_snapshot("a", "run", 0, True, [], doors, 1000.0)
-    holders = CounterHolders(str(doors[0][0]), 0.0)
-    there = {id: place.joined_at for id, place in membership.proxies().items()}
-    _, first = timed(lambda: holders.update_proxies(there, 1000.0))
-    joined = {**there, "10.9.9.9:7342": 999.0}
-    _, join = timed(lambda: holders.update_proxies(joined, 1001.0))
-    told = encode_frame({"k": "doors", "on": doors[:1], "off": []})
+    view = MembershipView()
+    view.apply_snapshot("a", "run", 0, True, [], proxies, 1000.0)
+    holders = CounterHolders(str(proxies[0][0]), 0.0)
+    joined_at = {id: proxy.joined_at for id, proxy in view.proxies().items()}
+    _, first_cpu_s = measure_cpu(lambda: holders.update_proxies(joined_at, 1000.0))
+    with_new_proxy = {**joined_at, "10.9.9.9:7342": 999.0}
+    _, join_cpu_s = measure_cpu(lambda: holders.update_proxies(with_new_proxy, 1001.0))
+    join_message = encode_frame({"k": "doors", "on": proxies[:1], "off": []})
     return {
-        "processor time as all come": (1000 * first, "ms"),
-        "processor time as one comes": (1000 * join, "ms"),
-        "bytes of a list of all": (len(encode_frame({"k": "here", "doors": doors})) / 1000, "KB"),
-        "bytes to all as one comes": (size * len(told) / 1000, "KB"),
+        "processor time as all come": (1000 * first_cpu_s, "ms"),
+        "processor time as one comes": (1000 * join_cpu_s, "ms"),
+        "bytes of a list of all": (len(encode_frame({"k": "here", "doors": proxies})) / 1000, "KB"),
+        "bytes to all as one comes": (size * len(join_message) / 1000, "KB"),
     }
 
 
 def store_text(size: int) -> Values:
-    """A change of so many kilobytes at the configuration store; its disk is this machine's."""
+    """A change of `size` kilobytes at the config store, which writes it to this machine's disk."""
     text = "x" * (size * 1000)
     change = messages.WriteRequest("10.1.0.1/first", 7, 1, 2, text)
-    packed, packing = timed(lambda: encode_frame(messages.encode(change)))
-    with tempfile.TemporaryDirectory() as folder:
-        store = DurableStore(Path(folder))
-        steps = [Persist(state=ConfigurationState(7, 2, text), change=(2, digest_of(text)))]
-        _, cpu = timed(lambda: store.write(steps))
-        began = time.perf_counter()
-        store.write(steps)
-        wall = time.perf_counter() - began
+    frame, encoding_cpu_s = measure_cpu(lambda: encode_frame(messages.encode(change)))
+    with tempfile.TemporaryDirectory() as directory:
+        store = DurableStore(Path(directory))
+        actions = [Persist(state=ConfigurationState(7, 2, text), change=(2, digest_of(text)))]
+        _, write_cpu_s = measure_cpu(lambda: store.write(actions))
+        started_at = time.perf_counter()
+        store.write(actions)
+        commit_s = time.perf_counter() - started_at
         store.close()
     return {
-        "bytes of a change to the backup": (len(packed) / 1e6, "MB"),
-        "processor time to send it": (1000 * packing, "ms"),
-        "processor time to write it": (1000 * cpu, "ms"),
-        "a commit": (1000 * wall, "ms"),
+        "bytes of a change to the backup": (len(frame) / 1e6, "MB"),
+        "processor time to send it": (1000 * encoding_cpu_s, "ms"),
+        "processor time to write it": (1000 * write_cpu_s, "ms"),
+        "a commit": (1000 * commit_s, "ms"),
     }
 
 
 def store_history(size: int) -> Values:
-    """A transfer of the state with a history of so many changes."""
+    """A transfer of the state with a history of `size` changes."""
     changes = tuple((version, digest_of(str(version))) for version in range(size))
     transfer = messages.StateTransfer("10.1.0.1/first", 7, size, "", changes, 0)
-    packed, packing = timed(lambda: encode_frame(messages.encode(transfer)))
-    with tempfile.TemporaryDirectory() as folder:
-        store = DurableStore(Path(folder))
-        _, cpu = timed(lambda: store.write([Persist(history=changes)]))
+    frame, encoding_cpu_s = measure_cpu(lambda: encode_frame(messages.encode(transfer)))
+    with tempfile.TemporaryDirectory() as directory:
+        store = DurableStore(Path(directory))
+        _, write_cpu_s = measure_cpu(lambda: store.write([Persist(history=changes)]))
         store.close()
     return {
-        "bytes of a transfer's history": (len(packed) / 1000, "KB"),
-        "processor time to send it": (1000 * packing, "ms"),
-        "processor time to write it": (1000 * cpu, "ms"),
+        "bytes of a transfer's history": (len(frame) / 1000, "KB"),
+        "processor time to send it": (1000 * encoding_cpu_s, "ms"),
+        "processor time to write it": (1000 * write_cpu_s, "ms"),
     }
 
 
 def store_members(size: int) -> Values:
-    """What members of a core say to one another while nothing changes (simulated time)."""
-    cores = start_cluster(1, size)
-    cores.run_for(3.0)
+    """Messages between the members of an idle core, in simulated time."""
+    cluster = start_cluster(1, size)
+    cluster.run_for(3.0)
     sent = [0, 0]
-    send = cores.send
+    send = cluster.send
 
-    def counted(source: str, target: str, message: ReplicaMessage) -> None:
+    def count_and_send(source: str, target: str, message: ReplicaMessage) -> None:
         if source != target:
             sent[0] += 1
             sent[1] += len(encode_frame(messages.encode(message)))
         send(source, target, message)
 
-    cores.send = counted  # type: ignore[method-assign]
-    cores.run_for(QUIET)
+    cluster.send = count_and_send  # type: ignore[method-assign]
+    cluster.run_for(OBSERVED_S)
     return {
-        "messages between all core machines": (sent[0] / QUIET, "1/s"),
-        "bytes between all core machines": (sent[1] / QUIET, "bytes/s"),
+        "messages between all core machines": (sent[0] / OBSERVED_S, "1/s"),
+        "bytes between all core machines": (sent[1] / OBSERVED_S, "bytes/s"),
     }
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """What is measured by size, the sizes, and the one that is wanted."""
+class Series:
+    """A measurement as a function of size, the sizes to measure, and the size to project to."""
 
     title: str
     measure: Callable[[int], Values]
     sizes: tuple[int, ...]
-    wanted: int
+    projected_size: int
 
 
-PARTS = {
-    "proxy-tenants": Part("proxy, by tenants", proxy_tenants, (500, 2000, 8000, 16_000, 30_000), TENANTS),
-    "proxy-routes": Part("proxy, by routes", proxy_routes, (100, 400, 1600, 4700), ROUTES),
-    "proxy-backends": Part("proxy, by backends", proxy_backends, (155, 600, 2400, 6800), BACKENDS),
-    "proxy-proxies": Part("proxy, by proxies", proxy_proxies, (30, 100, 300, 830), PROXIES),
-    "registry-backends": Part(
+SERIES = {
+    "proxy-tenants": Series("proxy, by tenants", proxy_tenants, (500, 2000, 8000, 16_000, 30_000), TENANTS),
+    "proxy-routes": Series("proxy, by routes", proxy_routes, (100, 400, 1600, 4700), ROUTES),
+    "proxy-backends": Series("proxy, by backends", proxy_backends, (155, 600, 2400, 6800), BACKENDS),
+    "proxy-proxies": Series("proxy, by proxies", proxy_proxies, (30, 100, 300, 830), PROXIES),
+    "registry-backends": Series(
         "registry, by backends that call it", registry_backends, (155, 600, 2400, 6800),
         BACKENDS // CORE_MACHINES,
     ),
-    "store-text": Part("configuration store, by KB of a change", store_text, (13, 100, 1000, 5000), 9000),
-    "store-history": Part(
+    "store-text": Series("configuration store, by KB of a change", store_text, (13, 100, 1000, 5000), 9000),
+    "store-history": Series(
         "configuration store, by changes remembered", store_history, (64, 512, 2048, MAX_CHANGES),
         MAX_CHANGES,
     ),
-    "store-members": Part("configuration store, by members", store_members, (3, 4, 5, 7), CORE_MACHINES),
+    "store-members": Series("configuration store, by members", store_members, (3, 4, 5, 7), CORE_MACHINES),
 }  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
-    """A line through measured points."""
+class LinearFit:
+    """A line fitted to measured points."""
 
-    base: float
+    intercept: float
     slope: float
-    residual: float  # the most that a point lies off it, as a part of the point
+    residual: float  # the largest deviation of a point from the line, relative to the point
 
-    def at(self, size: float) -> float:
-        return self.base + self.slope * size
+    def predict(self, size: float) -> float:
+        return self.intercept + self.slope * size
 
 
-def fit(points: list[tuple[float, float]]) -> Fit:
-    """Least squares, each point weighted by its value so that small sizes count too."""
+def fit_line(points: list[tuple[float, float]]) -> LinearFit:
+    """Least squares of the relative deviations, so that small sizes count as much as large ones."""
     weights = [1.0 / max(abs(y), 1e-9) ** 2 for _, y in points]
     total = sum(weights)
-    mean_x = sum(w * x for w, (x, _) in zip(weights, points, strict=True)) / total
-    mean_y = sum(w * y for w, (_, y) in zip(weights, points, strict=True)) / total
-    spread = sum(w * (x - mean_x) ** 2 for w, (x, _) in zip(weights, points, strict=True))
-    joint = sum(w * (x - mean_x) * (y - mean_y) for w, (x, y) in zip(weights, points, strict=True))
-    slope = joint / spread if spread else 0.0
-    base = mean_y - slope * mean_x
-    residual = max(abs(base + slope * x - y) / max(abs(y), 1e-9) for x, y in points)
-    return Fit(base, slope, residual)
-
-
-def measured(part: str, size: int) -> Values:
-    """A point, from a process of its own."""
-    done = subprocess.run(
-        [sys.executable, "-m", "bench.capacity", "--measure", part, str(size)],
+    mean_x = sum(weight * x for weight, (x, _) in zip(weights, points, strict=True)) / total
+    mean_y = sum(weight * y for weight, (_, y) in zip(weights, points, strict=True)) / total
+    x_variance = sum(weight * (x - mean_x) ** 2 for weight, (x, _) in zip(weights, points, strict=True))
+    covariance = sum(
+        weight * (x - mean_x) * (y - mean_y) for weight, (x, y) in zip(weights, points, strict=True)
+    )
+    slope = covariance / x_variance if x_variance else 0.0
+    intercept = mean_y - slope * mean_x
+    residual = max(abs(intercept + slope * x - y) / max(abs(y), 1e-9) for x, y in points)
+    return LinearFit(intercept, slope, residual)
+
+
+def run_measurement(series: str, size: int) -> Values:
+    """Measures one point in a separate process."""
+    process = subprocess.run(
+        [sys.executable, "-m", "bench.capacity", "--measure", series, str(size)],
         capture_output=True, text=True, check=True, timeout=300,
     )  # fmt: skip
-    return {name: (float(value), str(unit)) for name, (value, unit) in json.loads(done.stdout).items()}
+    return {name: (float(value), str(unit)) for name, (value, unit) in json.loads(process.stdout).items()}
 
 
 def registry_proxies(sizes: tuple[int, ...]) -> list[tuple[int, Values]]:
-    """Real registries and stores with hollow proxies that hold connections to them."""
+    """Real registries and config stores, with stand-in proxies that keep connections to them."""
     from bench.sizing import measure
 
     points = []
     for size in sizes:
-        with tempfile.TemporaryDirectory() as folder:
-            told = asyncio.run(measure(Path(folder), size, 3))
+        with tempfile.TemporaryDirectory() as directory:
+            sizing_figures = asyncio.run(measure(Path(directory), size, 3))
         values = {
             name.removeprefix(f"{size} doors: "): (float(entry["median"]), str(entry["unit"]))
-            for name, entry in told.items()
+            for name, entry in sizing_figures.items()
         }
         points.append((size, values))
     return points
 
 
-def tables(points: dict[str, tuple[str, int, list[tuple[int, Values]]]]) -> tuple[str, dict[str, Any]]:
-    """The page's tables, and the same as figures."""
+def render_tables(points: dict[str, tuple[str, int, list[tuple[int, Values]]]]) -> tuple[str, dict[str, Any]]:
+    """The results as Markdown tables, and as figures of the report."""
     lines: list[str] = []
     figures: dict[str, Any] = {}
-    for title, wanted, measured_points in points.values():
-        sizes = " | ".join(f"{size:,}" for size, _ in measured_points)
-        lines += [f"| {title} | {sizes} | each | residual | projected at {wanted:,} |"]
-        lines += ["| --- " * (len(measured_points) + 4) + "|"]
-        for name, (_, unit) in measured_points[0][1].items():
-            values = [(float(size), found[name][0]) for size, found in measured_points]
-            line = fit(values)
+    for title, projected_size, series_points in points.values():
+        sizes = " | ".join(f"{size:,}" for size, _ in series_points)
+        lines += [f"| {title} | {sizes} | each | residual | projected at {projected_size:,} |"]
+        lines += ["| --- " * (len(series_points) + 4) + "|"]
+        for name, (_, unit) in series_points[0][1].items():
+            values = [(float(size), measured_values[name][0]) for size, measured_values in series_points]
+            fit = fit_line(values)
             cells = " | ".join(f"{value:.3g}" for _, value in values)
-            told = f"{line.slope:.3g} | {100 * line.residual:.0f}% | {line.at(wanted):.3g}"
-            lines.append(f"| {name}, {unit} | {cells} | {told} |")
-            figures[f"{title}: {name}, projected at {wanted}"] = summarize([line.at(wanted)], unit)
+            fit_cells = f"{fit.slope:.3g} | {100 * fit.residual:.0f}% | {fit.predict(projected_size):.3g}"
+            lines.append(f"| {name}, {unit} | {cells} | {fit_cells} |")
+            figures[f"{title}: {name}, projected at {projected_size}"] = summarize(
+                [fit.predict(projected_size)], unit
+            )
         lines.append("")
     return "\n".join(lines), figures
 
@@ -360,21 +364,25 @@
     parser.add_argument("--measure", nargs=2, metavar=("PART", "SIZE"))
     args = parser.parse_args()
     if args.measure:
-        part, size = args.measure
-        print(json.dumps(PARTS[part].measure(int(size))))
+        series, size = args.measure
+        print(json.dumps(SERIES[series].measure(int(size))))
         return
     points = {
-        name: (part.title, part.wanted, [(size, measured(name, size)) for size in part.sizes])
-        for name, part in PARTS.items()
+        name: (
+            series.title,
+            series.projected_size,
+            [(size, run_measurement(name, size)) for size in series.sizes],
+        )
+        for name, series in SERIES.items()
     }
     if not args.quick:
         title = "registry, by proxies that are connected"
         points["registry-proxies"] = (title, PROXIES, registry_proxies((30, 100, 200, 300)))
-    text, figures = tables(points)
+    text, figures = render_tables(points)
     if args.markdown:
         print(text)
-    load = f"a configuration of {MAX_TEXT_BYTES >> 20} MiB at most"
-    write_report(args, load, figures, {})
+    workload = f"a configuration of {MAX_TEXT_BYTES >> 20} MiB at most"
+    write_report(args, workload, figures, {})
 
 
 if __name__ == "__main__":
