--- a/bench/parts.py
+++ b/bench/parts.py
@@ -1,6 +1,11 @@
-"""Processes that a benchmark needs beside itself: `python -m bench.parts worker|sealed|floor|echo|tally
-[ADDRESS]`, which print their port and run until their standard input ends; `flood PORT REQUEST CONNECTIONS
-PAUSE`, which asks for half a minute at most.
+"""Helper processes of the benchmarks.
+
+    python -m bench.parts worker|sealed|floor|echo|tally [ADDRESS]
+    python -m bench.parts flood PORT REQUEST CONNECTIONS PAUSE
+
+The former print their port and run until their standard input ends: a backend, a backend that seals its
+answers, a minimal proxy in front of ADDRESS, an echo server and a counter service.  `flood` sends REQUEST (in
+hexadecimal digits) to PORT for at most half a minute and prints PORT once it is connected.
 """
 
 from __future__ import annotations
@@ -14,13 +19,15 @@
 import httptools
 import uvloop
 
-MAX_FLOOD = 30.0  # seconds
+MAX_FLOOD_S = 30.0
 ANSWER_BODY = b'{"id":7,"title":"minutes of the last meeting"}'
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(ANSWER_BODY)
+ANSWER_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(
+    ANSWER_BODY
+)
 
 
-class Quick(asyncio.Protocol):
-    """A worker that answers at once."""
+class FixedAnswerBackend(asyncio.Protocol):
+    """A backend that sends the same answer at once to each request."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
@@ -32,28 +39,28 @@
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        self.transport.write(HEAD + ANSWER_BODY)
+        self.transport.write(ANSWER_HEAD + ANSWER_BODY)
 
 
-class Sealed(Quick):
-    """The same as the system's users have it: it names the request in its answer and seals it."""
+class SealingBackend(FixedAnswerBackend):
+    """A backend of the system: its answers carry the id of the attempt and a seal."""
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"try-id":
-            self.named = value
+            self.try_id = value
 
     def on_message_complete(self) -> None:
-        head = HEAD.replace(b"\r\n\r\n", b"\r\nServer-Seal: s\r\nTry-Id: %s\r\n\r\n" % self.named)
+        head = ANSWER_HEAD.replace(b"\r\n\r\n", b"\r\nServer-Seal: s\r\nTry-Id: %s\r\n\r\n" % self.try_id)
         self.transport.write(head + ANSWER_BODY)
 
 
-class Back(asyncio.Protocol):
-    """The floor's connection to the worker."""
+class UpstreamConnection(asyncio.Protocol):
+    """A minimal proxy's pooled connection to the backend."""
 
-    def __init__(self, idle: deque[Back]) -> None:
+    def __init__(self, idle: deque[UpstreamConnection]) -> None:
         self.idle = idle
         self.parser = httptools.HttpResponseParser(self)
-        self.front: Floor | None = None
+        self.client: MinimalProxy | None = None
         self.body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -66,16 +73,19 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        front, body, self.body, self.front = self.front, self.body, b"", None
+        client, body, self.body, self.client = self.client, self.body, b"", None
         self.idle.append(self)
-        if front is not None:
-            front.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        if client is not None:
+            client.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-class Floor(asyncio.Protocol):
-    """The least that a proxy does: parse, pass on over a pooled connection, parse, answer."""
+class MinimalProxy(asyncio.Protocol):
+    """The least that any proxy does: parse, forward over a pooled connection, parse, answer.
 
-    def __init__(self, target: tuple[str, int], idle: deque[Back]) -> None:
+    Its CPU time per request is the lower bound that the gateways are compared with.
+    """
+
+    def __init__(self, target: tuple[str, int], idle: deque[UpstreamConnection]) -> None:
         self.target, self.idle = target, idle
         self.parser = httptools.HttpRequestParser(self)
         self.url, self.headers = b"", list[tuple[bytes, bytes]]()
@@ -102,22 +112,25 @@
         if self.idle:
             self.send(self.idle.pop(), head)
         else:
-            task = asyncio.ensure_future(self.connect(head))
+            task = asyncio.ensure_future(self.connect_and_send(head))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def connect(self, head: bytes) -> None:
+    async def connect_and_send(self, head: bytes) -> None:
         loop = asyncio.get_running_loop()
-        _, back = await loop.create_connection(lambda: Back(self.idle), *self.target)
-        self.send(back, head)
+        _, upstream = await loop.create_connection(lambda: UpstreamConnection(self.idle), *self.target)
+        self.send(upstream, head)
+
+    def send(self, upstream: UpstreamConnection, head: bytes) -> None:
+        upstream.client = self
+        upstream.transport.write(head)
 
-    def send(self, back: Back, head: bytes) -> None:
-        back.front = self
-        back.transport.write(head)
 
+class EchoCounter(asyncio.Protocol):
+    """The least that a counter does: parse RESP and answer each call with a fixed bulk string.
 
-class Echo(asyncio.Protocol):
-    """The least that a tally does: parse RESP, answer one bulk for each call."""
+    Its CPU time per call is the lower bound that the counter service is compared with.
+    """
 
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
@@ -142,19 +155,19 @@
 
         port = await CounterServer(CounterStore()).start(Address("127.0.0.1", 0))
     else:
-        idle: deque[Back] = deque()
-        host, _, number = address.rpartition(":")
-        target = (host, int(number or 0))
-        kinds = {"worker": Quick, "echo": Echo, "sealed": Sealed}
-        made = kinds.get(kind, lambda: Floor(target, idle))
-        server = await loop.create_server(made, "127.0.0.1", 0)
+        idle: deque[UpstreamConnection] = deque()
+        host, _, port_text = address.rpartition(":")
+        target = (host, int(port_text or 0))
+        protocols = {"worker": FixedAnswerBackend, "echo": EchoCounter, "sealed": SealingBackend}
+        protocol = protocols.get(kind, lambda: MinimalProxy(target, idle))
+        server = await loop.create_server(protocol, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
     print(port, flush=True)
     await loop.run_in_executor(None, sys.stdin.read)
 
 
 async def flood(port: int, request: bytes, connections: int, pause: float) -> None:
-    """Ask again and again, whatever the answers are."""
+    """Sends requests over all connections for MAX_FLOOD_S, whatever the answers are."""
     from bench.common import Load, LoadConnection
 
     load = Load([request], 0, 1 << 30, pause)
@@ -162,7 +175,7 @@
     for number in range(connections):
         await loop.create_connection(lambda n=number: LoadConnection(load, n), "127.0.0.1", port)  # type: ignore[misc]
     print(port, flush=True)
-    await asyncio.sleep(MAX_FLOOD)
+    await asyncio.sleep(MAX_FLOOD_S)
 
 
 if __name__ == "__main__":
