--- a/bench/control.py
+++ b/bench/control.py
@@ -1,9 +1,9 @@
-"""The control side at many seeds: departures, two operators, slow and hanging disks; how long ends take.
+"""The core under faults with many seeds: departures, two operators, slow and hanging disks, planned exits.
 
     python -m bench.control [--quick] [--runs N] [--jobs N] [--json FILE|-]
 
-A model (ivymux/simulation/loss_scenarios.py) in simulated time, cores of 3 to 5 machines, 20 delays from 0 to
-6 s. A broken promise ends the run with the case that plays it again.
+Runs a model (ivymux/simulation/loss_scenarios.py) in simulated time, with cores of 3 to 5 machines and 20
+delays from 0 to 6 s.  A violated guarantee ends the run with the case that reproduces it.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
     two_operators,
 )
 
-RUNS, QUICK = 1000, 60
-COUNTS = (3, 4, 5)
-DELAYS = tuple(round(6.0 * n / 19, 3) for n in range(20))  # seconds
-COMMITS = (0.3, 2.0)  # seconds of a commit on a slow disk
-ENDS = 100
+FULL_RUNS, QUICK_RUNS = 1000, 60
+MACHINE_COUNTS = (3, 4, 5)
+DELAYS_S = tuple(round(6.0 * n / 19, 3) for n in range(20))
+SLOW_COMMITS_S = (0.3, 2.0)  # duration of a commit on a slow disk
+EXIT_RUNS = 100
 Case = tuple[str, tuple[Any, ...]]
-PLAYS: dict[str, Callable[..., CoreCluster]] = {
+SCENARIOS: dict[str, Callable[..., CoreCluster]] = {
     "departure": departure,
     "two operators": two_operators,
     "slow repair": slow_repair,
@@ -40,61 +40,68 @@
 
 
 def cases(runs: int) -> list[Case]:
-    """So many of each kind and size, over all delays and roles in turn."""
-    made: list[Case] = []
-    pairs = list(itertools.permutations(ROLES, 2))
-    for count, seed in itertools.product(COUNTS, range(runs)):
-        delay = DELAYS[seed % len(DELAYS)]
-        role, victim = pairs[seed // len(DELAYS) % len(pairs)]
-        made.append(("departure", (seed, count, role, victim, delay)))
-        made.append(("two operators", (seed, count, delay / 60)))  # around the time that a change takes
-        made.append(("hanging backup", (seed, count, delay, victim)))
-        made.append(("slow repair", (seed, count, COMMITS[seed // len(DELAYS) % 2], CATCH_UP_S + delay)))
-    return made
-
-
-def broken(case: Case) -> str:
+    """`runs` cases of each kind and number of machines, which go through all delays and roles in turn."""
+    generated: list[Case] = []
+    role_pairs = list(itertools.permutations(ROLES, 2))
+    for count, seed in itertools.product(MACHINE_COUNTS, range(runs)):
+        delay = DELAYS_S[seed % len(DELAYS_S)]
+        role, victim = role_pairs[seed // len(DELAYS_S) % len(role_pairs)]
+        generated.append(("departure", (seed, count, role, victim, delay)))
+        generated.append(("two operators", (seed, count, delay / 60)))  # around the time that a change takes
+        generated.append(("hanging backup", (seed, count, delay, victim)))
+        generated.append(
+            ("slow repair", (seed, count, SLOW_COMMITS_S[seed // len(DELAYS_S) % 2], CATCH_UP_S + delay))
+        )
+    return generated
+
+
+def violation_of(case: Case) -> str:
+    """Runs a case; returns the guarantee that it violates, or an empty string."""
     kind, arguments = case
     try:
-        PLAYS[kind](*arguments)
+        SCENARIOS[kind](*arguments)
     except GuaranteeViolation as error:
         return f"{kind}{arguments}: {error}"
     return ""
 
 
-def end(case: tuple[int, int, str]) -> tuple[float, float]:
+def run_planned_exit(case: tuple[int, int, str]) -> tuple[float, float]:
     return planned_exit(*case)
 
 
-def hang(case: tuple[int, int, float]) -> float:
+def run_hanging_backup(case: tuple[int, int, float]) -> float:
     return hanging_backup(*case)[1]
 
 
 def main() -> None:
-    arguments = argument_parser("control")
-    arguments.add_argument("--runs", type=int, default=0)
-    arguments.add_argument("--jobs", type=int, default=multiprocessing.cpu_count())
-    args = arguments.parse_args()
-    runs = args.runs or (QUICK if args.quick else RUNS)
+    parser = argument_parser("control")
+    parser.add_argument("--runs", type=int, default=0)
+    parser.add_argument("--jobs", type=int, default=multiprocessing.cpu_count())
+    args = parser.parse_args()
+    runs = args.runs or (QUICK_RUNS if args.quick else FULL_RUNS)
     figures = {}
     with multiprocessing.Pool(args.jobs) as pool:
-        wanted = cases(runs)
-        for found in pool.imap_unordered(broken, wanted, chunksize=20):
-            if found:
-                raise AssertionError(found)
-        for kind in PLAYS:
-            played = sum(case[0] == kind for case in wanted)
-            figures[f"{kind}: runs in 3, 4 and 5 machines, none broken"] = summarize([played], "runs")
-        ends = QUICK if args.quick else ENDS
-        waits = pool.map(hang, [(seed, COUNTS[seed % 3], 0.0) for seed in range(ends)])
-        figures["a change while the backup's disk hangs"] = summarize(waits, "s")
+        all_cases = cases(runs)
+        for violation in pool.imap_unordered(violation_of, all_cases, chunksize=20):
+            if violation:
+                raise AssertionError(violation)
+        for kind in SCENARIOS:
+            case_count = sum(case[0] == kind for case in all_cases)
+            figures[f"{kind}: runs in 3, 4 and 5 machines, none broken"] = summarize([case_count], "runs")
+        exit_runs = QUICK_RUNS if args.quick else EXIT_RUNS
+        waits_s = pool.map(
+            run_hanging_backup, [(seed, MACHINE_COUNTS[seed % 3], 0.0) for seed in range(exit_runs)]
+        )
+        figures["a change while the backup's disk hangs"] = summarize(waits_s, "s")
         for role in ROLES:
-            took = pool.map(end, [(seed, COUNTS[seed % 3], role) for seed in range(ends)])
+            exits_s = pool.map(
+                run_planned_exit, [(seed, MACHINE_COUNTS[seed % 3], role) for seed in range(exit_runs)]
+            )
             figures[f"planned end of the {role}, until its process ends"] = summarize(
-                [t for t, _ in took], "s"
+                [exit_s for exit_s, _ in exits_s], "s"
             )
             figures[f"planned end of the {role}, longest that a change waits"] = summarize(
-                [w for _, w in took], "s"
+                [wait_s for _, wait_s in exits_s], "s"
             )
     write_report(args, f"{runs} runs of each kind and size", figures, {})
 
