--- a/bench/trials.py
+++ b/bench/trials.py
@@ -1,11 +1,11 @@
-"""Trials of one caller on live traffic: whom they reach at each door, what others feel, how soon they hold.
+"""Trials on one caller with live traffic: the share failed per proxy, the effect on others, the delays.
 
     python -m bench.trials [--quick] [--json FILE|-] [--page FILE]
 
-Real processes on loopback, stand-in backends that write down each effect.  Rounds with a trial and without in
-turn, all doors well; then a stretch in which doors join, leave, are killed and freeze and the leader is lost,
-with a trial of 0.3 of the caller's requests.  Then trials are started and ended again and again at 3, 12 and
-48 doors, and the last door that follows is timed.
+Runs real processes on loopback addresses, and stand-in backends that record each effect.  First, rounds with
+and without a trial alternate while all proxies run.  Then proxies join, leave, freeze and are killed and the
+primary is lost, during a trial that fails 0.3 of the caller's requests.  Finally trials are started and ended
+repeatedly with 3, 12 and 48 proxies, to measure when the last proxy follows.
 """
 
 from __future__ import annotations
@@ -31,66 +31,66 @@
 from ivymux.fault_injection.request_matcher import LEASE_S
 from ivymux.simulation.local_cluster import LocalCluster, local_cluster
 
-DOORS, CORES, PARTNERS = 12, 3, 8
-CAUGHT = "partner-3"  # whose requests are tried
-ALIKE = "partner-33"  # and whose name begins so
+PROXIES, CORE_MACHINES, CALLERS = 12, 3, 8
+TRIED_CALLER = "partner-3"  # the caller that the trials are on
+SIMILAR_CALLER = "partner-33"  # a caller whose name has the former's as its prefix
 SERVICES = ("archive", "desk")
-PAUSE = 0.06  # seconds between one connection's requests
-SHARE = 0.3
-AT = (3, 12, 48)  # doors, where the time to the last one is measured
-SETTLED = 2.0  # seconds behind the troubles, until connections that broke are there again
-LIMIT = 30.0  # seconds that one wait may take
+PAUSE_S = 0.06  # mean time between the checks for a connection's next request
+TRIAL_SHARE = 0.3
+PROXY_COUNTS = (3, 12, 48)  # with which the delay to the last proxy is measured
+SETTLE_S = 2.0  # after the faults, for lost connections to be made again
+WAIT_LIMIT_S = 30.0  # for each wait
 
 
 @dataclass(slots=True)
-class Seen:
-    """One request, as its caller has seen it."""
+class Observation:
+    """The outcome of one request as its caller sees it."""
 
-    at: float
-    door: str
+    time: float
+    proxy: str
     caller: str
-    name: str  # of an action, the same as its effect's; empty for a read
-    status: int  # 0: the connection ended
-    tried: bool  # answered by a trial's word
-    took: float
+    action: str  # the name that the action's effect has at the backend; empty for a read
+    status: int  # 0 if the connection was lost
+    by_trial: bool  # whether a trial made the answer
+    latency_s: float
     phase: str
 
 
-class Caller(asyncio.Protocol):
-    """One kept connection of a caller to a door; it comes again when it is cut."""
+class CallerConnection(asyncio.Protocol):
+    """A caller's connection to a proxy, with one request at a time; it is made again when it is lost."""
 
-    def __init__(self, evening: Evening, door: str, caller: str, key: str) -> None:
-        self.evening, self.door, self.caller, self.key = evening, door, caller, key
+    def __init__(self, run: TrialRun, proxy: str, caller: str, key: str) -> None:
+        self.run, self.proxy, self.caller, self.key = run, proxy, caller, key
         self.transport: asyncio.Transport | None = None
-        self.open = False
-        self.name, self.phase, self.began = "", "", 0.0
+        self.awaits_answer = False
+        self.action, self.phase, self.sent_at = "", "", 0.0
 
-    async def keep(self) -> None:
+    async def keep_requesting(self) -> None:
         loop = asyncio.get_running_loop()
-        while not self.evening.over:
+        while not self.run.is_over:
             if self.transport is None:
                 with contextlib.suppress(OSError):
-                    await loop.create_connection(lambda: self, self.door, 8520)
-            if self.transport is not None and not self.open:
-                self.ask()
-            await asyncio.sleep(PAUSE * random.uniform(0.5, 1.5))
+                    await loop.create_connection(lambda: self, self.proxy, 8520)
+            if self.transport is not None and not self.awaits_answer:
+                self.send_request()
+            await asyncio.sleep(PAUSE_S * random.uniform(0.5, 1.5))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.parser = httptools.HttpResponseParser(self)
 
-    def ask(self) -> None:
-        evening = self.evening
-        number = next(evening.numbers)
-        act = number % 3 == 0
-        self.name = f"a{number}" if act else ""
-        path = f"/sign/{self.name}" if act else f"/read/{number}"
-        self.phase, self.began, self.open, self.body = evening.phase, time.perf_counter(), True, b""
+    def send_request(self) -> None:
+        run = self.run
+        number = next(run.request_numbers)
+        is_action = number % 3 == 0
+        self.action = f"a{number}" if is_action else ""
+        path = f"/sign/{self.action}" if is_action else f"/read/{number}"
+        self.phase, self.sent_at, self.awaits_answer, self.body = run.phase, time.perf_counter(), True, b""
         assert self.transport is not None
         self.transport.write(
             b"%s %s HTTP/1.1\r\nHost: minutes.example\r\nTry-Id: t%x\r\nTime-Remaining: 2000\r\n"
             b"Authorization: Bearer %s\r\nContent-Length: 0\r\n\r\n"
-            % (b"POST" if act else b"GET", path.encode(), number, self.key.encode())
+            % (b"POST" if is_action else b"GET", path.encode(), number, self.key.encode())
         )
 
     def data_received(self, data: bytes) -> None:
@@ -100,14 +100,23 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.told(self.parser.get_status_code(), b"trial" in self.body)
+        self.record(self.parser.get_status_code(), b"trial" in self.body)
 
-    def told(self, status: int, tried: bool) -> None:
-        if self.open:
-            self.open = False
+    def record(self, status: int, by_trial: bool) -> None:
+        if self.awaits_answer:
+            self.awaits_answer = False
             now = time.perf_counter()
-            self.evening.seen.append(
-                Seen(now, self.door, self.caller, self.name, status, tried, now - self.began, self.phase)
+            self.run.observations.append(
+                Observation(
+                    now,
+                    self.proxy,
+                    self.caller,
+                    self.action,
+                    status,
+                    by_trial,
+                    now - self.sent_at,
+                    self.phase,
+                )
             )
 
     def eof_received(self) -> bool:
@@ -115,22 +124,24 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
-        self.told(0, False)
+        self.record(0, False)
 
 
-class Evening:
+class TrialRun:
+    """A local cluster under load, the trials and faults in it, and what the callers observed."""
+
     def __init__(self, cluster: LocalCluster, seed: int) -> None:
-        self.cluster, self.chance = cluster, random.Random(seed)
-        self.seen: list[Seen] = []
-        self.numbers = iter(range(1, 1 << 60))
-        self.phase = ""  # of what is asked now; empty: not counted
-        self.over = False
-        self.callers = [*(f"partner-{n}" for n in range(PARTNERS - 1)), ALIKE]
-        self.events: list[tuple[float, str]] = []
-        self.down: set[str] = set()
+        self.cluster, self.random = cluster, random.Random(seed)
+        self.observations: list[Observation] = []
+        self.request_numbers = iter(range(1, 1 << 60))
+        self.phase = ""  # of the requests that are sent now; requests of the empty phase are not counted
+        self.is_over = False
+        self.callers = [*(f"partner-{n}" for n in range(CALLERS - 1)), SIMILAR_CALLER]
+        self.faults: list[tuple[float, str]] = []
+        self.stopped_proxies: set[str] = set()
         self.effects: Counter[str] = Counter()
 
-    def document(self) -> dict[str, Any]:
+    def configuration(self) -> dict[str, Any]:
         return {
             "config_version": 1,
             "route_table": [
@@ -146,22 +157,22 @@
             ],
         }  # fmt: skip
 
-    async def begin(self, backends: int = 3) -> None:
+    async def start_cluster(self, backends: int = 3) -> None:
         cluster = self.cluster
         await cluster.start_all(initial_start=True)
         for service in SERVICES:
             for n in range(backends):
-                made = await cluster.start_backend(f"i-{service}-{n}", service)
-                made.work = 0.01
-        await cluster.put_configuration(self.document())
-        for door in cluster.proxy_ips:
-            await cluster.wait_until_ready(door)
+                backend = await cluster.start_backend(f"i-{service}-{n}", service)
+                backend.work = 0.01
+        await cluster.put_configuration(self.configuration())
+        for proxy in cluster.proxy_ips:
+            await cluster.wait_until_ready(proxy)
 
     # --- trials ----------------------------------------------------------------------------------------
 
     async def call(self, method: str, path: str, body: Any = None) -> dict[str, Any]:
-        """An operator's call, repeated at other core machines until it is answered."""
-        async with asyncio.timeout(LIMIT):
+        """Makes an operator's call; repeats it at the core machines in turn until it succeeds."""
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while True:
                 for core in self.cluster.core_ips:
                     status, answer = await self.cluster.call_core(method, core, path, body)
@@ -171,254 +182,288 @@
                         raise AssertionError(answer.decode())
                 await asyncio.sleep(0.02)
 
-    async def start(self, name: str, **more: Any) -> None:
-        body = {"caller": CAUGHT, "by": "ann", "why": "to see who fails", "lasts": "300s", **more}
+    async def start_trial(self, name: str, **fields: Any) -> None:
+        body = {"caller": TRIED_CALLER, "by": "ann", "why": "to see who fails", "lasts": "300s", **fields}
         await self.call("PUT", f"/trials/{name}", body)
 
-    async def end(self, name: str) -> None:
+    async def end_trial(self, name: str) -> None:
         await self.call("DELETE", f"/trials/{name}", {"by": "ann", "why": "seen"})
 
-    async def everywhere(self, name: str) -> None:
-        async with asyncio.timeout(LIMIT):
+    async def wait_until_in_force(self, name: str) -> None:
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while (await self.call("GET", f"/trials/{name}"))["not_in_force_at"]:
                 await asyncio.sleep(0.05)
 
-    async def span(self, phase: str, seconds: float) -> None:
+    async def measure_phase(self, phase: str, duration_s: float) -> None:
         self.phase = phase
-        await asyncio.sleep(seconds)
+        await asyncio.sleep(duration_s)
         self.phase = ""
 
-    # --- troubles --------------------------------------------------------------------------------------
+    # --- faults --------------------------------------------------------------------------------------
 
-    async def troubles(self, seconds: float) -> None:
-        cluster, until, lost = self.cluster, time.perf_counter() + seconds, False
-        while time.perf_counter() < until:
+    async def inject_faults(self, duration_s: float) -> None:
+        cluster, ends_at, primary_lost = self.cluster, time.perf_counter() + duration_s, False
+        while time.perf_counter() < ends_at:
             await asyncio.sleep(1.5)
-            up = [d for d in cluster.proxy_ips if d not in self.down]
-            kind = self.chance.choice(("kill", "leave", "freeze", "join"))
-            if not lost and until - time.perf_counter() < seconds / 2:
-                lost, kind = True, "leader"
-            door = self.chance.choice(up)
+            running = [ip for ip in cluster.proxy_ips if ip not in self.stopped_proxies]
+            kind = self.random.choice(("kill", "leave", "freeze", "join"))
+            if not primary_lost and ends_at - time.perf_counter() < duration_s / 2:
+                primary_lost, kind = True, "leader"
+            proxy = self.random.choice(running)
             if kind == "leader":
-                leader = cluster.primary_ip()
-                await cluster.kill(leader)
-                await cluster.start(leader)
-            elif kind == "join" or len(up) < DOORS // 2:
-                for gone in list(self.down):
-                    await cluster.start(gone)
-                    self.down.discard(gone)
+                primary = cluster.primary_ip()
+                await cluster.kill(primary)
+                await cluster.start(primary)
+            elif kind == "join" or len(running) < PROXIES // 2:
+                for stopped in list(self.stopped_proxies):
+                    await cluster.start(stopped)
+                    self.stopped_proxies.discard(stopped)
             elif kind == "freeze":
-                cluster.send_signal(door, signal.SIGSTOP)
+                cluster.send_signal(proxy, signal.SIGSTOP)
                 await asyncio.sleep(1.0)
-                cluster.send_signal(door, signal.SIGCONT)
+                cluster.send_signal(proxy, signal.SIGCONT)
             else:
-                self.down.add(door)
-                await cluster.kill(door, signal.SIGTERM if kind == "leave" else signal.SIGKILL)
-            self.events.append((time.perf_counter(), kind))
-        for gone in list(self.down):
-            await cluster.start(gone)
-        self.down.clear()
-        for door in cluster.proxy_ips:
-            await cluster.wait_until_ready(door)
-        await asyncio.sleep(SETTLED)
-
-
-async def evening(folder: Path, quick: bool, seed: int) -> Evening:
-    rounds, span, stretch = (2, 3.0, 10.0) if quick else (6, 8.0, 60.0)
-    async with local_cluster(folder, CORES, DOORS, timeout_s=900.0) as cluster:
-        made = Evening(cluster, seed)
-        await made.begin()
+                self.stopped_proxies.add(proxy)
+                await cluster.kill(proxy, signal.SIGTERM if kind == "leave" else signal.SIGKILL)
+            self.faults.append((time.perf_counter(), kind))
+        for stopped in list(self.stopped_proxies):
+            await cluster.start(stopped)
+        self.stopped_proxies.clear()
+        for proxy in cluster.proxy_ips:
+            await cluster.wait_until_ready(proxy)
+        await asyncio.sleep(SETTLE_S)
+
+
+async def run_trials(directory: Path, quick: bool, seed: int) -> TrialRun:
+    rounds, phase_s, faults_s = (2, 3.0, 10.0) if quick else (6, 8.0, 60.0)
+    async with local_cluster(directory, CORE_MACHINES, PROXIES, timeout_s=900.0) as cluster:
+        run = TrialRun(cluster, seed)
+        await run.start_cluster()
         callers = [
-            Caller(made, door, name, f"key-of-{name}") for door in cluster.proxy_ips for name in made.callers
+            CallerConnection(run, proxy, name, f"key-of-{name}")
+            for proxy in cluster.proxy_ips
+            for name in run.callers
         ]
-        asking = [asyncio.create_task(caller.keep()) for caller in callers]
-        await made.span("", 2.0)
+        tasks = [asyncio.create_task(caller.keep_requesting()) for caller in callers]
+        await run.measure_phase("", 2.0)
         for n in range(rounds):
-            await made.span(f"without {n}", span)
-            await made.start(f"whole-{n}")
-            await made.everywhere(f"whole-{n}")
-            await made.span(f"whole {n}", span)
-            await made.end(f"whole-{n}")
-            await made.span("", 0.5)
-        await made.start("part", share=SHARE)
-        await made.everywhere("part")
-        await made.span("part", span * 2)
-        made.phase = "troubles"
-        await made.troubles(stretch)
-        made.phase = ""
-        await made.end("part")
-        await made.start("lost", does="lose", route="sign")
-        await made.everywhere("lost")
-        await made.span("lost", span)
-        await made.end("lost")
-        await made.span("after", span)
-        made.over = True
-        await asyncio.gather(*asking)
-        made.effects = Counter(
-            ran.target.rpartition("/")[2] for b in cluster.backends for ran in b.ran if ran.method == "POST"
+            await run.measure_phase(f"without {n}", phase_s)
+            await run.start_trial(f"whole-{n}")
+            await run.wait_until_in_force(f"whole-{n}")
+            await run.measure_phase(f"whole {n}", phase_s)
+            await run.end_trial(f"whole-{n}")
+            await run.measure_phase("", 0.5)
+        await run.start_trial("part", share=TRIAL_SHARE)
+        await run.wait_until_in_force("part")
+        await run.measure_phase("part", phase_s * 2)
+        run.phase = "troubles"
+        await run.inject_faults(faults_s)
+        run.phase = ""
+        await run.end_trial("part")
+        await run.start_trial("lost", does="lose", route="sign")
+        await run.wait_until_in_force("lost")
+        await run.measure_phase("lost", phase_s)
+        await run.end_trial("lost")
+        await run.measure_phase("after", phase_s)
+        run.is_over = True
+        await asyncio.gather(*tasks)
+        run.effects = Counter(
+            request.target.rpartition("/")[2]
+            for backend in cluster.backends
+            for request in backend.ran
+            if request.method == "POST"
         )
-    return made
+    return run
 
 
-def judge(made: Evening) -> dict[str, float]:
-    """Figures; AssertionError for what must not be."""
-    seen = [s for s in made.seen if s.phase]
-    others = [s for s in seen if s.caller != CAUGHT]
-    own = [s for s in seen if s.caller == CAUGHT]
+def check_run(run: TrialRun) -> dict[str, float]:
+    """The run's figures; raises AssertionError on effects on others or wrong answers."""
+    counted = [seen for seen in run.observations if seen.phase]
+    others = [seen for seen in counted if seen.caller != TRIED_CALLER]
+    own = [seen for seen in counted if seen.caller == TRIED_CALLER]
     shares: dict[str, dict[str, float]] = {}
     for kind in ("whole", "part"):
-        for door in made.cluster.proxy_ips:
-            there = [s for s in own if s.door == door and s.phase.startswith(kind)]
-            shares.setdefault(kind, {})[door] = sum(s.tried for s in there) / max(1, len(there))
-    many = sum(s.phase == "part" for s in own) / DOORS
-    spread = 4 * math.sqrt(SHARE * (1 - SHARE) / max(1.0, many))
-    quiet = [s for s in others if s.phase != "troubles"]
-    told = {
+        for proxy in run.cluster.proxy_ips:
+            at_proxy = [seen for seen in own if seen.proxy == proxy and seen.phase.startswith(kind)]
+            shares.setdefault(kind, {})[proxy] = sum(seen.by_trial for seen in at_proxy) / max(
+                1, len(at_proxy)
+            )
+    requests_per_proxy = sum(seen.phase == "part" for seen in own) / PROXIES
+    tolerance = 4 * math.sqrt(TRIAL_SHARE * (1 - TRIAL_SHARE) / max(1.0, requests_per_proxy))
+    without_faults = [seen for seen in others if seen.phase != "troubles"]
+    totals = {
         "requests of others": len(others),
-        "of these answered by a trial's word": sum(s.tried for s in others),
-        "of these failed while all doors were well": sum(s.status != 200 for s in quiet),
+        "of these answered by a trial's word": sum(seen.by_trial for seen in others),
+        "of these failed while all doors were well": sum(seen.status != 200 for seen in without_faults),
         "requests of the caller": len(own),
         "share failed with 1, least door": min(shares["whole"].values()),
-        f"share failed with {SHARE}, least door": min(shares["part"].values()),
-        f"share failed with {SHARE}, most": max(shares["part"].values()),
+        f"share failed with {TRIAL_SHARE}, least door": min(shares["part"].values()),
+        f"share failed with {TRIAL_SHARE}, most": max(shares["part"].values()),
         "of the caller's, failed behind the trials": sum(
-            s.status != 200 for s in own if s.phase == "after" or s.phase.startswith("without")
+            seen.status != 200 for seen in own if seen.phase == "after" or seen.phase.startswith("without")
         ),
-        "actions": sum(bool(s.name) for s in made.seen),
-        "effects": sum(made.effects.values()),
-        "doubled": sum(n > 1 for n in made.effects.values()),
+        "actions": sum(bool(seen.action) for seen in run.observations),
+        "effects": sum(run.effects.values()),
+        "doubled": sum(n > 1 for n in run.effects.values()),
         "answered and missing": sum(
-            not made.effects[s.name] for s in made.seen if s.name and s.status == 200
+            not run.effects[seen.action] for seen in run.observations if seen.action and seen.status == 200
         ),
         "said not to have run, and ran": sum(
-            bool(made.effects[s.name]) for s in made.seen if s.name and s.status in (429, 503)
+            bool(run.effects[seen.action])
+            for seen in run.observations
+            if seen.action and seen.status in (429, 503)
         ),
     }
     for name in (
         "of these answered by a trial's word", "of these failed while all doors were well", "doubled",
         "answered and missing", "said not to have run, and ran", "of the caller's, failed behind the trials",
     ):  # fmt: skip
-        if told[name]:
-            bad = [s for s in quiet if s.status != 200][:5]
-            raise AssertionError(f"{name}: {told[name]}; {bad}")
+        if totals[name]:
+            failed = [seen for seen in without_faults if seen.status != 200][:5]
+            raise AssertionError(f"{name}: {totals[name]}; {failed}")
     low, high = min(shares["part"].values()), max(shares["part"].values())
-    if min(shares["whole"].values()) < 1 or not SHARE - spread <= low <= high <= SHARE + spread:
-        raise AssertionError(f"shares: {shares}, within {spread:.3f}")
-    return told
-
-
-def spans(made: Evening) -> dict[str, float]:
-    """Times of others with a trial over those without, rounds in turn."""
-    found: dict[str, list[float]] = defaultdict(list)
-    rounds = {s.phase.split()[1] for s in made.seen if s.phase.startswith("whole")}
+    if (
+        min(shares["whole"].values()) < 1
+        or not TRIAL_SHARE - tolerance <= low <= high <= TRIAL_SHARE + tolerance
+    ):
+        raise AssertionError(f"shares: {shares}, within {tolerance:.3f}")
+    return totals
+
+
+def latency_ratios(run: TrialRun) -> dict[str, float]:
+    """Latencies of the other callers with a trial relative to those without: the median over the rounds."""
+    round_ratios: dict[str, list[float]] = defaultdict(list)
+    rounds = {seen.phase.split()[1] for seen in run.observations if seen.phase.startswith("whole")}
     for n in sorted(rounds):
-        times = {
-            kind: [s.took for s in made.seen if s.caller != CAUGHT and s.phase == f"{kind} {n}"]
+        latencies_s = {
+            kind: [
+                seen.latency_s
+                for seen in run.observations
+                if seen.caller != TRIED_CALLER and seen.phase == f"{kind} {n}"
+            ]
             for kind in ("whole", "without")
         }
-        for name, part in (("p50", 0.5), ("p99", 0.99)):
-            found[name].append(quantile(times["whole"], part) / quantile(times["without"], part))
-    return {f"others' {name} with a trial over without": statistics.median(v) for name, v in found.items()}
+        for name, fraction in (("p50", 0.5), ("p99", 0.99)):
+            round_ratios[name].append(
+                quantile(latencies_s["whole"], fraction) / quantile(latencies_s["without"], fraction)
+            )
+    return {
+        f"others' {name} with a trial over without": statistics.median(values)
+        for name, values in round_ratios.items()
+    }
 
 
-async def speed(folder: Path, doors: int, times: int) -> dict[str, Any]:
-    """From a trial's start and end to its effect at the last door."""
-    async with local_cluster(folder, CORES, doors, timeout_s=600.0) as cluster:
-        made = Evening(cluster, 1)
-        await made.begin(1)
-        last: dict[str, tuple[float, bool]] = {}
-        callers = [Caller(made, door, CAUGHT, f"key-of-{CAUGHT}") for door in cluster.proxy_ips]
+async def propagation_delays(directory: Path, proxies: int, rounds: int) -> dict[str, Any]:
+    """Delays from a trial's start and end to its effect at the last proxy."""
+    async with local_cluster(directory, CORE_MACHINES, proxies, timeout_s=600.0) as cluster:
+        run = TrialRun(cluster, 1)
+        await run.start_cluster(1)
+        last_answers: dict[str, tuple[float, bool]] = {}
+        callers = [
+            CallerConnection(run, proxy, TRIED_CALLER, f"key-of-{TRIED_CALLER}")
+            for proxy in cluster.proxy_ips
+        ]
 
-        def note(caller: Caller) -> Any:
-            def told(status: int, tried: bool) -> None:
-                caller.open = False
-                last[caller.door] = caller.began, tried
+        def recorder(caller: CallerConnection) -> Any:
+            def record(status: int, by_trial: bool) -> None:
+                caller.awaits_answer = False
+                last_answers[caller.proxy] = caller.sent_at, by_trial
 
-            return told
+            return record
 
-        async def ask(caller: Caller) -> None:
-            while not made.over:
+        async def keep_requesting(caller: CallerConnection) -> None:
+            while not run.is_over:
                 if caller.transport is None:
                     with contextlib.suppress(OSError):
-                        await asyncio.get_running_loop().create_connection(lambda: caller, caller.door, 8520)
-                elif not caller.open:
-                    caller.ask()
-                await asyncio.sleep(0.004 if doors < 20 else 0.012)
+                        await asyncio.get_running_loop().create_connection(lambda: caller, caller.proxy, 8520)
+                elif not caller.awaits_answer:
+                    caller.send_request()
+                await asyncio.sleep(0.004 if proxies < 20 else 0.012)
 
         for caller in callers:
-            caller.told = note(caller)  # type: ignore[method-assign]
-        asking = [asyncio.create_task(ask(caller)) for caller in callers]
-        found: dict[str, list[float]] = {"start": [], "end": []}
-
-        async def until(wanted: bool, since: float) -> float:
-            async with asyncio.timeout(LIMIT):
-                while len(last) < doors or any(on != wanted or at < since for at, on in last.values()):
+            caller.record = recorder(caller)  # type: ignore[method-assign]
+        tasks = [asyncio.create_task(keep_requesting(caller)) for caller in callers]
+        delays_s: dict[str, list[float]] = {"start": [], "end": []}
+
+        async def seconds_until(wanted: bool, since: float) -> float:
+            async with asyncio.timeout(WAIT_LIMIT_S):
+                while len(last_answers) < proxies or any(
+                    by_trial != wanted or sent_at < since for sent_at, by_trial in last_answers.values()
+                ):
                     await asyncio.sleep(0.001)
             return time.perf_counter() - since
 
-        await until(False, time.perf_counter())
-        for n in range(times):
-            began = time.perf_counter()
-            await made.start(f"t{n}")
-            found["start"].append(await until(True, began))
-            began = time.perf_counter()
-            await made.end(f"t{n}")
-            found["end"].append(await until(False, began))
-        made.over = True
-        await asyncio.gather(*asking)
+        await seconds_until(False, time.perf_counter())
+        for n in range(rounds):
+            ordered_at = time.perf_counter()
+            await run.start_trial(f"t{n}")
+            delays_s["start"].append(await seconds_until(True, ordered_at))
+            ordered_at = time.perf_counter()
+            await run.end_trial(f"t{n}")
+            delays_s["end"].append(await seconds_until(False, ordered_at))
+        run.is_over = True
+        await asyncio.gather(*tasks)
     return {
-        f"{doors} doors: from a trial's {kind} to its effect at the last": summarize(values, "s")
-        for kind, values in found.items()
+        f"{proxies} doors: from a trial's {kind} to its effect at the last": summarize(values, "s")
+        for kind, values in delays_s.items()
     }
 
 
-def page(made: Evening, found: dict[str, Any]) -> str:
-    """An HTML page: the caller against others, door by door, over time."""
+def result_page(run: TrialRun, results: dict[str, Any]) -> str:
+    """An HTML page with the failed share of the caller and of the others, by proxy and over time."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot as plt
 
-    first = min(s.at for s in made.seen)
-    plot, axes = plt.subplots(len(made.cluster.proxy_ips), 1, figsize=(12, 14), sharex=True)
-    for axis, door in zip(axes, made.cluster.proxy_ips, strict=True):
-        for own, color in ((False, "tab:blue"), (True, "tab:red")):
-            bins: dict[int, list[bool]] = defaultdict(list)
-            for s in made.seen:
-                if s.door == door and (s.caller == CAUGHT) == own:
-                    bins[int(s.at - first)].append(s.status != 200)
-            at = sorted(bins)
-            axis.step(at, [sum(bins[t]) / len(bins[t]) for t in at], color=color, linewidth=1)
-        for when, kind in made.events:
-            axis.axvline(when - first, color="0.8" if kind != "leader" else "0.3", linewidth=0.6)
+    first = min(seen.time for seen in run.observations)
+    plot, axes = plt.subplots(len(run.cluster.proxy_ips), 1, figsize=(12, 14), sharex=True)
+    for axis, proxy in zip(axes, run.cluster.proxy_ips, strict=True):
+        for of_tried_caller, color in ((False, "tab:blue"), (True, "tab:red")):
+            failed_by_second: dict[int, list[bool]] = defaultdict(list)
+            for seen in run.observations:
+                if seen.proxy == proxy and (seen.caller == TRIED_CALLER) == of_tried_caller:
+                    failed_by_second[int(seen.time - first)].append(seen.status != 200)
+            seconds = sorted(failed_by_second)
+            axis.step(
+                seconds,
+                [sum(failed_by_second[t]) / len(failed_by_second[t]) for t in seconds],
+                color=color,
+                linewidth=1,
+            )
+        for faulted_at, kind in run.faults:
+            axis.axvline(faulted_at - first, color="0.8" if kind != "leader" else "0.3", linewidth=0.6)
         axis.set_ylim(-0.05, 1.05)
-        axis.set_ylabel(door.rpartition(".")[2])
+        axis.set_ylabel(proxy.rpartition(".")[2])
     axes[0].set_title(
-        "share failed by door and second: the caller red, others blue; grey: doors, dark: leader"
+        "share failed by proxy and second: the caller red, others blue; grey: proxies, dark: the primary"
     )
     plot.tight_layout()
-    return render_html("Trials of one caller", plot, found)
+    return render_html("Trials of one caller", plot, results)
 
 
 async def main() -> None:
-    arguments = argument_parser("trials")
-    arguments.add_argument("--seed", type=int, default=1)
-    arguments.add_argument("--page", type=Path)
-    args = arguments.parse_args()
+    parser = argument_parser("trials")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--page", type=Path)
+    args = parser.parse_args()
     figures: dict[str, Any] = {}
-    with tempfile.TemporaryDirectory() as folder:
-        made = await evening(Path(folder), args.quick, args.seed)
-    told = judge(made)
-    figures |= {name: summarize([value], "") for name, value in told.items()}
-    ratios = spans(made)
+    with tempfile.TemporaryDirectory() as directory:
+        run = await run_trials(Path(directory), args.quick, args.seed)
+    totals = check_run(run)
+    figures |= {name: summarize([value], "") for name, value in totals.items()}
+    ratios = latency_ratios(run)
     if args.page is not None:
-        args.page.write_text(page(made, told | ratios))
-    for doors in AT[:1] if args.quick else AT:
-        with tempfile.TemporaryDirectory() as folder:
-            figures |= await speed(Path(folder), doors, 10 if args.quick else 100)
-    what = Counter(kind for _, kind in made.events)
-    load = f"{DOORS} doors, {CORES} core machines, {PARTNERS} partners, {dict(what)}, lease {LEASE_S:g} s"
-    write_report(args, load, figures, ratios)
+        args.page.write_text(result_page(run, totals | ratios))
+    for proxies in PROXY_COUNTS[:1] if args.quick else PROXY_COUNTS:
+        with tempfile.TemporaryDirectory() as directory:
+            figures |= await propagation_delays(Path(directory), proxies, 10 if args.quick else 100)
+    fault_counts = Counter(kind for _, kind in run.faults)
+    workload = (
+        f"{PROXIES} doors, {CORE_MACHINES} core machines, {CALLERS} partners, "
+        f"{dict(fault_counts)}, lease {LEASE_S:g} s"
+    )
+    write_report(args, workload, figures, ratios)
 
 
 if __name__ == "__main__":
