--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -1,9 +1,9 @@
-"""Actions with a caller's key beside actions without: CPU at the door, time, memory at the core.
+"""Actions with an idempotency key compared with actions without: CPU at the proxies, latency, core memory.
 
     python -m bench.conversations [--quick] [--json FILE|-]
 
-Three core machines, so many doors, backends that seal their answers; rounds in turn, all on one machine.  A
-sync of the disk takes here what this machine's takes.
+Runs three core machines, a number of proxies, and backends that seal their answers, all on one machine, in
+alternate rounds with and without keys.  The latency includes the syncs of this machine's disk.
 """
 
 from __future__ import annotations
@@ -29,110 +29,114 @@
 from ivymux.proxy.keyed_actions import encode_answer
 from ivymux.transport.frames import encode_frame
 
-DOORS = (3, 8, 32)
-CONNECTIONS = 32  # in all
-PAUSE = 0.02  # seconds between the actions of one
-KNOWN = 10_000  # keys behind which memory is measured
+PROXY_COUNTS = (3, 8, 32)
+CONNECTIONS = 32  # in total
+PAUSE_S = 0.02  # between the actions of a connection
+STORED_KEYS = 10_000  # after which the core's memory is measured again
 
-numbers = itertools.count(1)
+action_numbers = itertools.count(1)
 
 
-class Actions(Load):
-    """Actions, each with a key of its own or none."""
+class ActionLoad(Load):
+    """A load of actions, each with its own idempotency key or with none."""
 
     def __init__(self, count: int, keyed: bool) -> None:
-        super().__init__([b""], len(ANSWER_BODY), count, PAUSE)
+        super().__init__([b""], len(ANSWER_BODY), count, PAUSE_S)
         self.requests = self  # type: ignore[assignment]
         self.keyed = keyed
 
     def __len__(self) -> int:
         return 1 << 60
 
-    def __getitem__(self, turn: int) -> bytes:
-        number = next(numbers)
+    def __getitem__(self, request_index: int) -> bytes:
+        number = next(action_numbers)
         key = b'Idempotency-Key: "action-%d"\r\n' % number if self.keyed else b""
         return (
             b"POST /acts/%d HTTP/1.1\r\nHost: h.example\r\nTry-Id: %016x\r\nTime-Remaining: 9000\r\n"
             b"Authorization: Bearer key-%d\r\n%sContent-Length: 3\r\n\r\nyes"
-        ) % (number, number, turn % TENANTS, key)
+        ) % (number, number, request_index % TENANTS, key)
 
 
-def with_actions() -> dict[str, Any]:
-    made = routing_configuration()
-    (read,) = made["route_table"]
-    act = {**read, "name": "act", "path_prefix": "/acts/", "route_type": "non_idempotent"}
-    return {**made, "route_table": [read, act]}
+def configuration_with_actions() -> dict[str, Any]:
+    configuration = routing_configuration()
+    (read_route,) = configuration["route_table"]
+    action_route = {**read_route, "name": "act", "path_prefix": "/acts/", "route_type": "non_idempotent"}
+    return {**configuration, "route_table": [read_route, action_route]}
 
 
-async def round_of(doors: dict[str, ChildProcess], port: int, keyed: bool, count: int) -> tuple[float, float]:
-    """Microseconds of CPU for each action at the doors, and the median time in ms; all doors at once."""
-    loads = {ip: Actions(count, keyed) for ip in doors}
-    before = sum(door.cpu_seconds() for door in doors.values())
-    each = max(1, CONNECTIONS // len(doors))
-    await asyncio.gather(*(load.run(port, each, ip) for ip, load in loads.items()))
-    spent = sum(door.cpu_seconds() for door in doors.values()) - before
-    times = [t for load in loads.values() for t in load.latencies_s]
-    return spent / (count * len(doors)) * 1e6, 1000 * quantile(times, 0.5)
+async def measure_round(
+    proxies: dict[str, ChildProcess], port: int, keyed: bool, count: int
+) -> tuple[float, float]:
+    """Microseconds of the proxies' CPU per action and the median latency in ms, with load on all proxies."""
+    loads = {ip: ActionLoad(count, keyed) for ip in proxies}
+    cpu_before = sum(proxy.cpu_seconds() for proxy in proxies.values())
+    connections_each = max(1, CONNECTIONS // len(proxies))
+    await asyncio.gather(*(load.run(port, connections_each, ip) for ip, load in loads.items()))
+    cpu_s = sum(proxy.cpu_seconds() for proxy in proxies.values()) - cpu_before
+    latencies_s = [latency for load in loads.values() for latency in load.latencies_s]
+    return cpu_s / (count * len(proxies)) * 1e6, 1000 * quantile(latencies_s, 0.5)
 
 
-async def measure(quick: bool, folder: Path, count: int) -> tuple[dict[str, Any], dict[str, float]]:
-    each, runs = max(10, (400 if quick else 1200) // count), 5 if quick else 11
-    sealed = [ChildProcess("-m", "bench.parts", "sealed") for _ in range(BACKENDS)]
-    system = LocalSystem(folder, with_actions())
+async def measure(quick: bool, directory: Path, proxy_count: int) -> tuple[dict[str, Any], dict[str, float]]:
+    actions_each, runs = max(10, (400 if quick else 1200) // proxy_count), 5 if quick else 11
+    backends = [ChildProcess("-m", "bench.parts", "sealed") for _ in range(BACKENDS)]
+    system = LocalSystem(directory, configuration_with_actions())
     try:
         for ip in CORE_IPS:
             system.start(ip, "config_store")
             system.start(ip, "registry")
-        doors = {ip: system.start(ip, "proxy") for ip in (f"127.0.0.{10 + n}" for n in range(count))}
-        await system.configure(sealed)
-        beating = asyncio.get_running_loop().create_task(system.send_heartbeats(sealed))
-        for ip in doors:
+        proxies = {ip: system.start(ip, "proxy") for ip in (f"127.0.0.{10 + n}" for n in range(proxy_count))}
+        await system.configure(backends)
+        heartbeats = asyncio.get_running_loop().create_task(system.send_heartbeats(backends))
+        for ip in proxies:
             await system.wait_until_ready(ip)
-        cpu: dict[bool, list[float]] = {False: [], True: []}
-        times: dict[bool, list[float]] = {False: [], True: []}
+        cpu_us: dict[bool, list[float]] = {False: [], True: []}
+        median_ms: dict[bool, list[float]] = {False: [], True: []}
         for run in range(runs + 1):
             for keyed in (False, True):
-                spent, median = await round_of(doors, system.frontend_port, keyed, each)
+                us, ms = await measure_round(proxies, system.frontend_port, keyed, actions_each)
                 if run:
-                    cpu[keyed].append(spent)
-                    times[keyed].append(median)
-        core = [c for c in system.children if c not in doors.values()]
-        before = max(c.peak_mb() for c in core)
-        if count == DOORS[0]:
-            await Actions(KNOWN, True).run(system.frontend_port, 200, next(iter(doors)))
-        beating.cancel()
+                    cpu_us[keyed].append(us)
+                    median_ms[keyed].append(ms)
+        core_processes = [c for c in system.children if c not in proxies.values()]
+        peak_before_mb = max(c.peak_mb() for c in core_processes)
+        if proxy_count == PROXY_COUNTS[0]:
+            await ActionLoad(STORED_KEYS, True).run(system.frontend_port, 200, next(iter(proxies)))
+        heartbeats.cancel()
         figures = {}
         for keyed, name in ((False, "without a key"), (True, "with one")):
-            figures[f"{count} doors: CPU for each action {name}"] = summarize(cpu[keyed], "us")
-            figures[f"{count} doors: median time of an action {name}"] = summarize(times[keyed], "ms")
-        if count == DOORS[0]:
-            figures[f"peak memory of a core process, before and after {KNOWN} keys more"] = summarize(
-                [before, max(c.peak_mb() for c in core)], "MB"
+            figures[f"{proxy_count} doors: CPU for each action {name}"] = summarize(cpu_us[keyed], "us")
+            figures[f"{proxy_count} doors: median time of an action {name}"] = summarize(
+                median_ms[keyed], "ms"
+            )
+        if proxy_count == PROXY_COUNTS[0]:
+            figures[f"peak memory of a core process, before and after {STORED_KEYS} keys more"] = summarize(
+                [peak_before_mb, max(c.peak_mb() for c in core_processes)], "MB"
             )
     finally:
-        for child in (*sealed, *system.children):
+        for child in (*backends, *system.children):
             child.stop()
-    pairs = sorted(a / b for a, b in zip(cpu[True], cpu[False], strict=True))
-    slower = sorted(a / b for a, b in zip(times[True], times[False], strict=True))
+    cpu_ratios = sorted(a / b for a, b in zip(cpu_us[True], cpu_us[False], strict=True))
+    time_ratios = sorted(a / b for a, b in zip(median_ms[True], median_ms[False], strict=True))
     return figures, {
-        f"{count} doors: CPU with a key over without": pairs[len(pairs) // 2],
-        f"{count} doors: median time with a key over without": slower[len(slower) // 2],
+        f"{proxy_count} doors: CPU with a key over without": cpu_ratios[len(cpu_ratios) // 2],
+        f"{proxy_count} doors: median time with a key over without": time_ratios[len(time_ratios) // 2],
     }
 
 
-def between() -> float:
-    """Bytes from a core machine to who leads, from there to the backup and back, for a claim and its end."""
+def core_bytes_per_action() -> float:
+    """Bytes that an action's claim and end cost between a core machine, the primary and the backup."""
     record = IdempotencyRecord("a" * KEY_DIGITS, "partner-one", f"{'b' * 16}/12345", "c" * 16, "d" * 16, 3.2)
     fields = [(b"content-type", b"text/plain"), (b"server-seal", b"e" * 24)]
     answer = encode_answer(Answer(200, ANSWER_BODY, headers=fields), 9999)
-    passed = {"passed": True, "w": 0.85, "n": 1234}
+    forwarding = {"passed": True, "w": 0.85, "n": 1234}
     claimed = ClaimAction(
         record.key, record.tenant, record.claim, record.request_digest, record.body_digest, record.lifetime_s
     )
-    claim = {**encode_call(claimed), **passed}
-    end = {**encode_call(EndAction(record.key, record.claim, DONE, answer)), **passed}
-    told = {"re": 1234, "ok": True, "verdict": "go", "after": 0.0, "answer": "", "what": ""}
-    total = sum(len(encode_frame(m)) for m in (claim, end, told, {"re": 1234, "ok": True}))
+    claim = {**encode_call(claimed), **forwarding}
+    end = {**encode_call(EndAction(record.key, record.claim, DONE, answer)), **forwarding}
+    verdict = {"re": 1234, "ok": True, "verdict": "go", "after": 0.0, "answer": "", "what": ""}
+    total = sum(len(encode_frame(message)) for message in (claim, end, verdict, {"re": 1234, "ok": True}))
     for state, text in (("open", ""), (DONE, answer)):
         copy = replace(record, state=state, answer=text, change_number=7 << 32)
         total += len(encode_frame(encode(RecordWrite("10.1.0.33/first", 7, copy))))
@@ -144,16 +148,19 @@
     args = parse_arguments("conversations")
     figures: dict[str, Any] = {}
     ratios: dict[str, float] = {}
-    for count in DOORS:
+    for count in PROXY_COUNTS:
         with tempfile.TemporaryDirectory() as name:
-            found, compared = await measure(args.quick, Path(name), count)
-        figures |= found
-        ratios |= compared
-    figures["bytes between core machines for an action with a key"] = summarize([between()], "bytes")
-    load = (
-        f"{CONNECTIONS} connections, {PAUSE} s between their actions, {TENANTS} tenants, {BACKENDS} backends"
+            count_figures, count_ratios = await measure(args.quick, Path(name), count)
+        figures |= count_figures
+        ratios |= count_ratios
+    figures["bytes between core machines for an action with a key"] = summarize(
+        [core_bytes_per_action()], "bytes"
+    )
+    workload = (
+        f"{CONNECTIONS} connections, {PAUSE_S} s between their actions, "
+        f"{TENANTS} tenants, {BACKENDS} backends"
     )
-    write_report(args, load, figures, ratios)
+    write_report(args, workload, figures, ratios)
 
 
 if __name__ == "__main__":
