--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -1,4 +1,4 @@
-"""Many tenants: memory and start, what a refusal costs, one tenant alone, a flood, change to effect.
+"""A hosting gateway with many tenants: memory, start-up, CPU per request, a flooding tenant, commit delays.
 
 `python -m bench.tenants [--quick] [--json FILE|-]`
 """
@@ -47,41 +47,41 @@
 from ivymux.tenants.shares import TenantLimits
 
 
-def installation(
-    folder: Path, tenants: int, workers: list[ChildProcess], **limits: float
+def write_installation(
+    directory: Path, tenants: int, backends: list[ChildProcess], **limits: float
 ) -> tuple[Path, list[bytes]]:
-    """Files of an installation, and one request of each tenant."""
-    folder.mkdir()
-    store, requests = SqliteStore(folder / "desired.db"), []
-    plans = {"p": PlanPart(rate=10_000.0, burst=20_000.0)}  # as the front door of one tenant has
+    """Writes the files of an installation; returns its settings file and one request of each tenant."""
+    directory.mkdir()
+    store, requests = SqliteStore(directory / "desired.db"), []
+    plans = {"p": PlanPart(rate=10_000.0, burst=20_000.0)}  # as in the site file of a single tenant
     routes = json.dumps(small_description()).encode()
     options = site_of(Tenant(plans=plans)).options
     compiled = msgspec.msgpack.encode(compile_description("a", {"a": routes}.__getitem__, options))
-    listed = [Worker(f"w{n}", "127.0.0.1", w.port) for n, w in enumerate(workers)]
-    parsed = msgspec.msgpack.encode(Inventory(tuple(listed)))
-    blobs = {digest(data): data for data in (routes, compiled, parsed)}
+    inventory_workers = [Worker(f"w{n}", "127.0.0.1", backend.port) for n, backend in enumerate(backends)]
+    packed_inventory = msgspec.msgpack.encode(Inventory(tuple(inventory_workers)))
+    blobs = {digest(data): data for data in (routes, compiled, packed_inventory)}
     for number in range(tenants):
-        key_id, key, kept = secret.create_key(secret.CALLER_PREFIX, 0.0)
-        made = Tenant(
+        key_id, key, secret_entry = secret.create_key(secret.CALLER_PREFIX, 0.0)
+        tenant = Tenant(
             hosts=[f"t{number}.example"], plans=plans, customers={"c": CustomerPart(plan="p")},
-            keys={key_id: KeyEntry(salt=kept.salt, hash=kept.hash, made=0.0, customer="c")},
+            keys={key_id: KeyEntry(salt=secret_entry.salt, hash=secret_entry.hash, made=0.0, customer="c")},
             routes=RoutesPart(main="a", files={"a": digest(routes)}, compiled=digest(compiled)),
-            inventory=InventoryRef(digest=digest(parsed), parsed=digest(parsed)),
+            inventory=InventoryRef(digest=digest(packed_inventory), parsed=digest(packed_inventory)),
             limits=TenantLimits(requests=limits.get("requests", 1e6), burst=limits.get("burst", 1e6)),
         )  # fmt: skip
-        store.commit(Change(name=f"t{number}", expected=0, tenant=made, uid=f"u{number}", at=0.0, who="",
+        store.commit(Change(name=f"t{number}", expected=0, tenant=tenant, uid=f"u{number}", at=0.0, who="",
                             origin="", action="", blobs=blobs if not number else {}))  # fmt: skip
         requests.append(
             b"GET /meetings/1 HTTP/1.1\r\nHost: t%d.example\r\nX-API-Key: %s\r\n\r\n" % (number, key.encode())
         )
     store.close()
-    path = folder / "hosting.toml"
+    path = directory / "hosting.toml"
     path.write_text(f'store = "desired.db"\nlisten = "127.0.0.1:{free_port()}"\n')
     return path, requests
 
 
-class Door:
-    """`ivymux host` in a process of its own."""
+class HostingProcess:
+    """A process that runs `ivymux host`."""
 
     def __init__(self, path: Path) -> None:
         self.port = int(path.read_text().split(":")[1].split('"')[0])
@@ -89,169 +89,171 @@
         self.child = ChildProcess("-m", "ivymux", "host", str(path), env=env, prints_port=False)
 
 
-async def sizes(quick: bool, folder: Path) -> dict[str, Any]:
-    """Memory and start for so many tenants, and the CPU that they take asleep."""
+async def measure_sizes(quick: bool, directory: Path) -> dict[str, Any]:
+    """Memory and start-up time by number of tenants, and the CPU time of tenants without requests."""
     figures: dict[str, Any] = {}
-    # Asleep: nobody asks; 950 of 1,000 of a large installation are.
+    # In a large installation 950 of 1,000 tenants have no requests.
     for count in (1, 50) if quick else (1, 50, 1000):
-        path, _ = installation(folder / str(count), count, [])
-        starts, memory, idle = [], [], []
+        path, _ = write_installation(directory / str(count), count, [])
+        startups_s, peaks_mb, idle_cpu_ms = [], [], []
         for _ in range(1 if quick else 3):
-            began = time.perf_counter()
-            door = Door(path)
-            await wait_until_listening(door.port)
-            starts.append(time.perf_counter() - began)
-            memory.append(door.child.peak_mb())
+            started_at = time.perf_counter()
+            gateway = HostingProcess(path)
+            await wait_until_listening(gateway.port)
+            startups_s.append(time.perf_counter() - started_at)
+            peaks_mb.append(gateway.child.peak_mb())
             await asyncio.sleep(0.5)
-            before = door.child.cpu_seconds()
+            cpu_before = gateway.child.cpu_seconds()
             await asyncio.sleep(1.0)
-            idle.append((door.child.cpu_seconds() - before) * 1e3)
-            door.child.stop()
-        figures[f"{count} tenants: start"] = summarize(starts, "s")
-        figures[f"{count} tenants: memory"] = summarize(memory, "MB")
-        figures[f"{count} tenants asleep: CPU in a second"] = summarize(idle, "ms")
+            idle_cpu_ms.append((gateway.child.cpu_seconds() - cpu_before) * 1e3)
+            gateway.child.stop()
+        figures[f"{count} tenants: start"] = summarize(startups_s, "s")
+        figures[f"{count} tenants: memory"] = summarize(peaks_mb, "MB")
+        figures[f"{count} tenants asleep: CPU in a second"] = summarize(idle_cpu_ms, "ms")
     return figures
 
 
-async def cpu_for_each(child: ChildProcess, port: int, requests: list[bytes], count: int) -> float:
-    """Microseconds of CPU for each request; also of refused ones."""
+async def cpu_per_request_us(child: ChildProcess, port: int, requests: list[bytes], count: int) -> float:
+    """Microseconds of CPU per request, whether it is served or refused."""
     load = Load(requests, 0, count)
-    before = child.cpu_seconds()
+    cpu_before = child.cpu_seconds()
     loop = asyncio.get_running_loop()
-    made = [
+    connections = [
         await loop.create_connection(lambda n=n: LoadConnection(load, n), "127.0.0.1", port)  # type: ignore[misc]
         for n in range(16)
     ]
     async with asyncio.timeout(60):
-        await asyncio.gather(*(loader.done for _, loader in made))
-    return (child.cpu_seconds() - before) / len(load.latencies_s) * 1e6
-
-
-async def cpu_costs(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
-    """A served request, one refused early, and one of a front door of one tenant."""
-    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(4)]
-    one, requests = installation(folder / "one", 1, workers)
-    low, refused_requests = installation(folder / "low", 1, workers, requests=1.0, burst=1.0)
-    (folder / "alone").mkdir()
-    alone = write_site(
-        folder / "alone", workers, port := free_port(), json.dumps(small_description()).encode()
+        await asyncio.gather(*(connection.done for _, connection in connections))
+    return (child.cpu_seconds() - cpu_before) / len(load.latencies_s) * 1e6
+
+
+async def measure_cpu_costs(quick: bool, directory: Path) -> tuple[dict[str, Any], dict[str, float]]:
+    """CPU per request: served, refused by the tenant's limits, and served by a gateway of a single tenant."""
+    backends = [ChildProcess("-m", "bench.parts", "worker") for _ in range(4)]
+    served_path, requests = write_installation(directory / "one", 1, backends)
+    limited_path, refused_requests = write_installation(
+        directory / "low", 1, backends, requests=1.0, burst=1.0
+    )
+    (directory / "alone").mkdir()
+    site_path = write_site(
+        directory / "alone", backends, site_port := free_port(), json.dumps(small_description()).encode()
     )
-    costs: dict[str, list[float]] = {"served": [], "refused": [], "single": []}
+    costs_us: dict[str, list[float]] = {"served": [], "refused": [], "single": []}
     count = 1_000 if quick else 3_000
-    rng = random.Random(1)
+    random_order = random.Random(1)
     try:
-        # Two processes of the same program differ by up to a tenth, by where their memory came to lie, for
-        # as long as they live: new ones for each round.
+        # Two processes of the same program differ by up to a tenth for as long as they run, depending on
+        # their memory layout.  Each round therefore starts new ones.
         for _ in range(3 if quick else 11):
-            first, second = Door(one), Door(low)
-            third = ChildProcess("-m", "ivymux", "serve", str(alone), prints_port=False)
+            served, limited = HostingProcess(served_path), HostingProcess(limited_path)
+            single = ChildProcess("-m", "ivymux", "serve", str(site_path), prints_port=False)
             try:
-                for at in (first.port, second.port, port):
-                    await wait_until_listening(at)
-                doors = {
-                    "served": (first.child, first.port, requests),
-                    "refused": (second.child, second.port, refused_requests),
-                    "single": (third, port, standalone_requests()[:1]),
+                for port in (served.port, limited.port, site_port):
+                    await wait_until_listening(port)
+                gateways = {
+                    "served": (served.child, served.port, requests),
+                    "refused": (limited.child, limited.port, refused_requests),
+                    "single": (single, site_port, standalone_requests()[:1]),
                 }
-                order, taken = list(doors), {name: list[float]() for name in doors}
+                order, round_us = list(gateways), {name: list[float]() for name in gateways}
                 for turn in range(2 if quick else 5):
-                    rng.shuffle(order)  # who comes first after a pause is dearer by a tenth
+                    random_order.shuffle(order)  # the first one after a pause costs a tenth more
                     for name in order:
-                        spent = await cpu_for_each(*doors[name], count)
-                        if turn:  # the first one warms up
-                            taken[name].append(spent)
-                for name, kept in costs.items():
-                    kept.append(statistics.median(taken[name]))
+                        us = await cpu_per_request_us(*gateways[name], count)
+                        if turn:  # the first turn is a warm-up
+                            round_us[name].append(us)
+                for name, values in costs_us.items():
+                    values.append(statistics.median(round_us[name]))
             finally:
-                for child in (first.child, second.child, third):
+                for child in (served.child, limited.child, single):
                     child.stop()
     finally:
-        for child in workers:
+        for child in backends:
             child.stop()
 
-    def over(one: list[float], other: list[float]) -> float:
-        return statistics.median(x / y for x, y in zip(one, other, strict=True))
+    def median_ratio(numerators: list[float], denominators: list[float]) -> float:
+        return statistics.median(x / y for x, y in zip(numerators, denominators, strict=True))
 
     return {
-        "CPU of a served request": summarize(costs["served"], "us"),
-        "CPU of one refused beyond the tenant's limits": summarize(costs["refused"], "us"),
-        "CPU of one at a front door of one tenant": summarize(costs["single"], "us"),
+        "CPU of a served request": summarize(costs_us["served"], "us"),
+        "CPU of one refused beyond the tenant's limits": summarize(costs_us["refused"], "us"),
+        "CPU of one at a front door of one tenant": summarize(costs_us["single"], "us"),
     }, {
-        "refused over served": over(costs["refused"], costs["served"]),
-        "hosted over single": over(costs["served"], costs["single"]),
+        "refused over served": median_ratio(costs_us["refused"], costs_us["served"]),
+        "hosted over single": median_ratio(costs_us["served"], costs_us["single"]),
     }
 
 
-def itself(loader: LoadConnection) -> LoadConnection:
-    return loader
+def return_connection(connection: LoadConnection) -> LoadConnection:
+    return connection
 
 
-async def steady(port: int, requests: list[bytes]) -> Load:
-    """Each tenant asks ten times a second, none at the same moment as another."""
+async def steady_load(port: int, requests: list[bytes]) -> Load:
+    """Sends ten requests per second for each tenant, evenly spread over time."""
     load = Load(requests, 0, 20 * len(requests), pause_s=0.1)
-    loop, made = asyncio.get_running_loop(), list[LoadConnection]()
+    loop, connections = asyncio.get_running_loop(), list[LoadConnection]()
     async with asyncio.timeout(60):
         for number in range(len(requests)):
-            made.append(LoadConnection(load, number))
-            await loop.create_connection(partial(itself, made[-1]), "127.0.0.1", port)
+            connections.append(LoadConnection(load, number))
+            await loop.create_connection(partial(return_connection, connections[-1]), "127.0.0.1", port)
             await asyncio.sleep(0.1 / len(requests))
-        await asyncio.gather(*(loader.done for loader in made))
+        await asyncio.gather(*(connection.done for connection in connections))
     return load
 
 
-async def flood(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
-    """The others' p99 while one of 50 tenants floods from a process of its own, beside that without it."""
-    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(2)]
-    path, requests = installation(folder / "flood", 50, workers, requests=50.0, burst=50.0)
-    door = Door(path)
-    times: dict[str, list[float]] = {"no flood": [], "20 times its quota": [], "all it can": []}
-    # Connections and the seconds between a connection's answer and its next request.
+async def measure_flood(quick: bool, directory: Path) -> tuple[dict[str, Any], dict[str, float]]:
+    """The p99 latency of 49 tenants while another one floods from a separate process, and without that."""
+    backends = [ChildProcess("-m", "bench.parts", "worker") for _ in range(2)]
+    path, requests = write_installation(directory / "flood", 50, backends, requests=50.0, burst=50.0)
+    gateway = HostingProcess(path)
+    p99_ms: dict[str, list[float]] = {"no flood": [], "20 times its quota": [], "all it can": []}
+    # The number of connections, and the pause in seconds between an answer and the next request.
     floods = {"20 times its quota": (20, 0.02), "all it can": (32, 0.0)}
     try:
-        await wait_until_listening(door.port)
+        await wait_until_listening(gateway.port)
         for turn in range(3 if quick else 12):
-            for kind, kept in times.items():
-                child = None
+            for kind, values in p99_ms.items():
+                flooder = None
                 if kind in floods:
                     connections, pause = floods[kind]
-                    child = ChildProcess("-m", "bench.parts", "flood", str(door.port), requests[0].hex(),
+                    flooder = ChildProcess("-m", "bench.parts", "flood", str(gateway.port), requests[0].hex(),
                                   str(connections), str(pause))  # fmt: skip
-                load = await steady(door.port, requests[1:])
-                if child is not None:
-                    child.stop()
+                load = await steady_load(gateway.port, requests[1:])
+                if flooder is not None:
+                    flooder.stop()
                 if load.refused > 0.01 * len(load.latencies_s):
-                    raise AssertionError(f"{load.refused} requests of others were not served beside {kind}")
-                if turn:  # the first one warms up
-                    kept.append(quantile(load.latencies_s, 0.99) * 1e3)
+                    raise AssertionError(f"{load.refused} requests of others were not served during: {kind}")
+                if turn:  # the first turn is a warm-up
+                    values.append(quantile(load.latencies_s, 0.99) * 1e3)
     finally:
-        for process in (door.child, *workers):
+        for process in (gateway.child, *backends):
             process.stop()
-    figures = {f"p99 of the 49 others, {kind}": summarize(kept, "ms") for kind, kept in times.items()}
-    alone = times.pop("no flood")
+    figures = {f"p99 of the 49 others, {kind}": summarize(values, "ms") for kind, values in p99_ms.items()}
+    without_flood = p99_ms.pop("no flood")
     return figures, {
         f"p99 beside a flood of {kind} over without": statistics.median(
-            x / y for x, y in zip(kept, alone, strict=True)
+            x / y for x, y in zip(values, without_flood, strict=True)
         )
-        for kind, kept in times.items()
+        for kind, values in p99_ms.items()
     }
 
 
-async def effect(quick: bool, folder: Path) -> dict[str, Any]:
-    """From a commit until it is served: a tenant's new host name at a front door of 50."""
-    workers = [ChildProcess("-m", "bench.parts", "worker")]
-    path, requests = installation(folder / "effect", 50, workers)
-    store, door, times = SqliteStore(folder / "effect" / "desired.db"), Door(path), []
+async def measure_commit_delay(quick: bool, directory: Path) -> dict[str, Any]:
+    """The delay from a commit of a tenant's new host name until a gateway with 50 tenants serves it."""
+    backends = [ChildProcess("-m", "bench.parts", "worker")]
+    path, requests = write_installation(directory / "effect", 50, backends)
+    store, gateway, delays_s = SqliteStore(directory / "effect" / "desired.db"), HostingProcess(path), []
     try:
-        await wait_until_listening(door.port)
+        await wait_until_listening(gateway.port)
         stored = store.get("t7")
         assert stored is not None
         revision = stored.revision
-        reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
         for turn in range(5 if quick else 20):
             host = f"new{turn}.example"
-            made = msgspec.structs.replace(stored.tenant, hosts=[host])
-            began = time.perf_counter()
-            revision = store.commit(Change(name="t7", expected=revision, tenant=made, uid="u7", at=0.0,
+            tenant = msgspec.structs.replace(stored.tenant, hosts=[host])
+            committed_at = time.perf_counter()
+            revision = store.commit(Change(name="t7", expected=revision, tenant=tenant, uid="u7", at=0.0,
                                            who="", origin="", action=""))  # fmt: skip
             while True:
                 writer.write(requests[7].replace(b"t7.example", host.encode()))
@@ -261,68 +263,68 @@
                 if b" 421 " not in head[:20]:
                     break
                 await asyncio.sleep(0.002)
-            times.append(time.perf_counter() - began)
+            delays_s.append(time.perf_counter() - committed_at)
         writer.close()
     finally:
-        door.child.stop()
-        workers[0].stop()
+        gateway.child.stop()
+        backends[0].stop()
         store.close()
-    return {"from a commit to its effect, 50 tenants": summarize(times, "s")}
+    return {"from a commit to its effect, 50 tenants": summarize(delays_s, "s")}
 
 
-async def effect_by_etcd(quick: bool, folder: Path) -> dict[str, Any]:
-    """The same for three front doors that follow etcd (the stand-in): until the last of them serves it."""
+async def measure_etcd_commit_delay(quick: bool, directory: Path) -> dict[str, Any]:
+    """The same delay until the last of three gateways serves it, with the stand-in for etcd as the store."""
     from ivymux.desired.copying import restore_etcd
     from ivymux.desired.etcd.client import Access
     from ivymux.desired.etcd.store import EtcdStore
     from standins.etcd import serving
 
-    workers = [ChildProcess("-m", "bench.parts", "worker")]
-    place = folder / "etcd"
-    _, requests = installation(place, 50, workers)
-    doors, times, starts = list[Door](), list[float](), list[float]()
+    backends = [ChildProcess("-m", "bench.parts", "worker")]
+    installation = directory / "etcd"
+    _, requests = write_installation(installation, 50, backends)
+    gateways, delays_s, startups_s = list[HostingProcess](), list[float](), list[float]()
     with serving() as server:
         store = EtcdStore(Access((server.endpoint_url,)))
-        await asyncio.to_thread(restore_etcd, place / "desired.db", store)
+        await asyncio.to_thread(restore_etcd, installation / "desired.db", store)
         try:
             for number in range(3):
-                file = place / f"door{number}.toml"
-                file.write_text(
+                settings_path = installation / f"door{number}.toml"
+                settings_path.write_text(
                     f'listen = "127.0.0.1:{free_port()}"\nname = "d{number}"\n'
                     f'[etcd]\nendpoints = ["{server.endpoint_url}"]\ncache = "cache{number}"\n'
                 )
-                began = time.perf_counter()
-                doors.append(Door(file))
-                await wait_until_listening(doors[-1].port)
-                starts.append(time.perf_counter() - began)
+                started_at = time.perf_counter()
+                gateways.append(HostingProcess(settings_path))
+                await wait_until_listening(gateways[-1].port)
+                startups_s.append(time.perf_counter() - started_at)
             stored = await asyncio.to_thread(store.get, "t7")
             assert stored is not None
             revision = stored.revision
             for turn in range(5 if quick else 20):
                 host = f"new{turn}.example"
-                made = msgspec.structs.replace(stored.tenant, hosts=[host])
-                change = Change(name="t7", expected=revision, tenant=made, uid="u7", at=0.0, who="",
+                tenant = msgspec.structs.replace(stored.tenant, hosts=[host])
+                change = Change(name="t7", expected=revision, tenant=tenant, uid="u7", at=0.0, who="",
                                 origin="", action="")  # fmt: skip
-                began = time.perf_counter()
+                started_at = time.perf_counter()
                 revision = await asyncio.to_thread(store.commit, change)
-                for door in doors:
+                for gateway in gateways:
                     data = requests[7].replace(b"t7.example", host.encode())
-                    while await status_of(door.port, data) == 421:
+                    while await status_of(gateway.port, data) == 421:
                         await asyncio.sleep(0.002)
-                times.append(time.perf_counter() - began)
+                delays_s.append(time.perf_counter() - started_at)
         finally:
             store.close()
-            for process in (*(door.child for door in doors), *workers):
+            for process in (*(gateway.child for gateway in gateways), *backends):
                 process.stop()
     return {
-        "from a commit to its effect at 3 front doors by etcd, 50 tenants": summarize(times, "s"),
-        "50 tenants: start by etcd": summarize(starts, "s"),
+        "from a commit to its effect at 3 front doors by etcd, 50 tenants": summarize(delays_s, "s"),
+        "50 tenants: start by etcd": summarize(startups_s, "s"),
     }
 
 
-async def status_of(port: int, data: bytes) -> int:
+async def status_of(port: int, request: bytes) -> int:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(data)
+    writer.write(request)
     head = await reader.readuntil(b"\r\n\r\n")
     writer.close()
     return int(head.split()[1])
@@ -331,12 +333,17 @@
 async def main() -> None:
     args = parse_arguments("tenants")
     with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        figures = await sizes(args.quick, folder)
-        more, ratios = await cpu_costs(args.quick, folder)
-        beside, also = await flood(args.quick, folder)
-        figures |= more | beside | await effect(args.quick, folder) | await effect_by_etcd(args.quick, folder)
-        ratios |= also
+        directory = Path(name)
+        figures = await measure_sizes(args.quick, directory)
+        cost_figures, ratios = await measure_cpu_costs(args.quick, directory)
+        flood_figures, flood_ratios = await measure_flood(args.quick, directory)
+        figures |= (
+            cost_figures
+            | flood_figures
+            | await measure_commit_delay(args.quick, directory)
+            | await measure_etcd_commit_delay(args.quick, directory)
+        )
+        ratios |= flood_ratios
     write_report(
         args, "one operation, one customer each; 4 and 2 workers that answer at once", figures, ratios
     )
