--- a/bench/tally.py
+++ b/bench/tally.py
@@ -1,7 +1,10 @@
-"""The tally as a program: calls a second beside a bare echo, in memory and with a file; its recovery.
-Simulated front doors at it: calls, what is served with and without it, how soon all is well again.
+"""The counter service: throughput next to an echo server, recovery, and outages with simulated gateways.
 
-`python -m bench.tally [--quick] [--json FILE|-]`
+    python -m bench.tally [--quick] [--json FILE|-]
+
+Measures calls per second in memory and with a file, the recovery from a file, and in a simulation the calls
+of gateways, the share of requests they serve with and without the counter, and the time until all is normal
+after an outage.
 """
 
 from __future__ import annotations
@@ -27,194 +30,221 @@
 from ivymux.tally.journal import encode_header, encode_record
 from standins.world import World, plan
 
-LINES, DEPTH = 8, 16  # connections, and calls out on each
+CONNECTIONS, PIPELINED_CALLS = 8, 16  # connections, and outstanding calls on each
 
 
-class Asker(asyncio.Protocol):
-    """One connection with so many calls out; each answer brings the next call."""
+class CounterConnection(asyncio.Protocol):
+    """A connection with PIPELINED_CALLS outstanding calls; sends one more call for each answer."""
 
-    def __init__(self, count: int, turn: int) -> None:
-        self.left, self.turn, self.name = count, turn, 0
+    def __init__(self, count: int, prefix: int) -> None:
+        self.remaining, self.prefix, self.name_number = count, prefix, 0
         self.reader = hiredis.Reader()
-        self.sent: list[float] = []
-        self.times: list[float] = []
-        self.at = 0
+        self.sent_at: list[float] = []
+        self.latencies_s: list[float] = []
+        self.answered = 0
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.ask(DEPTH)
+        self.send_calls(PIPELINED_CALLS)
 
-    def ask(self, count: int) -> None:
+    def send_calls(self, count: int) -> None:
         calls = []
-        for _ in range(min(count, self.left)):
-            self.left -= 1
-            self.name = (self.name + 1) % 5000
-            calls.append(hiredis.pack_command(("TALLY", f"{self.turn}-{self.name}", "1.5", "60000")))  # type: ignore[arg-type]
-        self.sent += [time.perf_counter()] * len(calls)
+        for _ in range(min(count, self.remaining)):
+            self.remaining -= 1
+            self.name_number = (self.name_number + 1) % 5000
+            calls.append(
+                hiredis.pack_command(("TALLY", f"{self.prefix}-{self.name_number}", "1.5", "60000"))  # type: ignore[arg-type]
+            )
+        self.sent_at += [time.perf_counter()] * len(calls)
         if calls:
             self.transport.write(b"".join(calls))
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        now, got = time.perf_counter(), 0
+        now, answer_count = time.perf_counter(), 0
         while (answer := self.reader.gets()) is not False:
             if not isinstance(answer, bytes):
                 raise AssertionError(f"not a total: {answer!r}")
-            self.times.append(now - self.sent[self.at])
-            self.at += 1
-            got += 1
-        if self.left:
-            self.ask(got)
-        elif self.at == len(self.sent) and not self.done.done():
+            self.latencies_s.append(now - self.sent_at[self.answered])
+            self.answered += 1
+            answer_count += 1
+        if self.remaining:
+            self.send_calls(answer_count)
+        elif self.answered == len(self.sent_at) and not self.done.done():
             self.done.set_result(None)
 
 
-async def ask(port: int, child: Any, count: int) -> tuple[float, float, float]:
-    """Calls a second of CPU, calls a second, and p99 in milliseconds."""
-    loop, began, before = asyncio.get_running_loop(), time.perf_counter(), child.cpu_seconds()
-    made = [
-        (await loop.create_connection(lambda n=n: Asker(count // LINES, n), "127.0.0.1", port))[1]  # type: ignore[misc]
-        for n in range(LINES)
+async def measure_calls(port: int, server: Any, count: int) -> tuple[float, float, float]:
+    """Calls per second of CPU time, calls per second, and the p99 latency in milliseconds."""
+    loop, started_at, cpu_before = asyncio.get_running_loop(), time.perf_counter(), server.cpu_seconds()
+    connections = [
+        (
+            await loop.create_connection(
+                lambda n=n: CounterConnection(count // CONNECTIONS, n),  # type: ignore[misc]
+                "127.0.0.1",
+                port,
+            )
+        )[1]
+        for n in range(CONNECTIONS)
     ]
     async with asyncio.timeout(60):
-        await asyncio.gather(*(asker.done for asker in made))
-    spent, cpu = time.perf_counter() - began, child.cpu_seconds() - before
-    times = [t for asker in made for t in asker.times]
-    for asker in made:
-        asker.transport.close()
-    if len(times) != count // LINES * LINES:
-        raise AssertionError("calls were not answered")
-    return len(times) / cpu, len(times) / spent, quantile(times, 0.99) * 1e3
+        await asyncio.gather(*(connection.done for connection in connections))
+    elapsed_s, cpu_s = time.perf_counter() - started_at, server.cpu_seconds() - cpu_before
+    latencies_s = [latency for connection in connections for latency in connection.latencies_s]
+    for connection in connections:
+        connection.transport.close()
+    if len(latencies_s) != count // CONNECTIONS * CONNECTIONS:
+        raise AssertionError("some calls were not answered")
+    return len(latencies_s) / cpu_s, len(latencies_s) / elapsed_s, quantile(latencies_s, 0.99) * 1e3
 
 
-class Program(ChildProcess):
-    """`ivymux tally` in a process of its own."""
+class CounterProcess(ChildProcess):
+    """A process that runs the counter service, `ivymux tally`."""
 
-    def __init__(self, *more: str) -> None:
+    def __init__(self, *options: str) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "ivymux", "tally", "--listen", "127.0.0.1:0", *more],
+            [sys.executable, "-m", "ivymux", "tally", "--listen", "127.0.0.1:0", *options],
             stderr=subprocess.PIPE,
         )
         assert self.process.stderr is not None
-        found = None
-        while found is None:
+        match = None
+        while match is None:
             line = self.process.stderr.readline()
             if not line:
-                raise AssertionError("the tally ended")
-            found = re.search(rb"tally on \S+:(\d+)", line)
-        self.port = int(found[1])
+                raise AssertionError("the counter service exited before it listened")
+            match = re.search(rb"tally on \S+:(\d+)", line)
+        self.port = int(match[1])
 
 
-async def calls(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
-    children: dict[str, ChildProcess] = {
+async def measure_throughput(quick: bool, directory: Path) -> tuple[dict[str, Any], dict[str, float]]:
+    servers: dict[str, ChildProcess] = {
         "a bare echo": ChildProcess("-m", "bench.parts", "echo"),
-        "in memory": Program(),
-        "with a file": Program("--file", str(folder / "counts")),
+        "in memory": CounterProcess(),
+        "with a file": CounterProcess("--file", str(directory / "counts")),
     }
-    found: dict[str, list[tuple[float, float, float]]] = {name: [] for name in children}
+    measured: dict[str, list[tuple[float, float, float]]] = {name: [] for name in servers}
     try:
         for turn in range(4 if quick else 12):
-            for name, child in children.items():
-                got = await ask(child.port, child, 16_000 if quick else 40_000)
-                if turn:  # the first one warms up
-                    found[name].append(got)
+            for name, server in servers.items():
+                rates = await measure_calls(server.port, server, 16_000 if quick else 40_000)
+                if turn:  # the first turn is a warm-up
+                    measured[name].append(rates)
     finally:
-        for child in children.values():
-            child.stop()
+        for server in servers.values():
+            server.stop()
     figures = {}
-    for name, runs in found.items():
-        figures[f"{name}: calls a second of CPU"] = summarize([r[0] for r in runs], "1/s")
-        figures[f"{name}: calls a second"] = summarize([r[1] for r in runs], "1/s")
-        figures[f"{name}: p99"] = summarize([r[2] for r in runs], "ms")
-    echo = found.pop("a bare echo")
+    for name, runs in measured.items():
+        figures[f"{name}: calls a second of CPU"] = summarize([run[0] for run in runs], "1/s")
+        figures[f"{name}: calls a second"] = summarize([run[1] for run in runs], "1/s")
+        figures[f"{name}: p99"] = summarize([run[2] for run in runs], "ms")
+    echo_runs = measured.pop("a bare echo")
     return figures, {
         f"CPU for a call {name} over a bare echo": statistics.median(
-            e[0] / r[0] for e, r in zip(echo, runs, strict=True)
+            echo_run[0] / run[0] for echo_run, run in zip(echo_runs, runs, strict=True)
         )
-        for name, runs in found.items()
+        for name, runs in measured.items()
     }
 
 
-def recovery(quick: bool, folder: Path) -> dict[str, Any]:
-    """From a file of so many names to a store that can be asked."""
-    count, times = 100_000 if quick else 1_000_000, []
-    ends = time.time() + 3600
-    path = folder / "many"
+def measure_recovery(quick: bool, directory: Path) -> dict[str, Any]:
+    """The time to recover a store from a file with many names."""
+    count, durations_s = 100_000 if quick else 1_000_000, []
+    expires_at = time.time() + 3600
+    path = directory / "many"
     path.write_bytes(
-        encode_header(os.urandom(16)) + b"".join(encode_record(b"%d" % n, 1.5, ends) for n in range(count))
+        encode_header(os.urandom(16))
+        + b"".join(encode_record(b"%d" % n, 1.5, expires_at) for n in range(count))
     )
     for _ in range(1 if quick else 3):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         store = DurableStore(path)
-        times.append(time.perf_counter() - began)
+        durations_s.append(time.perf_counter() - started_at)
         if len(store.totals) != count:
-            raise AssertionError("names were lost")
+            raise AssertionError("the recovery lost names")
         store.close()
-    return {f"recovery of {count} names": summarize(times, "s")}
+    return {f"recovery of {count} names": summarize(durations_s, "s")}
 
 
-def mark(world: World, marks: list[tuple[int, int]]) -> None:
-    marks.append((world.calls, sum(world.asked.values())))
+def record_totals(world: World, totals: list[tuple[int, int]]) -> None:
+    """Notes the calls and the requests so far."""
+    totals.append((world.calls, sum(world.asked.values())))
 
 
-def living(quick: bool) -> tuple[dict[str, Any], dict[str, float]]:
-    """Simulated front doors: calls for each request, what is served, and how soon all is well after trouble.
+def simulate_outage(quick: bool) -> tuple[dict[str, Any], dict[str, float]]:
+    """Simulated gateways: calls per request, the served share, and the recovery after an outage.
 
-    Forty customers at half of their quota and one at five times, the tally away for the middle third.
+    Forty customers use half of their quota and one sends five times its quota; the counter is unreachable
+    during the middle third of the time.
     """
     figures: dict[str, Any] = {}
     ratios: dict[str, float] = {}
     length, rate, burst = (30.0 if quick else 60.0), 20.0, 40.0
-    for doors in (4, 32) if quick else (4, 32, 256):
-        world = World(doors, plan(rate, burst, 2.0), seed=3, pace=PACE)
-        begin, each = world.now, rate / 2 / 10
-        spread = [[(n * 7 + k) % doors for k in range(4)] for n in range(40)]
-        for customer, at in enumerate(spread, start=2):
-            world.load(customer, 10 * each, at, begin, begin + length)
-        world.load(1, 5 * rate, range(doors), begin, begin + length)
-        marks: list[tuple[int, int]] = []
-        cut, healed = begin + length / 3, begin + 2 * length / 3
-        for moment, how in ((cut, "silent"), (healed, "ok")):
-            world.after(moment - begin, partial(mark, world, marks))
-            world.after(moment - begin, partial(world.cut, range(doors), how))
-        world.run(begin + length + 1)
+    for gateway_count in (4, 32) if quick else (4, 32, 256):
+        world = World(gateway_count, plan(rate, burst, 2.0), seed=3, pace=PACE)
+        began, each = world.now, rate / 2 / 10
+        gateways_of = [[(n * 7 + k) % gateway_count for k in range(4)] for n in range(40)]
+        for customer, gateways in enumerate(gateways_of, start=2):
+            world.load(customer, 10 * each, gateways, began, began + length)
+        world.load(1, 5 * rate, range(gateway_count), began, began + length)
+        totals: list[tuple[int, int]] = []
+        outage_began, outage_ended = began + length / 3, began + 2 * length / 3
+        for moment, state in ((outage_began, "silent"), (outage_ended, "ok")):
+            world.after(moment - began, partial(record_totals, world, totals))
+            world.after(moment - began, partial(world.cut, range(gateway_count), state))
+        world.run(began + length + 1)
         if world.overshoot(1, 2 * rate, 2 * burst) > 0.05 * 2 * burst:
-            raise AssertionError("the ceiling was passed")
-        (calls_cut, asked_cut), (calls_healed, asked_healed) = marks
-        quiet = range(2, 42)
-        name = f"{doors} front doors"
-        ratios[f"{name}: calls for each request"] = calls_cut / asked_cut
-        ratios[f"{name}: calls for each request while the tally is away"] = (calls_healed - calls_cut) / (
-            asked_healed - asked_cut
+            raise AssertionError("the flooding customer exceeded its upper bound")
+        (calls_before, requests_before), (calls_after, requests_after) = totals
+        ordinary_customers = range(2, 42)
+        name = f"{gateway_count} front doors"
+        ratios[f"{name}: calls for each request"] = calls_before / requests_before
+        ratios[f"{name}: calls for each request while the tally is away"] = (calls_after - calls_before) / (
+            requests_after - requests_before
         )
-        spans = {"": (begin, cut), " while it is away": (cut, healed), " after": (healed, begin + length)}
-        for what, (since, until) in spans.items():
-            ratios[f"{name}: served of the quiet{what}"] = statistics.mean(
-                world.served(customer, since, until) for customer in quiet
+        phases = {
+            "": (began, outage_began),
+            " while it is away": (outage_began, outage_ended),
+            " after": (outage_ended, began + length),
+        }
+        for phase, (phase_began, phase_ended) in phases.items():
+            ratios[f"{name}: served of the quiet{phase}"] = statistics.mean(
+                world.served(customer, phase_began, phase_ended) for customer in ordinary_customers
             )
-            flood = sum(since <= let.at < until for let in world.let if let.customer == 1)
-            ratios[f"{name}: the flood's use of its quota{what}"] = flood / (rate * (until - since))
-        usual = ratios[f"{name}: served of the quiet"]
-        steady = next(
+            flood = sum(
+                phase_began <= admission.at < phase_ended
+                for admission in world.let
+                if admission.customer == 1
+            )
+            ratios[f"{name}: the flood's use of its quota{phase}"] = flood / (
+                rate * (phase_ended - phase_began)
+            )
+        usual_share = ratios[f"{name}: served of the quiet"]
+        recovered_after = next(
             second
             for second in range(int(length))
             if statistics.mean(
-                world.served(c, healed + second, healed + second + 1) for c in quiet
-            ) >= 0.98 * usual
+                world.served(customer, outage_ended + second, outage_ended + second + 1)
+                for customer in ordinary_customers
+            ) >= 0.98 * usual_share
         )  # fmt: skip
-        figures[f"{name}: until the quiet are served as before"] = summarize([float(steady)], "s")
+        figures[f"{name}: until the quiet are served as before"] = summarize([float(recovered_after)], "s")
     return figures, ratios
 
 
 async def main() -> None:
     args = parse_arguments("tally")
     with tempfile.TemporaryDirectory() as name:
-        figures, ratios = await calls(args.quick, Path(name))
-        figures |= recovery(args.quick, Path(name))
-    more, also = living(args.quick)
-    figures, ratios = figures | more, ratios | also
-    write_report(args, f"{LINES} connections with {DEPTH} calls out each, 40,000 names", figures, ratios)
+        figures, ratios = await measure_throughput(args.quick, Path(name))
+        figures |= measure_recovery(args.quick, Path(name))
+    simulated_figures, simulated_ratios = simulate_outage(args.quick)
+    figures, ratios = figures | simulated_figures, ratios | simulated_ratios
+    write_report(
+        args,
+        f"{CONNECTIONS} connections with {PIPELINED_CALLS} calls out each, 40,000 names",
+        figures,
+        ratios,
+    )
 
 
 if __name__ == "__main__":
