--- a/bench/routes.py
+++ b/bench/routes.py
@@ -1,4 +1,4 @@
-"""Routes by description: CPU for each request beside a bare pass-through, matching, loading, serving on.
+"""Routes from an API description: CPU per request next to a minimal proxy, matching, loading, reloading.
 
 `python -m bench.routes [--quick] [--json FILE|-]`
 """
@@ -31,8 +31,8 @@
 from orchidhill.interface import Scope
 
 CONNECTIONS, CUSTOMERS, BACKENDS = 32, 200, 4
-FIELDS = [(b"user-agent", b"bench"), (b"accept", b"*/*")]
-KEYS = [f"iv_bench-key-{n:04d}" for n in range(CUSTOMERS)]
+HEADERS = [(b"user-agent", b"bench"), (b"accept", b"*/*")]
+CALLER_KEYS = [f"iv_bench-key-{n:04d}" for n in range(CUSTOMERS)]
 
 
 def free_port() -> int:
@@ -52,7 +52,7 @@
                 await asyncio.sleep(0.02)
 
 
-# --- the doors ---------------------------------------------------------------------------------------
+# --- the gateways ------------------------------------------------------------------------------------
 
 
 def small_description() -> dict[str, Any]:
@@ -68,14 +68,16 @@
     }
 
 
-def write_site(folder: Path, workers: list[ChildProcess], port: int, document: bytes) -> Path:
-    (folder / "api.json").write_bytes(document)
+def write_site(directory: Path, backends: list[ChildProcess], port: int, document: bytes) -> Path:
+    (directory / "api.json").write_bytes(document)
     lines = [f'listen = "127.0.0.1:{port}"', '[description]\nfile = "api.json"\nwatch = 0',
              "[plans.p]\nrate = 10000.0\nburst = 20000"]  # fmt: skip
-    lines += [f'[[callers.keys]]\ncustomer = "c{n}"\nplan = "p"\nhash = "{hash_key(k.encode())}"'
-              for n, k in enumerate(KEYS)]  # fmt: skip
-    lines += [f'[[workers]]\nname = "w{n}"\naddress = "{w.address}"' for n, w in enumerate(workers)]
-    path = folder / "site.toml"
+    lines += [f'[[callers.keys]]\ncustomer = "c{n}"\nplan = "p"\nhash = "{hash_key(key.encode())}"'
+              for n, key in enumerate(CALLER_KEYS)]  # fmt: skip
+    lines += [
+        f'[[workers]]\nname = "w{n}"\naddress = "{backend.address}"' for n, backend in enumerate(backends)
+    ]
+    path = directory / "site.toml"
     path.write_text("\n".join(lines))
     return path
 
@@ -83,15 +85,17 @@
 def standalone_requests() -> list[bytes]:
     return [
         b"GET /meetings/%d HTTP/1.1\r\nHost: h\r\nX-API-Key: %s\r\n\r\n" % (n, key.encode())
-        for n, key in enumerate(KEYS)
+        for n, key in enumerate(CALLER_KEYS)
     ]
 
 
-def write_platform_config(folder: Path, workers: list[ChildProcess], tally: ChildProcess, port: int) -> Path:
-    known = [
-        {"host": f"s-{n:08x}", "dial": w.address, "site": "a", "class": "m", "block": 0, "health": "Ready",
-         "share": 1.0, "born_ms": 0}
-        for n, w in enumerate(workers)
+def write_platform_config(
+    directory: Path, backends: list[ChildProcess], counter: ChildProcess, port: int
+) -> Path:
+    hosts = [
+        {"host": f"s-{n:08x}", "dial": backend.address, "site": "a", "class": "m", "block": 0,
+         "health": "Ready", "share": 1.0, "born_ms": 0}
+        for n, backend in enumerate(backends)
     ]  # fmt: skip
     settings = {
         "me": 0, "peers_total": 1, "az": 0, "zones": ["a"], "host_types": ["m"], "period_s": 0.002,
@@ -105,17 +109,17 @@
                      "dedup_scope": "cell", "memory_span_s": 0.0, "worth": 1.0}],
         "tariffs": [{"name": "p", "pays": 1.0, "quota_rate": 10000.0, "peak_units": 20000.0}],
     }  # fmt: skip
-    path = folder / "config.json"
+    path = directory / "config.json"
     path.write_text(json.dumps({
         "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "seed": "1",
-        "counter": tally.address, "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 1024},
-        "known": {"seq": 1, "whole": True, "hosts": known}, "settings": settings,
+        "counter": counter.address, "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 1024},
+        "known": {"seq": 1, "whole": True, "hosts": hosts}, "settings": settings,
     }))  # fmt: skip
     return path
 
 
 class PlatformLoad(Load):
-    """Each request has an id of its own there."""
+    """Requests to the platform gateway, each with its own id."""
 
     def __init__(self, count: int) -> None:
         super().__init__([b""], len(ANSWER_BODY), count)
@@ -125,69 +129,71 @@
     def __len__(self) -> int:
         return 1 << 60
 
-    def __getitem__(self, turn: int) -> bytes:
+    def __getitem__(self, request_index: int) -> bytes:
         self.request_number += 1
         return (
             b"GET /meetings?customer=%016x HTTP/1.1\r\nHost: h\r\nRequest-Id: %016x\r\n"
             b"Request-Class: meetings\r\nX-Tier: p\r\nRequest-Timeout: 9000m\r\n"
             b"X-Call-Terms: units=1,spread=1,first=0\r\n\r\n"
-        ) % (turn % CUSTOMERS, self.request_number)
+        ) % (request_index % CUSTOMERS, self.request_number)
 
 
-async def cpu_per_request_us(door: ChildProcess, load: Load, port: int) -> float:
-    """Microseconds of CPU for each request."""
+async def cpu_per_request_us(gateway: ChildProcess, load: Load, port: int) -> float:
+    """Runs the load; returns the gateway's CPU time per request in microseconds."""
     count = load.remaining
-    before = door.cpu_seconds()
+    cpu_before = gateway.cpu_seconds()
     await load.run(port, CONNECTIONS)
-    return (door.cpu_seconds() - before) / count * 1e6
+    return (gateway.cpu_seconds() - cpu_before) / count * 1e6
 
 
-async def requests(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
-    count, runs = (2_000, 11) if quick else (5_000, 21)  # short rounds in turn: the machine is shared
-    workers = [ChildProcess("-m", "bench.parts", "worker") for _ in range(BACKENDS)]
-    floor = ChildProcess("-m", "bench.parts", "floor", workers[0].address)
-    tally = ChildProcess("-m", "bench.parts", "tally")
+async def measure_requests(quick: bool, directory: Path) -> tuple[dict[str, Any], dict[str, float]]:
+    count, runs = (2_000, 11) if quick else (5_000, 21)  # short alternate rounds, as the machine is shared
+    backends = [ChildProcess("-m", "bench.parts", "worker") for _ in range(BACKENDS)]
+    minimal_proxy = ChildProcess("-m", "bench.parts", "floor", backends[0].address)
+    counter = ChildProcess("-m", "bench.parts", "tally")
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
-    own, theirs, many = free_port(), free_port(), free_port()
-    (folder / "many").mkdir()
-    config = env | {"NODE_CONFIG": str(write_platform_config(folder, workers, tally, theirs))}
-    one = write_site(folder, workers, own, json.dumps(small_description()).encode())
-    large_one = write_site(folder / "many", workers, many, with_small(1200))
-    doors = {
-        "floor": (floor, floor.port),
-        "platform": (ChildProcess("-m", "ivymux", env=config, prints_port=False), theirs),
-        "standalone": (ChildProcess("-m", "ivymux", "serve", str(one), env=env, prints_port=False), own),
+    standalone_port, platform_port, large_port = free_port(), free_port(), free_port()
+    (directory / "many").mkdir()
+    config = env | {"NODE_CONFIG": str(write_platform_config(directory, backends, counter, platform_port))}
+    small_site = write_site(directory, backends, standalone_port, json.dumps(small_description()).encode())
+    large_site = write_site(directory / "many", backends, large_port, large_description_with_small(1200))
+    gateways = {
+        "floor": (minimal_proxy, minimal_proxy.port),
+        "platform": (ChildProcess("-m", "ivymux", env=config, prints_port=False), platform_port),
+        "standalone": (
+            ChildProcess("-m", "ivymux", "serve", str(small_site), env=env, prints_port=False),
+            standalone_port),
         "standalone, 1200 operations": (
-            ChildProcess("-m", "ivymux", "serve", str(large_one), env=env, prints_port=False), many),
+            ChildProcess("-m", "ivymux", "serve", str(large_site), env=env, prints_port=False), large_port),
     }  # fmt: skip
     try:
-        for _, port in doors.values():
+        for _, port in gateways.values():
             await wait_until_listening(port)
-        spent: dict[str, list[float]] = {name: [] for name in doors}
+        cpu_us: dict[str, list[float]] = {name: [] for name in gateways}
         for run in range(runs + 1):
-            for name, (child, port) in doors.items():
+            for name, (process, port) in gateways.items():
                 if name == "platform":
                     load: Load = PlatformLoad(count)
                 else:
                     load = Load(standalone_requests(), len(ANSWER_BODY), count)
-                found = await cpu_per_request_us(child, load, port)
-                if run:  # the first warms up
-                    spent[name].append(found)
-        peak = doors["standalone, 1200 operations"][0].peak_mb()
+                us = await cpu_per_request_us(process, load, port)
+                if run:  # the first run is a warm-up
+                    cpu_us[name].append(us)
+        peak_mb = gateways["standalone, 1200 operations"][0].peak_mb()
     finally:
-        for child in [c for c, _ in doors.values()] + workers + [tally]:
-            child.stop()
-    figures = {f"CPU for each request, {name}": summarize(values, "us") for name, values in spent.items()}
-    figures["peak memory, standalone, 1200 operations"] = summarize([peak], "MB")
-    pairs = {name: sorted(a / b for a, b in zip(values, spent["floor"], strict=True))
-             for name, values in spent.items()}  # fmt: skip
-    ratios = {f"{name} over the floor": values[len(values) // 2] for name, values in pairs.items()}
-    beside = sorted(a / b for a, b in zip(spent["standalone"], spent["platform"], strict=True))
-    ratios["standalone over platform"] = beside[len(beside) // 2]
+        for process in [process for process, _ in gateways.values()] + backends + [counter]:
+            process.stop()
+    figures = {f"CPU for each request, {name}": summarize(values, "us") for name, values in cpu_us.items()}
+    figures["peak memory, standalone, 1200 operations"] = summarize([peak_mb], "MB")
+    ratios_to_floor = {name: sorted(a / b for a, b in zip(values, cpu_us["floor"], strict=True))
+                       for name, values in cpu_us.items()}  # fmt: skip
+    ratios = {f"{name} over the floor": values[len(values) // 2] for name, values in ratios_to_floor.items()}
+    ratios_to_platform = sorted(a / b for a, b in zip(cpu_us["standalone"], cpu_us["platform"], strict=True))
+    ratios["standalone over platform"] = ratios_to_platform[len(ratios_to_platform) // 2]
     return figures, ratios
 
 
-def with_small(operations: int) -> bytes:
+def large_description_with_small(operations: int) -> bytes:
     document = large_description(operations)
     document["paths"].update(small_description()["paths"])
     return json.dumps(document).encode()
@@ -196,40 +202,42 @@
 # --- matching and loading ----------------------------------------------------------------------------
 
 
-def matching(quick: bool) -> tuple[dict[str, Any], dict[str, float]]:
+def measure_matching(quick: bool) -> tuple[dict[str, Any], dict[str, float]]:
     figures, medians = {}, {}
     for size in (1_200, 12_000):
         data = large_description_text(size)
         compiled = compile_description("api.json", lambda _, data=data: data)  # type: ignore[misc]
         operations = compiled.operations
         router = Router.of(operations)
-        targets = [(o, re.sub(r"{[^}]*}", "ab12", o.path).encode()) for o in operations]
+        targets = [
+            (operation, re.sub(r"{[^}]*}", "ab12", operation.path).encode()) for operation in operations
+        ]
         for operation, target in targets:
             assert router.match(operation.method, target)[0].operation is operation
-        times = []
+        durations_us = []
         for _ in range(15 if quick else 60):
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             for operation, target in targets:
                 router.match(operation.method, target)
-            times.append((time.perf_counter() - began) / len(targets) * 1e6)
-        figures[f"match, {size} operations"] = summarize(times, "us")
+            durations_us.append((time.perf_counter() - started_at) / len(targets) * 1e6)
+        figures[f"match, {size} operations"] = summarize(durations_us, "us")
         table = Table(compiled, ClassTable(0.0, Scope.ALL))
         for _ in table.build():
             pass
         table.enter()
-        times = []
+        durations_us = []
         for _ in range(15 if quick else 60):
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             for operation, target in targets:
-                table.decide(operation.method, target, FIELDS)
-            times.append((time.perf_counter() - began) / len(targets) * 1e6)
-        figures[f"all that is decided of a route, {size} operations"] = summarize(times, "us")
+                table.decide(operation.method, target, HEADERS)
+            durations_us.append((time.perf_counter() - started_at) / len(targets) * 1e6)
+        figures[f"all that is decided of a route, {size} operations"] = summarize(durations_us, "us")
         medians[size] = figures[f"match, {size} operations"]["median"]
     return figures, {"match at 12000 over 1200": medians[12_000] / medians[1_200]}
 
 
-def start_alone(path: Path, cache: Path) -> tuple[float, float]:
-    """Seconds until a description is there in a process of its own, and that process's peak memory in MB."""
+def load_in_new_process(path: Path, cache: Path) -> tuple[float, float]:
+    """Loads a description in a new process; returns the seconds that it took and the peak memory in MB."""
     code = (
         "import asyncio, resource, sys, time; from pathlib import Path\n"
         "from ivymux.service.compiler import obtain, Options\n"
@@ -240,76 +248,83 @@
         "peak = max(resource.getrusage(w).ru_maxrss for w in who)\n"
         "print(time.perf_counter() - began, peak / 1024)\n"
     )
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code, str(path), str(cache)], capture_output=True, text=True, check=True
     )
-    seconds, peak = map(float, done.stdout.split())
+    seconds, peak = map(float, process.stdout.split())
     return seconds, peak
 
 
-def loading(quick: bool, folder: Path) -> dict[str, Any]:
-    path = folder / "large.json"
+def measure_loading(quick: bool, directory: Path) -> dict[str, Any]:
+    path = directory / "large.json"
     path.write_bytes(large_description_text(1_200, 10_500))
-    first, second, peaks = [], [], []
+    uncached_s, cached_s, peaks_mb = [], [], []
     for run in range(2 if quick else 5):
-        cache = folder / f"cache{run}"
-        seconds, peak = start_alone(path, cache)
-        first.append(seconds)
-        peaks.append(peak)
-        second.append(start_alone(path, cache)[0])
+        cache = directory / f"cache{run}"
+        seconds, peak_mb = load_in_new_process(path, cache)
+        uncached_s.append(seconds)
+        peaks_mb.append(peak_mb)
+        cached_s.append(load_in_new_process(path, cache)[0])
     return {
         "size of the large description": summarize([path.stat().st_size / 1e6], "MB"),
-        "load, 1200 operations": summarize(first, "s"),
-        "load from the cache": summarize(second, "s"),
-        "peak memory of the compiler": summarize(peaks, "MB"),
+        "load, 1200 operations": summarize(uncached_s, "s"),
+        "load from the cache": summarize(cached_s, "s"),
+        "peak memory of the compiler": summarize(peaks_mb, "MB"),
     }
 
 
-async def serving_on(quick: bool, folder: Path) -> tuple[dict[str, Any], dict[str, float]]:
-    """Latencies at a steady pace, with and without a large description on its way in."""
-    worker = ChildProcess("-m", "bench.parts", "worker")
+async def measure_latency_during_load(
+    quick: bool, directory: Path
+) -> tuple[dict[str, Any], dict[str, float]]:
+    """The p99 latency at a constant request rate, while a large description is loaded and otherwise."""
+    backend = ChildProcess("-m", "bench.parts", "worker")
     port = free_port()
     env = {k: v for k, v in os.environ.items() if not k.startswith("NODE_")}
-    path = write_site(folder, [worker], port, json.dumps(small_description()).encode())
-    door = ChildProcess("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
+    path = write_site(directory, [backend], port, json.dumps(small_description()).encode())
+    gateway = ChildProcess("-m", "ivymux", "serve", str(path), env=env, prints_port=False)
     document = json.loads(large_description_text(1_200, 10_500))
-    quiet, busy = [], []
+    steady_ms, loading_ms = [], []
     try:
         await wait_until_listening(port)
         for run in range(2 if quick else 5):
             load = Load(standalone_requests(), len(ANSWER_BODY), 2_000, pause_s=0.01)
             await load.run(port, 8)
-            quiet.append(quantile(load.latencies_s, 0.99) * 1e3)
+            steady_ms.append(quantile(load.latencies_s, 0.99) * 1e3)
             document["info"]["version"] = str(run)
             document["paths"].update(small_description()["paths"])
-            (folder / "api.json").write_text(json.dumps(document))
+            (directory / "api.json").write_text(json.dumps(document))
             load = Load(standalone_requests(), len(ANSWER_BODY), 2_000, pause_s=0.01)
-            door.process.send_signal(signal.SIGHUP)
+            gateway.process.send_signal(signal.SIGHUP)
             await load.run(port, 8)
-            busy.append(quantile(load.latencies_s, 0.99) * 1e3)
+            loading_ms.append(quantile(load.latencies_s, 0.99) * 1e3)
     finally:
-        door.stop()
-        worker.stop()
-    more = sorted(b - q for b, q in zip(busy, quiet, strict=True))
+        gateway.stop()
+        backend.stop()
+    differences_ms = sorted(a - b for a, b in zip(loading_ms, steady_ms, strict=True))
     figures = {
-        "p99 at a steady pace": summarize(quiet, "ms"),
-        "p99 while a large description comes in": summarize(busy, "ms"),
-        "p99 more while it does": summarize(more, "ms"),
+        "p99 at a steady pace": summarize(steady_ms, "ms"),
+        "p99 while a large description comes in": summarize(loading_ms, "ms"),
+        "p99 more while it does": summarize(differences_ms, "ms"),
+    }
+    return figures, {
+        "p99 while loading over quiet": loading_ms[len(loading_ms) // 2] / steady_ms[len(steady_ms) // 2]
     }
-    return figures, {"p99 while loading over quiet": busy[len(busy) // 2] / quiet[len(quiet) // 2]}
 
 
 async def main() -> None:
     args = parse_arguments("routes")
     with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        (folder / "site").mkdir()
-        (folder / "on").mkdir()
-        figures, ratios = await requests(args.quick, folder / "site")
-        for more, others in (matching(args.quick), await serving_on(args.quick, folder / "on")):
-            figures |= more
-            ratios |= others
-        figures |= loading(args.quick, folder)
+        directory = Path(name)
+        (directory / "site").mkdir()
+        (directory / "on").mkdir()
+        figures, ratios = await measure_requests(args.quick, directory / "site")
+        for more_figures, more_ratios in (
+            measure_matching(args.quick),
+            await measure_latency_during_load(args.quick, directory / "on"),
+        ):
+            figures |= more_figures
+            ratios |= more_ratios
+        figures |= measure_loading(args.quick, directory)
     workload = (
         f"{CONNECTIONS} connections, {CUSTOMERS} customers, {BACKENDS} workers; GET with a small answer"
     )
