--- a/bench/descriptions.py
+++ b/bench/descriptions.py
@@ -1,4 +1,4 @@
-"""Descriptions of any size, made from a seed: what large public ones look like, by shape and weight."""
+"""Generates API descriptions of any size from a seed, similar in structure to large public ones."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 from typing import Any
 
-WORDS = [
+NAMES = [
     "meetings",
     "minutes",
     "recordings",
@@ -34,30 +34,30 @@
 ]
 
 
-def large_description(operations: int, weight: int = 0, seed: int = 1) -> dict[str, Any]:
-    """A description with about so many operations; `weight` is the bytes of schemas beside each."""
+def large_description(operations: int, schema_bytes: int = 0, seed: int = 1) -> dict[str, Any]:
+    """A description of about `operations` operations, each with at least `schema_bytes` of schemas."""
     rng = random.Random(seed)
     paths: dict[str, Any] = {}
     schemas: dict[str, Any] = {}
-    made = 0
-    while made < operations:
+    count = 0
+    while count < operations:
         depth = rng.randint(1, 4)
-        path = f"/{rng.choice(WORDS)}{made // 40}"
+        path = f"/{rng.choice(NAMES)}{count // 40}"
         for level in range(depth):
-            path += f"/{{{WORDS[level]}_id}}/{rng.choice(WORDS)}"
+            path += f"/{{{NAMES[level]}_id}}/{rng.choice(NAMES)}"
         item = paths.setdefault(path, {})
-        free = [m for m in ("get", "post", "put", "delete") if m not in item]
-        if not free:
+        free_methods = [method for method in ("get", "post", "put", "delete") if method not in item]
+        if not free_methods:
             continue
-        for method in free[: rng.randint(1, 2)]:
-            name = f"Shape{made}"
-            schemas[name] = shape(rng, weight)
+        for method in free_methods[: rng.randint(1, 2)]:
+            name = f"Shape{count}"
+            schemas[name] = make_schema(rng, schema_bytes)
             parameters = [
-                {"name": f"{WORDS[level]}_id", "in": "path", "required": True, "schema": {"type": "string"}}
+                {"name": f"{NAMES[level]}_id", "in": "path", "required": True, "schema": {"type": "string"}}
                 for level in range(depth)
             ]
             item[method] = {
-                "operationId": f"{method}{made}",
+                "operationId": f"{method}{count}",
                 "parameters": parameters,
                 "responses": {
                     "200": {
@@ -66,7 +66,7 @@
                     }
                 },
             }
-            made += 1
+            count += 1
     return {
         "openapi": "3.0.3",
         "info": {"title": "A large service", "version": "1"},
@@ -75,22 +75,26 @@
     }
 
 
-def shape(rng: random.Random, weight: int) -> dict[str, Any]:
+def make_schema(rng: random.Random, schema_bytes: int) -> dict[str, Any]:
     properties: dict[str, Any] = {}
     size = 0
-    while size < weight:
-        name = f"{rng.choice(WORDS)}_{len(properties)}"
+    while size < schema_bytes:
+        name = f"{rng.choice(NAMES)}_{len(properties)}"
         properties[name] = {
             "type": "object",
-            "description": " ".join(rng.choices(WORDS, k=8)),
+            "description": " ".join(rng.choices(NAMES, k=8)),
             "properties": {
-                word: {"type": "string", "description": " ".join(rng.choices(WORDS, k=6)), "nullable": True}
-                for word in rng.sample(WORDS, 6)
+                property_name: {
+                    "type": "string",
+                    "description": " ".join(rng.choices(NAMES, k=6)),
+                    "nullable": True,
+                }
+                for property_name in rng.sample(NAMES, 6)
             },
         }
         size += len(json.dumps(properties[name]))
     return {"type": "object", "properties": properties}
 
 
-def large_description_text(operations: int, weight: int = 0, seed: int = 1) -> bytes:
-    return json.dumps(large_description(operations, weight, seed)).encode()
+def large_description_text(operations: int, schema_bytes: int = 0, seed: int = 1) -> bytes:
+    return json.dumps(large_description(operations, schema_bytes, seed)).encode()
