--- a/bench/control_days.py
+++ b/bench/control_days.py
@@ -119,7 +119,7 @@
         22.0,
         {"kind": "power_off_all", "down_s": 1.0},
     ),
-    # 4. Many changes, with machines unreachable during some of them.
+    # 4. Hundreds of changes, with machines unreachable during some of them.
     Day(
         "many changes",
         (
--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -44,7 +44,7 @@
 
 
 async def measure_reading(quick: bool, directory: Path) -> dict[str, Any]:
-    """The time to read and check an inventory in a child process, and the part without starting that."""
+    """The time to read and check an inventory in a child process, and without starting a child."""
     path = directory / "workers.csv"
     previous, changed = make_inventory(WORKERS, []), make_inventory(WORKERS, [], 1)
     path.write_bytes(write_sheet(changed))
