--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -144,11 +144,11 @@
 
 
 def test_serving_goes_on_while_a_description_is_compiled(tmp_path: Path) -> None:
-    from bench.descriptions import text
+    from bench.descriptions import large_description_text
 
     async def test() -> None:
         async with running_gateway(tmp_path, description="watch = 0") as fixture:
-            fixture.write_description(text(1200, 2000))
+            fixture.write_description(large_description_text(1200, 2000))
             work = asyncio.ensure_future(fixture.gateway.reload_description())
             served = 0
             async with Client(fixture.gateway) as client:
