--- a/ivymux/admin/operations.py
+++ b/ivymux/admin/operations.py
@@ -30,7 +30,7 @@
 from ivymux.inventory.change_policy import ChangePolicy
 from ivymux.inventory.model import Inventory, InventoryError
 from ivymux.membership.files import Content, parse_content
-from ivymux.routes.model import Compiled, DescriptionError
+from ivymux.routes.model import CompiledDescription, DescriptionError
 from ivymux.service.compiler import CompilerError, Texts, compile_texts
 from ivymux.service.site import findings as site_findings
 from ivymux.tenants import secret
@@ -256,7 +256,7 @@
                 tenant = replace(tenant, routes=replace(routes, compiled=digest(data)))
             else:
                 data = await self.read_text(uid, routes.compiled, new_blobs)
-                compiled = msgspec.msgpack.decode(data, type=Compiled)
+                compiled = msgspec.msgpack.decode(data, type=CompiledDescription)
             min_cost = min((o.cost.amount for o in compiled.operations if not o.cost.source), default=0.0)
             for plan in site.plans:
                 max_cost = min(plan.burst or 1e18, plan.ceiling_burst or 1e18)
@@ -547,7 +547,7 @@
     return main, found, base
 
 
-async def compile_routes(texts: Texts) -> Compiled:
+async def compile_routes(texts: Texts) -> CompiledDescription:
     try:
         return await compile_texts(texts)
     except DescriptionError as error:
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -21,7 +21,7 @@
 from ivymux.membership.member_list import MAX_ENTRIES_PER_EVENT, MemberList, worker_number
 from ivymux.membership.resolver import Resolver, is_address, system_look_up
 from ivymux.routes.classes import ClassTable, TooManyClasses
-from ivymux.routes.model import Compiled
+from ivymux.routes.model import CompiledDescription
 from ivymux.routes.table import Table
 from ivymux.service.frontend import HttpFrontend
 from ivymux.service.site import SCOPES, Site, settings
@@ -120,7 +120,7 @@
     # --- changes of state ------------------------------------------------------------------------------
 
     async def apply_state(
-        self, tenant: Tenant, revision: int, compiled: Compiled, inventory: Inventory, now: float
+        self, tenant: Tenant, revision: int, compiled: CompiledDescription, inventory: Inventory, now: float
     ) -> None:
         """Switch to a new state as a whole.
 
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -21,7 +21,7 @@
 from ivymux.hosting.tenant_counters import SharedCounter, SharedTallyCounter
 from ivymux.inventory.model import Inventory
 from ivymux.membership.resolver import CACHE_LIFETIME_S
-from ivymux.routes.model import Compiled
+from ivymux.routes.model import CompiledDescription
 from ivymux.service.lifecycle import Door
 from ivymux.service.site import MAX_ANSWERS
 from ivymux.tally.clock import SharedClock
@@ -132,7 +132,7 @@
         try:
             if missing:
                 raise UnservableState(f"it lacks {', '.join(missing)}")
-            compiled = await self.read_blob(stored.uid, tenant.routes.compiled, Compiled)
+            compiled = await self.read_blob(stored.uid, tenant.routes.compiled, CompiledDescription)
             inventory = await self.read_blob(stored.uid, tenant.inventory.parsed, Inventory)
             await hosted.apply_state(tenant, stored.revision, compiled, inventory, time.monotonic())
         except (UnservableState, ConfigError) as error:
--- a/ivymux/routes/compare.py
+++ b/ivymux/routes/compare.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ivymux.routes.model import Compiled, Operation
+from ivymux.routes.model import CompiledDescription, Operation
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,7 +35,7 @@
 RETRY_RANK = {"unsafe": 0, "keyed": 1, "safe": 2}
 
 
-def compare(old: Compiled, new: Compiled) -> Changes:
+def compare(old: CompiledDescription, new: CompiledDescription) -> Changes:
     """Compare by method and path, because an operationId may move from one operation to another."""
     before = {(o.method, o.path): o for o in old.operations}
     after = {(o.method, o.path): o for o in new.operations}
--- a/ivymux/routes/description.py
+++ b/ivymux/routes/description.py
@@ -20,7 +20,7 @@
     METHODS,
     SAFE_METHODS,
     ClassDefaults,
-    Compiled,
+    CompiledDescription,
     Cost,
     DescriptionError,
     Findings,
@@ -41,7 +41,7 @@
 BasePaths = tuple[str, ...]
 
 
-def compile_description(name: str, read: ReadFile, options: Options | None = None) -> Compiled:
+def compile_description(name: str, read: ReadFile, options: Options | None = None) -> CompiledDescription:
     """Compile the description in file `name`; `read` returns the bytes of a file by its path.
 
     Raises DescriptionError with all findings if one of them is an error, so that no part of it is served.
@@ -60,7 +60,7 @@
     if findings.errors:
         raise DescriptionError(findings.kept)
     info = root["info"]
-    return Compiled(
+    return CompiledDescription(
         str(info.get("title", "")), str(info.get("version", "")), operations, findings.kept,
         findings.left_out, documents.digests,
     )  # fmt: skip
--- a/ivymux/routes/model.py
+++ b/ivymux/routes/model.py
@@ -127,7 +127,7 @@
     most_operations: int = 20_000
 
 
-class Compiled(msgspec.Struct, frozen=True):
+class CompiledDescription(msgspec.Struct, frozen=True):
     """A valid description, compiled."""
 
     title: str
--- a/ivymux/routes/table.py
+++ b/ivymux/routes/table.py
@@ -10,7 +10,7 @@
 from ivymux.routes.classes import ClassTable
 from ivymux.routes.description import cost_units
 from ivymux.routes.matcher import NoRoute, Route, Router
-from ivymux.routes.model import Compiled, Operation
+from ivymux.routes.model import CompiledDescription, Operation
 from ivymux.routes.target import Target
 from orchidhill.interface import Effect, RequestClass
 
@@ -36,7 +36,7 @@
 class Table:
     """The routes of one compiled description.  A request keeps the table that it arrived under."""
 
-    def __init__(self, compiled: Compiled, classes: ClassTable) -> None:
+    def __init__(self, compiled: CompiledDescription, classes: ClassTable) -> None:
         self.compiled, self.classes = compiled, classes
         self.router = Router()
         self.class_numbers: dict[RequestClass, int] = {}
--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from ivymux import __version__
-from ivymux.routes.model import Compiled, DescriptionError, Finding, Options
+from ivymux.routes.model import CompiledDescription, DescriptionError, Finding, Options
 from ivymux.routes.refs import ReadFile
 from ivymux.text import MAX_BYTES
 
@@ -38,7 +38,7 @@
 class Cached(msgspec.Struct, frozen=True):
     program: str  # the version that made it
     options: Options
-    compiled: Compiled
+    compiled: CompiledDescription
 
 
 def reader(path: Path) -> ReadFile:
@@ -97,17 +97,17 @@
     return 0
 
 
-async def compile_beside(path: Path, options: Options) -> Compiled:
+async def compile_beside(path: Path, options: Options) -> CompiledDescription:
     """A file's description, compiled in a process of its own.  Raises DescriptionError, CompilerError."""
     return await compile_in_child(str(path), [str(path)], msgspec.json.encode(options))
 
 
-async def compile_texts(texts: Texts) -> Compiled:
+async def compile_texts(texts: Texts) -> CompiledDescription:
     """The same for one that is in no folder.  Raises DescriptionError, CompilerError."""
     return await compile_in_child(texts.main, [], msgspec.msgpack.encode(texts))
 
 
-async def compile_in_child(path: str, arguments: list[str], given: bytes) -> Compiled:
+async def compile_in_child(path: str, arguments: list[str], given: bytes) -> CompiledDescription:
     try:
         child = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "ivymux.service.compiler", *arguments,
@@ -127,7 +127,7 @@
             with contextlib.suppress(ProcessLookupError):
                 child.kill()
     if out[:1] == GOOD and len(out) <= MAX_OUTPUT:
-        return msgspec.msgpack.decode(out[1:], type=Compiled)
+        return msgspec.msgpack.decode(out[1:], type=CompiledDescription)
     if out[:1] == BAD:
         raise DescriptionError(msgspec.msgpack.decode(out[1:], type=list[Finding]))
     raise CompilerError(f"{path}: needs more than {MAX_CPU} s or {MAX_MEMORY >> 30} GiB to compile")
@@ -140,13 +140,13 @@
     return folder / f"{path.name}.{sha256(str(path.resolve()).encode()).hexdigest()[:12]}.routes"
 
 
-def unchanged(path: Path, compiled: Compiled) -> bool:
+def unchanged(path: Path, compiled: CompiledDescription) -> bool:
     """Whether every file that a description was made of is still the same.  Raises OSError."""
     read = reader(path)
     return all(sha256(read(name)).hexdigest() == known for name, known in compiled.files.items())
 
 
-def load_cached(folder: Path, path: Path, options: Options) -> Compiled | None:
+def load_cached(folder: Path, path: Path, options: Options) -> CompiledDescription | None:
     """The compiled description as kept, if every file that it was made of is still the same."""
     try:
         data = cache_file(folder, path).read_bytes()
@@ -165,7 +165,7 @@
     return kept.compiled
 
 
-def keep(folder: Path, path: Path, options: Options, compiled: Compiled) -> None:
+def keep(folder: Path, path: Path, options: Options, compiled: CompiledDescription) -> None:
     """Keep a compiled description: whole or not at all.  Raises OSError."""
     payload = msgspec.msgpack.encode(Cached(__version__, options, compiled))
     folder.mkdir(parents=True, exist_ok=True)
@@ -182,7 +182,7 @@
         raise
 
 
-async def obtain(path: Path, options: Options, cache: Path | None) -> tuple[Compiled, bool]:
+async def obtain(path: Path, options: Options, cache: Path | None) -> tuple[CompiledDescription, bool]:
     """A description from the cache or compiled, and whether it was kept."""
     if cache is not None:
         compiled = await asyncio.to_thread(load_cached, cache, path, options)
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -12,7 +12,7 @@
 from ivymux.data_plane.limits import Address, ConfigError, parse_address
 from ivymux.inventory.change_policy import Limits
 from ivymux.inventory.model import FieldError, Worker, parse_worker_address
-from ivymux.routes.model import ClassDefaults, Compiled, Options
+from ivymux.routes.model import ClassDefaults, CompiledDescription, Options
 from ivymux.service.callers import CallerError, Callers
 from ivymux.tally.engine import RedisPart, check_redis_settings
 from orchidhill import interface as i
@@ -341,7 +341,7 @@
     )  # fmt: skip
 
 
-def findings(site: Site, compiled: Compiled) -> list[str]:
+def findings(site: Site, compiled: CompiledDescription) -> list[str]:
     """What of a description a site's plans could never serve."""
     found = []
     for plan_ in site.plans:
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -25,7 +25,7 @@
 from ivymux.platform.counter import Counter
 from ivymux.routes.classes import ClassTable, TooManyClasses
 from ivymux.routes.compare import compare
-from ivymux.routes.model import Compiled, DescriptionError
+from ivymux.routes.model import CompiledDescription, DescriptionError
 from ivymux.routes.table import Table
 from ivymux.service.compiler import CompilerError, obtain, unchanged
 from ivymux.service.frontend import HttpFrontend
@@ -64,7 +64,7 @@
 class Standalone(Door):
     """One front door."""
 
-    def __init__(self, path: Path, site: Site, compiled: Compiled) -> None:
+    def __init__(self, path: Path, site: Site, compiled: CompiledDescription) -> None:
         super().__init__()
         self.path, self.site, self.options = path, site, site.options
         limits, file = site.file.limits, site.file
@@ -239,7 +239,7 @@
                 log.warning("description: %s", text)
             return True
 
-    async def take_over(self, compiled: Compiled) -> None:
+    async def take_over(self, compiled: CompiledDescription) -> None:
         """Serve new requests by another description.  Raises TooManyClasses, changing nothing."""
         table = Table(compiled, self.classes)
         for _ in table.build():
--- a/ivymux/tenants/model.py
+++ b/ivymux/tenants/model.py
@@ -58,7 +58,7 @@
     main: str = ""
     files: dict[str, str] = {}
     base: str | None = None
-    compiled: str = ""  # the digest of `Compiled` as MessagePack
+    compiled: str = ""  # the digest of `CompiledDescription` as MessagePack
 
 
 class InventoryRef(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/tests/routes/describing.py
+++ b/tests/routes/describing.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ivymux.routes.description import compile_description
-from ivymux.routes.model import Compiled, DescriptionError, Options
+from ivymux.routes.model import CompiledDescription, DescriptionError, Options
 
 RESPONSES = {"200": {"description": "done"}}
 
@@ -48,7 +48,7 @@
     return read
 
 
-def compiled(document: Any, options: Options | None = None, **files: Any) -> Compiled:
+def compiled(document: Any, options: Options | None = None, **files: Any) -> CompiledDescription:
     """Compile a description; `files` are further files, with two underscores for the dot of a name."""
     data = {"api.json": document if isinstance(document, bytes) else json.dumps(document).encode()}
     for name, value in files.items():
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ivymux.routes.model import Compiled, Options
+from ivymux.routes.model import CompiledDescription, Options
 from ivymux.service import compiler
 from ivymux.service.compiler import (
     cache_file,
@@ -241,7 +241,7 @@
 
     run(test())
     with pytest.raises(OSError):
-        keep(blocked / "cache", path, Options(), Compiled("", "", [], [], 0, {}))
+        keep(blocked / "cache", path, Options(), CompiledDescription("", "", [], [], 0, {}))
     assert set(tmp_path.iterdir()) == {path, blocked}
 
 
