--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from ivymux import __version__
-from ivymux.routes.model import Compiled, DescriptionError, Finding, Options
+from ivymux.routes.model import CompiledDescription, DescriptionError, Finding, Options
 from ivymux.routes.refs import ReadFile
 from ivymux.text import MAX_BYTES
 
@@ -40,7 +40,7 @@
 
     program: str  # the version of the program that compiled it
     options: Options
-    compiled: Compiled
+    compiled: CompiledDescription
 
 
 def folder_reader(path: Path) -> ReadFile:
@@ -103,17 +103,17 @@
     return 0
 
 
-async def compile_file(path: Path, options: Options) -> Compiled:
+async def compile_file(path: Path, options: Options) -> CompiledDescription:
     """Compile the description in a file.  Raises DescriptionError, CompilerError."""
     return await run_compiler(str(path), [str(path)], msgspec.json.encode(options))
 
 
-async def compile_texts(texts: Texts) -> Compiled:
+async def compile_texts(texts: Texts) -> CompiledDescription:
     """Compile a description in memory.  Raises DescriptionError, CompilerError."""
     return await run_compiler(texts.main, [], msgspec.msgpack.encode(texts))
 
 
-async def run_compiler(path: str, arguments: list[str], input_data: bytes) -> Compiled:
+async def run_compiler(path: str, arguments: list[str], input_data: bytes) -> CompiledDescription:
     """Run the child process; `path` names the description in errors.  Raises as `compile_file` does."""
     try:
         child = await asyncio.create_subprocess_exec(
@@ -134,7 +134,7 @@
             with contextlib.suppress(ProcessLookupError):
                 child.kill()
     if out[:1] == COMPILED_MARK and len(out) <= MAX_OUTPUT_BYTES:
-        return msgspec.msgpack.decode(out[1:], type=Compiled)
+        return msgspec.msgpack.decode(out[1:], type=CompiledDescription)
     if out[:1] == FINDINGS_MARK:
         raise DescriptionError(msgspec.msgpack.decode(out[1:], type=list[Finding]))
     raise CompilerError(f"{path}: needs more than {MAX_CPU_S} s or {MAX_MEMORY_BYTES >> 30} GiB to compile")
@@ -148,13 +148,13 @@
     return folder / f"{path.name}.{sha256(str(path.resolve()).encode()).hexdigest()[:12]}.routes"
 
 
-def is_unchanged(path: Path, compiled: Compiled) -> bool:
+def is_unchanged(path: Path, compiled: CompiledDescription) -> bool:
     """Return whether all files that a description was compiled from are unchanged.  Raises OSError."""
     read = folder_reader(path)
     return all(sha256(read(name)).hexdigest() == digest for name, digest in compiled.files.items())
 
 
-def load_cached(folder: Path, path: Path, options: Options) -> Compiled | None:
+def load_cached(folder: Path, path: Path, options: Options) -> CompiledDescription | None:
     """Return the compiled description from the cache, or None if it is not there, damaged or outdated."""
     try:
         data = cache_file(folder, path).read_bytes()
@@ -173,7 +173,7 @@
     return cached.compiled
 
 
-def store_cached(folder: Path, path: Path, options: Options, compiled: Compiled) -> None:
+def store_cached(folder: Path, path: Path, options: Options, compiled: CompiledDescription) -> None:
     """Write a compiled description to the cache, atomically.  Raises OSError."""
     payload = msgspec.msgpack.encode(Cached(__version__, options, compiled))
     folder.mkdir(parents=True, exist_ok=True)
@@ -190,7 +190,9 @@
         raise
 
 
-async def load_or_compile(path: Path, options: Options, cache: Path | None) -> tuple[Compiled, bool]:
+async def load_or_compile(
+    path: Path, options: Options, cache: Path | None
+) -> tuple[CompiledDescription, bool]:
     """Return a description's compiled form, and whether it came from the cache.
 
     Raises DescriptionError, CompilerError.
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -25,7 +25,7 @@
 from ivymux.platform.counter import Counter
 from ivymux.routes.classes import ClassTable, TooManyClasses
 from ivymux.routes.compare import compare
-from ivymux.routes.model import Compiled, DescriptionError
+from ivymux.routes.model import CompiledDescription, DescriptionError
 from ivymux.routes.table import Table
 from ivymux.service.compiler import CompilerError, is_unchanged, load_or_compile
 from ivymux.service.frontend import HttpFrontend
@@ -66,7 +66,7 @@
 class StandaloneGateway(BaseGateway):
     """A gateway for one site, whose description, workers and API keys may change while it serves."""
 
-    def __init__(self, path: Path, site: Site, compiled: Compiled) -> None:
+    def __init__(self, path: Path, site: Site, compiled: CompiledDescription) -> None:
         super().__init__()
         self.path, self.site, self.options = path, site, site.options
         limits, file = site.file.limits, site.file
@@ -249,7 +249,7 @@
                 log.warning("description: %s", text)
             return True
 
-    async def apply_description(self, compiled: Compiled) -> None:
+    async def apply_description(self, compiled: CompiledDescription) -> None:
         """Serve new requests by another description.  Raises TooManyClasses without a change."""
         table = Table(compiled, self.classes)
         for _ in table.build():
