--- a/ivymux/simulation/__init__.py
+++ b/ivymux/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Where lines are tried out: models of what the system does, without clocks and sockets."""
+"""Simulations of the system without clocks and sockets, and runs of its processes on loopback addresses."""
--- a/ivymux/simulation/rules/configuration.py
+++ b/ivymux/simulation/rules/configuration.py
@@ -53,7 +53,7 @@
             not_older = [version for version in naming if version >= newest]
             if not not_older:
                 if naming and sent_at > observed_at + REVERT_SLACK_S:
-                    text = f"door {proxy} sent it as before version {newest}, whose effect was seen"
+                    text = f"proxy {proxy} used a version before {newest}, which had taken effect"
                     yield Breach("CONFIG", run.id, text)
             elif min(not_older) > newest:
                 newest, observed_at = min(not_older), run.at
--- a/ivymux/simulation/rules/departures.py
+++ b/ivymux/simulation/rules/departures.py
@@ -24,7 +24,9 @@
     for id, run in history.all_runs():
         late_by = run.at - quiesced.get(run.backend, run.at)
         if run.done and late_by > DRAIN_BOUND_S and history.is_quiet(run.at):
-            yield Breach("DRAIN", id, f"reached {run.backend} {late_by:.1f} s after its leaving was heard")
+            yield Breach(
+                "DRAIN", id, f"reached {run.backend} {late_by:.1f} s after its quiescing was acknowledged"
+            )
 
 
 def check_readiness(history: History) -> Iterable[Breach]:
@@ -80,7 +82,7 @@
         faults += [start.at for start in history.starts]
         is_disturbed = any(answer.sent - QUIET_PERIOD_S <= at <= answer.at for at in faults)
         if is_draining and not is_disturbed:
-            yield Breach("LOST", id, "a door that ended in order closed its connection without an answer")
+            yield Breach("LOST", id, "a proxy that was draining closed its connection without an answer")
         elif not is_draining and history.is_quiet(answer.sent, answer.at):
             unanswered.append(id)
     if len(unanswered) > UNANSWERED_ALLOWANCE:
--- a/tests/proxy/test_lease_counts.py
+++ b/tests/proxy/test_lease_counts.py
@@ -205,19 +205,19 @@
 
 @pytest.mark.parametrize("times", [1, 2])
 def test_a_quota_holds_when_its_counts_are_lost(times: int) -> None:
-    for trouble in ("counts", "doors"):
+    for fault in ("counts lost", "proxies restarted"):
         tenant = Tenant(quota_plan("hot", 33.0, 33.0), lambda s: 33.0 * HOT(s))
         simulation = QuotaSimulation(11, [tenant], 2)
         lose = (
             simulation.lose_counts
-            if trouble == "counts"
+            if fault == "counts lost"
             else lambda simulation=simulation: simulation.restart_all_proxies(0.6)
         )
         for loss in range(times):
             simulation.schedule_at(START_TIME + 6.0 + 1.2 * loss, lose)
         simulation.run_until(10.0)
-        assert tenant.max_sent_within(5.0) <= tenant.allowed_within_window(), trouble
-        assert len([at for at in tenant.sent_at if at > START_TIME + 8.0]) > 2 * 33.0 * 0.8, trouble
+        assert tenant.max_sent_within(5.0) <= tenant.allowed_within_window(), fault
+        assert len([at for at in tenant.sent_at if at > START_TIME + 8.0]) > 2 * 33.0 * 0.8, fault
 
 
 def test_a_quota_that_changes_within_a_window_holds_with_its_new_value() -> None:
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -48,7 +48,7 @@
 
 
 def test_two_planned_shutdowns_in_a_row_and_then_a_lost_disk(tmp_path: Path) -> None:
-    """The leader leaves for good, then its successor does; each hands over before it ends."""
+    """The primary leaves for good, then its successor does; each hands over before it ends."""
 
     async def scenario() -> None:
         async with local_cluster(tmp_path, core_count=5, proxy_count=0) as cluster:
--- a/tests/system/test_conversation_load.py
+++ b/tests/system/test_conversation_load.py
@@ -1,4 +1,4 @@
-"""The conversation load test for twenty seconds: proxies, backends and the leader fail and return."""
+"""The conversation load test for twenty seconds: proxies, backends and the primary fail and return."""
 
 from __future__ import annotations
 
--- a/tests/system/test_conversations.py
+++ b/tests/system/test_conversations.py
@@ -63,7 +63,9 @@
                 summary.append(f"{title}: {' | '.join(outcomes)}; runs {len(desk.executed)}")
                 desk.executed.clear()
 
-            await note("twice, at two doors", await act(cluster, 0, '"a"'), await settled(cluster, 1, '"a"'))
+            await note(
+                "twice, at two proxies", await act(cluster, 0, '"a"'), await settled(cluster, 1, '"a"')
+            )
             await note("the same key bare", await act(cluster, 1, "a"))
             await note("another body", await act(cluster, 0, '"a"', body=b"no"))
             await note("another path", await act(cluster, 1, '"a"', "/sign/2"))
@@ -105,12 +107,12 @@
             desk.make_answer = lambda ran: None
             ran = len(desk.executed)
             log = (tmp_path / "log.txt").read_text()
-            leader = log.split("is in force: primary ")[-1].split(",")[0]
-            await cluster.kill(leader)
+            primary = log.split("is in force: primary ")[-1].split(",")[0]
+            await cluster.kill(primary)
             while (outcome := await act(cluster, 1, '"a"')).startswith(("503", "no")):
                 await asyncio.sleep(0.02)
             assert outcome == "200 (kept) desk /sign/1"
-            await cluster.start(leader)
+            await cluster.start(primary)
             for ip in (*cluster.core_ips, *cluster.proxy_ips):
                 await cluster.kill(ip)
             await cluster.start_all()
@@ -121,11 +123,11 @@
                 assert outcome == "200 (kept) desk /sign/1"
                 assert (await act(cluster, proxy, '"lost"')).startswith("502 whether this action ran")
             assert len(desk.executed) == ran
-            # The current leader loses its disk, and comes back empty.
+            # The current primary loses its disk, and comes back empty.
             log = (tmp_path / "log.txt").read_text()
-            leader = log.split("is in force: primary ")[-1].split(",")[0]
-            await cluster.wipe(leader)
-            await cluster.start(leader)
+            primary = log.split("is in force: primary ")[-1].split(",")[0]
+            await cluster.wipe(primary)
+            await cluster.start(primary)
             while (outcome := await act(cluster, 0, '"a"')).startswith(("503", "no")):
                 await asyncio.sleep(0.02)
             assert outcome == "200 (kept) desk /sign/1" and len(desk.executed) == ran
--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -73,10 +73,10 @@
                 assert refused is not None
                 summary.append(f"{what} -> {refused.status_code}")
             status, _ = await cluster.put_configuration(build_configuration(12, read="desk", sign="desk"))
-            summary.append(f"PUT /configuration, read goes to the desk -> {status}")
+            summary.append(f"PUT /configuration, read goes to desk -> {status}")
             for proxy in cluster.proxy_ips:
                 await cluster.wait_until_routed_to(proxy, "desk")
-            summary.append("both doors send it there")
+            summary.append("both proxies send it there")
 
     asyncio.run(scenario())
     assert summary == snapshot
@@ -164,19 +164,19 @@
             await cluster.put_configuration(build_configuration(1))
             await cluster.wait_until_served(cluster.proxy_ips[0])
             log = (tmp_path / "log.txt").read_text()
-            leader = log.split("is in force: primary ")[-1].split(",")[0]
-            await cluster.kill(leader)
-            others = [c for c in cluster.core_ips if c != leader]
+            primary = log.split("is in force: primary ")[-1].split(",")[0]
+            await cluster.kill(primary)
+            others = [c for c in cluster.core_ips if c != primary]
             assert (await cluster.put_configuration(build_configuration(5), others))[0] == 200
-            await cluster.start(leader)
-            assert (await cluster.put_configuration(build_configuration(8), [leader]))[0] == 200
+            await cluster.start(primary)
+            assert (await cluster.put_configuration(build_configuration(8), [primary]))[0] == 200
             assert json.loads(await cluster.read_configuration())["config_version"] == 8
-            # The current leader loses its disk while all other machines lose power.
+            # The current primary loses its disk while all other machines lose power.
             log = (tmp_path / "log.txt").read_text()
-            leader = log.split("is in force: primary ")[-1].split(",")[0]
+            primary = log.split("is in force: primary ")[-1].split(",")[0]
             for ip in (*cluster.core_ips, *cluster.proxy_ips):
                 await cluster.kill(ip)
-            await cluster.wipe(leader)
+            await cluster.wipe(primary)
             await cluster.start_all()
             assert json.loads(await cluster.read_configuration())["config_version"] == 8
             await cluster.wait_until_served(cluster.proxy_ips[0])
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -95,7 +95,7 @@
                 for proxy in range(2):
                     for caller in callers:
                         summary.append(
-                            f"  {caller} at door {proxy}: {await answer_to(cluster, proxy, caller, path)}"
+                            f"  {caller} at proxy {proxy}: {await answer_to(cluster, proxy, caller, path)}"
                         )
 
             for body, what in (
@@ -181,12 +181,12 @@
         async with local_cluster(tmp_path, timeout_s=60.0) as cluster:
             await started_cluster(cluster)
             await start_trial(cluster, "t", lasts="30s")
-            leader = cluster.primary_ip()
-            await cluster.kill(leader)
+            primary = cluster.primary_ip()
+            await cluster.kill(primary)
             await cluster.kill(cluster.proxy_ips[0])
             await cluster.start(cluster.proxy_ips[0])
             await cluster.wait_until_ready(cluster.proxy_ips[0])
-            core = next(n for n, ip in enumerate(cluster.core_ips) if ip != leader)
+            core = next(n for n, ip in enumerate(cluster.core_ips) if ip != primary)
             while len((await trial_report(cluster, "t", core))["in_force_at"]) < 2:
                 await asyncio.sleep(0.02)
             for proxy in range(2):
@@ -209,10 +209,10 @@
             await start_trial(cluster, "t")
             for ip in cluster.core_ips:
                 await cluster.kill(ip)
-            gone = asyncio.get_running_loop().time()
+            killed_at = asyncio.get_running_loop().time()
             while not (await answer_to(cluster, 0, "clerks")).startswith("200"):
                 await asyncio.sleep(0.02)
-            assert asyncio.get_running_loop().time() - gone < LEASE_S + 0.5
+            assert asyncio.get_running_loop().time() - killed_at < LEASE_S + 0.5
             for ip in cluster.core_ips:
                 await cluster.start(ip)
             while not (await answer_to(cluster, 0, "clerks")).startswith(
