--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -95,11 +95,11 @@
 def test_the_primary_serves_reads_while_a_member_with_a_slow_disk_joins() -> None:
     cluster = start_cluster(2, 3)
     primary = machine_with_role(cluster, PRIMARY)
-    away = machine_with_role(cluster, WITNESS)
-    cluster.wipe(away)
-    cluster.machines[away].disk.commit_s = 1.0
+    witness = machine_with_role(cluster, WITNESS)
+    cluster.wipe(witness)
+    cluster.machines[witness].disk.commit_s = 1.0
     cluster.run_for(0.5)
-    cluster.start(away)
+    cluster.start(witness)
     for _ in range(160):
         cluster.run_for(0.05)
         assert cluster.primaries() == [primary]
--- a/tests/proxy/test_lease_counts.py
+++ b/tests/proxy/test_lease_counts.py
@@ -148,17 +148,17 @@
     counts.add(count(1, BURST, 10.0), "d1", 10.0)
     holders.update_proxies({proxy: at for proxy, at in proxies.items() if proxy not in ("d6", "d7")}, 10.0)
     # Two of eight are missing for a second: a quarter of the rate is reserved for them.
-    left = available(counts, 11.0, 11.0)
-    assert left == pytest.approx(RATE - RATE / 4)
+    available_before = available(counts, 11.0, 11.0)
+    assert available_before == pytest.approx(RATE - RATE / 4)
     holders.update_proxies(proxies, 11.0)
     # One is back and reports a late grant that its reserved share covers.
     counts.add(count(1, 1.25, 11.0, late=1.25, spread=1.0), "d6", 11.0)
-    assert available(counts, 11.0, 11.0) == pytest.approx(left)
+    assert available(counts, 11.0, 11.0) == pytest.approx(available_before)
 
 
-def partitioned_and_reconnected(seed: int, part: float) -> DistributedQuotaSimulation:
+def partitioned_and_reconnected(seed: int, fraction: float) -> DistributedQuotaSimulation:
     """Eight tenants at eight proxies, two of which are partitioned at 3 s + 1.1 s per seed, for 8 s."""
-    tenants = [Tenant(quota_plan(f"t{n}", 33.0, 33.0), lambda s: part * 33.0) for n in range(8)]
+    tenants = [Tenant(quota_plan(f"t{n}", 33.0, 33.0), lambda s: fraction * 33.0) for n in range(8)]
     simulation = DistributedQuotaSimulation(8, tenants, seed)
     at = START_TIME + 3.0 + 1.1 * seed
     for proxy in (2 * seed % 8, (2 * seed + 1) % 8):
@@ -171,14 +171,14 @@
 @pytest.mark.parametrize("seed", [3, 11, 20])
 def test_tenants_within_their_quotas_are_served_when_proxies_reconnect(seed: int) -> None:
     """Late grants used to drain full buckets: 0.08 to 0.16 of requests were refused, 0.24 of one tenant's."""
-    simulation, back = partitioned_and_reconnected(seed, 0.8), 3.0 + 1.1 * seed + 8.0
-    assert max(t.failed_share(back, back + 3.0) for t in simulation.tenants) < 1 / 20
+    simulation, reconnected_at = partitioned_and_reconnected(seed, 0.8), 3.0 + 1.1 * seed + 8.0
+    assert max(t.failed_share(reconnected_at, reconnected_at + 3.0) for t in simulation.tenants) < 1 / 20
 
 
 @pytest.mark.parametrize("seed", [0, 1])
 def test_a_quota_holds_while_partitioned_proxies_grant_their_shares(seed: int) -> None:
     """Three of eight grant theirs; with nothing reserved for them, 51 more were sent than the rule allows."""
-    tenant = Tenant(quota_plan("hot", 99.0, 99.0), lambda s: 99.0 * HOT(s))
+    tenant = Tenant(quota_plan("hot", 99.0, 99.0), lambda s: 99.0 * LOAD_FACTOR(s))
     simulation = DistributedQuotaSimulation(8, [tenant], seed)
     for proxy in range(seed, seed + 3):
         simulation.schedule_at(START_TIME + 3.5, lambda proxy=proxy: simulation.partition(proxy))  # type: ignore[misc]
@@ -187,7 +187,7 @@
     assert tenant.max_sent_within(5.0) <= tenant.allowed_within_window()
 
 
-HOT: Callable[[float], float] = lambda s: 9.0 if 3.0 <= s < 9.0 else 0.6  # noqa: E731  # times its rate
+LOAD_FACTOR: Callable[[float], float] = lambda s: 9.0 if 3.0 <= s < 9.0 else 0.6  # noqa: E731  # times its rate
 
 
 @pytest.mark.parametrize(("proxies", "rate", "burst"), [(11, 33.0, 33.0), (75, 198.0, 198.0), (85, 8.0, 8.0)])
@@ -195,18 +195,18 @@
     proxies: int, rate: float, burst: float
 ) -> None:
     """When each proxy corrected for overflow on its own, 75 proxies sent 4.1 times the quota."""
-    tenant = Tenant(quota_plan("hot", rate, burst), lambda s: rate * HOT(s))
+    tenant = Tenant(quota_plan("hot", rate, burst), lambda s: rate * LOAD_FACTOR(s))
     QuotaSimulation(proxies, [tenant], 1).run_until(10.0)
-    whole = 5 * rate + burst
+    quota = 5 * rate + burst
     assert (
-        0.95 * whole < tenant.max_sent_within(5.0) <= whole + 0.2 * (tenant.allowed_within_window() - whole)
+        0.95 * quota < tenant.max_sent_within(5.0) <= quota + 0.2 * (tenant.allowed_within_window() - quota)
     )
 
 
 @pytest.mark.parametrize("times", [1, 2])
 def test_a_quota_holds_when_its_counts_are_lost(times: int) -> None:
     for fault in ("counts lost", "proxies restarted"):
-        tenant = Tenant(quota_plan("hot", 33.0, 33.0), lambda s: 33.0 * HOT(s))
+        tenant = Tenant(quota_plan("hot", 33.0, 33.0), lambda s: 33.0 * LOAD_FACTOR(s))
         simulation = QuotaSimulation(11, [tenant], 2)
         lose = (
             simulation.lose_counts
@@ -221,7 +221,7 @@
 
 
 def test_a_quota_that_changes_within_a_window_holds_with_its_new_value() -> None:
-    tenant = Tenant(quota_plan("hot", 260.0, 260.0), lambda s: 150.0 * HOT(s))
+    tenant = Tenant(quota_plan("hot", 260.0, 260.0), lambda s: 150.0 * LOAD_FACTOR(s))
     simulation = QuotaSimulation(40, [tenant], 3)
     simulation.schedule_at(
         START_TIME + 1.0, lambda: simulation.change_quota(tenant, quota_plan("hot", 150.0, 150.0))
--- a/tests/system/test_conversations.py
+++ b/tests/system/test_conversations.py
@@ -11,7 +11,7 @@
 from standins.backend import CLOSE_MARKER, Backend
 
 
-async def act(
+async def try_action(
     cluster: LocalCluster, proxy: int, key: str, path: str = "/sign/1", body: bytes = b"yes", **more: str
 ) -> str:
     """Try an action once, and summarise the answer that its caller gets."""
@@ -30,14 +30,14 @@
     return f"{answer.status_code}{after}{kept} {answer.text.strip()}"
 
 
-async def settled(cluster: LocalCluster, proxy: int, key: str) -> str:
-    """The same, once the core knows that the action has ended, which it learns after the answer was sent."""
-    while (outcome := await act(cluster, proxy, key)).startswith("409"):
+async def try_until_ended(cluster: LocalCluster, proxy: int, key: str) -> str:
+    """Try an action until the core knows that it has ended, which it learns after the answer was sent."""
+    while (outcome := await try_action(cluster, proxy, key)).startswith("409"):
         await asyncio.sleep(0.02)
     return outcome
 
 
-async def started(cluster: LocalCluster, *desks: str) -> list[Backend]:
+async def start_backends(cluster: LocalCluster, *desks: str) -> list[Backend]:
     """Start the cluster with these backends of the service `desk`, and return them once all proxies serve."""
     await cluster.start_all(initial_start=True)
     backends = [await cluster.start_backend(name, "desk") for name in desks]
@@ -57,40 +57,56 @@
 
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            (desk,) = await started(cluster, "i-desk")
+            (desk,) = await start_backends(cluster, "i-desk")
 
-            async def note(title: str, *outcomes: str) -> None:
+            async def record_outcomes(title: str, *outcomes: str) -> None:
                 summary.append(f"{title}: {' | '.join(outcomes)}; runs {len(desk.executed)}")
                 desk.executed.clear()
 
-            await note(
-                "twice, at two proxies", await act(cluster, 0, '"a"'), await settled(cluster, 1, '"a"')
+            await record_outcomes(
+                "twice, at two proxies",
+                await try_action(cluster, 0, '"a"'),
+                await try_until_ended(cluster, 1, '"a"'),
             )
-            await note("the same key bare", await act(cluster, 1, "a"))
-            await note("another body", await act(cluster, 0, '"a"', body=b"no"))
-            await note("another path", await act(cluster, 1, '"a"', "/sign/2"))
-            await note(
-                "no key in the quotes, two keys", await act(cluster, 0, '""'), await act(cluster, 0, 'a" "b')
+            await record_outcomes("the same key bare", await try_action(cluster, 1, "a"))
+            await record_outcomes("another body", await try_action(cluster, 0, '"a"', body=b"no"))
+            await record_outcomes("another path", await try_action(cluster, 1, '"a"', "/sign/2"))
+            await record_outcomes(
+                "no key in the quotes, two keys",
+                await try_action(cluster, 0, '""'),
+                await try_action(cluster, 0, 'a" "b'),
             )
             desk.answer_gate = asyncio.Event()
-            first = asyncio.get_running_loop().create_task(act(cluster, 0, '"b"'))
+            first = asyncio.get_running_loop().create_task(try_action(cluster, 0, '"b"'))
             while not desk.executed:
                 await asyncio.sleep(0.01)
-            second = await act(cluster, 1, '"b"')
+            second = await try_action(cluster, 1, '"b"')
             desk.answer_gate.set()
-            await note("while the first is at work", second, await first)
+            await record_outcomes("while the first is at work", second, await first)
             desk.answer_gate = None
-            await note("and then", await settled(cluster, 1, '"b"'))
+            await record_outcomes("and then", await try_until_ended(cluster, 1, '"b"'))
             desk.make_answer = lambda ran: CLOSE_MARKER
-            await note("its answer is lost", await act(cluster, 0, '"c"'), await settled(cluster, 1, '"c"'))
+            await record_outcomes(
+                "its answer is lost",
+                await try_action(cluster, 0, '"c"'),
+                await try_until_ended(cluster, 1, '"c"'),
+            )
             desk.make_answer = lambda ran: Backend.encode_answer(500, ran.id, b"no ink")
-            await note("the backend fails", await act(cluster, 0, '"d"'), await settled(cluster, 1, '"d"'))
+            await record_outcomes(
+                "the backend fails",
+                await try_action(cluster, 0, '"d"'),
+                await try_until_ended(cluster, 1, '"d"'),
+            )
             desk.make_answer = lambda ran: Backend.encode_answer(503, ran.id, headers="Not-Executed: 1\r\n")
-            refused = await act(cluster, 0, '"e"')
+            refused = await try_action(cluster, 0, '"e"')
             desk.executed.clear()
             desk.make_answer = lambda ran: None
-            await note("it did not run at first", refused, await settled(cluster, 1, '"e"'))
-            await note("a read is no action", (await cluster.wait_until_served(cluster.proxy_ips[0])).text)
+            await record_outcomes(
+                "it did not run at first", refused, await try_until_ended(cluster, 1, '"e"')
+            )
+            await record_outcomes(
+                "a read is no action", (await cluster.wait_until_served(cluster.proxy_ips[0])).text
+            )
 
     asyncio.run(scenario())
     assert summary == snapshot
@@ -99,17 +115,17 @@
 def test_an_answered_action_survives_the_loss_of_the_leader_and_of_all_processes(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            (desk,) = await started(cluster, "i-desk")
-            assert await act(cluster, 0, '"a"') == "200 desk /sign/1"
-            assert await settled(cluster, 1, '"a"') == "200 (kept) desk /sign/1"
+            (desk,) = await start_backends(cluster, "i-desk")
+            assert await try_action(cluster, 0, '"a"') == "200 desk /sign/1"
+            assert await try_until_ended(cluster, 1, '"a"') == "200 (kept) desk /sign/1"
             desk.make_answer = lambda ran: CLOSE_MARKER
-            assert (await act(cluster, 0, '"lost"')).startswith("502")
+            assert (await try_action(cluster, 0, '"lost"')).startswith("502")
             desk.make_answer = lambda ran: None
             ran = len(desk.executed)
             log = (tmp_path / "log.txt").read_text()
             primary = log.split("is in force: primary ")[-1].split(",")[0]
             await cluster.kill(primary)
-            while (outcome := await act(cluster, 1, '"a"')).startswith(("503", "no")):
+            while (outcome := await try_action(cluster, 1, '"a"')).startswith(("503", "no")):
                 await asyncio.sleep(0.02)
             assert outcome == "200 (kept) desk /sign/1"
             await cluster.start(primary)
@@ -118,17 +134,17 @@
             await cluster.start_all()
             for proxy in range(2):
                 await cluster.wait_until_ready(cluster.proxy_ips[proxy])
-                while (outcome := await act(cluster, proxy, '"a"')).startswith(("503", "no")):
+                while (outcome := await try_action(cluster, proxy, '"a"')).startswith(("503", "no")):
                     await asyncio.sleep(0.02)
                 assert outcome == "200 (kept) desk /sign/1"
-                assert (await act(cluster, proxy, '"lost"')).startswith("502 whether this action ran")
+                assert (await try_action(cluster, proxy, '"lost"')).startswith("502 whether this action ran")
             assert len(desk.executed) == ran
             # The current primary loses its disk, and comes back empty.
             log = (tmp_path / "log.txt").read_text()
             primary = log.split("is in force: primary ")[-1].split(",")[0]
             await cluster.wipe(primary)
             await cluster.start(primary)
-            while (outcome := await act(cluster, 0, '"a"')).startswith(("503", "no")):
+            while (outcome := await try_action(cluster, 0, '"a"')).startswith(("503", "no")):
                 await asyncio.sleep(0.02)
             assert outcome == "200 (kept) desk /sign/1" and len(desk.executed) == ran
 
@@ -138,7 +154,7 @@
 def test_a_conversation_stays_with_its_backend_at_every_proxy(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            desks = await started(cluster, "i-one", "i-two", "i-three")
+            desks = await start_backends(cluster, "i-one", "i-two", "i-three")
             settings = {"settings_version": 3, "conversation_header": "X-Matter"}
             for body, status in (
                 (settings, 200), ({**settings, "kept_for": "soon"}, 400), ({"kept_for": "1h"}, 400),
@@ -155,7 +171,7 @@
                 await asyncio.sleep(0.02)
             for n in range(40):
                 matter = f"matter-{n % 8}"
-                outcome = await act(cluster, n % 2, f'"k-{n}"', f"/sign/{n}", X_Matter=matter)
+                outcome = await try_action(cluster, n % 2, f'"k-{n}"', f"/sign/{n}", X_Matter=matter)
                 assert outcome.startswith("200")
                 (by,) = [d.instance for d in desks if any(r.target == f"/sign/{n}" for r in d.executed)]
                 used.setdefault(matter, set()).add(by)
@@ -169,16 +185,20 @@
 
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            (desk,) = await started(cluster, "i-desk")
+            (desk,) = await start_backends(cluster, "i-desk")
             desk.answer_gate = asyncio.Event()
-            first = asyncio.get_running_loop().create_task(act(cluster, 0, '"a"', Time_Remaining="600"))
+            first = asyncio.get_running_loop().create_task(
+                try_action(cluster, 0, '"a"', Time_Remaining="600")
+            )
             while not desk.executed:
                 await asyncio.sleep(0.01)
             await cluster.kill(cluster.proxy_ips[0])
             desk.answer_gate.set()
             assert await first == "no answer"
-            assert (await act(cluster, 1, '"a"')).startswith("409 come back")
-            assert (await settled(cluster, 1, '"a"')).startswith("502 whether this action ran is not known")
+            assert (await try_action(cluster, 1, '"a"')).startswith("409 come back")
+            assert (await try_until_ended(cluster, 1, '"a"')).startswith(
+                "502 whether this action ran is not known"
+            )
             assert len(desk.executed) == 1
 
     asyncio.run(scenario())
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -1,4 +1,4 @@
-"""Clients that leave before their answer, over real processes: which work continues at backends."""
+"""Clients that disconnect before their answer, over real processes: which work continues at backends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ivymux.simulation.local_cluster import LocalCluster, build_configuration, local_cluster
 from standins.backend import Backend
 
-MAX_CANCEL_DELAY_S = 0.5  # from a client's departure to the end of the work for it
+MAX_CANCEL_DELAY_S = 0.5  # from a client's disconnect to the end of the work for it
 ROUNDS = 3  # the fastest counts, as other load can only slow one down
 CLIENT_TIMEOUT_MS = 30_000  # so long that no deadline ends the work
 
@@ -29,24 +29,26 @@
     return configuration
 
 
-class DepartingClient:
+class DisconnectingClient:
     """A client that closes its connection before its requests are answered."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def connect(cls, proxy: str) -> DepartingClient:
+    async def connect(cls, proxy: str) -> DisconnectingClient:
         return cls(*await asyncio.open_connection(proxy, 8520))
 
-    def ask(self, id: str, method: str = "GET", path: str = "/read/1", more: str = "") -> None:
+    def send_request(
+        self, id: str, method: str = "GET", path: str = "/read/1", extra_headers: str = ""
+    ) -> None:
         self.writer.write(
-            f"{method} {path} HTTP/1.1\r\nHost: minutes.example\r\nTry-Id: {id}\r\n{more}"
+            f"{method} {path} HTTP/1.1\r\nHost: minutes.example\r\nTry-Id: {id}\r\n{extra_headers}"
             f"Time-Remaining: {CLIENT_TIMEOUT_MS}\r\n"
             f"Authorization: Bearer key-one\r\nContent-Length: 0\r\n\r\n".encode()
         )
 
-    def leave(self, how: str) -> None:
+    def disconnect(self, how: str) -> None:
         if how == "reset":
             raw: socket.socket = self.writer.get_extra_info("socket")
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -56,7 +58,7 @@
 
 
 @asynccontextmanager
-async def working(folder: Path) -> AsyncIterator[tuple[LocalCluster, str, Backend]]:
+async def cluster_with_gated_backends(folder: Path) -> AsyncIterator[tuple[LocalCluster, str, Backend]]:
     """A proxy with one backend per service; both record together, and answer once a shared gate opens."""
     async with local_cluster(folder, proxy_count=1) as cluster:
         await cluster.start_all(initial_start=True)
@@ -93,7 +95,7 @@
 
 
 async def has_departure(cluster: LocalCluster, proxy: str) -> bool:
-    """Whether a proxy's metrics count a client's departure."""
+    """Whether a proxy's metrics count a disconnected client."""
     text = (await cluster.http_client.get(f"http://{proxy}:7343/metrics")).text
     return "ivymux_proxy_departed_requests_total 1\n" in text
 
@@ -101,15 +103,15 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_work_for_an_idempotent_request_ends_when_its_client_leaves(tmp_path: Path, how: str) -> None:
     async def scenario() -> None:
-        async with working(tmp_path) as (_, proxy, backend):
-            took = []
+        async with cluster_with_gated_backends(tmp_path) as (_, proxy, backend):
+            delays_s = []
             for n in range(ROUNDS):
-                client = await DepartingClient.connect(proxy)
-                client.ask(f"left-{n}")
+                client = await DisconnectingClient.connect(proxy)
+                client.send_request(f"left-{n}")
                 await wait_until_runs(backend, f"left-{n}")
-                client.leave(how)
-                took.append(await wait_until_dropped(backend, f"left-{n}"))
-            assert min(took) < MAX_CANCEL_DELAY_S and not backend.finished
+                client.disconnect(how)
+                delays_s.append(await wait_until_dropped(backend, f"left-{n}"))
+            assert min(delays_s) < MAX_CANCEL_DELAY_S and not backend.finished
 
     asyncio.run(scenario())
 
@@ -118,16 +120,16 @@
     """Also for a pipelined request behind another one."""
 
     async def scenario() -> None:
-        async with working(tmp_path) as (cluster, proxy, backend):
-            client = await DepartingClient.connect(proxy)
-            client.ask("first")
-            client.ask("second")
+        async with cluster_with_gated_backends(tmp_path) as (cluster, proxy, backend):
+            client = await DisconnectingClient.connect(proxy)
+            client.send_request("first")
+            client.send_request("second")
             await wait_until_runs(backend, "first")
             await wait_until_runs(backend, "second")
             cluster.send_signal(proxy, signal.SIGTERM)
             while await cluster.is_ready(proxy):
                 await asyncio.sleep(0.005)
-            client.leave("close")
+            client.disconnect("close")
             assert (
                 max(
                     await asyncio.gather(
@@ -140,16 +142,18 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("more", ["", 'Idempotency-Key: "a"\r\n'])
-def test_an_action_that_may_have_begun_continues_without_its_client(tmp_path: Path, more: str) -> None:
+@pytest.mark.parametrize("extra_headers", ["", 'Idempotency-Key: "a"\r\n'])
+def test_an_action_that_may_have_begun_continues_without_its_client(
+    tmp_path: Path, extra_headers: str
+) -> None:
     """Cancelling it would leave its outcome unknown; with a key, a retry gets the stored answer."""
 
     async def scenario() -> None:
-        async with working(tmp_path) as (cluster, proxy, backend):
-            client = await DepartingClient.connect(proxy)
-            client.ask("action", "POST", "/sign/1", more)
+        async with cluster_with_gated_backends(tmp_path) as (cluster, proxy, backend):
+            client = await DisconnectingClient.connect(proxy)
+            client.send_request("action", "POST", "/sign/1", extra_headers)
             await wait_until_runs(backend, "action")
-            client.leave("close")
+            client.disconnect("close")
             while not await has_departure(cluster, proxy):
                 await asyncio.sleep(0.005)
             assert backend.answer_gate is not None
@@ -157,7 +161,7 @@
             while "action" not in backend.finished:
                 await asyncio.sleep(0.005)
             assert "action" not in backend.disconnected
-            if more:
+            if extra_headers:
                 while (
                     again := await cluster.send_request(proxy, "POST", "/sign/1", Idempotency_Key='"a"')
                 ) is not None:
--- a/tests/system/test_offsets.py
+++ b/tests/system/test_offsets.py
@@ -85,7 +85,7 @@
         writer.transport.abort()
 
 
-async def breaking_desk(cluster: LocalCluster) -> BreakingBackend:
+async def start_breaking_backend(cluster: LocalCluster) -> BreakingBackend:
     backend = BreakingBackend("i-desk", "desk", "127.0.0.1", "hall")
     backend.complete_runs = Counter()
     await backend.start()
@@ -112,7 +112,7 @@
     async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=1, timeout_s=100.0) as cluster:
             await cluster.start_all(initial_start=True)
-            desk = await breaking_desk(cluster)
+            desk = await start_breaking_backend(cluster)
             await cluster.put_configuration(build_configuration(1, sign="desk"))
             await cluster.wait_until_ready(cluster.proxy_ips[0])
             await cluster.wait_until_served(cluster.proxy_ips[0], "/sign/0")
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -27,7 +27,7 @@
     return built
 
 
-async def started_cluster(cluster: LocalCluster) -> Backend:
+async def start_cluster(cluster: LocalCluster) -> Backend:
     """Start the cluster, wait until all proxies serve, and return the backend of the service `desk`."""
     await cluster.start_all(initial_start=True)
     await cluster.start_backend("i-read", "archive")
@@ -86,9 +86,9 @@
 
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            desk = await started_cluster(cluster)
+            desk = await start_cluster(cluster)
 
-            async def show(
+            async def record_answers(
                 title: str, path: str = "/read/1", callers: tuple[str, ...] = tuple(CALLERS)
             ) -> None:
                 summary.append(title)
@@ -116,7 +116,7 @@
             assert (await cluster.call_core("GET", cluster.core_ips[0], "/trials/dry"))[0] == 404
 
             await start_trial(cluster, "t-refuse", status=429, retry_after="2s")
-            await show("refused")
+            await record_answers("refused")
             status, answer = await cluster.call_core(
                 "PUT", cluster.core_ips[1], "/trials/other", {"caller": "clerks", "by": "ann", "why": "more"}
             )
@@ -131,16 +131,16 @@
             while (await trial_report(cluster, "t-refuse", 1))["caught"] < 2:
                 await asyncio.sleep(0.02)
             await end_trial(cluster, "t-refuse", 1)
-            await show("ended")
+            await record_answers("ended")
             summary.append(summary_line(await trial_report(cluster, "t-refuse", 2)))
 
             await start_trial(
                 cluster, "t-key", key_digest=key_digest(b"key-one-b")[:20], route="sign", does="close"
             )
-            await show(
+            await record_answers(
                 "its connection closed, of one key on one route", "/sign/1", ("clerks", "key-one-b", "chairs")
             )
-            await show("and on the other", "/read/1", ("clerks", "key-one-b"))
+            await record_answers("and on the other", "/read/1", ("clerks", "key-one-b"))
             await end_trial(cluster, "t-key")
             assert (
                 sum("key-one-b" in str(ran.headers) for ran in desk.executed) == 0 and len(desk.executed) == 4
@@ -148,7 +148,7 @@
 
             desk.executed.clear()
             await start_trial(cluster, "t-lose", does="lose", route="sign")
-            await show("run, and its answer lost", "/sign/2", ("clerks", "chairs"))
+            await record_answers("run, and its answer lost", "/sign/2", ("clerks", "chairs"))
             assert len(desk.executed) == 4
             keyed = await answer_to(cluster, 0, "clerks", "/sign/k", Idempotency_Key="k")
             summary.append(f"an action with a key: {keyed}")
@@ -179,7 +179,7 @@
 def test_a_trial_survives_the_loss_of_the_leader_and_a_proxy_and_ends_on_time(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with local_cluster(tmp_path, timeout_s=60.0) as cluster:
-            await started_cluster(cluster)
+            await start_cluster(cluster)
             await start_trial(cluster, "t", lasts="30s")
             primary = cluster.primary_ip()
             await cluster.kill(primary)
@@ -205,7 +205,7 @@
 def test_proxies_without_a_core_end_a_trial(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
-            await started_cluster(cluster)
+            await start_cluster(cluster)
             await start_trial(cluster, "t")
             for ip in cluster.core_ips:
                 await cluster.kill(ip)
