--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -850,7 +850,9 @@
         async with (
             listening(tally.handle) as counter,
             listening(FakeBackend().handle) as endpoint,
-            platform_gateway(endpoint, counter=counter) as (gateway, _),
+            # A call that takes half of its timeout cuts the rate too, however it ends.  Half of this one is
+            # as long as a test may run, so that a stall of the machine makes no slow call.
+            platform_gateway(endpoint, counter=counter, extra__counter_timeout_s="120") as (gateway, _),
         ):
             decision_module = gateway.host.decision_module
             call_rate = decision_module.call_rate.rate
