--- a/ivymux/data_plane/limits.py
+++ b/ivymux/data_plane/limits.py
@@ -5,8 +5,9 @@
 from dataclasses import dataclass
 
 LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-# For the event loop, the log, discovery and the counter; the last two double while their address changes.
-RESERVED_DESCRIPTORS = 28
+# For the event loop, the log, the listening socket and its copy, discovery and the counter; the last two
+# double while their address changes.
+RESERVED_DESCRIPTORS = 29
 BODY_MEMORY_SHARE = 1 / 8  # of the process's memory, for request bodies
 
 
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -32,6 +32,7 @@
 EVICTABLE_SILENT_S = 0.1  # the same for one that sent no request yet or got its last answer
 MAX_DISCARD_BYTES = 1 << 20  # read from a refused client before reading pauses
 DISCARD_PAUSE_S = 0.01
+ACCEPTS_PER_STEP = 8  # further connections accepted in a step of the event loop while few are open
 
 log = logging.getLogger(__name__)
 
@@ -354,6 +355,8 @@
         self.max_head_bytes = MAX_HEAD_BYTES
         self.read_timeout, self.idle_timeout = READ_TIMEOUT_S, IDLE_TIMEOUT_S
         self.asyncio_server: asyncio.Server | None = None
+        self.listener_copies: list[socket.socket] = []  # of its sockets, for `accept_further`
+        self.accepting: set[asyncio.Task[None]] = set()
         self.listening_socket: socket.socket | None = None  # until connections are accepted from it
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_overdue)
         self.refusal_log = host.refusal_log if host is not None else RefusalLog()
@@ -386,6 +389,39 @@
                 lambda: self.client_type(self), self.listen.host, self.listen.port, backlog=LISTEN_BACKLOG
             )
         self.asyncio_server = await server
+        for listening in self.asyncio_server.sockets:
+            copy = socket.fromfd(listening.fileno(), listening.family, listening.type)
+            copy.setblocking(False)
+            self.listener_copies.append(copy)
+            # Called later, as uvloop itself takes a single connection at less cost.
+            self.loop.add_reader(copy, self.loop.call_soon, self.accept_further, copy)
+
+    def accept_further(self, listening: socket.socket) -> None:
+        """Accept more of a burst of connections than the one that uvloop accepts in each of its steps.
+
+        Else the last ones would wait for as many steps, each of which also serves requests of the first ones.
+        Beyond half of the limit this is left to uvloop: a connection whose request is not read yet may have
+        to make room for those behind it.
+        """
+        room = self.max_clients // 2 - len(self.clients) - len(self.accepting)
+        for _ in range(min(ACCEPTS_PER_STEP, room)):
+            try:
+                accepted, _ = listening.accept()
+            except OSError:  # there are no more, or there is no descriptor left
+                return
+            task = self.loop.create_task(self.add_accepted(accepted))
+            self.accepting.add(task)
+            task.add_done_callback(self.accepting.discard)
+
+    async def add_accepted(self, accepted: socket.socket) -> None:
+        try:
+            accepted.setblocking(False)
+            _, client = await self.loop.connect_accepted_socket(lambda: self.client_type(self), accepted)
+        except OSError:  # its client has left
+            accepted.close()
+            return
+        if self.is_stopping and client in self.new_clients and not client.is_receiving:
+            client.abort()
 
     def add_client(self, client: ClientConnection) -> None:
         self.clients.add(client)
@@ -455,6 +491,10 @@
             self.listening_socket.close()
         if self.asyncio_server is not None:
             self.asyncio_server.close()
+        for copy in self.listener_copies:
+            self.loop.remove_reader(copy)
+            copy.close()
+        self.listener_copies = []
         for client in [*self.idle_clients, *(c for c in self.new_clients if not c.is_receiving)]:
             if client.transport is not None:
                 client.transport.close()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
+import socket
 import time
 from typing import Any
 
@@ -263,3 +265,26 @@
             await until(lambda: not gateway.server.clients)
 
     run(test())
+
+
+def test_a_burst_of_connections_is_accepted_in_few_steps_of_the_event_loop() -> None:
+    """The last one must not wait for as many steps, as each may serve requests of those before it."""
+
+    async def test() -> None:
+        async with platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, _):
+            assert gateway.server.asyncio_server is not None
+            address = gateway.server.asyncio_server.sockets[0].getsockname()
+            with contextlib.ExitStack() as stack:
+                for _ in range(64):  # the kernel queues them, as the event loop is not running meanwhile
+                    stack.enter_context(socket.create_connection(address))
+                steps = 0  # in which connections were accepted
+                while (before := len(gateway.server.clients)) < 64:
+                    await asyncio.sleep(0)
+                    steps += len(gateway.server.clients) > before
+                assert steps <= 16
+            gateway.server.stop_listening()
+            await asyncio.sleep(0.01)
+            with pytest.raises(ConnectionRefusedError):
+                socket.create_connection(address)
+
+    run(test())
