--- a/ivymux/desired/etcd/store.py
+++ b/ivymux/desired/etcd/store.py
@@ -268,7 +268,7 @@
                 unknown.add(revision)
             time.sleep(self.random.random() * min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10)))
         if unknown:
-            raise StoreBusy("etcd did not report whether the change was made: check before it is repeated")
+            raise StoreBusy("etcd did not tell whether the change was made: look before it is repeated")
         raise StoreBusy("many change the desired state at once: try again")
 
     def has_token(self, revision: int, token: str) -> bool:
--- a/ivymux/desired/etcd/wire.py
+++ b/ivymux/desired/etcd/wire.py
@@ -269,10 +269,10 @@
         case 8 if "space" in message:
             return StoreFull("etcd's database is full: compact and defragment it, then disarm its alarm")
         case 4:
-            return OutcomeUnknown(f"etcd did not report whether it was done: {detail}")
+            return OutcomeUnknown(f"etcd did not tell whether it was done: {detail}")
         case 14 if "timed out" in message or "leader changed" in message:
             # etcd may still apply the proposal.
-            return OutcomeUnknown(f"etcd did not report whether it was done: {detail}")
+            return OutcomeUnknown(f"etcd did not tell whether it was done: {detail}")
         case 8 | 14:
             return StoreBusy(f"etcd can't do it now: {detail}")
         case 11:
--- a/ivymux/inventory/change_policy.py
+++ b/ivymux/inventory/change_policy.py
@@ -17,7 +17,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits for changes without confirmation; fractions are of the workers ready at the window's start."""
+    """What goes through unasked.  Parts are of the ready workers at the window's start."""
 
     fleet: float = 0.25  # the fraction of all workers that may leave, drain or move
     bay: float = 0.5  # the same fraction for each bay
--- a/ivymux/routes/table.py
+++ b/ivymux/routes/table.py
@@ -82,13 +82,13 @@
         operation = route.operation
         for name, _ in headers:
             if name in override.HEADERS and name.decode() not in operation.overrides:
-                raise BadParameter(f"{name.decode()} is not accepted: it overrides the method")
+                raise BadParameter(f"{name.decode()} is not served: it would hide the method")
         if (
             parsed.query
             and (found := override.find_in_query(parsed.query))
             and found not in operation.overrides
         ):
-            raise BadParameter("a query parameter that overrides the method is not accepted")
+            raise BadParameter("a query parameter that overrides the method is not served")
         number, effect = route.class_number, operation.effect
         if effect is Effect.KEYED and not has_key(operation, parsed, headers):
             number, effect = route.keyless_class_number, Effect.UNSAFE
@@ -110,7 +110,7 @@
     else:
         found = [value.encode() for value in override.query_values(target.query, key.name)]
     if len(found) > 1:
-        raise BadParameter(f"the key {key.name} is given twice")
+        raise BadParameter(f"the key {key.name} stands twice")
     if not found or not found[0]:
         return False
     if not KEY.fullmatch(found[0]):
@@ -135,7 +135,7 @@
     if not found:
         return rule.amount
     if len(found) > 1:
-        raise BadParameter(f"{rule.name} is given twice")
+        raise BadParameter(f"{rule.name} stands twice")
     if not AMOUNT.fullmatch(found[0]):
         raise BadParameter(f"{rule.name} is not a number")
     return cost_units(rule, float(found[0]))
--- a/ivymux/routes/target.py
+++ b/ivymux/routes/target.py
@@ -63,12 +63,12 @@
         target = rest if rest.startswith(b"/") else b"/" + rest
     matched = PATH_AND_QUERY.fullmatch(target)
     if matched is None:
-        raise TargetError("the target contains a character that is not allowed; percent-encode it")
+        raise TargetError("the target holds a character that is not allowed there; percent-encode it")
     path, query = matched.groups()
     if b";" in path:
         raise TargetError("a raw ';' in the path is not served; percent-encode it")
     if INVALID_ESCAPE.search(path):
-        raise TargetError("a percent sign without two hexadecimal digits after it")
+        raise TargetError("a percent sign that begins no escape")
     raw = path[1:].split(b"/")
     if len(raw) > MAX_SEGMENTS:
         raise TargetError("too many segments")
@@ -83,11 +83,11 @@
     if decoded in (b".", b".."):
         raise TargetError("dot segments are not served")
     if not decoded and not is_last:
-        raise TargetError("empty segments are not served")
+        raise TargetError("doubled slashes are not served")
     if b"/" in decoded or b"\\" in decoded:
         raise TargetError("an encoded slash or backslash is not served")
     if ESCAPED_ESCAPE.search(decoded):
-        raise TargetError("an escaped percent escape is not served")
+        raise TargetError("an escape of an escape is not served")
     if any(c < 32 or c == 127 for c in decoded):
         raise TargetError("an encoded control character is not served")
     try:
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -36,17 +36,15 @@
     most_operations: int = 20_000
 
 
+# The settings of operations whose description and class set none.
 class DefaultsPart(Part, frozen=True):
-    """The settings of operations whose description and class set none."""
-
     aim: float = 2.0  # the target latency, in seconds
     deadline: float = 10.0  # seconds after which a request is answered in any case
     worth: float = 1.0  # of an answer within the target latency, compared with other classes
 
 
+# How workers treat repeated requests with the same Idempotency-Key.
 class KeyedPart(Part, frozen=True):
-    """How workers treat repeated requests with the same Idempotency-Key."""
-
     memory: float = 0.0  # seconds for which workers drop a repeat with the same key; 0: they do not
     scope: str = "bay"  # which workers share that memory: all, room or bay
 
@@ -66,17 +64,15 @@
     keys: list[KeyPart] = []
 
 
+# A limit that a customer never exceeds, not even while the counter can't be reached.
 class CeilingPart(Part, frozen=True):
-    """A limit that a customer never exceeds, not even while the counter can't be reached."""
-
     rate: float  # units a second
     burst: float  # units that may be used at once
     slack: float = 0.1
 
 
+# A plan: the quota of each of its customers and what its requests are worth.
 class PlanPart(Part, frozen=True):
-    """A plan: the quota of each of its customers and what its requests are worth."""
-
     rate: float = 0.0  # units a second; 0: no quota
     burst: float = 0.0  # units that may be used at once
     parallel: int = 0  # requests open at once; 0: no such limit
@@ -105,9 +101,8 @@
     limits: Limits = Limits()
 
 
+# Parameters of the decision module's operating rules; times in seconds.
 class RulesPart(Part, frozen=True):
-    """Parameters of the decision module's operating rules; times in seconds."""
-
     drain_grace: float = 2.0
     cold_share: float = 0.2  # of its capacity that a backend has when it starts
     warm_up: float = 15.0  # seconds until it has all of it
