--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -15,7 +15,7 @@
 from .sockets import FakeCounter, listening, run, until
 
 
-def start(endpoint: str, timeout: float = 0.08) -> tuple[Counter, list[Counted]]:
+def start(endpoint: str, timeout: float = 5.0) -> tuple[Counter, list[Counted]]:
     results: list[Counted] = []
 
     def on_result(event: Counted | Late) -> None:
