--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -16,7 +16,7 @@
 from tests.inventory import damage
 from tests.routes.describing import described, operation
 from tests.service.fixtures import site_text
-from tests.sockets import run
+from tests.sockets import run, until
 
 
 def test_check_show_and_diff(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -119,14 +119,16 @@
             code, out = await ask("--dry-run")
             assert code == 0 and "1 removed" in out and list_.read_text() == damage.SHEET
             code, out = await ask()
-            assert code == 0 and "taken as list 2" in out and len(gateway.member_list.members) == 11
+            assert code == 0 and "taken as list 2" in out
+            await until(lambda: len(gateway.member_list.members) == 11)  # a list is stored, then applied
             new.write_text(sheet(4))
             code, out = await ask()
             assert code == 1 and "held back" in out and list_.read_text() == sheet(11)
             confirmation = out.rpartition("--confirm ")[2].strip()
             assert (await ask("--confirm", "0" * 24))[0] == 1 and len(gateway.member_list.members) == 11
             code, out = await ask("--confirm", confirmation)
-            assert code == 0 and "taken as list 3" in out and len(gateway.member_list.members) == 4
+            assert code == 0 and "taken as list 3" in out
+            await until(lambda: len(gateway.member_list.members) == 4)
         finally:
             await gateway.close()
         # A list that no gateway takes is reported; it stays in the file for the gateway's next start.
