--- /dev/null
+++ b/tests/runnable_clock.py
@@ -0,0 +1,70 @@
+"""A clock that stands still while a process under test is ready to run and gets no processor.
+
+A program that gets a third of a processor is overloaded by a rate of requests that it would carry easily on
+one of its own: its queue then grows by the machine's fault.  A load that is sent by this clock, and latencies
+that are measured by it, mean the same on a busy machine as on a quiet one.  What the program computes, sleeps
+or blocks counts in full.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from pathlib import Path
+
+REFRESH_INTERVAL_S = 0.005  # between two readings of the kernel's statistics
+
+
+class RunnableClock:
+    """Seconds since its creation, without those that the machine took from a process's main thread.
+
+    The kernel (Linux) counts two kinds of lost time: the thread waited for a processor that others used
+    (`schedstat`), and a host took processors away from the machine (`steal` in `/proc/stat`; it is about all
+    processors, and the thread's part is taken to be its part of the time computed on them).  Without these
+    statistics this is a plain monotonic clock.
+    """
+
+    def __init__(self, process_id: int) -> None:
+        self.thread_statistics = Path(f"/proc/{process_id}/schedstat")
+        self.machine_statistics = Path("/proc/stat")
+        self.ran_before_s, self.waited_before_s = self.read_thread()
+        self.computed_before, self.stolen_before = self.read_machine()
+        self.started_at = self.read_at = time.monotonic()
+        self.lost_s = self.latest_s = 0.0
+
+    def read_thread(self) -> tuple[float, float]:
+        """Return the seconds for which the thread has run, and has waited for a processor."""
+        if not self.thread_statistics.exists():
+            return 0.0, 0.0
+        ran_ns, waited_ns, _ = map(int, self.thread_statistics.read_text().split())
+        return ran_ns / 1e9, waited_ns / 1e9
+
+    def read_machine(self) -> tuple[int, int]:
+        """Return the times for which processors have computed, and were taken away, in the kernel's unit."""
+        if not self.machine_statistics.exists():
+            return 0, 0
+        with self.machine_statistics.open(encoding="ascii") as file:
+            user, nice, system, _, _, interrupts, soft_interrupts, stolen = map(
+                int, file.readline().split()[1:9]
+            )
+        return user + nice + system + interrupts + soft_interrupts, stolen
+
+    def read_lost(self) -> float:
+        """Return the seconds lost since the creation."""
+        ran_s, waited_s = self.read_thread()
+        computed, stolen = self.read_machine()
+        stolen_part = (stolen - self.stolen_before) / max(1, computed - self.computed_before)
+        return waited_s - self.waited_before_s + stolen_part * (ran_s - self.ran_before_s)
+
+    def now(self) -> float:
+        """Return the clock's time in seconds; it never goes back, as a wait is counted when it has ended."""
+        real = time.monotonic()
+        if real - self.read_at >= REFRESH_INTERVAL_S:
+            self.lost_s, self.read_at = self.read_lost(), real
+        self.latest_s = max(self.latest_s, real - self.started_at - self.lost_s)
+        return self.latest_s
+
+    async def sleep_until(self, when: float) -> None:
+        """Sleep until the clock shows a time."""
+        while (left := when - self.now()) > 0:
+            await asyncio.sleep(left)
