--- a/orchidhill/interface.py
+++ b/orchidhill/interface.py
@@ -1,7 +1,8 @@
 """The types a host exchanges with :class:`orchidhill.gateway.Gateway`.
 
-A host builds one ``Gateway(settings, seed)``, passes it one event at a time with the current time in
-seconds, and carries out the returned actions in order.  This module has types only.
+The host is the program around a gateway, which owns its sockets and clock.  It builds one
+``Gateway(settings, seed)``, passes it one event at a time with the current time in seconds, and carries out
+the returned actions in order.  This module has types only.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
     """Whether a request may be repeated."""
 
     SAFE = "safe"  # always
-    KEYED = "keyed"  # within its class's scope and memory, where backends drop duplicates by key
-    UNSAFE = "unsafe"  # only if it never ran
+    KEYED = "keyed"  # within its class's `scope` and `memory`: there, backends drop duplicates by key
+    UNSAFE = "unsafe"  # only if no earlier attempt was executed
 
 
 class Scope(Enum):
-    """Within which group of backends a repeated keyed request is dropped."""
+    """The group of backends within which a repeat of a keyed request is dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -55,17 +56,17 @@
 class Listing(IntEnum):
     """The form of a membership event."""
 
-    CACHED = 1
-    DELTA = 2
-    FULL = 3
+    CACHED = 1  # a complete list from the host's cache or configuration
+    DELTA = 2  # only the entries that changed
+    FULL = 3  # a complete list
     FAILED = 4
 
 
 class Why(Enum):
     """Why a request was refused."""
 
-    QUOTA = "quota"  # by the counter the customer's quota is exhausted
-    CEILING = "ceiling"  # in degraded mode, under a ceiling: the local share is exhausted
+    QUOTA = "quota"  # the customer's quota is exhausted, according to the counter
+    CEILING = "ceiling"  # in degraded mode, the local share of a plan with a ceiling is exhausted
     COUNTER = "counter"  # no call to the counter was possible in time, and the local share is exhausted
     ROOM = "room"  # no backend had capacity in time
     BACKENDS = "backends"  # all attempts failed, and no retry is allowed
@@ -80,10 +81,10 @@
     aim: float  # target latency
     deadline: float
     effect: Effect
-    scope: Scope  # of keyed requests
-    memory: float  # for which backends drop repeats of a keyed request
+    scope: Scope  # in which repeats of a keyed request are dropped
+    memory: float  # time during which backends drop repeats of a keyed request
     worth: float  # of an answer within the target latency
-    late_worth: float  # of a later one
+    late_worth: float  # of an answer after the target latency
     stream: bool
 
 
@@ -95,12 +96,12 @@
     rate: float  # units per second
     burst: float  # units
     parallel: int  # concurrent attempts
-    price: float  # orders requests by value, with their class's worth
-    over_cost: float  # of a unit admitted beyond the quota
-    over_worth: float  # of the same
-    ceiling_rate: float  # never exceeded, not even in degraded mode
-    ceiling_burst: float
-    ceiling_slack: float
+    price: float  # multiplied by the class's worth: a request's priority
+    over_cost: float  # cost of a unit admitted beyond the quota
+    over_worth: float  # revenue from such a unit
+    ceiling_rate: float  # units per second, never exceeded, not even in degraded mode
+    ceiling_burst: float  # units, the same
+    ceiling_slack: float  # a fraction
 
 
 @dataclass(slots=True, frozen=True)
@@ -109,10 +110,10 @@
 
     answer_slack: float
     drain_grace: float
-    cold_share: float
-    warm_up: float
-    fall_multiple: float
-    fall_time: float
+    cold_share: float  # part of its capacity that a backend has when it starts
+    warm_up: float  # from a backend's start until it has its full capacity
+    fall_multiple: float  # of a warm backend's requests within `fall_time`, the limit for a cold one
+    fall_time: float  # over which that limit is measured
     ask_within: float
 
 
@@ -120,11 +121,11 @@
 class Limits:
     """What the deployment allows; times in seconds."""
 
-    max_attempts: int
-    second_copies: bool
-    cancel: bool
-    probes: bool
-    retry_after: bool
+    max_attempts: int  # per request
+    second_copies: bool  # whether a request may have two attempts in flight
+    cancel: bool  # whether attempts may be cancelled
+    probes: bool  # whether backends may be asked for their load
+    retry_after: bool  # whether refusals may carry a retry-after
     max_retry_after: float
     connect_timeout: float
 
@@ -143,15 +144,15 @@
     rules: Rules
     limits: Limits
     has_counter: bool
-    counter_price: float
+    counter_price: float  # cost of a call to the counter
     counter_timeout: float
     settles: bool
     membership_push: bool
     weight_source: str
-    report_how: str
-    report_columns: tuple[str, ...]
-    prices: dict[str, float]
-    counter_pace: float = 800.0  # initial estimate of the calls per second that the counter handles
+    report_how: str  # how backends report their load; "pull": only when probed
+    report_columns: tuple[str, ...]  # names of the values in a load report
+    prices: dict[str, float]  # penalties by name
+    counter_pace: float = 800.0  # initial estimate of the counter's capacity, in calls per second
 
 
 @dataclass(slots=True, frozen=True)
@@ -165,7 +166,7 @@
     kind: int
     cell: int
     weight: float
-    service: int = 0  # it serves only requests of this service
+    service: int = 0  # the only service whose requests the backend serves
 
 
 @dataclass(slots=True)
@@ -192,7 +193,7 @@
     is_retry: bool  # by the client
     is_write: bool
     service: int = 0
-    most: int = 0  # maximum of backends that it may reach; 0: as the limits say
+    most: int = 0  # maximum of attempts that reach a backend; 0: `Limits.max_attempts`
     home: int = 0  # the backend with the conversation's state; 0: none
 
 
@@ -223,21 +224,21 @@
 
 @dataclass(slots=True)
 class Left:
-    """The client has left."""
+    """The client has left: nobody waits for the request's answer any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Fired:
-    """A timer is due."""
+    """The timer that a ``SetTimer`` set is due; ``token`` is the one of that action."""
 
     token: int
 
 
 @dataclass(slots=True)
 class Probed:
-    """The answer to one ``Probe``."""
+    """The answer to one ``Probe``, after ``spent`` seconds; ``report`` as in ``Settings.report_columns``."""
 
     backend: int
     outcome: Outcome
@@ -269,7 +270,7 @@
 
 @dataclass(slots=True)
 class Doors:
-    """The number of gateways, this one included."""
+    """The number of gateways has changed to ``count``, this one included."""
 
     count: int
 
@@ -286,8 +287,8 @@
 class Counted:
     """The answer to one ``Count``; ``total`` is valid only with ``Outcome.OK``.
 
-    ``born`` identifies the incarnation of the counter's totals: another one started empty or from a copy.
-    0 if the counter does not report it.
+    ``born`` identifies the incarnation of the counter's totals; a new incarnation started empty or from a
+    copy.  0 if the counter reports no incarnation.
     """
 
     name: int
@@ -348,7 +349,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send ``Fired`` at a time."""
+    """Send ``Fired`` with this ``token`` at the time ``at``, in seconds on the clock of ``handle``."""
 
     at: float
     token: int
@@ -397,15 +398,21 @@
 
 @dataclass(slots=True)
 class Count:
-    """Add to a named total; a new name expires ``expires`` seconds after its first call.
-
-    ``call`` identifies a call that may be repeated: a counter that reports ``born`` adds it once.  0: never
-    repeated.  A counter that may have lost the name uses ``drained``, the total at which its token bucket
-    would be empty now, and ``since``, the seconds since its window began.  A counter that keeps the buckets
-    itself uses the ``customer``, its ``rate`` and ``burst``, allowed over any ``span`` seconds; ``seed``, the
-    bucket's deficit when its window began, as far as the caller knows; and ``known``, the last total that the
-    incarnation ``knew`` reported.  Of the amount, ``late`` was admitted in degraded mode, evenly over the
-    last ``spread`` seconds.
+    """Add ``amount`` to a named total; a new name expires ``expires`` seconds after its first call.
+
+    ``call`` identifies a call that may be repeated: a counter that reports ``born`` adds its amount once.
+    0: the call is never repeated.
+
+    A counter that may have lost the name uses ``drained``, the total at which the name's token bucket would
+    be empty now, and ``since``, the seconds since the name's window began.
+
+    A counter that keeps the buckets itself uses:
+
+    - ``customer``, ``rate`` and ``burst``: the customer and its quota, which holds over any ``span`` seconds
+    - ``seed``: the bucket's deficit when its window began, as far as the caller knows
+    - ``known``: the last total that the caller received, and ``knew``, the incarnation that reported it
+    - ``late``: the part of the amount that was admitted in degraded mode, evenly over the last ``spread``
+      seconds
     """
 
     name: int
