--- a/orchidhill/benchlink.py
+++ b/orchidhill/benchlink.py
@@ -1,4 +1,4 @@
-"""Simulator adapter: reads batches from standard input, writes replies to standard output."""
+"""Simulator adapter: reads batches of events from standard input, writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from orchidhill import wire
 from orchidhill.gateway import Gateway
 
-Listed = list[i.Action | wire.Fault]
+InstanceActions = list[i.Action | wire.Fault]  # of one gateway instance, in order
 
 
 def answer(gateways: dict[int, Gateway], batch: wire.Batch) -> bytes:
     """Pass a batch's events to their gateway instances and encode the reply."""
-    out: dict[int, Listed] = {}
+    actions_by_instance: dict[int, InstanceActions] = {}
     for instance, event in batch.records:
-        listed = out.setdefault(instance, [])
+        actions = actions_by_instance.setdefault(instance, [])
         try:
             if isinstance(event, wire.Configure):
                 gateways[instance] = Gateway(wire.parse_settings(event.text), event.seed)
             elif isinstance(event, wire.Crash):
                 gateways.pop(instance, None)
-                listed.clear()
+                actions.clear()
             elif instance in gateways:
-                listed.extend(gateways[instance].handle(batch.now, event))
+                actions.extend(gateways[instance].handle(batch.now, event))
         except Exception as error:  # every failure is reported to the simulator
-            listed.append(wire.Fault(f"{type(error).__name__}: {error}"))
-    return wire.encode_reply(batch.number, out.items())
+            actions.append(wire.Fault(f"{type(error).__name__}: {error}"))
+    return wire.encode_reply(batch.number, actions_by_instance.items())
 
 
 def read_batch(source: BinaryIO) -> wire.Batch | None:
@@ -47,6 +47,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer batches in order until the input ends.  Raises WireError."""
     gateways: dict[int, Gateway] = {}
     while (batch := read_batch(source)) is not None:
         sink.write(answer(gateways, batch))
@@ -54,6 +55,7 @@
 
 
 def main() -> int:
+    """Serve the simulator; return the exit status, 1 after malformed input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
