--- a/orchidhill/admission.py
+++ b/orchidhill/admission.py
@@ -20,23 +20,23 @@
 TICK_S = 0.025  # interval of the timer while requests wait
 SCAN_TICKS = 2  # ticks between checks of attempts in flight and of idle leases
 LEARNING_RATE = 0.5  # AdaGrad step on ln(lease size)
-MIN_STRAND_PENALTY = 0.5  # in counter calls, for credits that expire unspent: they are never free
+MIN_EXPIRY_PENALTY = 0.5  # in counter calls, for credits that expire unspent: they are never free
 IDLE_RETURN_SHARE = 0.25  # of the refill time, after which idle credits are returned
-WINDOW_S = 20.0  # credits leased near an edge become known to other gateways only after it
+WINDOW_S = 20.0  # other gateways learn of credits leased near a window's end only after it
 IDLE_TTL_S = 30.0  # idle leases, and what the counter said of a customer, are dropped after this
-CALL_WAIT_SHARE = 0.3  # of a class's target latency, for which a request waits until a call may be made
-LIKELY_GRANT_ODDS = 0.5  # below these odds a read precedes a lease
-TOTAL_FRESH_S = 0.005  # for which a read counts
-MAX_DENIAL_S = 1.0  # or the time in which two units refill, if longer; then a denied customer may lease again
-NEWEST_WEIGHT = 0.3  # of the newest grant or load report, and of a reported against an own attempt
+CALL_WAIT_SHARE = 0.3  # of a class's target latency, the longest wait until a call may be made
+LIKELY_GRANT_ODDS = 0.5  # odds of a grant below which a read precedes a lease
+TOTAL_FRESH_S = 0.005  # for which a total that was read counts as current
+MAX_DENIAL_S = 1.0  # until a denied customer may lease again, or the time in which two units refill if longer
+NEWEST_WEIGHT = 0.3  # of the newest grant or load report, and of reported load against this gateway's
 MAX_LOCAL_LOAD = 0.8  # load ratio above which only leased credits admit
 MARGIN_S = 0.03  # kept before a deadline or a memory span ends
 TOTAL_TOLERANCE = 0.02  # units by which a total may be wrong until the next lease corrects it
-EPSILON, TOTAL_PRECISION = 1e-4, 1e-6  # units; a part of the total, which comes back with seven digits
+EPSILON, TOTAL_PRECISION = 1e-4, 1e-6  # units; part of a total, as totals are sent with seven digits
 
 
 def stable_hash(*parts: int) -> int:
-    """Return a 64-bit hash that every gateway derives alike."""
+    """Return a 64-bit hash of the parts that is the same at every gateway."""
     return int.from_bytes(blake2b(repr(parts).encode(), digest_size=8).digest(), "little")
 
 
@@ -74,7 +74,7 @@
         return math.inf
 
     def load_ratio(self) -> float:
-        """Return the latency that the present load will cause, over the target latency."""
+        """Return the latency that the present load will cause, divided by the target latency."""
         raise NotImplementedError
 
     def create_job(self, req: i.Request) -> Job:
@@ -89,7 +89,7 @@
     def get_lease(self, req: i.Request, plan: i.Plan, for_slots: bool) -> Lease:
         lease = self.leases.get((req.customer, for_slots))
         if lease is None:
-            # Whole units: a burst, or under a ceiling what fits it twice plus twice more in degraded mode.
+            # Whole units: a burst; a ceiling's burst has to hold this twice, and twice more in degraded mode.
             limit = min(plan.burst, plan.ceiling_burst / 4 if plan.ceiling_rate else plan.burst)
             capacity = float(plan.parallel) if for_slots else max(1.0, math.floor(limit))
             length = 2 * max(c.deadline for c in self.settings.classes) if for_slots else WINDOW_S
@@ -101,7 +101,7 @@
                 req.customer, plan, width, req.first, for_slots, length, phase, capacity, refill, log_size
             )
             lease.is_wide = width > capacity and not for_slots
-            # No full share after a restart.  A client's retry was most likely refused elsewhere just now.
+            # Not a full share after a restart, and none for a retry, which others most likely just refused.
             lease.local_level, lease.local_level_at = 0.0 if req.is_retry else 1.0, self.now
         self.leases.pop((req.customer, for_slots), None)
         self.leases[req.customer, for_slots] = lease
@@ -135,7 +135,7 @@
         self.dispatch(job)
 
     def spend(self, lease: Lease, job: Job, units: float) -> None:
-        """Move credits from a lease to a job; they count against the local share too."""
+        """Move credits from a lease to a job; the local share is charged with them too."""
         lease.credits -= units
         lease.served_units += units
         lease.local_level = max(self.refill_local_level(lease) - units, -lease.capacity)
@@ -166,13 +166,13 @@
         if lease.for_slots:
             lease.owed = float(lease.in_use)
         else:
-            # The next window's total begins with the bucket's deficit; its first gateway adds that.
+            # The next window's total begins with the bucket's deficit, added by the window's first gateway.
             refilled = (window - lease.window) * lease.window_length * lease.plan.rate
             deficit = lease.total + lease.owed - (0.0 if self.counter_caps else lease.credits) - refilled
             lease.edge_deficit = min(max(0.0, deficit), lease.plan.burst)
             lease.owed = 0.0 if self.counter_caps else lease.edge_deficit
             lease.expired_credits = lease.credits
-        if not lease.degraded_at:  # else the last window with an answer still counts
+        if not lease.degraded_at:  # in degraded mode the last window with an answer still counts
             edge = (lease.window + 1) * lease.window_length - lease.phase
             is_known = lease.is_synced and window == lease.window + 1
             own, total = self.confirmed_use(lease, edge) if is_known else (0.0, 0.0)
@@ -184,18 +184,18 @@
         lease.window, lease.credits, lease.advance, lease.confirmed, lease.total = window, 0.0, 0.0, 0.0, 0.0
 
     def adapt_lease_size(self, lease: Lease) -> None:
-        """One AdaGrad step on ln b of orderCost*D/b + strandPenalty*b/2 (optimum sqrt(2*o*D/s))."""
+        """AdaGrad step on ln(size) for price*D/size + penalty*size/2 (best sqrt(2*price*D/penalty))."""
         price, burst = max(self.settings.counter_price, 1e-3), lease.plan.burst
         used = lease.total / lease.capacity if lease.for_slots else 1 - self.bucket_credits(lease) / burst
-        penalty = max(MIN_STRAND_PENALTY * price, min(1.0, max(0.0, used)) ** 2)  # high where little is left
+        penalty = max(MIN_EXPIRY_PENALTY * price, min(1.0, max(0.0, used)) ** 2)  # high if little is left
         size = math.exp(lease.log_size)
-        gradient = (penalty * size / 2 - price * lease.served_units / size) / price
+        gradient = (penalty * size / 2 - price * lease.served_units / size) / price  # D: served units
         lease.gradient_sum += gradient * gradient
         lease.log_size -= LEARNING_RATE * gradient / math.sqrt(lease.gradient_sum)
         lease.log_size = min(max(lease.log_size, 0.0), math.log(max(1.0, lease.capacity)))
 
     def request_lease(self, lease: Lease) -> None:
-        """Lease credits, unless a call is in flight: further shortfalls await that one."""
+        """Lease credits, unless a call is in flight: requests that need more wait for its answer."""
         if lease.is_leasing:
             return
         need = sum(self.units_for(lease, job) for job in lease.waiters) - lease.credits
@@ -205,7 +205,7 @@
         lease.is_leasing = True
         if not lease.for_slots and (lease.degraded_at or lease.unanswered_adds or self.should_read(lease)):
             return self.read_total(lease)
-        # The lease also adds the overflow, unless so many gateways use the customer that all would add it.
+        # The call also adds the overflow, but not of a wide customer: too many gateways would add it.
         adds_overflow = not (lease.for_slots or lease.is_wide or self.counter_caps)
         overflow = max(0.0, self.bucket_level(lease) - lease.plan.burst) if adds_overflow else 0.0
         amount = lease.requested + lease.owed + overflow
@@ -215,8 +215,8 @@
     def should_read(self, lease: Lease) -> bool:
         """Whether to read the total before leasing.
 
-        A customer of few gateways is read once per window.  A wide one rarely comes to a gateway twice, and
-        a read doubles its calls; but a denied lease has to be taken off again, so a read precedes it.
+        The total is read once per window.  A wide customer rarely comes to a gateway twice, so reads would
+        double its calls: they precede only leases that may well be denied and then have to be taken off.
         """
         if not lease.is_wide:
             return not lease.is_synced and not self.counter_caps
@@ -239,10 +239,10 @@
     def bucket_level(self, lease: Lease) -> float:
         """Return the level of the customer's token bucket; above the burst it has overflowed.
 
-        All gateways with the same total agree on it: the bucket was full when the window began, refills at
-        the rate, and all that leaves it is in the total.  Overflow is too: when each gateway kept its own,
-        levels drifted apart, and one admitted too much while another refused with a full bucket.  An excess
-        that a dying gateway leaves is missing until the edge or until `repair_total` forgives it.
+        Gateways with the same total compute the same level: the bucket was full when the window began and
+        refills at the rate, and all that leaves it is in the total.  So is overflow: if each gateway kept its
+        own, levels would drift apart, and one would admit too much while another refused with a full bucket.
+        Units that a dying gateway added in excess are missing until the edge or `repair_total`.
         """
         elapsed = self.now + lease.phase - lease.window * lease.window_length
         return lease.plan.burst + elapsed * lease.plan.rate - lease.total - lease.owed
@@ -251,7 +251,7 @@
         return min(lease.plan.burst, self.bucket_level(lease))
 
     def apply_total(self, lease: Lease, answer: i.Counted, call: Call, in_flight: float) -> None:
-        """Apply a total of this window that includes `call`; `in_flight`: sum of the own calls after it."""
+        """Apply a total of this window that includes `call`; `in_flight`: sum of the calls made after it."""
         total, before, amount = answer.total, lease.confirmed, call.amount
         is_replaced = lease.is_synced and lease.incarnation != answer.born != 0 != lease.incarnation
         lease.incarnation = answer.born or lease.incarnation
@@ -260,7 +260,7 @@
         if self.counter_caps:
             lease.edge_deficit = 0.0
         elif is_replaced or lost > max(0.01, TOTAL_PRECISION * lease.confirmed):
-            # The counter lost this total or was replaced: restore it as last seen, others' part too, once.
+            # The counter lost this total or was replaced: restore the last known total once, others' too.
             self.actions.append(i.Log(f"counter-lost customer={lease.customer}"))
             if is_replaced:
                 self.counter_health.replaced_at = self.now
@@ -270,9 +270,9 @@
             lease.confirmed = amount if is_replaced else total
         elif total > EPSILON:
             if total - amount > max(EPSILON, TOTAL_PRECISION * total):  # another gateway added the deficit
-                lease.owed -= lease.edge_deficit + lease.expired_credits  # it took these credits for spent
+                lease.owed -= lease.edge_deficit + lease.expired_credits  # it counted these as spent
             else:
-                lease.confirmed -= lease.edge_deficit  # the others may take their part of it off again
+                lease.confirmed -= lease.edge_deficit  # others may take their part of the deficit off again
             lease.edge_deficit = lease.expired_credits = 0.0
         moved = total - (lease.total - in_flight) > 1 and lease.is_synced and not lease.for_slots
         if lease.degraded_at and moved and not is_replaced and self.counter_health.record_split(self.now):
@@ -287,7 +287,7 @@
             self.call_counter(lease, owed, is_adjustment=True)
 
     def repair_total(self, lease: Lease, call: Call) -> None:
-        """Add overflow to the total, as ceilings depend on it; take it off again if another was first."""
+        """Add overflow to the total, as ceilings depend on it; take it off if another gateway was first."""
         before = self.bucket_level(lease) + call.correction + (0.0 if call.is_adjustment else lease.requested)
         if call.is_adjustment:
             was_lacking = bucket_overflow.was_lacking(lease.plan, call.correction, before)
@@ -300,14 +300,14 @@
         # or got no answer before taking it off.  After a long outage this forgives some local admissions.
         if before < -lease.plan.burst - 2 * lease.width:
             lease.owed += before
-        if call.amount:  # others may have added overflow first, or there was more than was known here
+        if call.amount:  # others may have added overflow first, or there was more overflow than known
             lease.owed += max(0.0, before - lease.plan.burst) - call.correction
 
     def apply_failure(self, lease: Lease, call: Call, added: bool) -> None:
-        """Handle a failed call; `added`: it may have been added, and without an answer most likely was.
+        """Handle a failed call; `added`: whether it may have been added, as is likely without an answer.
 
-        Returns without an answer are made again: credits that were never returned would be missing until
-        the edge, while returning them twice only fills the bucket sooner, and it overflows.
+        Returns without an answer are repeated: credits that were never returned would be missing until the
+        edge, while credits that were returned twice only fill the bucket sooner.
         """
         self.enter_degraded_mode(lease)
         amount = call.amount
@@ -319,7 +319,7 @@
             lease.total -= amount
             lease.owed += amount - call.correction - (0.0 if call.is_adjustment else lease.requested)
         elif not call.is_adjustment and not lease.for_slots:
-            lease.owed -= lease.requested  # nobody waits for it any more
+            lease.owed -= lease.requested  # no request waits for these credits any more
             lease.edge_deficit = lease.edge_deficit if self.counter_caps else 0.0
             lease.expired_credits = 0.0
 
@@ -384,8 +384,8 @@
         excess = max(0.0, lease.total - lease.capacity if lease.for_slots else -self.bucket_level(lease))
         grant = max(0.0, lease.requested - excess)
         if not lease.for_slots and excess > EPSILON:
-            # Less than a missing unit refills soon and is leased in advance, unless the customer is so wide
-            # that another gateway needs it first.
+            # A missing fraction of a unit refills soon and is leased in advance, unless the customer is so
+            # wide that another gateway needs it first.
             whole = math.floor(grant + EPSILON) if lease.is_wide else math.ceil(grant - EPSILON)
             grant = min(lease.requested, whole)
             lease.advance, lease.advance_at = max(0.0, excess - (lease.requested - grant)), self.now
@@ -437,16 +437,16 @@
         return self.settings.has_counter and self.call_rate.budget(self.now) >= 1.0
 
     def decides_locally(self, lease: Lease, units: float) -> bool:
-        """Whether the local share decides though a call may be made: while calls are short, at the expense of
-        customers that are busy at other gateways, and while others restore totals of a replaced counter.
+        """Whether the local share decides although a call may be made: while calls are scarce, at the expense
+        of the customer's requests elsewhere, and while others restore the totals of a replaced counter.
         """
         may_lack = not lease.is_synced and self.counter_health.is_settling(self.now)
         is_short = self.call_rate.is_plentiful and not self.call_rate.has_spare(self.now)
         return may_lack or (is_short and self.fits_local_share(lease, units))
 
     def is_worth_waiting(self, lease: Lease, job: Job) -> bool:
-        """Whether a call to a healthy counter may be made soon; a gateway of a large fleet has few calls."""
-        # A client's retry was most likely refused for its quota just now: others get the calls while short.
+        """Whether a call to a healthy counter may be made soon; in a large fleet a gateway has few calls."""
+        # A client's retry was most likely just refused for its quota: other requests get the scarce calls.
         is_repeated = job.req.is_retry and lease.is_wide and not lease.is_synced
         if is_repeated or not self.counter_health.is_healthy or not self.call_rate.rate:
             return False
@@ -454,7 +454,7 @@
         return wait < min(CALL_WAIT_SHARE * job.cls.aim, job.deadline - self.now - 4 * TICK_S)
 
     def admit_queued(self) -> None:
-        """Admit what waits for a call, oldest first, as far as calls may be made."""
+        """Admit the requests that wait for a call, oldest first, as far as calls may be made."""
         for _ in range(len(self.call_queue)):
             if not self.may_call() and self.counter_health.is_healthy:
                 break
@@ -481,7 +481,7 @@
         return 1 / (1 + (width - 1) * ratio)
 
     def confirmed_use(self, lease: Lease, now: float) -> tuple[float, float]:
-        """Return the own confirmed additions to this window and its maximal total, if the bucket was full."""
+        """Return the confirmed additions to this window, and its maximal total from a full bucket."""
         own = max(0.0, lease.confirmed + lease.unanswered_returns - lease.restored_for_others)
         elapsed = now + lease.phase - lease.window * lease.window_length
         return own, max(own, lease.last_total, lease.plan.burst + elapsed * lease.plan.rate)
@@ -505,7 +505,7 @@
         return lease.local_level
 
     def enter_degraded_mode(self, lease: Lease) -> None:
-        """Use the local share, as the counter does not answer; earlier grants no longer count against it."""
+        """Use the local share, as the counter does not answer; a debt from earlier grants is forgotten."""
         if not lease.degraded_at:
             if lease.is_synced and not lease.for_slots:
                 own, total = self.confirmed_use(lease, self.now)
@@ -559,9 +559,9 @@
             is_idle = idle_time > IDLE_RETURN_SHARE * lease.refill_time and not lease.for_slots
             owes = abs(lease.owed) > TOTAL_TOLERANCE or lease.unanswered_adds
             if is_idle and owes and idle_time < IDLE_TTL_S:
-                self.add_owed(lease)  # no lease will bring it along
+                self.add_owed(lease)  # no further lease will add it
                 continue
-            is_short = self.bucket_credits(lease) < lease.plan.burst / 2  # else no gateway needs the credits
+            is_short = self.bucket_credits(lease) < lease.plan.burst / 2  # else no one needs the credits
             if is_idle and is_short and self.call_rate.has_spare(self.now):
                 units, lease.credits = lease.credits, 0.0
                 self.return_credits(lease, units)
@@ -578,7 +578,7 @@
                 self.call_counter(lease, rest, is_adjustment=True)
 
     def add_owed(self, lease: Lease) -> None:
-        """Add what a customer owes once the counter answers; a read goes first, as before a lease."""
+        """Add what a customer owes once the counter answers; a read precedes it, as for a lease."""
         if not self.call_rate.has_spare(self.now) or not self.counter_health.is_healthy:
             return
         if not lease.is_synced or lease.unanswered_adds:
--- a/orchidhill/bucket_overflow.py
+++ b/orchidhill/bucket_overflow.py
@@ -1,14 +1,14 @@
-"""What a customer's token bucket overflows by, and which gateway adds that to its counter total.  Pure.
+"""Overflow of a customer's token bucket, and which gateway adds it to the counter total.  Pure.
 
 A bucket holds at most one burst, but a total on the counter only sums, so overflow has to be added to it.
-Any gateway that sees a total may do so; of 200, several see the same total before the first addition has
-arrived.  So none is guessed ahead of an answer, and each is checked against the total that it met itself.
-The counter orders the calls: the first addition finds a bucket that is too full and stays, later ones do not
-and are taken off again.  So overflow is added once, however many gateways add it.
-
-Deficits are not forgiven in this way.  If several gateways took one off at once, less was left than each had
-added, which looks like a counter that lost its totals: each restored its own, and totals grew into the
-billions (docs/design/fleet-size.md).  Deficits end with their window.
+Any gateway that reads a total may do so; of 200, several read the same total before the first addition has
+arrived.  So a gateway adds overflow only to a total that it has read, and checks the addition by its answer.
+The counter orders the calls: the first addition finds a bucket that is too full and stays, later additions
+do not and are taken off again.  So overflow is added once, however many gateways add it.
+
+Deficits are not forgiven in this way.  If several gateways took one off at once, the total would be less than
+each had added, as if the counter had lost totals: each gateway would restore its additions, and totals would
+grow into the billions (docs/design/fleet-size.md).  Deficits end with their window.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def tolerated_overflow(plan: Plan) -> float:
-    """Return the units that a total may lack; a ceiling also covers a full bucket and degraded mode."""
+    """Return the units that a total may lack; a ceiling also has to cover a full bucket and degraded mode."""
     limit = TOLERATED_SHARE * plan.burst
     if not plan.ceiling_rate:
         return limit
@@ -34,5 +34,5 @@
 
 def was_lacking(plan: Plan, added: float, level: float) -> bool:
     """Whether `added` units met a total that lacked them, by the bucket's `level` before the addition."""
-    # Half is enough, as some may have been leased between; after another's addition hardly any is lacking.
+    # Half is enough, as some may have been leased since; after another gateway's addition little is lacking.
     return level - plan.burst >= added / 2
--- a/orchidhill/degraded_mode.py
+++ b/orchidhill/degraded_mode.py
@@ -1,6 +1,6 @@
 """Degraded mode: whether the counter answers, and what a gateway may admit by itself meanwhile.  Pure.
 
-The bounds that follow from here are proven in docs/design/tally.md.
+docs/design/tally.md proves the bounds that follow from these rules.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from orchidhill.interface import Outcome, Plan
 
 EVEN_SHARE = 0.5  # part of a quota that is split evenly; the rest follows the use in the last window
-HOLD_S = 60.0  # seconds in degraded mode during which a local share stays whole
+HOLD_S = 60.0  # time in degraded mode during which a local share stays whole
 MIN_FADE = 0.5  # lower bound of the fade factor: customers that use half of their quota stay served
-MIN_EXCESS = 0.5  # of a quota that may be admitted beside a counter that grants the other side all of it
-HIGH_OVER_COST = 2.0  # `over_cost` from which the local shares add up to 1 for a plan without a ceiling too
-SETTLE_S = 2.0  # seconds after a replacement in which the other gateways restore what they had added
+MIN_EXCESS = 0.5  # part of a quota admitted locally even if the counter grants others all of the quota
+HIGH_OVER_COST = 2.0  # `over_cost` from which local shares add up to at most 1 without a ceiling too
+SETTLE_S = 2.0  # after a counter's replacement, in which other gateways restore what they had added
 FAILURE_WEIGHT = 0.1  # weight of the newest call
 RECOVERY_WEIGHT = 0.3  # of a good answer from an unhealthy counter: a few calls have to suffice
-LATE_ANSWER_S = 2.0  # seconds for which a late answer shows that the counter is slow, not unreachable
+LATE_ANSWER_S = 2.0  # for which a late answer shows that the counter is slow, not unreachable
 
 
 def quota_share(width: int, usage_share: float) -> float:
@@ -33,13 +33,13 @@
 def fade_factor(age: float) -> float:
     """Return the part of a local share that is left after `age` seconds in degraded mode.
 
-    A counter may grant others the whole quota, so what is admitted here on top must not go on in full.
+    The counter may grant other gateways the whole quota, so local admissions on top of it have to shrink.
     """
     return 1.0 if age <= HOLD_S else max(MIN_FADE, HOLD_S / age)
 
 
 def rate_factor(plan: Plan) -> float:
-    """Return the part of a quota's rate that its ceiling leaves beside a counter that grants the whole rate.
+    """Return the part of a quota's rate that its ceiling leaves while the counter grants others the rate.
 
     It is at least MIN_EXCESS, or customers that use half of their quota would be refused under a ceiling of
     less than 1.5 times the quota; the design note states by how much that may pass the ceiling.
@@ -48,7 +48,7 @@
 
 
 def shared_burst(plan: Plan) -> float:
-    """Return the burst of all gateways in degraded mode, under a ceiling beside a full bucket granted."""
+    """Return the burst of all gateways in degraded mode; a ceiling has to cover it and a full bucket."""
     if not plan.ceiling_rate:
         return plan.burst
     return min(plan.burst, max(MIN_EXCESS * plan.burst, plan.ceiling_burst - plan.burst))
@@ -70,7 +70,7 @@
     HEALTHY = "well"
     SLOW = "slow"  # answers arrive after the time-out
     FULL = "full"  # rejects calls
-    SILENT = "silent"  # partitioned or gone: its incarnation and totals tell, once it answers again
+    SILENT = "silent"  # partitioned or gone: once it answers again, incarnation and totals show which
     REFUSED = "refused"  # connections are refused
 
 
@@ -81,7 +81,7 @@
     failing: float = 0.0  # smoothed share of calls that fail
     failures: dict[CounterStatus, float] = field(default_factory=dict)  # the same by kind of failure
     late_answer_at: float = -LATE_ANSWER_S  # when an answer last arrived after its time-out
-    replaced_at: float = -SETTLE_S  # when a total last came from another incarnation than before
+    replaced_at: float = -SETTLE_S  # when a total last came from a new incarnation
     status: CounterStatus = CounterStatus.HEALTHY
     split_at: float = -HOLD_S  # when totals last moved while this gateway could not reach the counter
 
@@ -104,7 +104,7 @@
         return self.status if self.status is not before else None
 
     def infer_status(self, now: float) -> CounterStatus:
-        # Hysteresis between the two bounds: else single calls would flip the status.
+        # Hysteresis between the two bounds: else single calls would change the status back and forth.
         if self.failing < 0.25 or (self.failing <= 0.5 and self.is_healthy):
             return CounterStatus.HEALTHY
         kind = max(self.failures, key=lambda kind: self.failures[kind])
--- a/orchidhill/gateway.py
+++ b/orchidhill/gateway.py
@@ -16,7 +16,7 @@
 TARGET_SHARE = 0.5  # of a class's target latency, above which an answer counts as a miss
 INITIAL_LIMIT = 12.0  # attempts in flight at an average backend, from all gateways
 LIMIT_DEVIATIONS = 0.7  # standard deviations above the mean limit: a gateway's load is uneven
-MIN_LIMIT = 4.0  # attempts in flight at an average backend: an idle core serves nobody
+MIN_LIMIT = 4.0  # attempts in flight at an average backend: fewer would leave its cores idle
 LIMIT_BACKOFF = 0.85  # factor on the limit when too many answers miss the target
 MAX_MISS_RATIO = 0.3  # of answers; single slow backends or costly requests must not cut the limit
 LATENCY_WEIGHT = 0.1  # weight of the newest latency
@@ -25,11 +25,11 @@
 SILENT_FACTOR = 6.0  # times its class's latency without an answer after which a backend counts as silent
 LOST_FACTOR = 10.0  # times its class's latency after which an attempt at an answering backend counts as lost
 RETRY_BUDGET = 0.1  # retries of overdue attempts per first attempt
-COLD_BUDGET_SHARE = 0.7  # of the warm-up budget that is used: work per request varies
+COLD_BUDGET_SHARE = 0.7  # part of the warm-up budget that is used, as the work per request varies
 CANDIDATES = 12  # backends compared for an attempt, as the fleet may be large
 SUBSET_SIZE = 16  # backends of a larger fleet to which a gateway keeps connections
-FRESH_REPORTS = 8  # load reports kept fresh where they must be pulled
-REPORT_FRESH_S = 1.5  # an older load report says no more than the fleet's mean
+FRESH_REPORTS = 8  # load reports kept fresh by probes
+REPORT_FRESH_S = 1.5  # an older load report is no better than the fleet's mean
 RATE_MEMORY_S = 5.0  # time constant of the request rate and of latency penalties
 
 
@@ -46,8 +46,8 @@
         self.scan_at, self.probe_at = 0.0, 0.0
         self.ready: list[Backend] = []
         self.subset: list[Backend] = []  # of a large fleet, the backends to use; else empty
-        self.cold: list[Backend] = []  # outside the subset, in warm-up when the list last changed
-        # Smoothed load of backends, latency, and load that the latency was met with.
+        self.cold: list[Backend] = []  # in warm-up outside the subset, as of the last membership event
+        # Smoothed: load of backends, latency of answers, and `burden` of the backends that gave them.
         self.mean_load, self.mean_latency, self.mean_burden = 0.0, INITIAL_LATENCY_S, 1.0
         self.min_target_latency = min((c.aim for c in settings.classes), default=1.0)
         self.class_latency = [INITIAL_LATENCY_S for _ in settings.classes]
@@ -57,7 +57,7 @@
         self.warm_sends, self.warm_sends_at, self.retry_tokens = 0.0, 0.0, 1.0
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
-        """Return the actions that answer one event, in order."""
+        """Handle one event at time `now`, in seconds; return the resulting actions, in order."""
         self.now, self.actions = now, []
         match event:
             case i.Request():
@@ -84,7 +84,7 @@
         return self.actions
 
     def on_classes(self, classes: tuple[i.RequestClass, ...]) -> None:
-        """Drop what was learned of a number that another class takes over; open jobs keep their class."""
+        """Replace the classes and drop what was learned of changed ones; open jobs keep their class."""
         self.class_latency += [INITIAL_LATENCY_S] * (len(classes) - len(self.class_latency))
         for number, (was, cls) in enumerate(zip(self.settings.classes, classes, strict=False)):
             if cls != was:
@@ -98,13 +98,13 @@
     def on_request(self, req: i.Request) -> None:
         job = self.create_job(req)
         self.probe_load()
-        has_time = req.left >= MARGIN_S + 2 * TICK_S  # else it ends before the next tick
+        has_time = req.left >= MARGIN_S + 2 * TICK_S  # else the next tick would already end it
         self.admit(job) if has_time else self.refuse(job, 0.0, Why.DEADLINE)
 
     def on_members(self, event: i.Members) -> None:
         changed = event.listing in (i.Listing.CACHED, i.Listing.FULL)
         for known in self.backends.values() if changed else ():
-            known.state = State.GONE  # unless the list names it
+            known.state = State.GONE  # unless listed below
         for entry in event.entries:
             found = self.backends.get(entry.backend)
             changed = changed or found is None or found.state is not entry.state
@@ -113,7 +113,7 @@
                 found.rank = stable_hash(entry.backend, self.settings.me)
             if entry.started > found.entry.started or not found.cold_at:
                 found.latency, found.answered_at = self.latency, self.now
-                found.cold_level, found.cold_at = self.random.random(), self.now  # decides which sends first
+                found.cold_level, found.cold_at = self.random.random(), self.now  # random: who sends first
             found.entry, found.state = entry, entry.state
         if changed:  # costs time in proportion to the fleet
             for gone in [b for b in self.backends.values() if b.state is State.GONE and not b.in_flight]:
@@ -127,20 +127,20 @@
         self.dispatch_queued()
 
     def allowed_backends(self, job: Job) -> list[Backend]:
-        """Return the ready backends that may get the job's next attempt without a duplicate effect."""
-        anchors = [*job.in_flight.values(), *([job.possible_run] if job.possible_run else [])]
-        anchor = min(anchors, key=lambda a: a[1], default=None)
-        if anchor is None or job.cls.effect is Effect.SAFE:
+        """Return the ready backends to which the next attempt may go without risk of a duplicate effect."""
+        possible_runs = [*job.in_flight.values(), *([job.possible_run] if job.possible_run else [])]
+        first_run = min(possible_runs, key=lambda run: run[1], default=None)
+        if first_run is None or job.cls.effect is Effect.SAFE:
             return self.ready
-        if job.cls.effect is Effect.UNSAFE or self.now > anchor[1] + job.cls.memory - MARGIN_S:
+        if job.cls.effect is Effect.UNSAFE or self.now > first_run[1] + job.cls.memory - MARGIN_S:
             return []
-        return [b for b in self.ready if self.dedup_domain(job, b) == self.dedup_domain(job, anchor[0])]
+        return [b for b in self.ready if self.dedup_domain(job, b) == self.dedup_domain(job, first_run[0])]
 
     def dedup_domain(self, job: Job, backend: Backend) -> int:
         return {Scope.CELL: backend.entry.cell, Scope.ZONE: backend.entry.zone, Scope.ALL: 0}[job.cls.scope]
 
     def warmth(self, backend: Backend) -> float:
-        """Return the share of its capacity that a backend has reached in its warm-up."""
+        """Return the part of a backend's capacity that its warm-up has reached so far, up to 1."""
         rules = self.settings.rules
         age = self.now - backend.entry.started
         if backend.entry.started <= 0 or rules.warm_up <= 0 or age >= rules.warm_up:
@@ -148,7 +148,7 @@
         return rules.cold_share + (1 - rules.cold_share) * max(0.0, age) / rules.warm_up
 
     def has_cold_budget(self, backend: Backend, warmth: float) -> bool:
-        """Whether a cold backend's budget, half a burst and half refilled, allows this gateway to send."""
+        """Whether this gateway may send to a cold backend by its budget: half is a burst, half refills."""
         rules = self.settings.rules
         rate = self.warm_sends * math.exp((self.warm_sends_at - self.now) / RATE_MEMORY_S) / RATE_MEMORY_S
         share = COLD_BUDGET_SHARE * rules.fall_multiple * warmth
@@ -160,7 +160,7 @@
         return level >= 1.0
 
     def expected_latency(self, backend: Backend) -> float:
-        """Return a backend's latency; a penalty fades, and a silent backend is as slow as it is silent."""
+        """Return the latency to expect: penalties fade over time, and silence counts as latency."""
         latency, now, usual = backend.latency, self.now, self.latency
         if latency > usual:
             latency = usual + (latency - usual) * math.exp((backend.observed_at - now) / RATE_MEMORY_S)
@@ -169,7 +169,7 @@
         return latency
 
     def record_load(self, backend: Backend, report: tuple[float, ...]) -> None:
-        """Record a load report; an empty one means a busy backend, not an idle one."""
+        """Record a load report; an empty report means that the backend is busy, not idle."""
         values = dict(zip(self.settings.report_columns, report, strict=False))
         load = values.get("inflight", values.get("queue", 0.0) + values.get("util", 0.0))
         if values:
@@ -183,7 +183,7 @@
         return 1 + (backend.load if self.now - backend.load_at < REPORT_FRESH_S else self.mean_load)
 
     def load_ratio(self) -> float:
-        """Return the latency that the reported load will cause, over the target."""
+        """Return the latency that the reported load will cause, divided by the target latency."""
         if "inflight" not in self.settings.report_columns:
             return 0.0  # a queue alone does not determine latency
         target = TARGET_SHARE * self.min_target_latency
@@ -199,7 +199,7 @@
     def has_capacity(self) -> bool:
         """Whether another attempt fits the limit, which ignores overdue attempts at silent backends."""
         if self.random.random() > 2 - self.load_ratio():
-            return False  # sheds at random: a gateway's own load says nothing about the fleet's
+            return False  # random: one gateway's load does not show the fleet's
         mean = self.backend_limit * len(self.ready)
         limit = mean + LIMIT_DEVIATIONS * math.sqrt(mean)
         slow_since, overdue = self.now - SLOW_FACTOR * self.latency, 0
@@ -213,11 +213,11 @@
         """Return the best of a few allowed backends, sampled from a large fleet; None if all are busy."""
         allowed = self.allowed_backends(job)
         if self.subset:
-            # Connections cost time and work at both ends; over 100 backends few requests find an open one.
+            # Connecting costs time and work at both ends; spread over 100 backends, few requests avoid it.
             last = self.subset[-1].rank
             subset = self.subset if allowed is self.ready else [b for b in allowed if b.rank <= last]
             if self.cold and allowed is self.ready:
-                # A gateway's part of a warm-up budget is so small that all of them have to use it.
+                # Each gateway's part of a warm-up budget is small: all gateways have to use theirs.
                 cold = self.random.sample(self.cold, min(CANDIDATES, len(self.cold)))
                 subset = subset + [b for b in cold if self.warmth(b) < 1 and b.state is State.READY]
             if (found := self.best_backend(job, subset)) or len(subset) == len(allowed):
@@ -249,7 +249,7 @@
         """Send a job to the best backend, or queue it while all are busy."""
         if job.closed:
             return
-        # Under a ceiling a queued job's credit expires too, or queued jobs would pass the ceiling together.
+        # Under a ceiling queued jobs' credits expire too: together they could exceed the ceiling later.
         for lease in job.leases if job.plan.ceiling_rate and not job.attempts else ():
             self.roll_window(lease)
             if not lease.for_slots and lease.refill_period != job.credit_period:
@@ -284,7 +284,7 @@
             self.attempts_in_flight -= backend.state is State.READY
             self.observe(backend, event, sent_at)
             if backend.state is State.GONE and not backend.in_flight:
-                del self.backends[event.backend]  # ids are never reused: kept ones would pile up
+                del self.backends[event.backend]  # ids are never reused: the map would grow
         self.sent_at.pop((event.request, event.attempt), None)
         if job := self.jobs.get(event.request):
             ended = job.in_flight.pop(event.attempt, None)
@@ -317,11 +317,11 @@
         latency = took if good else max(took, 2 * self.latency)
         backend.latency += LATENCY_WEIGHT * (latency - backend.latency)
         if event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-            # It is down, whatever the list says: ejected at once, tried again as the penalty fades.
+            # The backend is down, whatever the list says: it is ejected until this penalty has faded.
             backend.latency = max(backend.latency, EJECT_FACTOR * self.latency)
         is_miss = not good or (job is not None and took > TARGET_SHARE * job.cls.aim)
         if backend.latency < SLOW_FACTOR * self.latency and event.outcome is not Outcome.CONNECT_FAILED:
-            self.miss_ratio += LATENCY_WEIGHT / 2 * (is_miss - self.miss_ratio)  # single bad ones don't count
+            self.miss_ratio += LATENCY_WEIGHT / 2 * (is_miss - self.miss_ratio)  # slow backends don't count
         if self.miss_ratio < MAX_MISS_RATIO:
             if not is_miss and self.attempts_in_flight + 2 >= self.backend_limit * len(self.ready):
                 self.backend_limit += 1 / (self.backend_limit * max(1, len(self.ready))) / self.peers
@@ -331,31 +331,31 @@
 
     def retry_or_end(self, job: Job) -> None:
         """Retry a job whose attempts have all failed if its class allows that, else end it."""
-        # Hosts time attempts out slightly early; the time left then is useless.
+        # Hosts may time attempts out slightly early; the time that is left then is too short for a retry.
         has_time = self.now < job.deadline - MARGIN_S - TICK_S
         may_retry = has_time and job.attempts < self.settings.limits.max_attempts
         if not may_retry or all(b.entry.backend in job.tried[-2:] for b in self.allowed_backends(job)):
-            self.end_job(job)  # `choose_backend` takes none that was tried recently: waiting is useless
+            self.end_job(job)  # `choose_backend` skips those just tried: waiting is useless
         elif self.miss_ratio > MAX_MISS_RATIO:
             self.queue.append(job)  # the fleet is overloaded: retry at the next tick
         else:
             self.dispatch(job)
 
     def end_job(self, job: Job) -> None:
-        """Answer finally: a refusal if nothing took effect, as a failure leaves that open."""
+        """Give the final answer: a refusal if nothing took effect, else a failure, which leaves that open."""
         effect, is_everywhere = job.cls.effect, job.cls.scope is Scope.ALL
         is_harmless = effect is Effect.SAFE or (effect is Effect.KEYED and is_everywhere)
         if not job.in_flight and (job.possible_run is None or is_harmless):
             has_credits = all(lease in job.granted for lease in job.leases)
             why = Why.BACKENDS if job.attempts else Why.ROOM if has_credits else Why.COUNTER
-            self.refuse(job, self.latency, why)  # by then about as much has ended as is in flight now
+            self.refuse(job, self.latency, why)  # by then most attempts now in flight have ended
         else:
             self.close(job)
             self.actions.append(i.Fail(job.req.request))
 
     def refuse(self, job: Job, retry_after: float, why: Why) -> None:
         self.close(job)
-        limit = self.settings.limits.max_retry_after  # sent even if most clients are known to ignore it
+        limit = self.settings.limits.max_retry_after  # sent even if most clients ignore a retry-after
         self.actions.append(i.Refuse(job.req.request, min(max(0.0, retry_after), limit), why))
 
     def close(self, job: Job | None) -> None:
@@ -372,7 +372,7 @@
             return
         waiting, self.queue = sorted(self.queue, key=lambda j: -j.cls.worth * j.plan.price), []
         for job in waiting:
-            if len(self.queue) > 3:  # the rest would not fit either, and a long queue costs CPU time
+            if len(self.queue) > 3:  # the rest would not fit either, and trying them costs CPU time
                 self.queue.append(job)
             else:
                 self.dispatch(job)
@@ -402,19 +402,19 @@
             self.return_idle_credits()
 
     def retry_overdue(self) -> None:
-        """Retry an attempt at a backend that has stopped answering its class, or that is lost by itself.
+        """Retry attempts at backends that have stopped answering their class, and attempts that are lost.
 
-        One attempt in 15 takes 2.5 times its class's latency, and would take as long again.  So a backend is
-        judged by how long it has answered nothing of the class, a single attempt by a longer wait; both waits
-        double with each retry.  This guards against backends that hang, drop one class or vanish, and against
-        answers that never come or end.  It does harm where requests really take ten times the usual, or all
-        backends slow down by more than that at once: RETRY_BUDGET of the attempts then lose their work.
+        One attempt in 15 takes 2.5 times its class's latency, and its retry would take as long.  So a backend
+        is judged by how long it has answered nothing of the class, and a single attempt by a longer wait;
+        both waits double with each retry.  This guards against backends that hang, drop one class or vanish,
+        and against answers that never come or end.  The rule does harm where requests really take ten times
+        the usual latency, or all backends slow down so much at once: RETRY_BUDGET of the work is then lost.
         """
         limits = self.settings.limits
         for job in [j for j in self.jobs.values() if not j.closed and len(j.in_flight) == 1]:
             ((attempt, (backend, sent_at)),) = job.in_flight.items()
             usual = self.class_latency[job.req.cls]
-            # Answers to other classes would hide that this one gets none.
+            # Answers to other classes would hide that this class gets none.
             quiet_since = max(sent_at, backend.class_answered_at.get(job.req.cls, 0.0))
             is_silent = self.now - quiet_since >= SILENT_FACTOR * usual
             if is_silent:
