--- a/orchidhill/wire.py
+++ b/orchidhill/wire.py
@@ -39,140 +39,145 @@
 
 @dataclass(slots=True)
 class Batch:
-    """Events of one moment, each with the number of its gateway instance."""
+    """Events at one time, each with the number of its gateway instance."""
 
     now: float
     number: int
     records: list[tuple[int, i.Event | Configure | Crash]]
 
 
-HEADER = struct.Struct("<IIdI")
+HEADER = struct.Struct("<IIdI")  # number of records, length of the rest, time in seconds, batch number
 LENGTH_END = 8  # bytes of a batch header up to the end of its length field
-REPLY = struct.Struct("<III")
+REPLY = struct.Struct("<III")  # length of the rest, number of records, batch number
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
 _CONFIGURE = struct.Struct("<QI")
-_VIEW = struct.Struct("<BQI")
+_MEMBERS = struct.Struct("<BQI")
 _ENTRY = struct.Struct("<HdBBHfI")
-_DEMAND = struct.Struct("<QHIQdfffB")
+_REQUEST = struct.Struct("<QHIQdfffB")
 _UNDER_WAY = struct.Struct("<QHId")
 _FINISHED = struct.Struct("<QHBIBdHHB")
 _ID = struct.Struct("<Q")
-_CHECKED = struct.Struct("<IBdB")
-_SAYS = struct.Struct("<HH")
-_SUM = struct.Struct("<BQfd")
-_ASSIGN = struct.Struct("<BQId")
-_BOUNCE = struct.Struct("<BQd")
-_CALL_OFF = struct.Struct("<BQH")
-_TIMER = struct.Struct("<BdQ")
+_PROBED = struct.Struct("<IBdB")
+_PEER_SAYS = struct.Struct("<HH")
+_COUNTED = struct.Struct("<BQfd")
+_SEND = struct.Struct("<BQId")
+_REFUSE = struct.Struct("<BQd")
+_CANCEL = struct.Struct("<BQH")
+_SET_TIMER = struct.Struct("<BdQ")
 _CODE_ID = struct.Struct("<BQ")
 _CODE_U32 = struct.Struct("<BI")
 _CODE_FLAG = struct.Struct("<BB")
-_TALLY = struct.Struct("<BQdf")
-_ANNOUNCE = struct.Struct("<BIH")
+_COUNT = struct.Struct("<BQdf")
+_TELL = struct.Struct("<BIH")
 _TEXT = struct.Struct("<BH")
-_MARK_RETRY = 2
-_MARK_WRITE = 4
+_FLAG_RETRY = 2
+_FLAG_WRITE = 4
 _ALL_PEERS = 0xFFFFFFFF
-_TEXT_LIMIT = 0xFFFF
+_MAX_TEXT_BYTES = 0xFFFF
 
 _OUTCOMES = {int(o): o for o in i.Outcome}
 _STATES = {int(s): s for s in i.State}
 _LISTINGS = {int(k): k for k in i.Listing}
-_Got = tuple[i.Event | Configure | Crash, int]
+_Decoded = tuple[i.Event | Configure | Crash, int]  # and the offset after its record
 
 
-def _outcome(code: int) -> i.Outcome:
+def _decode_outcome(code: int) -> i.Outcome:
     try:
         return _OUTCOMES[code]
     except KeyError:
         raise WireError(f"unknown outcome {code}") from None
 
 
-def _bytes(buf: bytes, at: int, size: int) -> bytes:
-    if at + size > len(buf):
+def _take_bytes(buf: bytes, offset: int, size: int) -> bytes:
+    if offset + size > len(buf):
         raise WireError("a field runs past the end of the frame")
-    return buf[at : at + size]
+    return buf[offset : offset + size]
 
 
-def _configure(buf: bytes, at: int) -> _Got:
-    seed, size = _CONFIGURE.unpack_from(buf, at)
-    at += _CONFIGURE.size
-    return Configure(seed, _bytes(buf, at, size).decode()), at + size
+def _decode_configure(buf: bytes, offset: int) -> _Decoded:
+    seed, size = _CONFIGURE.unpack_from(buf, offset)
+    offset += _CONFIGURE.size
+    return Configure(seed, _take_bytes(buf, offset, size).decode()), offset + size
 
 
-def _view(buf: bytes, at: int) -> _Got:
-    form, version, count = _VIEW.unpack_from(buf, at)
-    at += _VIEW.size
-    if form not in _LISTINGS:
-        raise WireError(f"unknown list form {form}")
-    body = _bytes(buf, at, count * _ENTRY.size)
+def _decode_members(buf: bytes, offset: int) -> _Decoded:
+    listing, version, count = _MEMBERS.unpack_from(buf, offset)
+    offset += _MEMBERS.size
+    if listing not in _LISTINGS:
+        raise WireError(f"unknown list form {listing}")
+    body = _take_bytes(buf, offset, count * _ENTRY.size)
     entries = []
     for zone, started, state, kind, cell, weight, backend in _ENTRY.iter_unpack(body):
         if state not in _STATES:
             raise WireError(f"unknown backend state {state}")
         entries.append(i.Entry(backend, zone, started, _STATES[state], kind, cell, weight))
-    return i.Members(_LISTINGS[form], version, tuple(entries)), at + len(body)
+    return i.Members(_LISTINGS[listing], version, tuple(entries)), offset + len(body)
 
 
-def _demand(buf: bytes, at: int) -> _Got:
-    rid, cls, plan, customer, left, units, width, first, marks = _DEMAND.unpack_from(buf, at)
+def _decode_request(buf: bytes, offset: int) -> _Decoded:
+    request, cls, plan, customer, left, units, width, first, flags = _REQUEST.unpack_from(buf, offset)
     event = i.Request(
-        rid, cls, plan, customer, left, units, int(width), int(first),
-        bool(marks & _MARK_RETRY), bool(marks & _MARK_WRITE),
+        request, cls, plan, customer, left, units, int(width), int(first),
+        bool(flags & _FLAG_RETRY), bool(flags & _FLAG_WRITE),
     )  # fmt: skip
-    return event, at + _DEMAND.size
+    return event, offset + _REQUEST.size
 
 
-def _under_way(buf: bytes, at: int) -> _Got:
-    return i.UnderWay(*_UNDER_WAY.unpack_from(buf, at)), at + _UNDER_WAY.size
+def _decode_under_way(buf: bytes, offset: int) -> _Decoded:
+    return i.UnderWay(*_UNDER_WAY.unpack_from(buf, offset)), offset + _UNDER_WAY.size
 
 
-def _report(buf: bytes, at: int, count: int) -> tuple[tuple[float, ...], int]:
-    body = _bytes(buf, at, 4 * count)
-    return struct.unpack(f"<{count}f", body), at + len(body)
+def _decode_report(buf: bytes, offset: int, count: int) -> tuple[tuple[float, ...], int]:
+    body = _take_bytes(buf, offset, 4 * count)
+    return struct.unpack(f"<{count}f", body), offset + len(body)
 
 
-def _finished(buf: bytes, at: int) -> _Got:
-    rid, charged, closed, backend, how, spent, metered, attempt, count = _FINISHED.unpack_from(buf, at)
-    report, at = _report(buf, at + _FINISHED.size, count)
-    event = i.Finished(rid, attempt, backend, _outcome(how), bool(closed), spent, charged, metered, report)
-    return event, at
+def _decode_finished(buf: bytes, offset: int) -> _Decoded:
+    request, charged, closed, backend, code, spent, metered, attempt, count = _FINISHED.unpack_from(
+        buf, offset
+    )
+    report, offset = _decode_report(buf, offset + _FINISHED.size, count)
+    event = i.Finished(
+        request, attempt, backend, _decode_outcome(code), bool(closed), spent, charged, metered, report
+    )
+    return event, offset
 
 
-def _left(buf: bytes, at: int) -> _Got:
-    return i.Left(_ID.unpack_from(buf, at)[0]), at + _ID.size
+def _decode_left(buf: bytes, offset: int) -> _Decoded:
+    return i.Left(_ID.unpack_from(buf, offset)[0]), offset + _ID.size
 
 
-def _fired(buf: bytes, at: int) -> _Got:
-    return i.Fired(_ID.unpack_from(buf, at)[0]), at + _ID.size
+def _decode_fired(buf: bytes, offset: int) -> _Decoded:
+    return i.Fired(_ID.unpack_from(buf, offset)[0]), offset + _ID.size
 
 
-def _checked(buf: bytes, at: int) -> _Got:
-    backend, how, spent, count = _CHECKED.unpack_from(buf, at)
-    report, at = _report(buf, at + _CHECKED.size, count)
-    return i.Probed(backend, _outcome(how), spent, report), at
+def _decode_probed(buf: bytes, offset: int) -> _Decoded:
+    backend, code, spent, count = _PROBED.unpack_from(buf, offset)
+    report, offset = _decode_report(buf, offset + _PROBED.size, count)
+    return i.Probed(backend, _decode_outcome(code), spent, report), offset
 
 
-def _says(buf: bytes, at: int) -> _Got:
-    source, size = _SAYS.unpack_from(buf, at)
-    at += _SAYS.size
-    return i.PeerSays(source, _bytes(buf, at, size)), at + size
+def _decode_peer_says(buf: bytes, offset: int) -> _Decoded:
+    source, size = _PEER_SAYS.unpack_from(buf, offset)
+    offset += _PEER_SAYS.size
+    return i.PeerSays(source, _take_bytes(buf, offset, size)), offset + size
 
 
-def _crash(buf: bytes, at: int) -> _Got:
-    return Crash(), at
+def _decode_crash(buf: bytes, offset: int) -> _Decoded:
+    return Crash(), offset
 
 
-def _sum(buf: bytes, at: int) -> _Got:
-    how, name, total, spent = _SUM.unpack_from(buf, at)
-    return i.Counted(name, _outcome(how), total, spent), at + _SUM.size
+def _decode_counted(buf: bytes, offset: int) -> _Decoded:
+    code, name, total, spent = _COUNTED.unpack_from(buf, offset)
+    return i.Counted(name, _decode_outcome(code), total, spent), offset + _COUNTED.size
 
 
-_AT = 12
-_DECODERS: dict[int, Callable[[bytes, int], _Got]] = {
-    1: _configure, 2: _view, 3: _demand, 4: _under_way, 5: _finished, 6: _left, 7: _fired,
-    8: _checked, 9: _says, 10: _crash, 11: _sum,
+_AT_CODE = 12  # of the record that names the instance of the records after it
+_DECODERS: dict[int, Callable[[bytes, int], _Decoded]] = {
+    1: _decode_configure, 2: _decode_members, 3: _decode_request, 4: _decode_under_way,
+    5: _decode_finished, 6: _decode_left, 7: _decode_fired, 8: _decode_probed, 9: _decode_peer_says,
+    10: _decode_crash, 11: _decode_counted,
 }  # fmt: skip
 
 
@@ -182,27 +187,27 @@
     if length != len(body) + HEADER.size - LENGTH_END:
         raise WireError("the batch's length does not match its body")
     batch = Batch(now, number, [])
-    at, instance = 0, -1
+    offset, instance = 0, -1
     try:
         for _ in range(count):
-            code = body[at]
-            at += 1
-            if code == _AT:
-                (instance,) = _U32.unpack_from(body, at)
-                at += _U32.size
+            code = body[offset]
+            offset += 1
+            if code == _AT_CODE:
+                (instance,) = _U32.unpack_from(body, offset)
+                offset += _U32.size
                 continue
             decoder = _DECODERS.get(code)
             if decoder is None:
                 raise WireError(f"unknown record code {code}")
             if instance < 0:
                 raise WireError("a record precedes the first AT record")
-            event, at = decoder(body, at)
+            event, offset = decoder(body, offset)
             batch.records.append((instance, event))
     except (struct.error, IndexError):
         raise WireError("the frame is truncated") from None
     except UnicodeDecodeError:
-        raise WireError("the settings are not text") from None
-    if at != len(body):
+        raise WireError("the settings are not valid UTF-8") from None
+    if offset != len(body):
         raise WireError("bytes follow the last record")
     return batch
 
@@ -211,28 +216,28 @@
     """Encode an action as a record."""
     match action:
         case i.Send():
-            return _ASSIGN.pack(1, action.request, action.backend, action.timeout)
+            return _SEND.pack(1, action.request, action.backend, action.timeout)
         case i.Count():
-            return _TALLY.pack(13, action.name, action.expires, action.amount)
+            return _COUNT.pack(13, action.name, action.expires, action.amount)
         case i.SetTimer():
-            return _TIMER.pack(5, action.at, action.token)
+            return _SET_TIMER.pack(5, action.at, action.token)
         case i.Refuse():
-            return _BOUNCE.pack(2, action.request, action.retry_after)
+            return _REFUSE.pack(2, action.request, action.retry_after)
         case i.Fail():
             return _CODE_ID.pack(3, action.request)
         case i.Cancel():
-            return _CALL_OFF.pack(4, action.request, action.attempt)
+            return _CANCEL.pack(4, action.request, action.attempt)
         case i.Probe():
             return _CODE_U32.pack(6, action.backend)
         case i.CloseIdle():
             return _CODE_U32.pack(7, action.backend)
         case i.Tell():
             peer = _ALL_PEERS if action.peer is None else action.peer
-            return _ANNOUNCE.pack(8, peer, len(action.data)) + action.data
+            return _TELL.pack(8, peer, len(action.data)) + action.data
         case i.Log():
-            return _text(9, action.text)
+            return _encode_text(9, action.text)
         case Fault():
-            return _text(10, action.text)
+            return _encode_text(10, action.text)
         case i.Watch():
             return _CODE_FLAG.pack(11, action.on)
         case i.Pull():
@@ -240,24 +245,24 @@
     raise WireError(f"not an action: {action!r}")
 
 
-def _text(code: int, text: str) -> bytes:
-    data = text.encode()[:_TEXT_LIMIT]
+def _encode_text(code: int, text: str) -> bytes:
+    data = text.encode()[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, len(data)) + data
 
 
 def encode_reply(number: int, actions: Iterable[tuple[int, list[i.Action | Fault]]]) -> bytes:
-    """Encode the reply to a batch: for each instance a BY record, then its actions."""
+    """Encode the reply to a batch: for each instance its number, then its actions."""
     parts: list[bytes] = []
-    for instance, listed in actions:
-        if listed:
+    for instance, instance_actions in actions:
+        if instance_actions:
             parts.append(_CODE_U32.pack(14, instance))
-            parts.extend(map(encode_action, listed))
+            parts.extend(map(encode_action, instance_actions))
     body = b"".join(parts)
     return REPLY.pack(len(body) + REPLY.size - _U32.size, len(parts), number) + body
 
 
 class _Reader:
-    """Typed look-ups in lines of key=value.  Raises SettingsError that names the key."""
+    """Reads typed values from lines of key=value.  Raises SettingsError, which names the key."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
@@ -266,14 +271,14 @@
             if sep:
                 self.values[key.strip()] = value.strip()
 
-    def text(self, key: str, absent: str | None = None) -> str:
-        value = self.values.get(key, absent)
+    def text(self, key: str, default: str | None = None) -> str:
+        value = self.values.get(key, default)
         if value is None:
             raise SettingsError(f"missing setting {key}")
         return value
 
-    def number(self, key: str, absent: float | None = None) -> float:
-        value = self.text(key, None if absent is None else repr(absent))
+    def number(self, key: str, default: float | None = None) -> float:
+        value = self.text(key, None if default is None else repr(default))
         try:
             number = float(value)
         except ValueError:
@@ -282,103 +287,105 @@
             raise SettingsError(f"setting {key} is not a number: {value}")
         return number
 
-    def whole(self, key: str, absent: int | None = None) -> int:
-        number = self.number(key, absent)
+    def integer(self, key: str, default: int | None = None) -> int:
+        number = self.number(key, default)
         if number != int(number):
             raise SettingsError(f"setting {key} is not a whole number: {self.values[key]}")
         return int(number)
 
-    def flag(self, key: str, absent: bool | None = None) -> bool:
-        value = self.text(key, None if absent is None else str(absent).lower())
+    def flag(self, key: str, default: bool | None = None) -> bool:
+        value = self.text(key, None if default is None else str(default).lower())
         if value not in ("true", "false"):
             raise SettingsError(f"setting {key} is neither true nor false: {value}")
         return value == "true"
 
-    def listed(self, key: str) -> tuple[str, ...]:
+    def text_list(self, key: str) -> tuple[str, ...]:
         return tuple(part for part in self.values.get(key, "").split(",") if part)
 
     def effect(self, key: str) -> i.Effect:
         try:
             return i.Effect(self.text(key))
         except ValueError:
-            raise SettingsError(f"setting {key} is no effect: {self.text(key)}") from None
+            raise SettingsError(f"setting {key} is not an effect: {self.text(key)}") from None
 
     def scope(self, key: str) -> i.Scope:
         try:
             return i.Scope(self.text(key, "all"))
         except ValueError:
-            raise SettingsError(f"setting {key} is no scope: {self.text(key)}") from None
+            raise SettingsError(f"setting {key} is not a scope: {self.text(key)}") from None
 
 
-def _class(r: _Reader, p: str) -> i.RequestClass:
+def _parse_class(reader: _Reader, prefix: str) -> i.RequestClass:
     return i.RequestClass(
-        name=r.text(p + "name"),
-        aim=r.number(p + "goal_time_s"),
-        deadline=r.number(p + "deadline_s"),
-        effect=r.effect(p + "effect"),
-        scope=r.scope(p + "dedup_scope"),
-        memory=r.number(p + "memory_span_s", 0.0),
-        worth=r.number(p + "worth"),
-        late_worth=r.number(p + "late_value", 0.0),
-        stream=r.flag(p + "stream", False),
+        name=reader.text(prefix + "name"),
+        aim=reader.number(prefix + "goal_time_s"),
+        deadline=reader.number(prefix + "deadline_s"),
+        effect=reader.effect(prefix + "effect"),
+        scope=reader.scope(prefix + "dedup_scope"),
+        memory=reader.number(prefix + "memory_span_s", 0.0),
+        worth=reader.number(prefix + "worth"),
+        late_worth=reader.number(prefix + "late_value", 0.0),
+        stream=reader.flag(prefix + "stream", False),
     )
 
 
-def _plan(r: _Reader, p: str) -> i.Plan:
+def _parse_plan(reader: _Reader, prefix: str) -> i.Plan:
     return i.Plan(
-        name=r.text(p + "name"),
-        rate=r.number(p + "quota_rate", 0.0),
-        burst=r.number(p + "peak_units", 0.0),
-        parallel=r.whole(p + "parallel", 0),
-        price=r.number(p + "pays"),
-        over_cost=r.number(p + "over_cost", 0.0),
-        over_worth=r.number(p + "beyond_earns", 0.0),
-        ceiling_rate=r.number(p + "never_over_rate", 0.0),
-        ceiling_burst=r.number(p + "hard_burst", 0.0),
-        ceiling_slack=r.number(p + "ceiling_slack", 0.0),
+        name=reader.text(prefix + "name"),
+        rate=reader.number(prefix + "quota_rate", 0.0),
+        burst=reader.number(prefix + "peak_units", 0.0),
+        parallel=reader.integer(prefix + "parallel", 0),
+        price=reader.number(prefix + "pays"),
+        over_cost=reader.number(prefix + "over_cost", 0.0),
+        over_worth=reader.number(prefix + "beyond_earns", 0.0),
+        ceiling_rate=reader.number(prefix + "never_over_rate", 0.0),
+        ceiling_burst=reader.number(prefix + "hard_burst", 0.0),
+        ceiling_slack=reader.number(prefix + "ceiling_slack", 0.0),
     )
 
 
 def parse_settings(text: str) -> i.Settings:
     """Parse the settings message; unknown keys are ignored.  Raises SettingsError."""
-    r = _Reader(text)
+    reader = _Reader(text)
     rules = i.Rules(
-        answer_slack=r.number("rules.answer_slack_s"),
-        drain_grace=r.number("rules.drain_grace_s"),
-        cold_share=r.number("rules.cold_share"),
-        warm_up=r.number("rules.warm_up_s"),
-        fall_multiple=r.number("rules.fall_multiple"),
-        fall_time=r.number("rules.fall_s"),
-        ask_within=r.number("rules.ask_within_s", 0.0),
+        answer_slack=reader.number("rules.answer_slack_s"),
+        drain_grace=reader.number("rules.drain_grace_s"),
+        cold_share=reader.number("rules.cold_share"),
+        warm_up=reader.number("rules.warm_up_s"),
+        fall_multiple=reader.number("rules.fall_multiple"),
+        fall_time=reader.number("rules.fall_s"),
+        ask_within=reader.number("rules.ask_within_s", 0.0),
     )
     limits = i.Limits(
-        max_attempts=r.whole("caps.max_attempts"),
-        second_copies=r.flag("caps.second_copies"),
-        cancel=r.flag("caps.cancel", False),
-        probes=r.flag("caps.may_probe", False),
-        retry_after=r.flag("caps.retry_after", False),
-        max_retry_after=r.number("caps.max_retry_after_s", 0.0),
-        connect_timeout=r.number("caps.connect_timeout_s"),
+        max_attempts=reader.integer("caps.max_attempts"),
+        second_copies=reader.flag("caps.second_copies"),
+        cancel=reader.flag("caps.cancel", False),
+        probes=reader.flag("caps.may_probe", False),
+        retry_after=reader.flag("caps.retry_after", False),
+        max_retry_after=reader.number("caps.max_retry_after_s", 0.0),
+        connect_timeout=reader.number("caps.connect_timeout_s"),
     )
-    prices = {k.removeprefix("penalties."): r.number(k) for k in r.values if k.startswith("penalties.")}
-    has_counter = r.flag("extra.has_counter", False)
+    prices = {
+        k.removeprefix("penalties."): reader.number(k) for k in reader.values if k.startswith("penalties.")
+    }
+    has_counter = reader.flag("extra.has_counter", False)
     return i.Settings(
-        me=r.whole("me"),
-        peers=r.whole("peers_total"),
-        zone=r.whole("az"),
-        zones=r.listed("zones"),
-        period=r.number("period_s"),
-        classes=tuple(_class(r, f"classes.{n}.") for n in range(r.whole("classes.count"))),
-        plans=tuple(_plan(r, f"tariffs.{n}.") for n in range(r.whole("tariffs.count", 0))),
+        me=reader.integer("me"),
+        peers=reader.integer("peers_total"),
+        zone=reader.integer("az"),
+        zones=reader.text_list("zones"),
+        period=reader.number("period_s"),
+        classes=tuple(_parse_class(reader, f"classes.{n}.") for n in range(reader.integer("classes.count"))),
+        plans=tuple(_parse_plan(reader, f"tariffs.{n}.") for n in range(reader.integer("tariffs.count", 0))),
         rules=rules,
         limits=limits,
         has_counter=has_counter,
-        counter_price=r.number("extra.counter_price", 0.0),
-        counter_timeout=r.number("extra.counter_timeout_s") if has_counter else 0.0,
-        settles=r.flag("extra.settles", False),
-        membership_push=r.text("membership_mode", "push") == "push",
-        weight_source=r.text("weight_source", "silent"),
-        report_how=r.text("report.how", "silent"),
-        report_columns=r.listed("report.columns"),
+        counter_price=reader.number("extra.counter_price", 0.0),
+        counter_timeout=reader.number("extra.counter_timeout_s") if has_counter else 0.0,
+        settles=reader.flag("extra.settles", False),
+        membership_push=reader.text("membership_mode", "push") == "push",
+        weight_source=reader.text("weight_source", "silent"),
+        report_how=reader.text("report.how", "silent"),
+        report_columns=reader.text_list("report.columns"),
         prices=prices,
     )
