--- a/orchidhill/proxy_gateway.py
+++ b/orchidhill/proxy_gateway.py
@@ -1,7 +1,7 @@
 """The decisions of one of the system's proxies: admission (admission.py), backend choice, retries.  Pure.
 
-A proxy serves requests of several services.  Admitted requests go to a backend at once, which keeps a short
-queue of its own: holding them at the proxy would help none.  Retries draw on a budget for all proxies
+A proxy serves requests of several services.  Admitted requests are sent to a backend at once: backends keep a
+short queue, and a second queue at the proxy would not help.  Retries draw on one budget for all proxies
 together, whatever their number: each proxy earns retries in proportion to its first attempts.
 """
 
@@ -23,24 +23,24 @@
 RETRY_BUDGET_SHARE = 0.6  # part of the operators' retry ratio that is used
 INITIAL_RETRY_TOKENS = 1.0  # by service
 MAX_RETRY_TOKENS = 2.0  # by service; keeps all proxies together within the operators' slack
-SILENT = 1  # kind of an entry whose backend is not leaving, but silent
-EJECT_S = 0.6  # for which an unreachable backend is ejected, doubled with each failure in a row
+SILENT = 1  # `Entry.kind` of a draining backend that is not leaving, but sends no heartbeats
+EJECT_S = 0.6  # for which an unreachable backend is ejected; doubles with each further failure in a row
 MAX_EJECT_S = 5.0
 SILENT_FACTOR = 5.0  # times its class's latency without an answer after which a backend counts as silent
 LOST_FACTOR = 8.0  # times its class's latency after which a safe attempt goes to another backend
 MIN_SILENCE_S = 0.4  # lower bound of the silence that counts
-RETRY_AFTER_SHARE = 0.25  # of the target latency, the retry-after of a refusal for want of backends
-# Parts of what the quota rule allows beyond quotas (`excess_allowance`):
+RETRY_AFTER_SHARE = 0.25  # of the target latency: the retry-after of a refusal for lack of backends
+# Parts of the units that the quota rule allows beyond a quota (`excess_allowance`):
 LOSS_ALLOWANCE = 0.7  # granted again after a loss of totals
 LOCAL_ALLOWANCE = 0.45  # admitted by all proxies together in degraded mode
 UNSPENT_ALLOWANCE = 0.4  # held unspent by all proxies together
 RETRY_RATE_SHARE = 0.5  # of a tenant's rate, over which the retries of refused requests are spread
-FLOOD_S = 4.0  # of scheduled retries, from which a tenant is taken to ask for far more than its quota
-MAX_RETRY_DELAY_SHARE = 0.3  # of a request's remaining time; clients heed a retry-after of up to a third
-HOME_FACTOR = 3.0  # of the usual latency and of the best backend's queue, up to which a home backend is used
-OTHER_ZONE_FACTOR = 1.2  # on the score of a backend in another zone: traffic between zones costs
+FLOOD_S = 4.0  # a tenant with retries scheduled this far ahead counts as far beyond its quota
+MAX_RETRY_DELAY_SHARE = 0.3  # of a request's remaining time, as clients heed a retry-after up to a third
+HOME_FACTOR = 3.0  # times the usual latency and the best backend's queue up to which a home backend is used
+OTHER_ZONE_FACTOR = 1.2  # on the score of a backend in another zone, as traffic between zones costs more
 ROTATION_S = 40.0  # since a backend's last attempt, beyond which its idle time no longer improves its score
-ROTATION_BONUS_PER_S = 3e-4  # part of the score, for each second of that
+ROTATION_BONUS_PER_S = 3e-4  # part of the score that is deducted for each second of idle time
 WARM_UP_S = 3.0
 WARM_UP_FACTOR = 2.0  # on the latency of a backend that has just started
 
@@ -50,10 +50,10 @@
     """A backend as this proxy sees it."""
 
     relative_latency: float = 1.0  # over its class's usual latency
-    asked_at: float = 0.0  # when the last attempt was sent
+    last_sent_at: float = 0.0  # when the last attempt was sent
     failures: int = 0  # in a row
     ejected_until: float = 0.0
-    is_reported: bool = False  # whether it is ejected because several proxies met failures
+    is_reported: bool = False  # whether the ejection is due to several proxies' reports
 
 
 @dataclass(slots=True)
@@ -80,12 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyRules:
-    """The operators' rules on retries and quotas: ratios, seconds and requests."""
+    """The operators' rules on retries and quotas."""
 
-    retry_ratio: float
-    quota_window: float
-    quota_excess: float
-    quota_slack: float
+    retry_ratio: float  # retries per first attempt, over all proxies
+    quota_window: float  # seconds, over which a quota has to hold
+    quota_excess: float  # part of a quota's units in a window that may be granted beyond them
+    quota_slack: float  # requests that may be granted beyond that
 
 
 class ProxyGateway(Admission):
@@ -104,13 +104,13 @@
         self.timer_due = -math.inf
         self.scan_at = 0.0
         self.attempts_in_flight = 0
-        self.owed_since: dict[int, float] = {}  # by customer: since when its `owed` was admitted locally
+        self.owed_since: dict[int, float] = {}  # by customer: start of the local admissions in `Lease.owed`
         self.unreached: dict[int, int] = {}  # by request: attempts that reached no backend
         self.denied_retries = 0  # by the retry budget
         self.retry_schedules: dict[int, RetrySchedule] = {}  # by customer
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
-        """Return the actions that answer one event, in order."""
+        """Handle one event at time `now`, in seconds; return the resulting actions, in order."""
         self.now, self.actions = now, []
         match event:
             case i.Request():
@@ -187,9 +187,9 @@
             found = self.backends.get(entry.backend)
             if found is None:
                 found = self.backends[entry.backend] = ProxyBackend(entry, answered_at=self.now)
-                # A random last attempt for each proxy and backend: else proxies without any history would
-                # all choose the same backend first, then all the next one.
-                found.asked_at = (
+                # The time of the last attempt is pseudo-random, different at each proxy: else new proxies
+                # would all choose the same backend first, then all choose the next one.
+                found.last_sent_at = (
                     self.now - ROTATION_S * stable_hash(entry.backend, self.instance_hash) / 2**64
                 )
             found.entry, found.state = entry, entry.state
@@ -204,12 +204,13 @@
                 self.service(backend.entry.service).silent.append(backend)
 
     def on_eject(self, event: i.Shun) -> None:
-        """Eject a backend on other proxies' reports: this proxy has too few requests to notice soon."""
+        """Eject a backend that several proxies reported: this proxy sends too few requests to notice soon."""
         if (backend := self.backends.get(event.backend)) is not None:
             backend.ejected_until = max(backend.ejected_until, self.now + event.seconds)
             backend.is_reported = True
 
     def service(self, number: int) -> Service:
+        """Return the service with a number, created on first use."""
         found = self.services.get(number)
         if found is None:
             found = self.services[number] = Service()
@@ -236,7 +237,8 @@
     def local_capacity(self, lease: Lease, share: float) -> float:
         """Return the capacity of the local share: for all proxies together, LOCAL_ALLOWANCE at most.
 
-        Where that is less than a unit for each proxy, a part of the proxies have one, others for each tenant.
+        Where that is less than one unit per proxy, only some proxies have a unit; which ones depends on the
+        tenant.
         """
         if lease.for_slots:
             return super().local_capacity(lease, share)
@@ -246,18 +248,18 @@
         return 1.0 if stable_hash(lease.customer, self.instance_hash) / 2**64 < allowance else 0.0
 
     def fits_local_share(self, lease: Lease, units: float) -> bool:
-        """Whether the local share admits `units`.  None may leave a debt, as all proxies would allow one."""
+        """Whether the local share admits `units`; never into debt, as all proxies would allow a debt."""
         return self.refill_local_level(lease) + EPSILON >= units
 
     def bucket_level(self, lease: Lease) -> float:
-        """Return the bucket's level, less the deficit at the edge that is in no total yet."""
+        """Return the bucket's level, less the deficit at the window's edge that no total contains yet."""
         return super().bucket_level(lease) - lease.edge_deficit
 
     def repair_total(self, lease: Lease, call: Call) -> None:
         """Do nothing: the counter caps buckets itself."""
 
     def call_counter(self, lease: Lease, amount: float, is_adjustment: bool, correction: float = 0.0) -> None:
-        """Call the counter with the fields that it needs to keep the bucket itself."""
+        """Call the counter with the fields that a counter needs to keep buckets itself."""
         super().call_counter(lease, amount, is_adjustment, correction)
         count, plan = self.actions[-1], lease.plan
         assert isinstance(count, i.Count)
@@ -269,12 +271,12 @@
         count.known, count.knew = lease.last_total, lease.incarnation if lease.is_synced else 0
         owed = (amount if is_adjustment else lease.owed) if amount > 0 else 0.0
         if owed > 0 and (since := self.owed_since.get(lease.customer)) is not None:
-            # The last of it, as much as the local share holds, may have been admitted all at once.
+            # The last units, as many as the local share holds, may have been admitted all at once.
             count.late = max(0.0, owed - self.local_capacity(lease, self.local_share(lease)))
             count.spread = min(self.now - since, count.since)
 
     def admit_locally(self, lease: Lease, job: Job, units: float) -> None:
-        """As in Admission; also record since when, as the counter learns of these admissions late."""
+        """As in Admission; also record when local admissions began, as the counter learns of them late."""
         before = lease.owed
         super().admit_locally(lease, job, units)
         if before < EPSILON < lease.owed and not lease.for_slots:
@@ -285,20 +287,20 @@
     def max_lease_size(self, lease: Lease) -> float:
         """Return the maximum of credits to lease in advance.
 
-        Credits that proxies hold unspent come from a bucket that has refilled since: in a flood all proxies
-        would spend them at once, on top of the burst.
+        While proxies hold credits unspent, the bucket that granted them refills: in a flood all proxies would
+        spend these credits at once, on top of a full burst.
         """
         return math.floor(1 + UNSPENT_ALLOWANCE * self.excess_allowance(lease.plan) / lease.width)
 
     def excess_allowance(self, plan: i.Plan) -> float:
-        """Return the units in one of its windows that the quota rule allows beyond a quota."""
+        """Return the units that the quota rule allows beyond a quota, in one window of the rule."""
         rules = self.rules
         return rules.quota_excess * (rules.quota_window * plan.rate + plan.burst) + rules.quota_slack
 
     # --- backends ---------------------------------------------------------------------------------
 
     def choose_backend(self, job: Job) -> ProxyBackend | None:
-        """Return the untried backend expected to answer first; an ejected one only if no other is left."""
+        """Return the untried backend expected to answer first; an ejected one if no other backend is left."""
         best, best_score, ejected, ejected_score = None, math.inf, None, math.inf
         usual = self.class_latency[job.req.cls]
         service = self.service(job.req.service)
@@ -318,7 +320,7 @@
                     ejected, ejected_score = backend, score
                 continue
             # Prefers the backend that has been idle longest.
-            score *= 1 + ROTATION_BONUS_PER_S * max(-ROTATION_S, backend.asked_at - self.now)
+            score *= 1 + ROTATION_BONUS_PER_S * max(-ROTATION_S, backend.last_sent_at - self.now)
             if score < best_score:
                 best, best_score = backend, score
         if job.req.home and (home := self.home_backend(job, usual, best)) is not None:
@@ -328,8 +330,8 @@
     def home_backend(self, job: Job, usual: float, best: ProxyBackend | None) -> ProxyBackend | None:
         """Return the home backend of the job's conversation if it is ready and not much worse than others.
 
-        Its latency is compared with the class's usual one, not with the best backend's, which may be known
-        less well.
+        The home backend's latency is compared with the class's usual latency, not with the best backend's,
+        which may be known less well.
         """
         home = self.backends.get(job.req.home)
         if home is None or home.state is not State.READY or home.entry.service != job.req.service:
@@ -358,15 +360,15 @@
 
     def send(self, job: Job, backend: ProxyBackend) -> None:
         backend.in_flight[job.req.request, job.attempts] = self.now
-        backend.asked_at = self.now
+        backend.last_sent_at = self.now
         self.attempts_in_flight += 1
         job.in_flight[job.attempts] = backend, self.now
         job.attempts += 1
         job.tried.append(backend.entry.backend)
         if len(job.tried) == 1:
             service = self.service(job.req.service)
-            earned = RETRY_BUDGET_SHARE * self.rules.retry_ratio
-            service.retry_tokens = min(MAX_RETRY_TOKENS, service.retry_tokens + earned)
+            earned_tokens = RETRY_BUDGET_SHARE * self.rules.retry_ratio
+            service.retry_tokens = min(MAX_RETRY_TOKENS, service.retry_tokens + earned_tokens)
         self.actions.append(i.Send(job.req.request, backend.entry.backend, 0.0))
 
     def on_finished(self, event: i.Finished) -> None:
@@ -423,7 +425,7 @@
                 backend.ejected_until = max(backend.ejected_until, self.now + seconds)
 
     def observe_departure(self, backend: ProxyBackend, relative_latency: float) -> None:
-        """Observe a client that left before the answer: the backend's latency is at least `relative_latency`.
+        """Record that a client left before its answer: the backend's latency is at least `relative_latency`.
 
         Otherwise a backend that answers nothing would look idle as soon as its clients had left.
         """
@@ -433,17 +435,17 @@
 
     def retry_or_end(self, job: Job, outcome: Outcome) -> None:
         """Retry a job whose attempts have all failed at another backend if that is allowed, else end it."""
-        is_repeatable = job.possible_run is None or job.cls.effect is Effect.SAFE
+        may_repeat = job.possible_run is None or job.cls.effect is Effect.SAFE
         max_attempts = job.req.most or self.settings.limits.max_attempts
         if outcome is Outcome.CONNECT_FAILED:
             self.unreached[job.req.request] = self.unreached.get(job.req.request, 0) + 1
-        reached = job.attempts - self.unreached.get(job.req.request, 0)
+        reached_count = job.attempts - self.unreached.get(job.req.request, 0)
         has_time = job.deadline - self.now > MARGIN_S + TICK_S
-        if not is_repeatable or not has_time or job.attempts >= self.settings.limits.max_attempts:
+        if not may_repeat or not has_time or job.attempts >= self.settings.limits.max_attempts:
             return self.end_job(job)
-        if reached:
+        if reached_count:
             service = self.service(job.req.service)
-            if reached >= max_attempts or service.retry_tokens < 1:
+            if reached_count >= max_attempts or service.retry_tokens < 1:
                 self.denied_retries += 1
                 return self.end_job(job)
             if (backend := self.choose_backend(job)) is None:
@@ -453,7 +455,7 @@
         self.dispatch(job)
 
     def end_job(self, job: Job) -> None:
-        """Answer finally: a refusal promises that nothing took effect, a failure leaves it open."""
+        """Give the final answer: a refusal, which promises that nothing took effect, or else a failure."""
         if not job.in_flight and (job.possible_run is None or job.cls.effect is Effect.SAFE):
             why = Why.BACKENDS if job.attempts else Why.ROOM
             self.refuse(job, RETRY_AFTER_SHARE * job.cls.aim, why)
@@ -464,10 +466,10 @@
     def schedule_retry(self, job: Job, after: float) -> float:
         """Return the seconds after which a request refused for its quota may retry, spread over time.
 
-        With the same delay, requests refused together would retry together, and most would be refused again
-        until they give up.  So retries are spread over this proxy's part of half of the tenant's rate.  While
-        far more than the quota keeps arriving, that would only delay requests in whose place others are
-        served: then new requests get `after`.
+        `after`: seconds until the customer may lease again.  With the same delay for all, requests refused
+        together would retry together, and most would be refused again until they give up.  So retries are
+        spread over this proxy's part of half of the tenant's rate.  During a flood that would only delay
+        some requests while later ones are served in their place: then new requests get `after`.
         """
         lease = job.leases[0]
         schedule = self.retry_schedules.setdefault(lease.customer, RetrySchedule())
@@ -478,7 +480,7 @@
         schedule.next_at = min(retry_at + interval, self.now + FLOOD_S)
         schedule.is_flooded = schedule.is_flooded or schedule.next_at >= self.now + FLOOD_S
         max_delay = MAX_RETRY_DELAY_SHARE * (job.deadline - self.now)
-        if schedule.is_flooded:  # new requests may still be served in time, older ones once it is over
+        if schedule.is_flooded:  # new requests may still be served in time, older ones after the flood
             age = job.cls.deadline - (job.deadline - self.now)
             return after if age < job.cls.aim / 4 else max_delay
         return min(retry_at - self.now, max_delay)
@@ -533,7 +535,7 @@
                 continue
             max_attempts = job.req.most or self.settings.limits.max_attempts
             service = self.service(job.req.service)
-            reached = job.attempts - self.unreached.get(job.req.request, 0)
-            may_retry = reached < max_attempts and service.retry_tokens >= 1
+            reached_count = job.attempts - self.unreached.get(job.req.request, 0)
+            may_retry = reached_count < max_attempts and service.retry_tokens >= 1
             if may_retry and job.deadline - self.now > usual:
                 self.actions.append(i.Cancel(job.req.request, attempt))  # `retry_or_end` sends it again
