--- a/ivymux/idempotency/affinity.py
+++ b/ivymux/idempotency/affinity.py
@@ -3,7 +3,7 @@
 Conversations are hashed into buckets.  Each bucket ranks all backends by a hash (rendezvous hashing, Thaler
 and Ravishankar 1998) and is assigned to the first that has capacity left.  A backend's limit is its share by
 capacity plus a quarter (bounded loads; Mirrokni, Thorup, Zadimoghaddam 2018).  Proxies that know the same
-backends compute the same table without exchanging messages; proxies that start or stop change nothing.
+backends compute the same table without exchanging messages; the table does not depend on the proxies.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 BUCKET_COUNT = 1024
 MAX_LOAD_FACTOR = 1.25  # limit of a backend's buckets, as a multiple of its share by capacity
-WEIGHTS_PER_DIGEST = 8
+WEIGHTS_PER_DIGEST = 8  # 64-bit weights in one 64-byte digest
 _unpack_weights = struct.Struct(f">{WEIGHTS_PER_DIGEST}Q").unpack
 
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class HomeBackends:
-    """The home backends of each service's buckets; a table is computed when it is first needed."""
+    """The home backends of each service's buckets; a service's table is computed on first use."""
 
     backends: dict[str, dict[str, int]] = field(default_factory=dict)  # capacity by backend, by service
     tables: dict[str, tuple[str, ...]] = field(default_factory=dict)  # backend by bucket, by service
@@ -79,7 +79,7 @@
         return tuple(table)
 
     def drop_unused_scores(self) -> None:
-        """Forget the scores of backends that no service has any longer."""
+        """Drop the scores of backends that no service has any longer."""
         used = {
             (backend, capacity)
             for backends in self.backends.values()
--- a/ivymux/idempotency/record_store.py
+++ b/ivymux/idempotency/record_store.py
@@ -31,11 +31,11 @@
 ANSWERED = "answered"  # the action has run
 OUTCOME_UNKNOWN = "unknown"  # the action may have run; it must not be sent again
 MISMATCH = "differs"  # the key was used before with another request
-LIMIT_REACHED = "full"  # no room for another record of this tenant
+LIMIT_REACHED = "full"  # this tenant may have no further record
 
 KEY_RANGES = 256  # by the first two digits of the key
 KEY_DIGITS = 32
-MAX_RECORDS = 60_000
+MAX_RECORDS = 60_000  # above which no tenant gets more than an even share
 MAX_STORED_ANSWER_CHARS = 24 << 20  # over all records
 MAX_ANSWER_CHARS = 64 << 10  # of one record
 FREE_RETENTION_S = 30.0  # a FREE record is kept this long so that delayed copies of it are recognised
@@ -45,7 +45,7 @@
 
 
 class IdempotencyRecordError(ValueError):
-    """A record, or a call about one, that no correct process sends."""
+    """A malformed record, or a malformed call about a record: no correct process sends either."""
 
 
 class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -57,17 +57,17 @@
 
     key: str
     tenant: str
-    claim: str  # of the attempt that opened the record: its proxy's incarnation id and a number
+    claim: str  # that opened the record: the proxy's incarnation id and a number
     request_digest: str  # of the action's method and target
     body_digest: str
     lifetime_s: float  # within which the claim must end the record
     state: str = OPEN
-    change_number: int = 0  # of the last change; rises
-    answer: str = ""  # for repeats of the action; empty where it was not kept
+    change_number: int = 0  # of the last change; increases with each change
+    answer: str = ""  # for repeats of the action; empty if the answer was not kept
 
     def __post_init__(self) -> None:
         if self.state not in STATES or len(self.key) != KEY_DIGITS or len(self.answer) > MAX_ANSWER_CHARS:
-            raise IdempotencyRecordError("a ticket out of its bounds")
+            raise IdempotencyRecordError("idempotency record with a value out of bounds")
         int(self.key, 16)
 
     @property
@@ -76,18 +76,18 @@
         return self.claim.startswith(SETTING_CLAIM_PREFIX)
 
     def to_wire(self) -> list[Any]:
-        """Return the fields in their order."""
+        """Return the fields in the order of their declaration."""
         return [*msgspec.structs.astuple(self)]
 
     @staticmethod
     def from_wire(wire: Any) -> IdempotencyRecord:
         """Read a record from the form of `to_wire`.  Raises IdempotencyRecordError."""
         if not isinstance(wire, list) or len(wire) != len(IdempotencyRecord.__struct_fields__):
-            raise IdempotencyRecordError("no ticket")
+            raise IdempotencyRecordError("not an idempotency record")
         try:
             return msgspec.convert(wire, IdempotencyRecord)
         except msgspec.ValidationError as error:
-            raise IdempotencyRecordError(f"no ticket: {error}") from None
+            raise IdempotencyRecordError(f"not an idempotency record: {error}") from None
 
     def digest(self) -> int:
         """Return a 64-bit digest over all fields."""
@@ -119,10 +119,9 @@
     """One copy of the records, with indices by age and tenant and a digest for each range of keys."""
 
     records: dict[str, IdempotencyRecord] = field(default_factory=dict)  # by key
-    received_at: dict[str, float] = field(
-        default_factory=dict
-    )  # steady time by key, oldest first; no settings
-    freed_at: dict[str, float] = field(default_factory=dict)  # the same for FREE records
+    # Steady time by key, oldest first; without records of settings.
+    received_at: dict[str, float] = field(default_factory=dict)
+    freed_at: dict[str, float] = field(default_factory=dict)  # the same, for FREE records
     settings: dict[str, IdempotencyRecord] = field(default_factory=dict)  # records of replicated settings
     digests: list[int] = field(default_factory=lambda: [0] * KEY_RANGES)
     counts_by_tenant: dict[str, int] = field(default_factory=dict)
@@ -217,7 +216,7 @@
                 return Verdict(LIMIT_REACHED, MAX_RETRY_AFTER_S)
             return Verdict(PROCEED)
         if held.claim == claimed.claim and held.state == OPEN:
-            return Verdict(PROCEED)  # the same claim again, as its answer was lost
+            return Verdict(PROCEED)  # the claim is repeated, as the reply to it was lost
         if held.request_digest != claimed.request_digest:
             return Verdict(MISMATCH, mismatch="method or path")
         if held.body_digest != claimed.body_digest:
@@ -241,7 +240,7 @@
     def ended_record(
         self, key: str, claim: str, state: str, answer: str, limits: RecordLimits
     ) -> IdempotencyRecord | None:
-        """Return the record as its claim ends it; None where the claim does not hold it or has ended it."""
+        """Return the ended record; None if the claim does not hold the record or has ended it before."""
         held = self.records.get(key)
         if held is None or held.claim != claim or held.state != OPEN or state not in (DONE, LOST, FREE):
             return None
--- a/ivymux/idempotency/settings.py
+++ b/ivymux/idempotency/settings.py
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConversationSettings:
-    """The settings as they are used."""
+    """The validated settings, in the units of the code."""
 
     version: int = -1
     limits: RecordLimits = field(default_factory=RecordLimits)
     header: bytes = b""  # lower-case name of the header that names a conversation; empty for none
 
 
-def compile(document: ConversationSettingsDocument) -> ConversationSettings:
+def compile_settings(document: ConversationSettingsDocument) -> ConversationSettings:
     """Validate a document.  Raises ConversationSettingsError."""
     version = document.settings_version
     if isinstance(version, bool) or version < 0:
@@ -77,6 +77,6 @@
     if len(text) > MAX_TEXT_BYTES:
         raise ConversationSettingsError(f"the settings have {len(text)} bytes; {MAX_TEXT_BYTES} at most")
     try:
-        return compile(msgspec.json.decode(text, type=ConversationSettingsDocument))
+        return compile_settings(msgspec.json.decode(text, type=ConversationSettingsDocument))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ConversationSettingsError(f"the settings of conversations: {error}") from None
--- a/ivymux/idempotency/validation.py
+++ b/ivymux/idempotency/validation.py
@@ -1,6 +1,6 @@
 """Validation of the settings of conversations with pyserde, as the registry accepts them.  Pure.
 
-Costly to import.
+Importing this module takes long, as pyserde generates code: proxies do without it.
 """
 
 from __future__ import annotations
