--- a/ivymux/routing_config/route_plan.py
+++ b/ivymux/routing_config/route_plan.py
@@ -1,8 +1,8 @@
 """The users' configuration: decoded, checked and compiled into a plan of routes.  Pure.
 
-An invalid configuration is refused with the place and how to correct it.  Only the text as it was sent is
-stored and passed on.  Proxies decode it by msgspec alone, as pyserde's classes would add 0.4 s to each start;
-core machines, which accept it, check it by both (validation.py).
+An invalid configuration is refused with the place and how to correct it.  The text is stored and passed on as
+the operator sent it.  Proxies decode the text with msgspec alone, as importing pyserde's classes would add
+0.4 s to each start; core machines, which accept it, check it with both (validation.py).
 """
 
 from __future__ import annotations
@@ -36,6 +36,8 @@
 
 @dataclass
 class RouteEntry:
+    """An entry of `route_table`."""
+
     name: str
     host_name: str
     path_prefix: str
@@ -51,6 +53,8 @@
 
 @dataclass
 class ServiceEntry:
+    """An entry of `service_table`."""
+
     name: str
     health_path: str = "/"
     conn_limit: int = 0
@@ -58,6 +62,8 @@
 
 @dataclass
 class TenantEntry:
+    """An entry of `tenant_table`."""
+
     name: str
     api_keys: list[str] = field(default_factory=list)
     precedence: int = 0
@@ -67,6 +73,8 @@
 
 @dataclass
 class LimitsEntry:
+    """The table `limits`; sizes in bytes, times as texts such as `3s`."""
+
     max_header_bytes: int = 16384
     max_body_bytes: int = 64 << 20
     header_timeout: str = "3s"
@@ -75,7 +83,7 @@
 
 @dataclass
 class Document:
-    """A configuration as it is written; the classes above are its parts."""
+    """A configuration as operators write it; the classes above are its parts."""
 
     config_version: int
     route_table: list[RouteEntry]
@@ -95,7 +103,7 @@
     deadline_s: float
     target_latency_s: float
     precedence: int
-    max_attempts: int  # each at another backend
+    max_attempts: int  # that reach a backend, each at another one
     no_auth: bool
     weighted_services: tuple[tuple[str, float], ...]  # names and weights, without those of weight 0
 
@@ -151,7 +159,7 @@
     client_limits: ClientLimits
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route for a host and a path without its query."""
+        """Return the route for a host and a path without query; None if no route matches."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -159,24 +167,24 @@
 
 
 def duration(text: object, where: str, default_s: float) -> float:
-    """Convert a time such as `1500ms` to seconds.  Raises RoutingConfigError."""
+    """Convert a time such as `1500ms` to seconds; None to `default_s`.  Raises RoutingConfigError."""
     if text is None:
         return default_s
-    found = DURATION.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    match = DURATION.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         raise RoutingConfigError(f"{where}: {text!r} is no time; write a number and ms or s, as 1500ms")
-    return float(found[1]) / (1000 if found[2] == "ms" else 1)
+    return float(match[1]) / (1000 if match[2] == "ms" else 1)
 
 
 def required_text(value: object, where: str) -> str:
-    """Raises RoutingConfigError."""
+    """Return a value that has to be a text.  Raises RoutingConfigError."""
     if not isinstance(value, str):
         raise RoutingConfigError(f"{where}: {value!r} is no text")
     return value
 
 
 def required_number(value: object, where: str) -> Any:
-    """Raises RoutingConfigError."""
+    """Return a value that has to be a number.  Raises RoutingConfigError."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise RoutingConfigError(f"{where}: {value!r} is no number")
     return value
@@ -227,7 +235,7 @@
 
 
 def compile_services(entries: list[ServiceEntry]) -> dict[str, Service]:
-    """The services by name.  Raises RoutingConfigError."""
+    """Return the services by name.  Raises RoutingConfigError."""
     services: dict[str, Service] = {}
     for number, entry in enumerate(entries):
         where = f"service_table[{number}]"
@@ -241,7 +249,7 @@
 
 
 def compile_routes(entries: list[RouteEntry], services: dict[str, Service]) -> dict[str, tuple[Route, ...]]:
-    """The routes by host, the longest prefix first.  Raises RoutingConfigError."""
+    """Return the routes by host, the longest prefix first.  Raises RoutingConfigError."""
     routes_by_host: dict[str, list[Route]] = {}
     known: set[tuple[str, str]] = set()
     for number, entry in enumerate(entries):
@@ -290,7 +298,7 @@
 def compile_split(
     entry: RouteEntry, where: str, services: dict[str, Service]
 ) -> tuple[tuple[str, float], ...]:
-    """The names and weights of a route's services, without those of weight 0.  Raises RoutingConfigError."""
+    """Return names and weights of a route's services, without weight 0.  Raises RoutingConfigError."""
     if entry.weighted_split is not None:
         split = [
             (part.service_name, required_number(part.weight_value, where)) for part in entry.weighted_split
@@ -310,7 +318,7 @@
 
 
 def compile_tenants(entries: list[TenantEntry]) -> tuple[dict[str, Tenant], dict[bytes, str]]:
-    """The tenants by name, and the tenants' names by API key.  Raises RoutingConfigError."""
+    """Return the tenants by name, and the tenants' names by API key.  Raises RoutingConfigError."""
     tenants: dict[str, Tenant] = {}
     tenant_by_key: dict[bytes, str] = {}
     for number, entry in enumerate(entries):
--- a/ivymux/routing_config/validation.py
+++ b/ivymux/routing_config/validation.py
@@ -1,7 +1,7 @@
-"""Accepts the users' configuration on core machines: checked by msgspec and by pyserde.  Pure.
+"""Validation of the users' configuration on core machines, by msgspec and by pyserde.  Pure.
 
-Both have to accept it, so that no configuration is stored that a proxy can't use.  Importing this module
-takes 0.4 s: import it only once the process has started.
+Both have to accept a configuration, so that none is stored that a proxy can't use.  Importing this module
+takes 0.4 s: import it only after the process has started.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from ivymux.routing_config import route_plan
 from ivymux.routing_config.route_plan import RoutePlan, RoutingConfigError
 
-for _part in (
+for _document_class in (
     route_plan.Split,
     route_plan.RouteEntry,
     route_plan.ServiceEntry,
@@ -20,7 +20,7 @@
     route_plan.LimitsEntry,
     route_plan.Document,
 ):
-    serde(_part)
+    serde(_document_class)
 
 
 def parse_route_plan(text: bytes) -> RoutePlan:
