--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -1,4 +1,4 @@
-"""Claims of keyed actions: acquired at the core before an action goes to a backend, and ended after it."""
+"""Claims of keyed actions: acquired at the core before an action is sent to a backend, ended afterwards."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from ivymux.transport.frames import Message
 
 ACQUIRE_TIMEOUT_S = 1.5  # long enough for a lost leader to be replaced
-ACQUIRE_TIME_PART = 0.5  # of the time that the client has left, the most spent on acquiring
+ACQUIRE_TIME_PART = 0.5  # of the time that the client still waits, the most spent on acquiring
 END_TIMEOUT_S = 8.0
-CALL_TIMEOUT_S = 0.9  # of one core machine
+CALL_TIMEOUT_S = 0.9  # for the answer of one core machine
 CALL_RETRY_PAUSE_S = 0.05
-# Beyond its client's deadline, after which an action that was not ended counts as unknown.
+# After the client's deadline; the outcome of an action that was not ended by then counts as unknown.
 LIFETIME_MARGIN_S = 2.0
 MAX_TASKS = 2000  # claims and ends in progress
 NOT_CLAIMED_RETRY_AFTER_S = 0.5
 
-Go = Callable[[Answer | None], None]  # called with None if the action may be sent, else with its answer
+OnVerdict = Callable[[Answer | None], None]  # gets None if the action may be sent, else its answer
 
 
 class ActionClaims:
@@ -37,14 +37,16 @@
         """`cores`: returns the open connections to core machines, the nearest first."""
         self.cores = cores
         self.incarnation_id = secrets.token_hex(8)  # a restarted process does not own its earlier claims
-        self.numbers = itertools.count(1)
+        self.claim_numbers = itertools.count(1)
         self.settings = ConversationSettings()
         self.tasks: set[asyncio.Task[None]] = set()
         self.acquired = self.proceeded = self.failed = 0  # since the start; `acquired` counts attempts
-        self.logged = 0  # of `acquired`, as last logged
+        self.logged_count = 0  # value of `acquired` at the last log line
 
     def make_claim(self, action: Action, deadline: float, try_id: bytes) -> ActionClaim:
-        return ActionClaim(self, action, f"{self.incarnation_id}/{next(self.numbers)}", deadline, try_id)
+        return ActionClaim(
+            self, action, f"{self.incarnation_id}/{next(self.claim_numbers)}", deadline, try_id
+        )
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -52,7 +54,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def call(self, message: Message, deadline: float) -> Message | None:
-        """Call the core, at one machine after another; None if none accepts the call by the deadline."""
+        """Call one core machine after another; return None if none accepts the call by the deadline."""
         while (now := time.monotonic()) < deadline:
             for core in self.cores():
                 left = deadline - time.monotonic()
@@ -70,14 +72,14 @@
         return None
 
     def log_line(self) -> str:
-        """A summary for the log; empty if there were no claims since the last one."""
-        if self.acquired == self.logged:
+        """Return a summary for the log; empty if there were no claims since the last summary."""
+        if self.acquired == self.logged_count:
             return ""
-        self.logged = self.acquired
+        self.logged_count = self.acquired
         answered = self.acquired - self.proceeded - self.failed
         return (
-            f"actions with keys: {self.acquired} claimed, {self.proceeded} sent, {answered} answered without,"
-            f" {self.failed} could not be claimed"
+            f"actions with keys: {self.acquired} claimed, {self.proceeded} sent, {answered} answered without"
+            f" sending, {self.failed} could not be claimed"
         )
 
     async def finish(self, timeout: float) -> None:
@@ -89,24 +91,24 @@
 
 
 class ActionClaim:
-    """One client's try of an action: it acquires the exclusive right to run the action, and ends it."""
+    """One request's claim: the exclusive right to run its action, acquired before and ended after the run."""
 
     def __init__(self, claims: ActionClaims, action: Action, id: str, deadline: float, try_id: bytes) -> None:
         self.claims, self.action, self.id = claims, action, id
         self.deadline, self.try_id = deadline, try_id
         self.is_open = False  # whether the core may hold this claim
 
-    def acquire(self, go: Go) -> None:
-        """Acquire the claim; calls `go` with None if the action may be sent, otherwise with its answer."""
+    def acquire(self, on_verdict: OnVerdict) -> None:
+        """Acquire the claim; call `on_verdict` with None if the action may be sent, else with its answer."""
         if len(self.claims.tasks) >= MAX_TASKS:
             self.claims.failed += 1
-            go(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
+            on_verdict(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
             return
         self.is_open = True
         self.claims.acquired += 1
-        self.claims.spawn(self.acquire_at_core(go))
+        self.claims.spawn(self.acquire_at_core(on_verdict))
 
-    async def acquire_at_core(self, go: Go) -> None:
+    async def acquire_at_core(self, on_verdict: OnVerdict) -> None:
         now = time.monotonic()
         left = self.deadline - now
         action = self.action
@@ -130,14 +132,14 @@
             verdict = ""
         if verdict == PROCEED:
             self.claims.proceeded += 1
-            go(None)
+            on_verdict(None)
         elif not verdict:
-            # The claim stays open: the core may hold it, and it is then ended as not run.
+            # The claim stays open, as the core may hold it; `finish` then ends it as not run.
             self.claims.failed += 1
-            go(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
+            on_verdict(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
         else:
             self.is_open = False
-            go(answer)
+            on_verdict(answer)
 
     def finish(self, answer: Answer | None, ran: bool) -> None:
         """End the claim: with a backend's answer, without one, or (not `ran`) as never sent."""
--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from ivymux.proxy.program import Proxy
 
-SAME_ZONE_DELAY_S = 0.1  # for which a core machine of the same zone is preferred to send the configuration
-MAX_EJECTION_S = 10.0  # for which the core may have a backend ejected
+SAME_ZONE_DELAY_S = 0.1  # for which the configuration is requested only within the same zone
+MAX_EJECTION_S = 10.0  # longest ejection of a backend that the core may demand
 
 log = Log("proxy")
 
@@ -88,7 +88,7 @@
         elif kind == "text":
             version, text = int(message["v"]), str(message["t"])
             proxy.apply_configuration(version, text)
-            for core in proxy.cores.values():  # any of them may be answering the operator
+            for core in proxy.cores.values():  # any core machine may be waiting to answer the operator
                 core.acknowledge_configuration()
 
     def on_changes(self, connection: Connection, message: Message) -> None:
@@ -115,7 +115,7 @@
         self.request_configuration()
 
     def acknowledge_configuration(self) -> None:
-        """Acknowledge the configuration that is in force here."""
+        """Tell the registry which configuration is in force at this proxy."""
         if self.proxy.config_version >= 0 and self.is_connected:
             self.connector.send({"k": "have", "v": self.proxy.config_version})
 
--- a/ivymux/proxy/counter_holders.py
+++ b/ivymux/proxy/counter_holders.py
@@ -4,9 +4,9 @@
 seat to the proxy with the greatest hash for it (Thaler and Ravishankar 1998).  So a proxy connects to a few
 others, however many there are, and a proxy that leaves does not move the seats of the others.
 
-Only proxies that were present when a window began may hold it: one that joins or comes back later lacks what
-was granted before, while the previous holder still has it.  Proxies with the same list choose the same holder
-without exchanging messages.  Times are in steady seconds of the local process.
+Only proxies that were present when a window began may hold it: a proxy that joins or comes back later does
+not know what was granted before, while the previous holder still does.  Proxies with the same list choose the
+same holder without exchanging messages.  Times are in steady seconds of the local process.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from hashlib import blake2b
 
 SEATS = 6
-MIN_ESTABLISHED_PROXIES = 3  # with fewer that were present when a window began, any proxy may hold it
-SETTLE_S = 1.5  # after a change of the list, while proxies may not agree on it yet
+MIN_ESTABLISHED_PROXIES = 3  # if fewer were present when a window began, any proxy may hold the window
+SETTLE_S = 1.5  # after a change of the list of proxies, during which proxies may not agree on the list
 JOIN_TOLERANCE_S = 1.0  # by which registries may differ on when a proxy joined
-MAX_WINDOW_S = 30.0  # no window is longer
-COMMON_START_S = 3.0  # within which all proxies start that were lost together
-DEPARTED_RESERVE_S = 30.0  # for which a part of each quota is reserved for a proxy that may be partitioned
+MAX_WINDOW_S = 30.0  # upper bound of a window's length
+COMMON_START_S = 3.0  # within which proxies that were lost together start again
+DEPARTED_RESERVE_S = 30.0  # for which parts of quotas are reserved for a proxy that left but may be running
 MAX_CACHED_HOLDERS = 20_000
 
 Seats = tuple[str, ...]  # the proxy that has each seat
@@ -40,7 +40,7 @@
         self.me, self.first_start, self.started_at = me, first_start, now
         self.oldest_join = now  # of all proxies that were ever listed
         self.joined_at: dict[str, float] = {}  # by proxy
-        self.join_times: list[float] = []  # the same, sorted
+        self.join_times: list[float] = []  # sorted
         self.seat_tables: list[Seats] = [NO_SEATS]  # at index n: seats among the first n proxies to join
         # When a seat last changed for windows that had begun; the seats before the start are unknown.
         self.seat_changed_at = [now] * SEATS
@@ -74,12 +74,12 @@
         self.holder_by_name.clear()
 
     def stable_join_time(self, proxy: str, at: float) -> float:
-        """The known join time, where a reported one differs by no more than registries do."""
+        """Return a proxy's known join time unless the reported one differs by more than registries may."""
         known = self.joined_at.get(proxy)
         return known if known is not None and abs(known - at) < JOIN_TOLERANCE_S else at
 
     def assign_seats(self) -> None:
-        """Compute who has the seats after each join."""
+        """Compute which proxy has each seat after each join."""
         self.seat_weights = {
             proxy: self.seat_weights.get(proxy) or self.weights_of(proxy) for proxy in self.joined_at
         }
@@ -106,7 +106,7 @@
         return [now - MAX_WINDOW_S, *(at for at in changes if now - MAX_WINDOW_S < at <= now)]
 
     def find_holder(self, name: int, customer: int, began: float) -> str | None:
-        """The proxy that holds a customer's name whose window began at a time.
+        """Return the proxy that holds a customer's name; `began`: start of the name's window.
 
         None while no proxy is listed.
         """
@@ -131,14 +131,14 @@
         return {proxy for seats in tables for proxy in seats}
 
     def missing_share(self, now: float) -> float:
-        """The share of all proxies that may be partitioned, granting their shares of quotas on their own."""
+        """The share of all proxies that left and may be partitioned, where they grant their local shares."""
         if not self.left_at:
             return 0.0
         missing = sum(now - at < DEPARTED_RESERVE_S for at in self.left_at.values())
         return missing / max(1, missing + len(self.joined_at))
 
     def is_common_start(self, now: float) -> bool:
-        """Whether all proxies started at about the same time as this one, after all earlier grants."""
+        """Whether all proxies have just started together, so that all earlier grants precede their starts."""
         started_together = self.oldest_join > self.started_at - COMMON_START_S and not self.left_at
         return started_together and now - self.started_at < 2 * COMMON_START_S
 
--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -20,10 +20,10 @@
 from ivymux.transport.frames import Message
 from orchidhill.interface import Count, Counted, Late, Outcome
 
-MAX_UNSENT_CALLS = 500  # that wait for a connection
+MAX_UNSENT_CALLS = 500  # calls that wait for a connection
 MAX_UNANSWERED_CALLS = 2_000
-MAX_SPAN_S = 3600.0  # of a rule's window, and of late grants
-TIMER_TOLERANCE_S = 0.001
+MAX_SPAN_S = 3600.0  # upper bound of a rule's window, and of the time over which late grants were made
+TIMER_TOLERANCE_S = 0.001  # by which a timer may fire early
 
 log = Log("proxy")
 
@@ -55,7 +55,7 @@
 
 
 class DistributedCounter:
-    """The counter that the host calls: each call gets one result, those of one name in order."""
+    """The counter that the host calls: each call gets one result, in order among the calls of a name."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self.incarnations: dict[Address, int] = {}  # of the counts at each address, as last received
         self.queues: dict[int, deque[PendingCall]] = {}  # by name
         self.unanswered: dict[int, PendingCall] = {}  # by call number
-        self.unsent: deque[PendingCall] = deque()  # that wait until the holder is known and connected
+        self.unsent: deque[PendingCall] = deque()  # calls whose holder is not known or not connected yet
         self.last_call_number = 0
         self.malformed_messages = 0
         self.deadlines: deque[tuple[float, PendingCall]] = deque()
@@ -82,7 +82,7 @@
     def update_proxies(self, addresses: dict[str, Address], now: float) -> None:
         """Set the present proxies' addresses, and connect to the current holders.
 
-        Other proxies are connected to when a call needs them.
+        Connections to other proxies are opened when a call needs them.
         """
         self.addresses = addresses
         possible = self.holders.possible_holders(now)
@@ -96,6 +96,7 @@
         self.send_waiting()
 
     def connector_to(self, proxy: str | None) -> Connector | None:
+        """Return the connector to a proxy, created on first use; None for this proxy or an unknown one."""
         connector = self.connectors.get(proxy) if proxy is not None else None
         if connector is None and proxy is not None and proxy != self.me and proxy in self.addresses:
             connector = self.connectors[proxy] = Connector(
@@ -129,7 +130,7 @@
                 self.unsent.append(call)
 
     def send(self, call: PendingCall) -> bool:
-        """Make a call; returns False while its holder is not yet known or not yet connected."""
+        """Make a call; return False while its holder is not yet known or not yet connected."""
         count, now = call.count, time.monotonic()
         holder = self.holders.find_holder(count.name, count.customer, call.began - count.since)
         if holder == self.me:
@@ -151,6 +152,7 @@
         return True
 
     def add_locally(self, count: Count, now: float) -> Counted:
+        """Add to a total that this proxy holds."""
         try:
             total = self.counts.add(count, self.me, now)
         except CounterFullError:
@@ -158,7 +160,7 @@
         return Counted(count.name, Outcome.OK, total, 0.0, self.counts.incarnation)
 
     def encode_call(self, count: Count, call_number: int, holder: Address) -> Message:
-        # A holder need not be sent the total that it answered itself.
+        # The holder need not be sent a total that it reported itself.
         known = [round(count.known, 4), count.knew] if count.knew != self.incarnations.get(holder) else []
         return {
             "k": "add", "c": call_number, "by": self.me, "a": [
@@ -184,7 +186,7 @@
             )
 
     def settle(self, call: PendingCall, result: Counted) -> None:
-        """Set a call's result, and deliver the results at the head of its name's queue."""
+        """Set a call's result, and deliver all results at the head of its name's queue."""
         call.result = result
         name = call.count.name
         queue = self.queues.get(name)
@@ -200,7 +202,7 @@
         for call_number, call in lost:
             del self.unanswered[call_number]
             if call.result is None:
-                # It may have been added before the connection ended.
+                # The holder may have added the amount before the connection ended.
                 self.settle(call, Counted(call.count.name, Outcome.RESET, 0.0, 0.0))
 
     def on_holder_message(self, connection: Connection, message: Message) -> None:
@@ -228,7 +230,7 @@
         if call is None:
             return
         name = call.count.name
-        if call.result is not None:  # it has timed out before
+        if call.result is not None:  # the call had timed out
             self.post(Late(name))
             return
         spent = time.monotonic() - call.began
@@ -246,11 +248,11 @@
         self.handle_checked(self.on_call, connection, message)
 
     def on_call(self, connection: Connection, message: Message) -> None:
-        """Answer another proxy's call; without a total if this proxy does not hold the name."""
+        """Answer another proxy's call; the answer has no total if this proxy does not hold the name."""
         if message.get("k") != "add":
             return
         answer: dict[str, Any] = {"k": "sum", "c": message["c"], "t": None, "b": 0}
-        name, amount, life, call, drained, since, customer, rate, burst, span, seed, late, spread, *known = (
+        name, amount, ttl_s, call, drained, since, customer, rate, burst, span, seed, late, spread, *known = (
             message["a"]
         )
         now = time.monotonic()
@@ -258,7 +260,7 @@
             count = Count(
                 int(name),
                 check_number(amount),
-                check_number(life),
+                check_number(ttl_s),
                 int(call),
                 check_number(drained),
                 check_number(since),
--- a/ivymux/proxy/failure_reports.py
+++ b/ivymux/proxy/failure_reports.py
@@ -1,4 +1,4 @@
-"""Reports to the core on backends that fail the requests they are sent."""
+"""Reports to the core on backends that fail requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ivymux.transport.frames import Message
 from orchidhill.interface import Outcome
 
-BATCH_INTERVAL_S = 0.03  # failures within it are reported in one message
+BATCH_INTERVAL_S = 0.03  # failures within this time are reported in one message
 HEALTH_WINDOW_S = 1.0  # over which a proxy compares its successes with its failures
 MAX_SAMPLES = 64
 
@@ -20,7 +20,7 @@
 def indicates_backend_failure(outcome: Outcome, status: int) -> bool:
     """Whether an attempt's outcome counts as a failure of its backend.
 
-    503, 504 and resets do not, as an overloaded backend causes them: to eject it would overload the others.
+    503, 504 and resets do not count: overloaded backends cause them, and ejections would overload others.
     """
     return outcome is Outcome.CANCELLED or (outcome is Outcome.ERROR and status in (500, 502))
 
@@ -48,7 +48,7 @@
         backend_id: Callable[[int], str],
         send: Callable[[Message], None],
     ) -> None:
-        """`success_count`: successes so far; `backend_id`: id by number; `send`: sends to the core."""
+        """`success_count`: successes so far; `backend_id`: a backend's id by number; `send`: to the core."""
         self.success_count, self.backend_id, self.send = success_count, backend_id, send
         self.failures: Counter[int] = Counter()  # not reported yet, by backend
         self.timer: asyncio.TimerHandle | None = None
@@ -60,10 +60,11 @@
             self.timer = asyncio.get_running_loop().call_later(BATCH_INTERVAL_S, self.send_report)
 
     def sample(self) -> None:
+        """Record the time and the number of successes so far."""
         self.samples.append((time.monotonic(), self.success_count()))
 
     def send_report(self) -> None:
-        """Report the failures, unless they outnumber successes: this proxy is then the likely cause."""
+        """Report the failures unless they outnumber successes: then this proxy itself is the likely cause."""
         self.timer, failures, self.failures = None, self.failures, Counter()
         self.sample()
         window_start = time.monotonic() - HEALTH_WINDOW_S
--- a/ivymux/proxy/frontend.py
+++ b/ivymux/proxy/frontend.py
@@ -30,14 +30,14 @@
     b" transfer-encoding upgrade expect content-length".split()
 )
 IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
-# Set by the proxy itself, never passed on from a client.
+# Set by the proxy; a client's fields of these names are not passed on.
 PROXY_HEADERS = frozenset((b"time-remaining", b"target-instance", b"tenant-name"))
 TARGET = re.compile(rb"/[!-~]*")
 MILLISECONDS = re.compile(rb"(\d{1,9})(?:\.\d{1,6})?")
-NO_TENANT = 0
+NO_TENANT = 0  # customer number and plan number of a request without a tenant
 NO_CONFIGURATION = "no configuration yet"
 LOST_ANSWER_TEXT = b"the answer was lost in a trial; the request may have run\n"
-STARTUP_RETRY_AFTER_S = 0.5  # by then a proxy that has just started most likely has a configuration
+STARTUP_RETRY_AFTER_S = 0.5  # after which a proxy that has just started most likely has a configuration
 UNAVAILABLE_RETRY_AFTER_S = 0.2
 DEFAULT_MAX_BODY_BYTES = 64 << 20
 
@@ -58,7 +58,7 @@
         load_keyed_requests: Callable[[], KeyedRequests] | None = None,
         backend_number: Callable[[str], int] = lambda backend: 0,
     ) -> None:
-        """`instance_id`: a backend's id by its number, `backend_number`: the reverse."""
+        """`instance_id`: returns a backend's id by its number; `backend_number`: its number by its id."""
         self.tables, self.instance_id, self.proxy_count = tables, instance_id, proxy_count
         self.load_keyed_requests, self.backend_number = load_keyed_requests, backend_number
         self.plan: RoutePlan | None = None
@@ -120,7 +120,7 @@
         match = MILLISECONDS.fullmatch(time_remaining)
         timeout_s = min(route.deadline_s, int(match[1]) / 1000) if match else route.deadline_s
         deadline = received_at + timeout_s
-        # Retries of a request get the same draw, and so the same service of a split route.
+        # Retries of a request get the same draw and so, on a split route, the same service.
         draw = int.from_bytes(blake2b(try_id or target, digest_size=8).digest(), "big") / 2**64
         content = b"".join(body)
         claim, home, keyed_service = None, 0, ""
@@ -151,9 +151,9 @@
             head += b"Tenant-Name: %s\r\n" % tenant.encode()
         instance_id = self.instance_id
 
-        def make_payload_for(left: float, backend: int) -> bytes:
+        def make_payload_for(remaining_s: float, backend: int) -> bytes:
             return b"%sTarget-Instance: %s\r\nTime-Remaining: %d\r\n\r\n%s" % (
-                head, instance_id(backend), max(1, int(left * 1000)), content
+                head, instance_id(backend), max(1, int(remaining_s * 1000)), content
             )  # fmt: skip
 
         tables, proxy_count = self.tables, self.proxy_count
--- a/ivymux/proxy/keyed_requests.py
+++ b/ivymux/proxy/keyed_requests.py
@@ -1,6 +1,6 @@
 """Requests that carry an idempotency key: their claims, conversation affinity, and the settings of both.
 
-Imported with the first such request, so that a proxy starts without the cost of this module.
+Imported with the first such request, so that a proxy's start does not take the time to import this module.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRequest:
-    """A request with a key: its claim, and where its conversation goes."""
+    """A request with a key: its claim, and the service and backend of its conversation."""
 
     claim: ActionClaim
     service: str
@@ -31,7 +31,7 @@
 
 
 class KeyedRequests:
-    """Prepares requests with keys, and keeps the homes of their conversations."""
+    """Prepares requests with keys, and keeps the home backends of their conversations."""
 
     def __init__(
         self, connectors: Callable[[], list[Connector]], backends: Callable[[], Iterable[Backend]]
@@ -39,7 +39,7 @@
         """`connectors`: to the core, the nearest first; `backends`: all in the membership view."""
         self.claims, self.homes = ActionClaims(connectors), HomeBackends()
         self.backends = backends
-        self.is_stale = True  # whether backends have changed since the homes were computed
+        self.is_stale = True  # whether backends have changed since `homes` was last updated
 
     def prepare(
         self, route: Route, headers: Headers, tenant: str, authorization: bytes, method: bytes, host: bytes,
@@ -55,7 +55,7 @@
         return KeyedRequest(claim, service, self.home_backend(service, conversation_bucket))
 
     def home_backend(self, service: str, conversation_bucket: int) -> str:
-        """The backend that a bucket of conversations goes to."""
+        """Return the id of the backend to which a bucket's conversations go; empty if there is none."""
         if self.is_stale:
             self.is_stale = False
             capacities: dict[str, dict[str, int]] = {name: {} for name in self.homes.backends}
--- a/ivymux/proxy/lease_counts.py
+++ b/ivymux/proxy/lease_counts.py
@@ -2,14 +2,14 @@
 
 A quota allows, in any span of the rule's window, the tenant's rate times the span plus its burst.  A grant is
 therefore bounded twice: exactly over the span, and by a token bucket that holds a burst and refills by a
-span's allowance per span, which keeps grants from all falling into the span's first moment.  Both are kept
-here, where calls have one order: when each proxy corrected for the overflow that it saw itself, proxies
-corrected one another's corrections, and with 75 proxies the totals oscillated without bound
+span's allowance per span, which keeps grants from all falling into the span's first moment.  The holder keeps
+both bounds, as it receives all calls in one order: if each proxy corrected totals for the overflow that it
+sees, proxies would correct one another's corrections, and with 75 proxies the totals oscillate without bound
 (docs/design/quotas.md).
 
-Proxies compute with a total for the name of a tenant's window: the window's bucket is full at its beginning,
-refills by the tenant's rate, and lacks the total.  The holder answers with the total at which that bucket
-contains what may be granted now.
+Proxies compute a bucket's level from one total per window of a tenant: the bucket is full when the window
+begins, refills by the tenant's rate, and lacks the total.  The holder answers with the total at which this
+bucket contains exactly what may be granted now.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from orchidhill.interface import Count
 
 MAX_NAMES = 100_000
-MAX_IDLE_S = 60.0  # after which earlier grants to a tenant no longer matter
-# Of a name that began by the worst case: no shortfall reported later can exceed it.
+MAX_IDLE_S = 60.0  # without calls, after which earlier grants to a tenant no longer matter
+# Assumed for a tenant with unknown grants, so that no shortfall that is reported later counts.
 WORST_CASE_SHORTFALL = 1e18
-TAKEOVER_BURST_PART = 0.5  # of a burst, withheld at first from a tenant that is taken over
+TAKEOVER_BURST_PART = 0.5  # of a burst, withheld at first from a tenant whose counts are taken over
 STEP_S = 0.1  # resolution at which grants are recorded
 OVERFLOW_RETENTION_S = 30.0  # for which a bucket's overflow is recorded
-ALL_STEPS = 1 << 30
+ALL_STEPS = 1 << 30  # more steps than are ever kept
 
 
 class StepAmounts:
-    """Amounts by step of time."""
+    """Amounts by step of time; a step is STEP_S long."""
 
     __slots__ = ("amounts", "first", "total")
 
@@ -46,12 +46,12 @@
             self.total += amount
 
     def add_evenly(self, amount: float, start: float, end: float) -> None:
-        """Spread an amount evenly over a span of time."""
+        """Spread an amount evenly over a span of time, given in steady seconds."""
         for step, part in split_over_steps(start, end):
             self.add(step, part * amount)
 
     def remove(self, amount: float, step: int, max_steps: int = ALL_STEPS) -> float:
-        """Remove an amount, from a step backwards; returns how much of it was present."""
+        """Remove an amount, from a step backwards; return how much of the amount was present."""
         remaining = amount
         while remaining > 0 and max_steps and self.amounts and step >= self.first:
             present = min(remaining, self.amounts.get(step, 0.0))
@@ -75,7 +75,7 @@
 
 
 def split_over_steps(start: float, end: float) -> list[tuple[int, float]]:
-    """The steps of a span of time, each with its part of the span."""
+    """Return the steps of a span of time, each with its part of it; of a long span only the last step."""
     first, last = math.floor(start / STEP_S), math.floor(end / STEP_S)
     if end <= start or first == last or last - first > OVERFLOW_RETENTION_S / STEP_S:
         return [(last, 1.0)]
@@ -95,8 +95,8 @@
     window_began: float  # steady seconds
     # The largest shortfall, reported by any proxy, of the bucket at the window's beginning.
     reported_shortfall: float = 0.0
-    granted: StepAmounts = field(default_factory=StepAmounts)  # over the span
-    overflow: StepAmounts = field(default_factory=StepAmounts)  # of the bucket
+    granted: StepAmounts = field(default_factory=StepAmounts)  # within the rule's span
+    overflow: StepAmounts = field(default_factory=StepAmounts)  # of the token bucket
     reserved: StepAmounts = field(default_factory=StepAmounts)  # for proxies that may be partitioned
 
 
@@ -111,13 +111,13 @@
     def add(self, count: Count, caller: str, now: float) -> float:
         """Add an amount and return the total.  Raises CounterFullError.
 
-        A name that another proxy may have held begins as if its bucket had been emptied: what was granted
-        there is unknown, and the quota must be kept all the same.
+        A name that another proxy may have held begins as if its bucket had been emptied: the grants of that
+        proxy are unknown, and the quota must hold all the same.
         """
-        key, life = b"%d" % count.name, count.expires
+        key, ttl_s = b"%d" % count.name, count.expires
         self.store.expire(now)
         is_new = key not in self.store.totals
-        before = self.store.add(key, 0.0, life, now)
+        before = self.store.add(key, 0.0, ttl_s, now)
         usage = self.usages.get(count.customer)
         if usage is None or (is_new and not self.is_complete(usage, count, now)):
             usage = self.start_usage(count, now)
@@ -126,17 +126,17 @@
         self.refill(usage, count, now)
         self.apply_reported_shortfall(usage, count, now)
         number = b"%d" % count.call if count.call else b""
-        total = self.store.add_once(TallyCall(key, count.amount, life, caller.encode(), number), now)
+        total = self.store.add_once(TallyCall(key, count.amount, ttl_s, caller.encode(), number), now)
         if total != before:  # otherwise a repeated call
             self.record_grant(usage, count, now)
         return count.burst + count.since * count.rate - self.available(usage, count)
 
     def available(self, usage: TenantUsage, count: Count) -> float:
-        """What may be granted now; negative after too much was granted."""
+        """Return the units that may be granted now; negative after too much was granted."""
         return min(usage.level, count.span * count.rate + count.burst - usage.granted.total)
 
     def is_complete(self, usage: TenantUsage, count: Count, now: float) -> bool:
-        """Whether the usage has all earlier grants, because no other proxy held a window since."""
+        """Whether the usage contains all earlier grants, as no other proxy has held a window since."""
         has_history = self.holders.has_full_history(count.customer, count.since, now)
         holder = self.holders.find_holder
         return has_history and holder(usage.window, count.customer, usage.window_began) == self.holders.me
@@ -144,7 +144,7 @@
     def start_usage(self, count: Count, now: float) -> TenantUsage:
         """Start the usage of a tenant whose earlier grants are unknown.
 
-        Assumes that it was granted its rate over the last span, and what its bucket lacks.
+        Assumes that the tenant was granted its rate over the last span, and the units that its bucket lacks.
         """
         if len(self.usages) > 2 * len(self.store.totals) + 64:
             self.usages = {
@@ -155,7 +155,7 @@
         lost = count.drained > 0 and not self.holders.has_full_history(count.customer, count.since, now)
         level = count.burst
         if lost:
-            # The previous holder may have just granted a burst, unless all proxies had to start first.
+            # The previous holder may have just granted a burst, unless all proxies had to start again since.
             spent = 0.0 if self.holders.is_common_start(now) else TAKEOVER_BURST_PART * count.burst
             level += count.since * count.rate - count.drained - spent
             level = max(min(1.0, count.burst), level)  # the rule's tolerance covers one request
@@ -167,7 +167,7 @@
         return usage
 
     def refill(self, usage: TenantUsage, count: Count, now: float) -> None:
-        """Refill the bucket up to now; overflow can no longer be granted."""
+        """Refill the bucket up to now, and record its overflow, which can no longer be granted."""
         refill_rate = count.rate + count.burst / count.span if count.span else 0.0
         elapsed, usage.refilled_at = max(0.0, now - usage.refilled_at), max(now, usage.refilled_at)
         self.reserve_for_missing(usage, count, elapsed, now)
@@ -186,7 +186,7 @@
     def reserve_for_missing(self, usage: TenantUsage, count: Count, elapsed: float, now: float) -> None:
         """Reserve the shares of proxies that left.
 
-        They may be partitioned and grant their shares, which they cannot report before they reconnect.
+        Such a proxy may be partitioned and grant its share, and cannot report that before it reconnects.
         """
         share = self.holders.missing_share(now)
         if share > 0 and elapsed > 0:
@@ -196,13 +196,13 @@
             usage.granted.add_evenly(amount, now - elapsed, now)
 
     def apply_reported_shortfall(self, usage: TenantUsage, count: Count, now: float) -> None:
-        """Deduct what the calling proxy reports to have been granted and this holder lacks."""
+        """Deduct grants that the calling proxy knows of and this holder does not."""
         step, shortfall = math.floor(now / STEP_S), 0.0
         # Each proxy reports no more than the actual shortfall at the window's edge: the largest one counts.
         if count.seed > usage.reported_shortfall:
-            more, usage.reported_shortfall = count.seed - usage.reported_shortfall, count.seed
-            # With it, the bucket would have overflowed by so much less since.
-            shortfall = more - usage.overflow.remove(more, step)
+            increase, usage.reported_shortfall = count.seed - usage.reported_shortfall, count.seed
+            # With this shortfall, the bucket would have overflowed by that much less since.
+            shortfall = increase - usage.overflow.remove(increase, step)
         if count.knew not in (0, self.incarnation):
             level = count.burst + count.since * count.rate - count.known
             shortfall = max(shortfall, self.available(usage, count) - level)
@@ -213,7 +213,7 @@
     def record_grant(self, usage: TenantUsage, count: Count, now: float) -> None:
         step, late = math.floor(now / STEP_S), max(0.0, min(count.late, count.amount))
         current = count.amount - late
-        usage.level = min(count.burst, usage.level - current)  # a return to a full bucket is lost
+        usage.level = min(count.burst, usage.level - current)  # returns to a full bucket are lost
         if current >= 0:
             usage.granted.add(step, current)
         else:
--- a/ivymux/proxy/membership_view.py
+++ b/ivymux/proxy/membership_view.py
@@ -1,9 +1,9 @@
 """A proxy's view of backends, other proxies and core machines, merged from all registries.  Pure.
 
 Each registry reports only what it received itself; registries do not copy one another.  For a backend, the
-report with the highest `call_seq` decides, except that the end of a backend is final whoever reports it.  A
-backend that no connected registry lists is kept for a while, since its own registry may have just failed, and
-its heartbeats then reach another one.
+report with the highest `call_seq` decides, except that the end of a backend is final whichever registry
+reports it.  A backend that no connected registry lists is kept for a while: the registry that received its
+heartbeats may have just failed, and another one will receive them.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 
 ORPHAN_RETENTION_S = 6.0  # for a backend that no connected registry lists
 ENDED_RETENTION_S = 120.0  # for the id of a backend that has ended
+# States of a backend.
 UP, QUIESCING, LOST, OFF = "up", "quiescing", "lost", "off"
 
 
@@ -29,7 +30,7 @@
 
 @dataclass(slots=True)
 class Backend:
-    """A backend, with the state that all registries' reports add up to."""
+    """A backend, with its state as derived from all registries' reports."""
 
     id: str
     service: str
@@ -64,7 +65,7 @@
     """One registry, as of the current or the last connection to it."""
 
     incarnation_id: str = ""
-    last_sequence: int = 0  # of its numbered changes
+    last_sequence: int = 0  # number of the last change received
     proxies: dict[str, ProxyLocation] = field(default_factory=dict)
     connected: bool = False
 
@@ -102,7 +103,7 @@
         self.apply_backends(name, backends, now)
 
     def apply_changes(self, name: str, previous: int, sequence: int, backends: Any, now: float) -> bool:
-        """Apply numbered changes; returns False, and applies none, if earlier ones are missing."""
+        """Apply numbered changes; return False, and apply none, if earlier changes are missing."""
         registry = self.registry(name)
         if previous != registry.last_sequence:
             return False
@@ -156,7 +157,7 @@
             if previous == QUIESCING or QUIESCING in newest:
                 state = QUIESCING
             elif not newest:
-                state = previous  # the newest report came from a registry that is not connected now
+                state = previous  # the newest report came from a registry that is now disconnected
             else:
                 state = UP if UP in newest else LOST
             backend.call_seq = call_seq
--- a/ivymux/proxy/name_tables.py
+++ b/ivymux/proxy/name_tables.py
@@ -11,7 +11,7 @@
 from ivymux.routing_config.route_plan import Route, RoutePlan, Tenant
 from orchidhill import interface as i
 
-# Of a unit beyond the quota.  Shares of proxies that cannot reach a holder add up to the quota.
+# Cost of a unit beyond the quota.  At this cost, local shares of a quota add up to at most the quota.
 OVER_QUOTA_COST = 2.0
 
 
@@ -31,7 +31,7 @@
         self.plans.append(unlimited)
 
     def update(self, plan: RoutePlan) -> None:
-        """Apply a configuration: number its new names, and replace the classes and plans of known ones."""
+        """Apply a configuration: number its new names, and replace the classes and plans of known names."""
         for route in (route for routes in plan.routes_by_host.values() for route in routes):
             number = self.class_numbers.setdefault(route_key(route), len(self.classes))
             cls = request_class(route)
@@ -58,7 +58,7 @@
 
 
 def customer_number(name: str) -> int:
-    """A tenant's number, the same at all proxies: its counts are identified by it."""
+    """Return the number that identifies a tenant's counts; it is the same at all proxies."""
     return int.from_bytes(blake2b(name.encode(), digest_size=7).digest(), "big") + 1
 
 
--- a/ivymux/proxy/program.py
+++ b/ivymux/proxy/program.py
@@ -1,4 +1,4 @@
-"""The proxy's process: its servers, connections to the core, membership and configuration."""
+"""The proxy process: servers, connections to the core, membership and configuration."""
 
 from __future__ import annotations
 
@@ -52,26 +52,26 @@
     from ivymux.proxy.trial_client import TrialClient
     from orchidhill.gateway import Gateway
 
-IDLE_TIMEOUT_S = 10.0  # assumed of a backend's idle connection where the backend states none
+IDLE_TIMEOUT_S = 10.0  # assumed for connections to a backend that states no idle time-out
 SWEEP_INTERVAL_S = 0.5
-# Clients may wait this long for a proxy's first configuration; they give up after one second.
+# Longest wait of clients for a proxy's first configuration, as they give up after one second.
 MAX_ACCEPT_DELAY_S = 0.5
 READY_DELAY_S = 0.15  # after the first configuration: the list of proxies arrives with it
-LOG_INTERVAL_S = 10.0  # between log lines of one kind
+LOG_INTERVAL_S = 10.0  # minimum between two summaries of one kind
 STOP_LISTENING_DELAY_S = 2.5  # after SIGTERM, while the platform still hands over connections
 STOP_MARGIN_S = 0.5  # of the shutdown grace, left for closing connections
 STOP_POLL_S = 0.02
 FLUSH_DELAY_S = 0.1  # for the last answers, and the counts that are returned to their holders
-MAX_CLAIMS_FINISH_S = 0.4
+MAX_CLAIMS_FINISH_S = 0.4  # longest wait for claims in progress at the stop
 BUFFERED_ANSWERS_PART = 1 / 4  # of the memory
 MAX_ANSWER_BYTES = 64 << 20
-RESERVED_SOCKETS = 260  # for other than clients and backends
-MIN_SOCKETS = 64
-KEYED_REQUESTS_LOAD_DELAY_S = 1.0  # after conversation settings arrive without a keyed request so far
-REQUEST_COUNT_SAMPLES = 24  # one per sweep
+RESERVED_SOCKETS = 260  # for other purposes than clients and backends
+MIN_SOCKETS = 64  # for clients and backends
+KEYED_REQUESTS_LOAD_DELAY_S = 1.0  # after conversation settings, if there was no keyed request before
+REQUEST_COUNT_SAMPLES = 24  # that are kept; one is taken per sweep
 WARM_UP_S = 3.0  # for which a backend is slow after its start
 MAX_CORE_MACHINES = 32
-MAX_FAILED_CONNECTS = 60  # after which a core machine that no other one lists is dropped
+MAX_FAILED_CONNECTS = 60  # after which a core machine that no other core machine lists is dropped
 
 log = Log("proxy")
 
@@ -79,8 +79,8 @@
 class Proxy:
     """One proxy process; `runtime.program` starts, reloads and stops it."""
 
-    def __init__(self, settings: Settings, waiting: socket.socket | None = None) -> None:
-        """`waiting`: a socket that already listens, on which clients may wait."""
+    def __init__(self, settings: Settings, early_socket: socket.socket | None = None) -> None:
+        """`early_socket`: listens already; clients may have connected to it before this process was ready."""
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.id = f"{settings.ip}:{settings.proxy_port}"
@@ -103,7 +103,7 @@
             settings.retry_ratio, settings.quota_window_s, settings.quota_excess, settings.quota_slack
         )
         self.gateway = ProxyGateway(module_settings(), secrets.randbits(64), rules)
-        # The host uses only what both kinds of gateway have.
+        # The host uses only members that `Gateway` and `ProxyGateway` have in common.
         self.host = WatchedHost(cast("Gateway", self.gateway), upstream)
         self.failure_reporter = FailureReporter(
             lambda: self.host.success_count, self.backend_id, self.send_to_core
@@ -114,7 +114,7 @@
         self.counter = DistributedCounter(self.id, self.holders, counts, COUNTER_TIMEOUT_S, self.host.post)
         self.host.counter = self.counter
         self.keyed_requests: KeyedRequests | None = None
-        self.conversation_settings = ""  # as the core sent them last
+        self.conversation_settings = ""  # the text that the core sent last
         self.trial_client: TrialClient | None = None
         # At each sweep: the time, and the counts of requests and of those refused for lack of backends.
         self.request_counts: deque[tuple[float, int, int]] = deque(maxlen=REQUEST_COUNT_SAMPLES)
@@ -127,19 +127,19 @@
         )
         listen = settings.listen_addresses["front_addr"]
         self.server = Server(self.frontend, listen, bounds, self.host)
-        self.server.listening_socket = keep_matching(waiting, listen.host, listen.port)
-        own_bounds = Bounds(64, 8, 0, 1 << 16)
+        self.server.listening_socket = keep_matching(early_socket, listen.host, listen.port)
+        status_bounds = Bounds(64, 8, 0, 1 << 16)
         self.ready_server = Server(
             StatusPagesFrontend({READINESS: self.answer_readiness}),
             settings.listen_addresses["ready_addr"],
-            own_bounds,
+            status_bounds,
             None,
         )
         self.metrics_server: Server | None = None
         if settings.metrics_port is not None:
             address = Address(settings.ip, settings.metrics_port)
             self.metrics_server = Server(
-                StatusPagesFrontend({METRICS: self.answer_metrics}), address, own_bounds, None
+                StatusPagesFrontend({METRICS: self.answer_metrics}), address, status_bounds, None
             )
         self.listener = Listener(self.counter.on_caller_message)
         self.cores: dict[str, CoreConnection] = {}
@@ -172,13 +172,13 @@
         return self.instance_ids.get(backend, b"gone")
 
     def core_connectors(self) -> list[Connector]:
-        """The open connections to the core, those of the same zone first."""
+        """Return the open connections to the core, those within the same zone first."""
         connected = [core for core in self.cores.values() if core.is_connected]
         connected.sort(key=lambda core: (core.zone != self.settings.zone, core.ip))
         return [core.connector for core in connected]
 
     def load_keyed_requests(self) -> KeyedRequests:
-        """The handling of requests with keys; its modules are imported with the first of them."""
+        """Return the handler of requests with keys; its modules are imported with the first such request."""
         if self.keyed_requests is None:
             from ivymux.proxy.keyed_requests import KeyedRequests
 
@@ -188,7 +188,7 @@
         return self.keyed_requests
 
     def backend_number(self, backend: str) -> int:
-        """A backend's number in the decision module, by its id; 0 if it is unknown."""
+        """Return a backend's number in the decision module by the backend's id; 0 if the id is unknown."""
         found = self.membership.backends.get(backend)
         return found.number if found is not None else 0
 
@@ -197,7 +197,7 @@
         return found.id if found is not None else ""
 
     def core_connected_seconds(self) -> float:
-        """Seconds since the core was connected; others may have replaced a proxy that was not."""
+        """Return for how many seconds the core is connected; before, others may have replaced this proxy."""
         return max(0.0, time.monotonic() - self.core_connected_since)
 
     def send_to_core(self, message: Message) -> None:
@@ -213,11 +213,11 @@
         self.conversation_settings = text
         if self.keyed_requests is not None:
             self.keyed_requests.update_settings(text)
-        else:  # not while the proxy starts
+        else:  # delayed, as the import would slow down the proxy's start
             self.loop.call_later(KEYED_REQUESTS_LOAD_DELAY_S, self.load_keyed_requests)
 
     def update_trials(self, text: str) -> None:
-        """Apply a set of trials; the module that it needs is imported with the first one."""
+        """Apply a set of trials; the module for trials is imported with the first set."""
         if self.trial_client is None:
             from ivymux.proxy.trial_client import TrialClient
 
@@ -242,7 +242,8 @@
         await self.ready_server.start()
         await self.start_metrics_server()
         # Clients that connect before the first configuration wait in the kernel's accept queue.  After a loss
-        # of all processes it arrives within moments; refusals would cause a wave of retries at all proxies.
+        # of all processes the configuration arrives within moments, while refusals would cause a wave of
+        # retries at all proxies.
         self.server.listen_without_accepting()
         self.loop.call_later(MAX_ACCEPT_DELAY_S, self.accept_clients)
         self.sweep()
@@ -258,7 +259,7 @@
             log.info(f"cannot serve metrics: {error.strerror}.")
 
     def accept_clients(self) -> None:
-        """Accept clients, including those that connected before."""
+        """Accept clients, including those that wait in the accept queue."""
         if self.server.listening_socket is not None and not self.is_stopping:
             self.accept_task = self.loop.create_task(self.server.start())
 
@@ -294,11 +295,12 @@
             self.update_backends(backends)
 
     def update_proxies(self, now: float) -> None:
+        """Pass the present proxies to the counter, and their number to the decision module."""
         proxies = self.membership.proxies()
         if self.membership.is_connected():
             self.known_proxies = proxies
         else:
-            # The other proxies no longer list this one, and use other holders in its place.
+            # The other proxies no longer list this proxy, and use other holders in its place.
             proxies = {id: location for id, location in self.known_proxies.items() if id != self.id}
         self.holders.update_proxies({id: location.joined_at for id, location in proxies.items()}, now)
         addresses = {id: Address(location.address, location.port) for id, location in proxies.items()}
@@ -307,6 +309,7 @@
             self.host.post(i.Doors(len(set(proxies) | {self.id})))
 
     def update_backends(self, backends: list[Backend]) -> None:
+        """Pass changed backends to the decision module."""
         if self.keyed_requests is not None:
             self.keyed_requests.is_stale = True
         entries, addresses = [], {}
@@ -315,7 +318,7 @@
             try:
                 address = parse_address(backend.address)
             except ConfigError:
-                continue  # a backend that was first reported as ended has no address
+                continue  # backends that had ended when first reported have no address
             state = gateway_state(backend)
             if state is State.GONE:
                 if backend.number not in self.instance_ids:
@@ -341,7 +344,7 @@
         self.host.update_members(i.Members(i.Listing.DELTA, self.listing_version, tuple(entries)), addresses)
 
     def apply_configuration(self, version: int, text: str) -> None:
-        """Apply a configuration that is in force; one older than the current one is ignored."""
+        """Apply a configuration that is in force; a version that is not newer than the current is ignored."""
         if version <= self.config_version:
             return
         try:
@@ -365,6 +368,7 @@
         log.info(f"configuration version {version} is in force: {len(self.tables.classes)} routes so far.")
 
     def sweep(self) -> None:
+        """Do the periodic work: expiry, samples and log summaries; called every SWEEP_INTERVAL_S."""
         try:
             self.membership.expire_backends(time.monotonic())
             self.on_membership_changed()
@@ -380,7 +384,7 @@
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def log_summaries(self) -> None:
-        """Log what was refused, left and claimed, each at most once per LOG_INTERVAL_S."""
+        """Log summaries of refusals, client departures and claims, each at most once per LOG_INTERVAL_S."""
         refusals, departures = self.host.refusal_log.refusals, self.host.departures
         refusals_due = time.monotonic() - self.refusals_logged_at > LOG_INTERVAL_S
         if refusals_due and (line := refusals.log_line()):
@@ -402,20 +406,20 @@
         self.settings = settings
         self.update_cores([address.host for address in settings.seed_addresses])
 
-    # --- the end -------------------------------------------------------------------------------------------
+    # --- shutdown ------------------------------------------------------------------------------------------
 
     async def stop(self) -> None:
         """Stop gracefully.
 
         Reports not ready first, accepts connections for a while, then finishes open requests within the
-        grace.
+        configured shutdown grace.
         """
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.is_stopping = self.server.closes_after_answer = True
         log.info("stopping: new connections are accepted for a while, then open requests are finished.")
         await asyncio.sleep(min(STOP_LISTENING_DELAY_S, self.settings.shutdown_grace_s / 2))
         self.server.stop_listening()
-        deadline = began + self.settings.shutdown_grace_s - STOP_MARGIN_S
+        deadline = started_at + self.settings.shutdown_grace_s - STOP_MARGIN_S
         while self.host.unanswered_count and time.monotonic() < deadline:
             await asyncio.sleep(STOP_POLL_S)
         self.host.finish_all()
@@ -438,7 +442,7 @@
 
 
 def gateway_state(backend: Backend) -> State:
-    """A backend's state as the decision module knows it."""
+    """Return a backend's state in the terms of the decision module."""
     if backend.state == OFF:
         return State.GONE
     return State.READY if backend.state == UP else State.DRAINING
--- a/ivymux/proxy/trial_client.py
+++ b/ivymux/proxy/trial_client.py
@@ -1,6 +1,6 @@
-"""Fault-injection trials at a proxy: renews its lease on them at the core, and decides on requests.
+"""Fault-injection trials at a proxy: decides on requests, and renews the lease on the trials at the core.
 
-Imported with the first trial, so that a proxy starts without the cost of this module.
+Imported with the first trial, so that a proxy's start does not take the time to import this module.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from ivymux.transport.connection import Connector, TransportError
 
 CALL_TIMEOUT_S = 0.5
-BASELINE_S = 10.0  # before a trial, whose counts other callers' failures are compared with
-MAX_HOLD_PART = 0.5  # of the time that a client has left, the longest delay of its request
+BASELINE_S = 10.0  # before a trial: other callers' failures in the trial are compared with this span's
+MAX_HOLD_PART = 0.5  # longest delay of a request, as a part of the time that its client still waits
 REFUSAL_TEXT = b"refused in a trial of this caller; it has not run\n"
 
 log = Log("proxy")
@@ -46,7 +46,7 @@
         self, zone: str, id: str, host: Host, connectors: Callable[[], list[Connector]],
         system_time: Callable[[float], float], samples: Iterable[tuple[float, int, int]],
     ) -> None:  # fmt: skip
-        """`connectors`: to the core; `system_time`: by steady time; `samples`: earlier request counts."""
+        """`connectors`: to the core; `system_time`: from steady time; `samples`: earlier request counts."""
         self.matcher, self.id, self.host = RequestMatcher(zone), id, host
         self.connectors, self.system_time, self.samples = connectors, system_time, samples
         self.task: asyncio.Task[None] | None = None
@@ -57,7 +57,7 @@
         self.matcher.update_keys(keys)
 
     def apply(self, text: str) -> bool:
-        """Apply a trial set that the core sent; returns whether one of its trials may be in force."""
+        """Apply a trial set that the core sent; return whether one of its trials may be in force."""
         now = time.monotonic()
         try:
             is_newer = self.matcher.apply(decode(text), now, self.system_time(now))
@@ -98,7 +98,7 @@
     # --- the core --------------------------------------------------------------------------------------
 
     def unaffected_counts(self) -> tuple[int, int]:
-        """Requests under no trial, and those of them that were not served for lack of backends."""
+        """Requests under no trial, and how many of these were not served for lack of backends."""
         unaffected = self.host.request_count - self.matcher.forwarded
         return unaffected, self.host.refusal_log.refusals.count_unserved()
 
@@ -126,14 +126,15 @@
         return requests - first_requests, failures - first_failures
 
     async def call(self, connector: Connector, message: dict[str, Any]) -> None:
-        began = time.monotonic()
+        """Report to one core machine, and apply the trial set and the lease in its reply."""
+        sent_at = time.monotonic()
         try:
             reply = await connector.call(message, CALL_TIMEOUT_S)
             text, age = reply.get("t"), reply.get("age")
             if isinstance(text, str) and text:
                 self.apply(text)
             if age is not None:
-                self.matcher.renew_lease(int(reply["v"]), began, float(age))
+                self.matcher.renew_lease(int(reply["v"]), sent_at, float(age))
         except TransportError:
             pass
         except (KeyError, TypeError, ValueError):
--- a/ivymux/runtime/program.py
+++ b/ivymux/runtime/program.py
@@ -123,7 +123,7 @@
     if role == "proxy":
         from ivymux.proxy.program import Proxy
 
-        return partial(Proxy, waiting=early)
+        return partial(Proxy, early_socket=early)
     if role == "registry":
         from ivymux.registry.program import Registry
 
