--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings, events and a fake counter for tests of gateways."""
+"""Settings, events and a fake counter for tests of `Gateway`."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
 for n, plan in enumerate(PLANS):
     BASE |= {f"tariffs.{n}.name": f"plan-{n}", f"tariffs.{n}.pays": "1.0"}
     BASE |= {f"tariffs.{n}.{key}": value for key, value in plan.items()}
-START = 100.0
+START = 100.0  # seconds on the clock of the tests
 
 
 def settings_text(**changes: str) -> str:
-    """Return the settings message with some keys changed; a double underscore stands for a dot."""
+    """Return the settings message with some keys changed; a double underscore in a name stands for a dot."""
     values = BASE | {key.replace("__", "."): value for key, value in changes.items()}
     return "\n".join(f"{key}={value}" for key, value in values.items())
 
@@ -66,14 +66,16 @@
     return i.Entry(backend, 0, started, state, 0, cell, 1.0)
 
 
-def make_request(rid: int, *, cls: int = 0, plan: int = 0, customer: int = 5, left: float = 4.0) -> i.Request:
-    return i.Request(rid, cls, plan, customer, left, 1.0, 3, 0, False, False)
+def make_request(
+    request: int, *, cls: int = 0, plan: int = 0, customer: int = 5, left: float = 4.0
+) -> i.Request:
+    return i.Request(request, cls, plan, customer, left, 1.0, 3, 0, False, False)
 
 
 def make_finished(
-    rid: int, send: i.Send, outcome: i.Outcome, attempt: int = 0, closed: bool = False
+    request: int, send: i.Send, outcome: i.Outcome, attempt: int = 0, closed: bool = False
 ) -> i.Finished:
-    return i.Finished(rid, attempt, send.backend, outcome, closed, 0.1, 0, 0, ())
+    return i.Finished(request, attempt, send.backend, outcome, closed, 0.1, 0, 0, ())
 
 
 def sends(actions: Iterable[i.Action]) -> list[i.Send]:
@@ -81,7 +83,7 @@
 
 
 class FakeCounter:
-    """A shared counter that answers with `outcome`; while `is_late` it adds, but its answers time out."""
+    """A shared counter that answers with `outcome`; while `is_late`, it adds but its answers time out."""
 
     def __init__(self) -> None:
         self.totals: dict[int, float] = {}
@@ -111,7 +113,7 @@
 
 
 def handle_event(gateway: Gateway, counter: FakeCounter, now: float, event: i.Event) -> list[i.Action]:
-    """Pass an event, answer all counter calls that follow at once, and return all actions; ignore timers."""
+    """Pass an event, answer all resulting counter calls at once, and return all actions; ignore timers."""
     actions = gateway.handle(now, event)
     index = 0
     while index < len(actions):
--- a/tests/idempotency/test_settings.py
+++ b/tests/idempotency/test_settings.py
@@ -14,7 +14,7 @@
     return json.dumps({"settings_version": 1, **fields}).encode()
 
 
-def test_defaults_and_every_field() -> None:
+def test_every_field_has_a_default_and_can_be_set() -> None:
     settings = read(text())
     assert (settings.limits.retention_s, settings.limits.max_per_tenant, settings.header) == (
         900.0,
--- a/tests/proxy/test_distributed_counter.py
+++ b/tests/proxy/test_distributed_counter.py
@@ -1,4 +1,4 @@
-"""Calls to a count's holder: sent once it is connected, and answered once each, in order."""
+"""Calls to the holder of a count: sent once the holder is connected; each gets one result, in order."""
 
 from __future__ import annotations
 
@@ -36,11 +36,12 @@
 
 
 def established(*proxies: str) -> dict[str, float]:
-    """Join times of proxies that have been present for long."""
+    """Return join times of proxies that have been present for long."""
     return dict.fromkeys(proxies, time.monotonic() - 100.0)
 
 
 def names_held_by(proxy: CountingProxy, holder: str, count: int) -> list[int]:
+    """Return the first `count` names that `holder` holds according to `proxy`."""
     return [n for n in range(10_000) if proxy.holders.find_holder(n, n, time.monotonic()) == holder][:count]
 
 
@@ -50,7 +51,7 @@
         port = await two.listener.start(Address("127.0.0.1", 0))
         addresses = {"two": Address("127.0.0.1", port), "one": Address("127.0.0.1", 1)}
         mine, theirs = names_held_by(one, "one", 1)[0], names_held_by(one, "two", 2)
-        # Called before the holder is connected: the calls wait for the connection.
+        # Calls made before the holder is connected wait for the connection.
         for amount in (1.0, 2.0, 4.0):
             one.counter.add(Count(theirs[0], amount, 60.0, customer=theirs[0]))
         one.counter.add(Count(mine, 8.0, 60.0, customer=mine))
@@ -59,7 +60,7 @@
         await until(lambda: len(one.results) == 4)
         assert [result.total for result in one.results[1:]] == [1.0, 3.0, 7.0]
         assert len({result.born for result in one.results}) == 2
-        # The holder ends while a call is unanswered: it may have been added, and gets one result.
+        # The holder ends while a call is unanswered: the call may have been added, and gets one result.
         two.counter.holders.update_proxies(established("two"), time.monotonic())
         one.counter.add(Count(theirs[1], 1.0, 60.0, customer=theirs[1]))
         for connection in list(two.listener.connections):
--- a/tests/proxy/test_keyed_actions.py
+++ b/tests/proxy/test_keyed_actions.py
@@ -70,7 +70,7 @@
 
 
 class Core:
-    """A connection to the core that gives the same replies, the last one again and again."""
+    """A connection to the core that gives these replies in order, and then repeats the last one."""
 
     def __init__(self, *replies: Any) -> None:
         self.replies, self.received = list(replies), list[dict[str, Any]]()
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("replies", "status", "ends"),
+    ("replies", "status", "is_ended"),
     [
         ([TransportError("gone")], 503, True), ([{"ok": False}], 503, True), ([{"ok": True}], 503, True),
         ([{"ok": True, "verdict": "answered", "after": 0, "answer": "{", "what": ""}], 503, True),
@@ -96,7 +96,7 @@
     ],
 )  # fmt: skip
 def test_a_claim_without_a_usable_reply_is_answered_and_ended_as_not_run(
-    replies: list[Any], status: int | None, ends: bool
+    replies: list[Any], status: int | None, is_ended: bool
 ) -> None:
     async def scenario() -> None:
         core = Core(*replies)
@@ -113,7 +113,7 @@
         claim.finish(None, ran=True)  # a second end has no effect
         await claims.finish(1.0)
         sent = core.received[before:]
-        assert [message["state"] for message in sent] == (["free"] if ends else [])
+        assert [message["state"] for message in sent] == (["free"] if is_ended else [])
         assert "claimed" in claims.log_line() and claims.log_line() == ""
 
     asyncio.run(scenario())
--- a/tests/proxy/test_lease_counts.py
+++ b/tests/proxy/test_lease_counts.py
@@ -1,4 +1,4 @@
-"""Tenants' token buckets as their holder keeps them: on its own, and in a simulation of all proxies."""
+"""Tenants' token buckets at their holder: by themselves, and in a simulation of all proxies."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     return LeaseCounts(CounterHolders("d0", at, first_start=first), 77)
 
 
-RATE, BURST, SPAN = 10.0, 20.0, 5.0  # 70 in any 5 s
+RATE, BURST, SPAN = 10.0, 20.0, 5.0  # units/s, units, s: 70 units in any 5 s
 
 
-def count(name: int, amount: float, since: float = 0.0, **more: float) -> Count:
+def count(name: int, amount: float, since: float = 0.0, **fields: float) -> Count:
     """A call for customer 3, `since` seconds after the start of window `name`."""
-    call, knew = int(more.pop("call", 0)), int(more.pop("knew", 0))
-    more = {"drained": BURST + RATE * since, **more}
+    call, knew = int(fields.pop("call", 0)), int(fields.pop("knew", 0))
+    fields = {"drained": BURST + RATE * since, **fields}
     return Count(
         name,
         amount,
@@ -36,22 +36,22 @@
         span=SPAN,
         since=since,
         knew=knew,
-        **more,
+        **fields,
     )
 
 
-def available(counts: LeaseCounts, now: float, since: float, name: int = 1, **more: float) -> float:
-    """What may be granted, as proxies derive it from the total in the answer."""
-    return BURST + RATE * since - counts.add(count(name, 0.0, since, **more), "looks", now)
+def available(counts: LeaseCounts, now: float, since: float, name: int = 1, **fields: float) -> float:
+    """Return what may be granted, as proxies derive it from the total in the answer."""
+    return BURST + RATE * since - counts.add(count(name, 0.0, since, **fields), "looks", now)
 
 
 def test_a_name_that_another_proxy_may_have_held_begins_drained() -> None:
     holders = CounterHolders("d0", 0.0)
     holders.update_proxies({"d0": 1.0, "d1": 1.0}, 1.0)
     counts = LeaseCounts(holders, 77)
-    # Its window began before this proxy joined: what was granted elsewhere is unknown.
+    # The window began before this proxy joined: what was granted elsewhere is unknown.
     assert available(counts, 2.0, 2.0, drained=BURST + 20.0 - 4.0) == pytest.approx(4.0)
-    # The previous holder may have just granted a burst, unless all proxies had to start first.
+    # The previous holder may have just granted a burst, unless all proxies had to start again since.
     holders = CounterHolders("d0", 0.0)
     holders.update_proxies({"d0": 1.0, "d1": -50.0}, 1.0)
     assert available(LeaseCounts(holders, 77), 2.0, 2.0, drained=BURST + 20.0 - 4.0) == pytest.approx(1.0)
@@ -101,7 +101,7 @@
 
 
 def test_a_tenants_next_window_continues_from_the_last_one() -> None:
-    """The holder uses its own record, which is more than callers know of the window's beginning."""
+    """The holder uses its own record, as callers know less of the grants before the window's beginning."""
     counts = empty_counts()
     counts.holders.update_proxies({"d0": -100.0}, 0.0)
     counts.add(count(1, BURST, 19.9), "d1", 19.9)
@@ -121,7 +121,7 @@
     assert available(counts, 10.5, 5.0, drained=drained, known=67.0, knew=55) == pytest.approx(3.0)
     assert available(counts, 10.5, 5.0, drained=drained, known=200.0, knew=77) == pytest.approx(
         3.0
-    )  # a total of its own, already recorded
+    )  # a total that this holder reported
 
 
 def test_a_late_grant_made_during_overflow_does_not_drain_the_bucket() -> None:
@@ -156,8 +156,11 @@
     assert available(counts, 11.0, 11.0) == pytest.approx(available_before)
 
 
-def partitioned_and_reconnected(seed: int, fraction: float) -> DistributedQuotaSimulation:
-    """Eight tenants at eight proxies, two of which are partitioned at 3 s + 1.1 s per seed, for 8 s."""
+def run_with_partition(seed: int, fraction: float) -> DistributedQuotaSimulation:
+    """Simulate eight tenants, each at `fraction` of its quota, at eight proxies.
+
+    Two proxies are partitioned at 3 s + 1.1 s per seed, for 8 s.
+    """
     tenants = [Tenant(quota_plan(f"t{n}", 33.0, 33.0), lambda s: fraction * 33.0) for n in range(8)]
     simulation = DistributedQuotaSimulation(8, tenants, seed)
     at = START_TIME + 3.0 + 1.1 * seed
@@ -170,14 +173,16 @@
 
 @pytest.mark.parametrize("seed", [3, 11, 20])
 def test_tenants_within_their_quotas_are_served_when_proxies_reconnect(seed: int) -> None:
-    """Late grants used to drain full buckets: 0.08 to 0.16 of requests were refused, 0.24 of one tenant's."""
-    simulation, reconnected_at = partitioned_and_reconnected(seed, 0.8), 3.0 + 1.1 * seed + 8.0
+    """Guards against late grants that drain full buckets: 0.08 to 0.16 of requests, and 0.24 of one tenant's,
+    would be refused.
+    """
+    simulation, reconnected_at = run_with_partition(seed, 0.8), 3.0 + 1.1 * seed + 8.0
     assert max(t.failed_share(reconnected_at, reconnected_at + 3.0) for t in simulation.tenants) < 1 / 20
 
 
 @pytest.mark.parametrize("seed", [0, 1])
 def test_a_quota_holds_while_partitioned_proxies_grant_their_shares(seed: int) -> None:
-    """Three of eight grant theirs; with nothing reserved for them, 51 more were sent than the rule allows."""
+    """Three of eight proxies grant their shares; without reserves, 51 requests too many would be sent."""
     tenant = Tenant(quota_plan("hot", 99.0, 99.0), lambda s: 99.0 * LOAD_FACTOR(s))
     simulation = DistributedQuotaSimulation(8, [tenant], seed)
     for proxy in range(seed, seed + 3):
@@ -187,14 +192,15 @@
     assert tenant.max_sent_within(5.0) <= tenant.allowed_within_window()
 
 
-LOAD_FACTOR: Callable[[float], float] = lambda s: 9.0 if 3.0 <= s < 9.0 else 0.6  # noqa: E731  # times its rate
+# Demand at a time in seconds, as a multiple of the tenant's rate.
+LOAD_FACTOR: Callable[[float], float] = lambda s: 9.0 if 3.0 <= s < 9.0 else 0.6  # noqa: E731
 
 
 @pytest.mark.parametrize(("proxies", "rate", "burst"), [(11, 33.0, 33.0), (75, 198.0, 198.0), (85, 8.0, 8.0)])
 def test_no_span_exceeds_the_quota_however_many_proxies_grant_it(
     proxies: int, rate: float, burst: float
 ) -> None:
-    """When each proxy corrected for overflow on its own, 75 proxies sent 4.1 times the quota."""
+    """Guards against overflow corrections by each proxy, with which 75 proxies sent 4.1 times the quota."""
     tenant = Tenant(quota_plan("hot", rate, burst), lambda s: rate * LOAD_FACTOR(s))
     QuotaSimulation(proxies, [tenant], 1).run_until(10.0)
     quota = 5 * rate + burst
@@ -203,8 +209,8 @@
     )
 
 
-@pytest.mark.parametrize("times", [1, 2])
-def test_a_quota_holds_when_its_counts_are_lost(times: int) -> None:
+@pytest.mark.parametrize("loss_count", [1, 2])
+def test_a_quota_holds_when_its_counts_are_lost(loss_count: int) -> None:
     for fault in ("counts lost", "proxies restarted"):
         tenant = Tenant(quota_plan("hot", 33.0, 33.0), lambda s: 33.0 * LOAD_FACTOR(s))
         simulation = QuotaSimulation(11, [tenant], 2)
@@ -213,7 +219,7 @@
             if fault == "counts lost"
             else lambda simulation=simulation: simulation.restart_all_proxies(0.6)
         )
-        for loss in range(times):
+        for loss in range(loss_count):
             simulation.schedule_at(START_TIME + 6.0 + 1.2 * loss, lose)
         simulation.run_until(10.0)
         assert tenant.max_sent_within(5.0) <= tenant.allowed_within_window(), fault
--- a/tests/proxy/test_membership_view.py
+++ b/tests/proxy/test_membership_view.py
@@ -1,4 +1,4 @@
-"""The membership view that a proxy merges from its registries; counter holders; the system clock."""
+"""The membership view that a proxy merges from all registries, counter holders, and the system clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def entry(id: str, state: str, seq: int, address: str = "10.0.0.9:80", service: str = "archive") -> list[Any]:
-    """A backend, as a registry lists it."""
+    """Return a backend's entry in a registry's list."""
     return [id, service, address, "hall", 2, state, seq, 0.0]
 
 
@@ -93,7 +93,7 @@
 
 
 def test_a_proxy_that_joins_holds_no_window_that_began_before() -> None:
-    """The previous holder has the window's counts; a new one would have to treat it as spent."""
+    """The previous holder has the window's counts; a new holder would have to treat the window as spent."""
     proxies = {f"d{n}": -100.0 for n in range(8)}
     holders = CounterHolders("d0", -100.0, first_start=True)
     holders.update_proxies(proxies, -100.0)
@@ -111,16 +111,18 @@
     holders.update_proxies({**proxies, rejoined: 20.4}, 20.5)
     holders.holder_by_name.clear()
     assert {name: holders.find_holder(name, name, 20.0 + SETTLE_S + 0.1) for name in range(600)} == before
-    # It treats windows that began just after its join as spent: some proxies may not know of it yet.
-    own = CounterHolders(rejoined, 19.0)
-    own.update_proxies({**proxies, rejoined: 20.0}, 20.1)
+    # The proxy treats windows that began just after its join as spent, as not all others may know of it yet.
+    rejoined_view = CounterHolders(rejoined, 19.0)
+    rejoined_view.update_proxies({**proxies, rejoined: 20.0}, 20.1)
     seat = next(name for name, proxy in before.items() if proxy == rejoined)
-    assert own.find_holder(1, seat, 22.0) == rejoined and not own.has_full_history(seat, 1.0, 23.0)
-    assert own.has_full_history(seat, 1.0, 24.5)
-    # With too few proxies that were present before, any may hold a window that had begun.
-    young = CounterHolders("d0", 50.0)
-    young.update_proxies({"d0": -9.0, "d1": -9.0, **{f"d{n}": 50.0 for n in range(2, 8)}}, 50.1)
-    assert len({young.find_holder(name, name, 45.0) for name in range(600)}) > 2
+    assert rejoined_view.find_holder(1, seat, 22.0) == rejoined and not rejoined_view.has_full_history(
+        seat, 1.0, 23.0
+    )
+    assert rejoined_view.has_full_history(seat, 1.0, 24.5)
+    # With too few proxies that were present before, any proxy may hold a window that had begun.
+    few_established = CounterHolders("d0", 50.0)
+    few_established.update_proxies({"d0": -9.0, "d1": -9.0, **{f"d{n}": 50.0 for n in range(2, 8)}}, 50.1)
+    assert len({few_established.find_holder(name, name, 45.0) for name in range(600)}) > 2
 
 
 def test_system_time_follows_the_majority_when_one_machine_jumps() -> None:
@@ -131,4 +133,4 @@
     clock.update("c", 1002.4, 10.0)  # its wall clock had jumped at its start
     assert clock.system_time(10.0) == 1000.0
     clock.update("a", 1002.4, 10.0)
-    assert clock.system_time(11.0) == 1003.4  # the majority now agrees on it
+    assert clock.system_time(11.0) == 1003.4  # the majority now agrees on the later time
--- a/tests/proxy/test_proxy_gateway.py
+++ b/tests/proxy/test_proxy_gateway.py
@@ -22,7 +22,7 @@
 
 
 class ProxyHarness:
-    """A gateway with ready backends, to which requests are sent."""
+    """A proxy's decision module with ready backends, and the requests sent to it."""
 
     def __init__(self, backends: int = 4) -> None:
         self.gateway = ProxyGateway(module_settings(), 3, ProxyRules(0.2, 5.0, 0.1, 20.0))
@@ -77,8 +77,8 @@
         request, actions = harness.send_request(cls=1, home=3)
         assert sent_backends(actions) == [3]
         harness.finish_attempt(request, 0, 3, Outcome.OK)
-    held = [sent_backends(harness.send_request(cls=1, home=3)[1])[0] for _ in range(20)]
-    assert held[:4] == [3] * 4 and held.count(3) <= 8  # then the others are far better
+    chosen = [sent_backends(harness.send_request(cls=1, home=3)[1])[0] for _ in range(20)]
+    assert chosen[:4] == [3] * 4 and chosen.count(3) <= 8  # then the other backends are far better
     harness = ProxyHarness()
     request, actions = harness.send_request(cls=1, home=3)
     assert sent_backends(harness.finish_attempt(request, 0, 3, Outcome.FULL)) not in ([], [3])
@@ -106,7 +106,7 @@
     (first,) = sent_backends(actions)
     (second,) = sent_backends(harness.finish_attempt(request, 0, first, Outcome.CONNECT_FAILED))
     assert second != first
-    for _ in range(6):  # it is ejected for a while
+    for _ in range(6):  # the backend is ejected for a while
         other, actions = harness.send_request()
         (backend,) = sent_backends(actions)
         assert backend != first
@@ -115,8 +115,8 @@
 
 def test_retries_stay_within_the_budget() -> None:
     harness = ProxyHarness(8)
-    retries, firsts = 0, 400
-    for _ in range(firsts):
+    retries, request_count = 0, 400
+    for _ in range(request_count):
         request, actions = harness.send_request()
         (backend,) = sent_backends(actions)
         retried = sent_backends(harness.finish_attempt(request, 0, backend, Outcome.ERROR))
@@ -124,7 +124,7 @@
         for other in retried:
             harness.finish_attempt(request, 1, other, Outcome.OK)
         harness.now += 0.05
-    assert 0.2 * firsts * 0.5 < retries <= 0.2 * firsts + MAX_RETRY_TOKENS
+    assert 0.2 * request_count * 0.5 < retries <= 0.2 * request_count + MAX_RETRY_TOKENS
 
 
 def test_requests_go_to_ready_backends_of_their_service() -> None:
@@ -137,7 +137,7 @@
     assert isinstance(refusal, i.Refuse) and refusal.why is Why.ROOM and not sent_backends(actions)
 
 
-def test_if_all_backends_are_silent_they_are_used_but_never_leaving_ones() -> None:
+def test_silent_backends_are_used_if_no_backend_is_ready_but_leaving_ones_never() -> None:
     harness = ProxyHarness(3)
     lost = i.Entry(1, 0, 0.0, State.DRAINING, SILENT, 0, 2.0)
     harness.handle(i.Members(i.Listing.DELTA, 2, (lost,)))
@@ -191,7 +191,7 @@
             gateway.handle(
                 1000.0, i.Members(i.Listing.DELTA, 1, (i.Entry(1, 0, 0.0, State.READY, 0, 0, 90.0),))
             )
-            for number in range(30):  # none of them reaches the counter
+            for number in range(30):  # no call of theirs reaches the counter
                 request = i.Request(number + 1, 0, 1, 7, 1.0, 1.0, proxies, 0, False, False, 0, 2)
                 waiting = gateway.handle(1000.0 + number / 1000, request)
                 while waiting:
@@ -200,18 +200,18 @@
                     if isinstance(action, i.Count):
                         lost = i.Counted(action.name, Outcome.CONNECT_FAILED, 0.0, 0.0)
                         waiting += gateway.handle(1000.0 + number / 1000, lost)
-        # The rule allows 59.6 requests beyond this quota in any 5 s; a part of that is kept for lost counts.
+        # The rule allows 59.6 requests beyond this quota in any 5 s; a part of them is for lost counts.
         assert admitted <= 0.6 * 59.6 + 3, (proxies, admitted)
 
 
 def retry_delays(harness: ProxyHarness, count: int, left: float = 1.0) -> list[float]:
-    """Return the retry-after of requests of a tenant whose bucket is empty."""
+    """Send requests of a tenant whose bucket is empty; return the retry-after of the refusals."""
     delays: list[float] = []
     for _ in range(count):
         harness.number += 1
         request = i.Request(harness.number, 0, 1, 1, left, 1.0, 4, 0, False, False, 0, 2)
         actions = harness.handle(request)
-        for action in actions:  # grows while it is read
+        for action in actions:  # the list grows during the iteration
             if isinstance(action, i.Count):
                 actions += harness.handle(i.Counted(action.name, Outcome.OK, action.drained + 6.0, 0.001, 9))
         delays += [a.retry_after for a in actions if isinstance(a, i.Refuse) and a.why is Why.QUOTA]
@@ -222,9 +222,9 @@
     harness = ProxyHarness()
     harness.handle(i.Classes(tuple(replace(cls, deadline=12.0, aim=2.0) for cls in CLASSES)))
     delays = retry_delays(harness, 4, left=12.0)
-    # Half of ten per second, over four proxies: 0.8 s from one retry to the next.
+    # Retries get half of ten requests per second, over four proxies: one per 0.8 s.
     assert [round(b - a, 3) for a, b in itertools.pairwise(delays)] == [0.8] * 3
-    # No longer than the client's remaining time allows.
+    # The delay is limited by the client's remaining time.
     assert retry_delays(harness, 1, left=3.0) == [pytest.approx(0.9)]
 
 
@@ -247,14 +247,14 @@
         harness.handle(i.Classes(CLASSES))
         harness.handle(i.Plans((UNLIMITED, LIMITED)))
         harness.set_backends(*((n, State.READY) for n in range(1, 65)))
-        asked = [sent_backends(harness.send_request()[1])[0] for _ in range(64)]
-        assert len(set(asked)) == 64  # each is used once before any is used again
-        first[asked[0]] += 1
+        chosen = [sent_backends(harness.send_request()[1])[0] for _ in range(64)]
+        assert len(set(chosen)) == 64  # each is used once before any is used again
+        first[chosen[0]] += 1
     assert len(first) > 40 and max(first.values()) < 8
 
 
 def test_a_slow_class_is_not_taken_for_silence_before_its_latency_is_learned() -> None:
-    """The first estimate follows its target latency: no attempt is cancelled and repeated before that."""
+    """The first estimate follows the class's target latency, so that attempts are not cancelled too soon."""
     harness = ProxyHarness()
     harness.handle(i.Classes((replace(CLASSES[0], aim=2.0, deadline=12.0), CLASSES[1])))
     harness.gateway.class_latency, harness.gateway.answer_counts = [], []
@@ -266,7 +266,7 @@
         assert not [a for a in harness.handle(i.Fired(1)) if isinstance(a, i.Cancel)]
     assert harness.gateway.class_latency[0] == pytest.approx(0.6)
     harness.finish_attempt(number, 0, sent_backends(actions)[0], Outcome.OK)
-    assert harness.gateway.class_latency[0] > 0.6  # the first answer moves it by a fifth
+    assert harness.gateway.class_latency[0] > 0.6  # the first answer moves the estimate by a fifth
 
 
 def test_a_backend_reported_by_other_proxies_is_ejected_while_others_are_left() -> None:
@@ -276,7 +276,7 @@
         assert sent_backends(harness.send_request()[1]) == [2]
     harness.set_backends((2, State.GONE))
     number, actions = harness.send_request()
-    assert sent_backends(actions) == [1]  # better than refusing
+    assert sent_backends(actions) == [1]  # better than a refusal
     harness.finish_attempt(number, 0, 1, Outcome.OK)
     harness.set_backends((3, State.READY))
     # One good answer does not outweigh several reports.
@@ -292,7 +292,7 @@
         request, actions = harness.send_request()
         (backend,) = sent_backends(actions)
         chosen[backend] += 1
-        if backend == 1:  # its clients wait for twice the usual latency, then leave
+        if backend == 1:  # clients wait for twice the usual latency, then leave
             harness.now += 2 * harness.gateway.class_latency[0]
             harness.handle(i.Left(request))
             harness.handle(i.Finished(request, 0, backend, Outcome.CANCELLED, True, 0.1, 0, 0, ()))
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -1,6 +1,6 @@
 """Starts a program with a seeded fault: `python -m tests.simulation.faulty FAULT ROLE --settings FILE`.
 
-Only a proxy gets the fault; other roles start as they are.  Each fault patches one method, as a faulty change
+Only a proxy gets the fault; other roles start without one.  Each fault patches one method, as a faulty change
 to the code could, and breaks one rule of `ivymux.simulation.rules`.
 """
 
@@ -52,13 +52,13 @@
 
 
 def change_payloads(change: Callable[[bytes], bytes], extra_s: float = 0.0) -> None:
-    """Change the bytes that go to backends, and add seconds to the remaining time in them."""
+    """Change the bytes that are sent to backends, and add seconds to the remaining time stated there."""
     original = ProxyFrontend.accept
 
     def accept(self: ProxyFrontend, *args: Any) -> Any:
         call = original(self, *args)
         if not isinstance(call, Answer) and (make := call.make_payload_for) is not None:
-            call.make_payload_for = lambda left, backend: change(make(left + extra_s, backend))
+            call.make_payload_for = lambda remaining_s, backend: change(make(remaining_s + extra_s, backend))
         return call
 
     replace_attribute(ProxyFrontend, "accept", accept)
--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -100,27 +100,27 @@
 
 @pytest.mark.parametrize("part", range(PART_COUNT))
 def test_no_schedule_of_faults_exceeds_the_proven_bound(part: int) -> None:
-    """Of 1,000 schedules, a failing one is reduced to the smallest that fails, and printed."""
-    seen = 0
+    """Checks 1,000 schedules; a schedule that fails is reduced to the smallest that fails, and printed."""
+    checked_count = 0
 
     @settings(max_examples=SCHEDULE_COUNT // PART_COUNT, deadline=None, database=None,
               suppress_health_check=list(HealthCheck))  # fmt: skip
     @given(schedules)
     def check(schedule: list[Fault]) -> None:
-        nonlocal seen
-        seen += 1
+        nonlocal checked_count
+        checked_count += 1
         simulation = run_schedule(schedule)
         over = simulation.overshoot(FLOODING, CEILING * RATE, CEILING * BURST)
         assert over <= allowed_excess(schedule), (schedule, over)
 
     seed(part)(check)()
-    assert seen >= SCHEDULE_COUNT // PART_COUNT
+    assert checked_count >= SCHEDULE_COUNT // PART_COUNT
 
 
 def test_shares_that_do_not_add_up_are_found_and_reduced_to_one_fault(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Checks the search itself: with the whole quota as each local share it must fail and reduce."""
+    """Checks the search itself: with the whole quota as each local share, it must find a fault and reduce it."""
     monkeypatch.setattr(degraded_mode, "quota_share", lambda width, part: 1.0)
     failed: list[list[Fault]] = []
 
@@ -147,11 +147,11 @@
     simulation = run_schedule([Fault(5.0, fault, (0, 1, 2, 3)), Fault(20.0, "ok", (0, 1, 2, 3))])
     logged = set(simulation.logs)
     assert expected <= logged and "counter-well" in logged
-    assert logged <= expected | {"counter-well", "counter-silent"}  # a slow one looks silent at first
+    assert logged <= expected | {"counter-well", "counter-silent"}  # a slow counter looks silent at first
 
 
 def test_a_replaced_counter_is_logged_and_its_totals_are_restored_once() -> None:
-    """Four gateways reach an empty counter in turn: the bucket gets no fuller, and emptier only briefly."""
+    """Four gateways reach an empty counter in turn: the bucket never gets fuller, and lacks units briefly."""
     simulation = GatewaySimulation(GATEWAY_COUNT, make_plan(RATE, BURST, CEILING), seed=1)
     begin = simulation.now
     simulation.generate_load(FLOODING, 5 * RATE, range(GATEWAY_COUNT), begin, begin + 19.0)
@@ -166,7 +166,7 @@
         for request in simulation.admitted
         if request.customer == FLOODING and request.at >= begin + 10.0
     ]
-    assert len(flood) >= 0.8 * RATE * 9  # its quota remains available
+    assert len(flood) >= 0.8 * RATE * 9  # the customer's quota remains available
 
 
 def test_a_local_share_fades_in_long_degraded_mode() -> None:
@@ -257,7 +257,7 @@
     assert simulation.overshoot(FLOODING, CEILING * RATE, CEILING * BURST) <= SLACK_SHARE * CEILING * BURST
 
 
-def test_a_gateway_cut_off_alone_logs_that_the_others_counted_on() -> None:
+def test_a_partitioned_gateway_logs_that_others_used_the_counter_meanwhile() -> None:
     simulation = run_schedule([Fault(8.0, "silent", (2,)), Fault(16.0, "ok", (2,))])
     assert any(log.startswith("counter-split") for log in simulation.logs)
     simulation = run_schedule([])
@@ -266,13 +266,13 @@
 
 @pytest.mark.parametrize("fault", ["silent", "lost", "late"])
 def test_a_lease_call_without_an_answer_is_repeated_and_counts_once(fault: str) -> None:
-    """The counter has what was admitted and what is held unspent, however the answer was lost."""
+    """The total holds the admitted and the unspent units, however the answer was lost."""
 
     def remainder(fault: str) -> float:
-        """Return what else is in the total: the overflow when the first request came."""
+        """Return what else the total holds: the overflow at the time of the first request."""
         simulation = GatewaySimulation(1, make_plan(RATE, BURST, CEILING), seed=1)
         begin = simulation.now
-        simulation.generate_load(FLOODING, 5 * RATE, [0], begin, begin + 12.0)  # nothing overflows later on
+        simulation.generate_load(FLOODING, 5 * RATE, [0], begin, begin + 12.0)  # no further overflow
         simulation.schedule(4.0, lambda: simulation.set_fault([0], fault))
         simulation.schedule(6.0, lambda: simulation.set_fault([0], "ok"))
         simulation.run_until(begin + 14.0)
@@ -286,12 +286,12 @@
 
 
 def test_a_large_fleet_soon_uses_a_counter_of_higher_capacity() -> None:
-    """64 gateways share an initial 800 calls per second, 12 each, and the counter handles 20,000: requests
-    wait for their calls, and the rates rise soon.
+    """64 gateways share an initial 800 calls per second, 12 each, while the counter handles 20,000: requests
+    wait until calls may be made, and the call rates rise soon.
     """
 
-    def served(pace: float) -> float:
-        simulation = GatewaySimulation(64, make_plan(20.0, 40.0, CEILING), seed=3, call_rate=pace)
+    def mean_served_share(call_rate: float) -> float:
+        simulation = GatewaySimulation(64, make_plan(20.0, 40.0, CEILING), seed=3, call_rate=call_rate)
         begin = simulation.now
         for customer in range(1, 41):
             simulation.generate_load(
@@ -300,5 +300,5 @@
         simulation.run_until(begin + 7.0)
         return sum(simulation.served_share(customer) for customer in range(1, 41)) / 40
 
-    assert served(20_000.0) >= 0.99
-    assert served(800.0) >= 0.99
+    assert mean_served_share(20_000.0) >= 0.99
+    assert mean_served_share(800.0) >= 0.99
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""Tests of behaviour that is harmless at four gateways and harmful at 200."""
+"""Tests of faults that are harmless with four gateways and harmful with 200."""
 
 from __future__ import annotations
 
@@ -106,7 +106,9 @@
 
 
 def test_a_deficit_stays_in_the_total_however_many_gateways_see_it() -> None:
-    """If all gateways took it off, less was left than each had added, and all restored theirs endlessly."""
+    """If all gateways took it off, the total would be less than each had added, and each would restore its
+    own additions again and again.
+    """
     counter, gateways = FakeCounter(), make_gateways(6)
     handle_concurrently(gateways, counter, [make_wide_request(n) for n in range(6)], START)
     for name in counter.totals:
@@ -156,27 +158,27 @@
 
 
 def test_the_call_rate_in_a_large_fleet_rises_with_time_and_slowly_after_a_cut() -> None:
-    """Rising with each answer, a gateway with 4 calls per second took 20 s to find the counter's capacity."""
+    """Rising with each answer, a gateway with 4 calls/s would need 20 s to reach the counter's capacity."""
     call_rate = CallRate(800.0, 200, 0.08, 1.0)
     now = call_at_full_rate(call_rate, 1.0, START)
     call_rate.record_answer(now, i.Outcome.FULL, 0.001, False)
-    low = call_rate.rate
+    reduced_rate = call_rate.rate
     now = call_at_full_rate(call_rate, 1.0, now)
-    assert low < call_rate.rate < 1.1 * low
+    assert reduced_rate < call_rate.rate < 1.1 * reduced_rate
     call_at_full_rate(call_rate, 4.0, now)
-    assert call_rate.rate > 1.8 * low
+    assert call_rate.rate > 1.8 * reduced_rate
 
 
 def test_the_call_rate_in_a_small_fleet_rises_with_each_answer() -> None:
     call_rate = CallRate(800.0, 4, 0.08, 1.0)
     call_rate.record_answer(START, i.Outcome.FULL, 0.001, False)
-    low, call_rate.tokens, call_rate.tokens_at = call_rate.rate, 0.0, START
+    reduced_rate, call_rate.tokens, call_rate.tokens_at = call_rate.rate, 0.0, START
     call_rate.record_answer(START, i.Outcome.OK, 0.001, False)
-    assert call_rate.rate == pytest.approx(low * 1.01)
+    assert call_rate.rate == pytest.approx(reduced_rate * 1.01)
 
 
 def test_a_counter_is_healthy_again_after_a_few_answers() -> None:
-    """Each of 200 gateways calls a silent counter only every few seconds: 13 answers took too long."""
+    """Each of 200 gateways calls a silent counter only every few seconds: 13 answers would take too long."""
     health = degraded_mode.CounterHealth()
     for _ in range(60):
         health.record_outcome(START, i.Outcome.TIMEOUT)
@@ -209,7 +211,7 @@
     result = FleetSimulation(gateways, workers=60, load_factor=0.6).run(4.0)
     assert result.served >= 0.99 * result.offered
     assert result.beyond_quota <= 0.04 * result.sent
-    assert result.refused_with_half_bucket <= 0.02 * result.tries  # refused with half of the bucket unused
+    assert result.refused_with_half_bucket <= 0.02 * result.tries  # although half of the bucket was unused
     assert result.refused["quota"] >= 0.9 * result.refused.total()
 
 
@@ -224,7 +226,7 @@
 
 
 def test_overflow_is_added_even_without_spare_calls() -> None:
-    """If it was left out for want of a call, a total implied ten bursts of credit for a whole window."""
+    """Guards against a total that implies ten bursts of credit for a window, as it does without overflow."""
     gateway, counter = make_gateway(peers_total="200", extra__counter_timeout_s="0.08"), FakeCounter()
     gateway.call_rate.tokens, gateway.call_rate.tokens_at = 1.5, START
     actions = handle_event(gateway, counter, START, replace(make_request(1, plan=1), width=100))
@@ -234,16 +236,19 @@
 
 def test_a_ceiling_limits_the_tolerated_overflow() -> None:
     gateway = make_gateway()
-    free, under = gateway.settings.plans[:2]
+    without_ceiling, with_ceiling = gateway.settings.plans[:2]
     assert (
-        bucket_overflow.overflow(free, free.burst * 1.4) == 0
-        and bucket_overflow.overflow(free, free.burst * 1.6) > 0
+        bucket_overflow.overflow(without_ceiling, without_ceiling.burst * 1.4) == 0
+        and bucket_overflow.overflow(without_ceiling, without_ceiling.burst * 1.6) > 0
+    )
+    # A ceiling of two bursts: a full bucket and one burst in degraded mode leave no tolerance.
+    assert (
+        with_ceiling.ceiling_burst == 2 * with_ceiling.burst
+        and bucket_overflow.overflow(with_ceiling, with_ceiling.burst + 0.1) > 0
     )
-    # A ceiling of two bursts: a full bucket and one burst in degraded mode leave nothing.
-    assert under.ceiling_burst == 2 * under.burst and bucket_overflow.overflow(under, under.burst + 0.1) > 0
 
 
 def test_ceilings_hold_where_calls_are_few_and_demand_far_exceeds_quotas() -> None:
     result = FleetSimulation(100, seed=3, call_rate=100.0).run(5.0)
-    # Units left of a ceiling's 33, at worst; the rules allow no less than -3.
+    # The fewest units left of a ceiling's burst of 33; the rules allow -3.
     assert result.min_ceiling_level >= 10.0
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -33,7 +33,7 @@
 
 
 def serve_request(gateway: Gateway, counter: FakeCounter, now: float, rid: int, **kind: int) -> bool:
-    """Handle one request, answer it at once if it was sent, and return whether it was."""
+    """Handle one request, answer it at once if it was sent, and return whether it was sent."""
     sent = sends(handle_event(gateway, counter, now, make_request(rid, **kind)))
     for send in sent:
         handle_event(gateway, counter, now, make_finished(rid, send, i.Outcome.OK, closed=True))
@@ -54,11 +54,11 @@
     st.lists(st.floats(0.0, 2.0), min_size=3, max_size=3),
 )
 def test_admitted_requests_fit_rate_and_burst(steps: list[Step], sizes: list[float]) -> None:
-    """For any arrivals and lease sizes.  Beyond rate and burst there are only credits leased in advance, at
-    most a burst, and with several gateways a burst more: what others leased before a gateway first sees the
-    customer may be old or new.
+    """For any arrivals and lease sizes, only credits leased in advance exceed rate and burst: at most one
+    burst, and with several gateways two, as a gateway that first sees the customer does not know when the
+    others leased their credits.
     """
-    for count, least in ((1, -8.0), (3, -16.0)):
+    for count, min_level in ((1, -8.0), (3, -16.0)):
         counter = FakeCounter()
         gateways = [make_gateway(me=str(n)) for n in range(count)]
         now, level, at = START, 8.0, START
@@ -70,7 +70,7 @@
             if serve_request(gateway, counter, now, rid):
                 level = min(8.0, level + 4.0 * (now - at)) - 1.0
                 at = now
-                assert level >= least - 1e-3
+                assert level >= min_level - 1e-3
 
 
 def test_a_whole_burst_is_usable_after_an_idle_window() -> None:
@@ -132,8 +132,8 @@
 
 
 def test_a_denied_lease_keeps_the_unit_that_refills_next() -> None:
-    """A lease returns what the bucket does not hold, except a unit of which only a part is missing: once it
-    has refilled it is spent without another call, and requests are refused until then.
+    """A denied lease returns the credits that the bucket does not hold, except a unit of which only a part is
+    missing: once the unit has refilled it is spent without another call; until then requests are refused.
     """
     counter, gateway = FakeCounter(), make_gateway()
     admitted = sum(serve_request(gateway, counter, START, rid) for rid in range(30))
@@ -156,12 +156,12 @@
 
 @pytest.mark.parametrize("width", [2, 20, 100])
 def test_a_customer_of_many_gateways_gets_about_its_quota(width: int) -> None:
-    """At four times the quota it gets nearly all of it and hardly more, through whichever gateways."""
+    """At four times the quota, the customer gets nearly its quota and hardly more, through any gateways."""
     counter, gateways = FakeCounter(), [make_gateway(me=str(n), peers_total=str(width)) for n in range(width)]
-    rnd, now, admitted = random.Random(3), START, 0
+    random_numbers, now, admitted = random.Random(3), START, 0
     for rid in range(960):
-        now += rnd.expovariate(16.0)
-        admitted += serve_request(rnd.choice(gateways), counter, now, rid)
+        now += random_numbers.expovariate(16.0)
+        admitted += serve_request(random_numbers.choice(gateways), counter, now, rid)
         for gateway in gateways if rid % 4 == 0 else ():  # returns idle credits
             handle_event(gateway, counter, now, i.Fired(1))
     quota = 4 * (now - START) + 8
@@ -172,7 +172,7 @@
 def test_gateways_agree_on_a_bucket_that_has_overflowed() -> None:
     counter = FakeCounter()
     one, other = make_gateway(me="0"), make_gateway(me="1")
-    # In mid-window: 4 units per second have overflowed since its edge.
+    # In the middle of a window: 4 units per second have overflowed since its start.
     assert sum(serve_request(one, counter, START, rid) for rid in range(20)) == 8
     assert not any(serve_request(other, counter, START + 0.01, rid) for rid in range(40, 60))
     later = START + 5.0  # full again and overflowing
@@ -312,7 +312,7 @@
 def test_local_shares_under_a_ceiling_or_high_over_cost_add_up_and_follow_past_use(
     kind: int, parts: tuple[int, ...], before: float
 ) -> None:
-    """Half is split evenly, half by past use; together they admit no more than the quota, at any demand."""
+    """Half of the quota is split evenly, half by past use; together the shares admit at most the quota."""
     counter, turn = FakeCounter(), 0
     gateways = [make_gateway(me=str(n), tariffs__0__over_cost="2.0") for n in range(3)]
     order = [n for n, part in enumerate(parts) for _ in range(part)]
@@ -330,13 +330,13 @@
     assert sum(admitted) <= 30 * 4 + 8 + 3
 
 
-# Guards against additions whose answer was lost: they would use up the customer's quota until the edge.
+# Guards against additions without an answer that use up the customer's quota until the window's end.
 @pytest.mark.parametrize("late", [{2}, {2, 3}, {4, 5, 6}, set(range(2, 30, 3))])
 def test_lost_answers_leave_a_customer_its_quota(late: set[int]) -> None:
     counter = FakeCounter()
     pair = [make_gateway(me=str(n)) for n in range(2)]
 
-    def ask(gateway: Gateway, now: float, rid: int) -> bool:
+    def serve(gateway: Gateway, now: float, rid: int) -> bool:
         actions = gateway.handle(now, make_request(rid))
         for action in actions:
             if isinstance(action, i.Count):
@@ -346,13 +346,13 @@
                 actions += gateway.handle(now, make_finished(rid, action, i.Outcome.OK, closed=True))
         return bool(sends(actions))
 
-    # In mid-window, after an overflow of at least 40 units: 4 s at twice the quota.
-    admitted = sum(ask(pair[rid % 2], START + rid / 8, rid) for rid in range(32))
+    # In the middle of a window, after an overflow of at least 40 units: 4 s at twice the quota.
+    admitted = sum(serve(pair[rid % 2], START + rid / 8, rid) for rid in range(32))
     assert 20 <= admitted <= 8 + 4 * 4 + 2 * 3
 
 
-# Guards against a gateway that dies before it has taken off again what it added by mistake.
-def test_a_deficit_beyond_what_leases_can_take_is_repaired() -> None:
+# Guards against a gateway that dies after it has added too much and before it has taken that off again.
+def test_a_deficit_beyond_what_leases_can_cause_is_repaired() -> None:
     counter, gateway = FakeCounter(), make_gateway()
     assert serve_request(gateway, counter, START, 1)
     for name in counter.totals:
@@ -378,14 +378,14 @@
 
 
 def run_large_plan(counter: FakeCounter, count: int, seconds: float = 25.0) -> tuple[float, int, int]:
-    """Ask a tenth more than a quota of 100,000 units/s; return units admitted, losses logged and calls."""
+    """Request 10 % more than a quota of 100,000 units/s; return units admitted, losses logged and calls."""
     plan = {"tariffs__0__quota_rate": "100000.0", "tariffs__0__peak_units": "200000.0"}
     gateways = [make_gateway(me=str(n), **plan) for n in range(count)]
-    rng, now, admitted, lost = random.Random(3), START, 0.0, 0
+    random_numbers, now, admitted, lost = random.Random(3), START, 0.0, 0
     rid = 0
     while now < START + seconds:
         rid += 1
-        units = 300 + 200 * rng.random()
+        units = 300 + 200 * random_numbers.random()
         now += units / 110_000
         gateway = gateways[rid % count]
         actions = handle_event(gateway, counter, now, replace(make_request(rid), units=units))
@@ -398,12 +398,13 @@
 
 @pytest.mark.parametrize("gateways", [1, 3])
 def test_a_total_rounded_to_seven_digits_is_not_taken_for_a_loss(gateways: int) -> None:
-    """Rounded totals of plans this large were taken for losses a dozen times per second."""
-    exact, none, calls = run_large_plan(FakeCounter(), gateways)
-    admitted, lost, more = run_large_plan(SevenDigitCounter(), gateways)
-    assert none == lost == 0
-    assert abs(admitted - exact) <= 0.002 * exact and more <= 1.1 * calls
-    assert admitted <= 200_000 + 25 * 100_000 + 200_000  # its burst, its rate, and a burst leased in advance
+    """Without a tolerance, rounded totals of such large plans look like losses a dozen times per second."""
+    exact, exact_lost, calls = run_large_plan(FakeCounter(), gateways)
+    admitted, lost, rounded_calls = run_large_plan(SevenDigitCounter(), gateways)
+    assert exact_lost == lost == 0
+    assert abs(admitted - exact) <= 0.002 * exact and rounded_calls <= 1.1 * calls
+    # A burst, the rate for 25 s, and a burst leased in advance.
+    assert admitted <= 200_000 + 25 * 100_000 + 200_000
 
 
 def test_a_loss_of_a_large_total_is_detected() -> None:
@@ -546,19 +547,19 @@
 
 def test_a_silent_backend_is_avoided_and_its_requests_are_retried() -> None:
     gateway, counter = make_gateway(tariffs__0__quota_rate="0", classes__0__goal_time_s="4.0"), FakeCounter()
-    hung, later, rescued = 3, 0, 0
+    silent, later, retried = 3, 0, 0
     out: list[tuple[float, i.Send, int]] = []
     for rid in range(200):
         now = START + rid * 0.05
         actions = handle_event(gateway, counter, now, make_request(rid)) + gateway.handle(now, i.Fired(1))
         for sent in sends(actions):
-            later += sent.backend == hung and rid > 60
-            rescued += sent.request != rid
+            later += sent.backend == silent and rid > 60
+            retried += sent.request != rid
             out.append((now + 0.3, sent, int(sent.request != rid)))
-        for at, sent, attempt in [o for o in out if o[0] <= now and o[1].backend != hung]:
+        for at, sent, attempt in [o for o in out if o[0] <= now and o[1].backend != silent]:
             out.remove((at, sent, attempt))
             gateway.handle(now, make_finished(sent.request, sent, i.Outcome.OK, attempt, closed=True))
-    assert rescued >= 1 and later <= 5
+    assert retried >= 1 and later <= 5
 
 
 def test_attempts_at_an_unreachable_backend_do_not_use_up_the_limit() -> None:
@@ -589,12 +590,12 @@
     counter.outcome = i.Outcome.TIMEOUT
     for rid in range(200):
         serve_request(gateway, counter, START + rid / 50, rid, customer=rid)
-    low = gateway.call_rate.rate
-    assert low <= 20 and counter.calls < 150
+    reduced_rate = gateway.call_rate.rate
+    assert reduced_rate <= 20 and counter.calls < 150
     counter.outcome = i.Outcome.OK
     for rid in range(200):
         serve_request(gateway, counter, START + 4 + rid / 50, 1000 + rid, customer=1000 + rid)
-    assert gateway.call_rate.rate > 2 * low
+    assert gateway.call_rate.rate > 2 * reduced_rate
 
 
 # --- determinism ---
@@ -635,8 +636,8 @@
         assert one.handle(START, make_request(rid)) == alone.handle(START, make_request(rid))
 
 
-def test_under_overload_only_leased_credits_admit_unless_the_counter_is_away() -> None:
-    """Hundreds of gateways must not each admit a first request while the fleet is overloaded."""
+def test_under_overload_only_leased_credits_admit_unless_the_counter_fails() -> None:
+    """Guards against hundreds of gateways that each admit a first request while the fleet is overloaded."""
     gateway = make_gateway(
         caps__may_probe="true", report__how="pull", report__columns="inflight", peers_total="300"
     )
@@ -666,7 +667,7 @@
 
 
 def test_a_backend_silent_for_one_class_is_the_last_choice_for_that_class_only() -> None:
-    """It still answers the other classes, so its last answer says nothing about this one."""
+    """The backend still answers other classes, so its last answer says nothing about the silent class."""
     gateway = make_gateway([make_entry(1), make_entry(2)], tariffs__0__quota_rate="0")
     (sent,) = sends(gateway.handle(START, make_request(1)))
     silent = gateway.backends[sent.backend]
@@ -680,8 +681,8 @@
 
 
 def test_refusals_carry_a_retry_after_even_if_clients_ignore_it() -> None:
-    """The operators' rule: a request that is given up is refused at once with a retry-after, even if the
-    settings say that most clients ignore it.
+    """The operators' rule: a request that cannot be served is refused at once with a retry-after, even if the
+    settings say that most clients ignore the retry-after.
     """
     gateway, counter = make_gateway(caps__retry_after="false", caps__max_retry_after_s="1.5"), FakeCounter()
     actions = [a for n in range(20) for a in handle_event(gateway, counter, START, make_request(n, plan=1))]
@@ -703,7 +704,7 @@
 def test_a_request_with_no_untried_backend_left_is_refused_at_once(
     cls: int, outcome: i.Outcome, backends: int
 ) -> None:
-    """Such a request waited until its deadline, as backends it was tried at are never chosen again."""
+    """Guards against a wait until the deadline: backends that the request has tried are not chosen again."""
     gateway, counter = make_gateway([make_entry(n) for n in range(1, backends + 1)]), FakeCounter()
     actions = handle_event(gateway, counter, START, make_request(1, cls=cls))
     for attempt in range(backends):
@@ -730,7 +731,7 @@
     assert not [a for a in actions if isinstance(a, i.Refuse | i.Fail)] and sent.request in gateway.jobs
 
 
-# Guards against growth: backends are replaced all day, each with a new id.
+# Guards against unbounded memory: backends are replaced all day, each with a new id.
 def test_gone_backends_are_dropped_once_their_attempts_have_ended() -> None:
     gateway, counter = make_gateway([make_entry(1)]), FakeCounter()
     (send,) = sends(handle_event(gateway, counter, START, make_request(1)))
@@ -743,7 +744,7 @@
     assert not gateway.backends
 
 
-# Guards against growth by customers that come once, and against evicting a lease in use.
+# Guards against unbounded memory for customers that come once, and against evicting a lease in use.
 def test_leases_of_inactive_customers_are_evicted_unless_in_use() -> None:
     gateway, counter = make_gateway(), FakeCounter()
     (held,) = sends(handle_event(gateway, counter, START, make_request(1, customer=1)))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the simulator's codec: published examples, malformed frames and malformed settings."""
+"""Tests of the simulator's codec: the protocol's published examples, malformed frames and settings."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
 CLOCK = struct.unpack("<d", bytes.fromhex("508d976e12d32040"))[0]
 
 
-def decode_hex(hexed: str) -> wire.Batch:
-    data = bytes.fromhex(hexed)
+def decode_hex(hex_text: str) -> wire.Batch:
+    data = bytes.fromhex(hex_text)
     return wire.decode_batch(data[: wire.HEADER.size], data[wire.HEADER.size :])
 
 
 def decode_record(record: str) -> i.Event | wire.Configure | wire.Crash:
+    """Decode one record, in hexadecimal, of instance 3."""
     body = bytes.fromhex("0c03000000" + record)
     head = wire.HEADER.pack(2, len(body) + 12, 1.0, 1)
-    (found,) = wire.decode_batch(head, body).records
-    assert found[0] == 3
-    return found[1]
+    (decoded,) = wire.decode_batch(head, body).records
+    assert decoded[0] == 3
+    return decoded[1]
 
 
 def test_empty_batch_and_reply() -> None:
@@ -42,11 +43,11 @@
         "03c4913a5db2930800000000000000640ad2557c3bf091b81e85eb51b8ce3f00000040000040400000803f01"
         "074d000000000000000c0500000006192b6f0ea8d80100"
     )  # fmt: skip
-    (at3, demand), (_, fired), (at5, left) = batch.records
-    assert (at3, at5, fired) == (3, 5, i.Fired(77))
-    assert isinstance(demand, i.Request)
-    assert (demand.request, demand.units, demand.width, demand.first) == (0x893B25D3A91C4, 2.0, 3, 1)
-    assert demand.left == 0.24 and not demand.is_retry
+    (first_instance, request), (_, fired), (last_instance, left) = batch.records
+    assert (first_instance, last_instance, fired) == (3, 5, i.Fired(77))
+    assert isinstance(request, i.Request)
+    assert (request.request, request.units, request.width, request.first) == (0x893B25D3A91C4, 2.0, 3, 1)
+    assert request.left == 0.24 and not request.is_retry
     assert left == i.Left(0x1D8A80E6F2B19)
 
 
@@ -80,27 +81,27 @@
     assert decode_record(record) == event
 
 
-def test_published_finished_checked_sum_and_view() -> None:
+def test_published_finished_probed_counted_and_members() -> None:
     finished = decode_record("05c4913a5db293080003 0001074a1203008b6ce7fba9f1923f5600000000")
     assert isinstance(finished, i.Finished)
     assert (finished.charged, finished.closed, finished.outcome) == (3, True, i.Outcome.OK)
     assert (finished.metered, finished.attempt, finished.report) == (0x56, 0, ())
-    checked = decode_record("08f211902c00c7bab88d06f0563f030000404052b81e3f0000e040")
-    assert isinstance(checked, i.Probed)
-    assert checked.report == pytest.approx((3.0, 0.62, 7.0))
+    probed = decode_record("08f211902c00c7bab88d06f0563f030000404052b81e3f0000e040")
+    assert isinstance(probed, i.Probed)
+    assert probed.report == pytest.approx((3.0, 0.62, 7.0))
     counted = decode_record("0b0090f68900000000000000184222fdf675e09c613f")
     assert isinstance(counted, i.Counted) and (counted.name, counted.total) == (0x89F690, 38.0)
-    view = decode_record(
+    members = decode_record(
         "0201290000000000000002000000" "000000000000000000000100000000 00803f074a1203"
         "00006666666666661840010000000000c03ff211902c"
     )  # fmt: skip
-    assert isinstance(view, i.Members) and view.listing is i.Listing.CACHED and view.version == 41
-    assert view.entries[0] == i.Entry(0x03124A07, 0, 0.0, i.State.READY, 0, 0, 1.0)
-    assert (view.entries[1].started, view.entries[1].weight) == (6.1, 1.5)
+    assert isinstance(members, i.Members) and members.listing is i.Listing.CACHED and members.version == 41
+    assert members.entries[0] == i.Entry(0x03124A07, 0, 0.0, i.State.READY, 0, 0, 1.0)
+    assert (members.entries[1].started, members.entries[1].weight) == (6.1, 1.5)
 
 
 @pytest.mark.parametrize(
-    ("action", "hexed"),
+    ("action", "hex_text"),
     [
         (i.Cancel(0x893B25D3A91C4, 0), "04c4913a5db29308000000"),
         (i.Refuse(0x1D8A80E6F2B19, 0.25), "02192b6f0ea8d80100000000000000d03f"),
@@ -117,12 +118,12 @@
         (wire.Fault("index out of range"), "0a1200696e646578206f7574206f662072616e6765"),
     ],
 )
-def test_actions(action: i.Action | wire.Fault, hexed: str) -> None:
-    assert wire.encode_action(action) == bytes.fromhex(hexed)
+def test_each_action_is_encoded(action: i.Action | wire.Fault, hex_text: str) -> None:
+    assert wire.encode_action(action) == bytes.fromhex(hex_text)
 
 
 @pytest.mark.parametrize(
-    "hexed",
+    "hex_text",
     [
         "010000000d000000508d976e12d32040010000000a",  # a record before any AT
         "0200000012000000508d976e12d32040010000000c0300000063",  # an unknown code
@@ -130,10 +131,10 @@
         "010000000c000000508d976e12d3204001000000",  # fewer records than announced
     ],
 )
-def test_malformed_frames_end_the_adapter_with_one_error_line(hexed: str) -> None:
+def test_malformed_frames_end_the_adapter_with_one_error_line(hex_text: str) -> None:
     run = subprocess.run(
         [sys.executable, "-m", "orchidhill.benchlink"],
-        input=bytes.fromhex(hexed),
+        input=bytes.fromhex(hex_text),
         capture_output=True,
         check=False,
     )
