--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -120,7 +120,7 @@
 def test_shares_that_do_not_add_up_are_found_and_reduced_to_one_fault(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Checks the search itself: with the whole quota as each local share, it must find a fault and reduce it."""
+    """Checks the search itself: with the whole quota as each local share, it must find a failing one."""
     monkeypatch.setattr(degraded_mode, "quota_share", lambda width, part: 1.0)
     failed: list[list[Fault]] = []
 
