--- a/tests/routing_config/test_route_plan.py
+++ b/tests/routing_config/test_route_plan.py
@@ -39,36 +39,37 @@
 
 
 def encoded(**changes: Any) -> bytes:
-    """The document's text with changes by path, such as `route_table__0__deadline`; `...` deletes."""
+    """Return the document's text with changes by path, such as `route_table__0__deadline`; `...` deletes."""
     changed: Any = document()
     for path, value in changes.items():
         *steps, last = path.split("__")
-        at = changed
+        parent = changed
         for step in steps:
-            at = at[int(step)] if step.isdigit() else at[step]
+            parent = parent[int(step)] if step.isdigit() else parent[step]
         if value is ...:
-            del at[last]
+            del parent[last]
         else:
-            at[int(last) if last.isdigit() else last] = value
+            parent[int(last) if last.isdigit() else last] = value
     return json.dumps(changed).encode()
 
 
+# Changes that make the document invalid, by what is wrong.
 INVALID: dict[str, dict[str, Any]] = {
     "unknown service": {"route_table__1__service_name": "nobody"},
-    "no service": {"route_table__1__service_name": ...},
-    "bare prefix": {"route_table__0__path_prefix": "a/"},
-    "same place": {"route_table__1__path_prefix": "/a/"},
-    "no weight": {"route_table__0__weighted_split": [{"service_name": "desk", "weight_value": 0}]},
-    "below zero": {"route_table__0__weighted_split__0__weight_value": -1},
-    "long time-out": {"route_table__0__deadline": "601s"},
-    "no time": {"route_table__0__deadline": "soon"},
-    "a type": {"route_table__0__route_type": "maybe"},
-    "shared key": {"tenant_table__1__api_keys": ["key-one"]},
-    "a number's place": {"tenant_table__0__rate_per_s": "many"},
-    "a list's place": {"route_table": {}},
-    "a missing name": {"service_table__0__name": ...},
-    "a version": {"config_version": "7"},
-    "no version": {"config_version": ...},
+    "route without a service": {"route_table__1__service_name": ...},
+    "prefix without a slash": {"route_table__0__path_prefix": "a/"},
+    "host and prefix twice": {"route_table__1__path_prefix": "/a/"},
+    "weights sum to 0": {"route_table__0__weighted_split": [{"service_name": "desk", "weight_value": 0}]},
+    "negative weight": {"route_table__0__weighted_split__0__weight_value": -1},
+    "deadline too long": {"route_table__0__deadline": "601s"},
+    "deadline that is no time": {"route_table__0__deadline": "soon"},
+    "unknown route type": {"route_table__0__route_type": "maybe"},
+    "key of two tenants": {"tenant_table__1__api_keys": ["key-one"]},
+    "rate that is no number": {"tenant_table__0__rate_per_s": "many"},
+    "route table that is no list": {"route_table": {}},
+    "service without a name": {"service_table__0__name": ...},
+    "version that is no number": {"config_version": "7"},
+    "missing version": {"config_version": ...},
 }
 
 
