--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -65,6 +65,7 @@
         timeout: float,
         post: Callable[[Counted | Late], None],
     ) -> None:
+        """`me`: this proxy's id; `timeout`: of a call, in seconds; `post`: delivers results to the host."""
         self.me, self.holders, self.counts = me, holders, counts
         self.timeout, self.post = timeout, post
         self.loop = asyncio.get_running_loop()
--- a/ivymux/proxy/membership_view.py
+++ b/ivymux/proxy/membership_view.py
@@ -36,10 +36,10 @@
     service: str
     address: str
     zone: str
-    capacity: int
+    capacity: int  # requests that it handles at the same time
     state: str
-    call_seq: int
-    warm_until: float
+    call_seq: int  # orders the backend's heartbeats
+    warm_until: float  # end of its warm-up, in steady seconds
     number: int  # identifies the backend in this proxy's decision module
     last_listed_at: float = 0.0  # when a connected registry last listed it
     reports: dict[str, BackendReport] = field(default_factory=dict)  # by registry
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -84,7 +84,7 @@
     assert keep_matching(None, "127.0.0.1", port) is None
 
 
-def test_a_killed_process_is_retried_often_and_one_that_is_gone_seldom() -> None:
-    waits = [reconnect_delay(tried) for tried in range(FAST_RETRIES + 5)]
-    assert max(waits[:FAST_RETRIES]) == MAX_FAST_RETRY_DELAY_S and waits[-1] == MAX_RETRY_DELAY_S
-    assert sum(waits[:FAST_RETRIES]) > 2.0  # a killed process is back, and listens, within that time
+def test_reconnects_are_frequent_at_first_and_rare_later() -> None:
+    delays = [reconnect_delay(failures) for failures in range(FAST_RETRIES + 5)]
+    assert max(delays[:FAST_RETRIES]) == MAX_FAST_RETRY_DELAY_S and delays[-1] == MAX_RETRY_DELAY_S
+    assert sum(delays[:FAST_RETRIES]) > 2.0  # a killed process is back, and listens, within that time
