--- a/ivymux/proxy/counter_holders.py
+++ b/ivymux/proxy/counter_holders.py
@@ -29,6 +29,7 @@
 
 
 def hash_weight(*parts: str) -> int:
+    """Return a 64-bit weight for rendezvous hashing, the same at all proxies."""
     return int.from_bytes(blake2b("\0".join(parts).encode(), digest_size=8).digest(), "big")
 
 
@@ -65,9 +66,9 @@
         self.left_at |= dict.fromkeys(left, now)
         self.joined_at = updated
         self.assign_seats()
-        for began in self.window_starts(previous[0], now):
-            old_seats = self.seats_of_window(*previous, began)
-            new_seats = self.seats_of_window(self.join_times, self.seat_tables, began)
+        for window_start in self.window_starts(previous[0], now):
+            old_seats = self.seats_of_window(*previous, window_start)
+            new_seats = self.seats_of_window(self.join_times, self.seat_tables, window_start)
             for seat in range(SEATS):
                 if old_seats[seat] != new_seats[seat]:
                     self.seat_changed_at[seat] = now
@@ -95,18 +96,18 @@
         return tuple(hash_weight(str(seat), proxy) for seat in range(SEATS))
 
     @staticmethod
-    def seats_of_window(join_times: list[float], seat_tables: list[Seats], began: float) -> Seats:
-        """The seats for windows that began at a time."""
-        established = bisect_right(join_times, began - SETTLE_S)
+    def seats_of_window(join_times: list[float], seat_tables: list[Seats], window_start: float) -> Seats:
+        """Return the seats for windows that began at `window_start`."""
+        established = bisect_right(join_times, window_start - SETTLE_S)
         return seat_tables[established if established >= MIN_ESTABLISHED_PROXIES else -1]
 
     def window_starts(self, previous_join_times: list[float], now: float) -> list[float]:
-        """Window starts up to now at which seats may change; each represents all up to the next."""
+        """Return window starts up to now at which seats may change; each stands for those up to the next."""
         changes = {at + SETTLE_S for at in (*previous_join_times, *self.join_times)}
         return [now - MAX_WINDOW_S, *(at for at in changes if now - MAX_WINDOW_S < at <= now)]
 
-    def find_holder(self, name: int, customer: int, began: float) -> str | None:
-        """Return the proxy that holds a customer's name; `began`: start of the name's window.
+    def find_holder(self, name: int, customer: int, window_start: float) -> str | None:
+        """Return the proxy that holds a customer's name; `window_start`: of the name's window.
 
         None while no proxy is listed.
         """
@@ -116,22 +117,22 @@
         if holder is None:
             if len(self.holder_by_name) > MAX_CACHED_HOLDERS:
                 self.holder_by_name.clear()
-            seats = self.seats_of_window(self.join_times, self.seat_tables, began)
+            seats = self.seats_of_window(self.join_times, self.seat_tables, window_start)
             holder = self.holder_by_name[name] = seats[customer % SEATS]
         return holder
 
     def current_holders(self) -> set[str]:
-        """The proxies that hold windows that begin from now on."""
+        """Return the proxies that hold windows that begin from now on."""
         return set(self.seat_tables[-1])
 
     def possible_holders(self, now: float) -> set[str]:
-        """The current holders, and those that may still hold a window that has begun."""
+        """Return the current holders, and proxies that may still hold a window that has begun."""
         first = bisect_right(self.join_times, now - MAX_WINDOW_S - SETTLE_S)
         tables = self.seat_tables[min(first, len(self.join_times)) :]
         return {proxy for seats in tables for proxy in seats}
 
     def missing_share(self, now: float) -> float:
-        """The share of all proxies that left and may be partitioned, where they grant their local shares."""
+        """Return the share of all proxies that left; they may be partitioned and grant their local shares."""
         if not self.left_at:
             return 0.0
         missing = sum(now - at < DEPARTED_RESERVE_S for at in self.left_at.values())
--- a/ivymux/proxy/distributed_counter.py
+++ b/ivymux/proxy/distributed_counter.py
@@ -33,7 +33,7 @@
     """A call whose result has not been delivered yet."""
 
     count: Count
-    began: float
+    started_at: float
     result: Counted | None = None  # delivered after the results of earlier calls of the same name
     connection: Connection | None = None  # set once the call was sent
 
@@ -133,7 +133,7 @@
     def send(self, call: PendingCall) -> bool:
         """Make a call; return False while its holder is not yet known or not yet connected."""
         count, now = call.count, time.monotonic()
-        holder = self.holders.find_holder(count.name, count.customer, call.began - count.since)
+        holder = self.holders.find_holder(count.name, count.customer, call.started_at - count.since)
         if holder == self.me:
             self.settle(call, self.add_locally(count, now))
             return True
@@ -179,7 +179,7 @@
             if call.result is None:
                 # A call that was never sent cannot have been added.
                 outcome = Outcome.TIMEOUT if call.connection is not None else Outcome.CONNECT_FAILED
-                self.settle(call, Counted(call.count.name, outcome, 0.0, now - call.began))
+                self.settle(call, Counted(call.count.name, outcome, 0.0, now - call.started_at))
         self.send_waiting()
         if self.deadlines:
             self.timer = self.loop.call_later(
@@ -234,7 +234,7 @@
         if call.result is not None:  # the call had timed out
             self.post(Late(name))
             return
-        spent = time.monotonic() - call.began
+        spent = time.monotonic() - call.started_at
         total = message.get("t")
         if total is None:
             self.settle(call, Counted(name, Outcome.CONNECT_FAILED, 0.0, spent))
--- a/ivymux/proxy/lease_counts.py
+++ b/ivymux/proxy/lease_counts.py
@@ -92,7 +92,7 @@
     level: float
     refilled_at: float
     window: int  # the name of its newest window
-    window_began: float  # steady seconds
+    window_start: float  # steady seconds
     # The largest shortfall, reported by any proxy, of the bucket at the window's beginning.
     reported_shortfall: float = 0.0
     granted: StepAmounts = field(default_factory=StepAmounts)  # within the rule's span
@@ -121,8 +121,8 @@
         usage = self.usages.get(count.customer)
         if usage is None or (is_new and not self.is_complete(usage, count, now)):
             usage = self.start_usage(count, now)
-        if now - count.since >= usage.window_began:
-            usage.window, usage.window_began = count.name, now - count.since
+        if now - count.since >= usage.window_start:
+            usage.window, usage.window_start = count.name, now - count.since
         self.refill(usage, count, now)
         self.apply_reported_shortfall(usage, count, now)
         number = b"%d" % count.call if count.call else b""
@@ -139,7 +139,7 @@
         """Whether the usage contains all earlier grants, as no other proxy has held a window since."""
         has_history = self.holders.has_full_history(count.customer, count.since, now)
         holder = self.holders.find_holder
-        return has_history and holder(usage.window, count.customer, usage.window_began) == self.holders.me
+        return has_history and holder(usage.window, count.customer, usage.window_start) == self.holders.me
 
     def start_usage(self, count: Count, now: float) -> TenantUsage:
         """Start the usage of a tenant whose earlier grants are unknown.
@@ -152,14 +152,16 @@
                 for customer, usage in self.usages.items()
                 if now - usage.refilled_at < MAX_IDLE_S
             }
-        lost = count.drained > 0 and not self.holders.has_full_history(count.customer, count.since, now)
+        is_takeover = count.drained > 0 and not self.holders.has_full_history(
+            count.customer, count.since, now
+        )
         level = count.burst
-        if lost:
+        if is_takeover:
             # The previous holder may have just granted a burst, unless all proxies had to start again since.
             spent = 0.0 if self.holders.is_common_start(now) else TAKEOVER_BURST_PART * count.burst
             level += count.since * count.rate - count.drained - spent
             level = max(min(1.0, count.burst), level)  # the rule's tolerance covers one request
-        shortfall = WORST_CASE_SHORTFALL if lost else 0.0
+        shortfall = WORST_CASE_SHORTFALL if is_takeover else 0.0
         usage = TenantUsage(level, now, count.name, now - count.since, shortfall)
         usage.granted.add_evenly(count.span * count.rate, now - count.span, now)
         usage.granted.add(math.floor(now / STEP_S), count.burst - level)
--- a/orchidhill/gateway.py
+++ b/orchidhill/gateway.py
@@ -390,8 +390,8 @@
     def on_tick(self) -> None:
         # Waiting jobs end before their deadline, unsent ones also once they can't meet their target.
         for job in [j for j in self.jobs.values() if not j.in_flight]:
-            is_hopeless = not job.attempts and self.now + self.latency > job.arrived_at + job.cls.aim
-            if is_hopeless or self.now > job.deadline - MARGIN_S - TICK_S:
+            misses_target = not job.attempts and self.now + self.latency > job.arrived_at + job.cls.aim
+            if misses_target or self.now > job.deadline - MARGIN_S - TICK_S:
                 self.end_job(job)
         self.queue = [job for job in self.queue if not job.closed]
         self.admit_queued()
@@ -420,8 +420,8 @@
             if is_silent:
                 backend.silent_since[job.req.cls] = self.now
             wait = (SILENT_FACTOR if is_silent else LOST_FACTOR) * usual * 2 ** (job.attempts - 1)
-            is_useless = self.now + usual > job.arrived_at + job.cls.aim
-            if is_useless or job.attempts >= limits.max_attempts or self.now - sent_at < wait:
+            misses_target = self.now + usual > job.arrived_at + job.cls.aim
+            if misses_target or job.attempts >= limits.max_attempts or self.now - sent_at < wait:
                 continue
             if self.retry_tokens >= 1 and self.has_capacity() and (target := self.choose_backend(job)):
                 self.retry_tokens -= 1
--- a/orchidhill/proxy_gateway.py
+++ b/orchidhill/proxy_gateway.py
@@ -302,7 +302,7 @@
     def choose_backend(self, job: Job) -> ProxyBackend | None:
         """Return the untried backend expected to answer first; an ejected one if no other backend is left."""
         best, best_score, ejected, ejected_score = None, math.inf, None, math.inf
-        usual = self.class_latency[job.req.cls]
+        usual_latency = self.class_latency[job.req.cls]
         service = self.service(job.req.service)
         # If all backends are silent, the registry most likely misses their heartbeats.
         for backend in service.backends or service.silent:
@@ -312,7 +312,7 @@
             slots = max(1.0, backend.entry.weight)
             if in_flight >= QUEUE_DEPTH * slots:
                 continue
-            score = self.expected_latency(backend, usual) * (1 + in_flight / slots)
+            score = self.expected_latency(backend, usual_latency) * (1 + in_flight / slots)
             if backend.entry.zone:
                 score *= OTHER_ZONE_FACTOR
             if self.now < backend.ejected_until:
@@ -323,11 +323,11 @@
             score *= 1 + ROTATION_BONUS_PER_S * max(-ROTATION_S, backend.last_sent_at - self.now)
             if score < best_score:
                 best, best_score = backend, score
-        if job.req.home and (home := self.home_backend(job, usual, best)) is not None:
+        if job.req.home and (home := self.home_backend(job, usual_latency, best)) is not None:
             return home
         return best if best is not None else ejected
 
-    def home_backend(self, job: Job, usual: float, best: ProxyBackend | None) -> ProxyBackend | None:
+    def home_backend(self, job: Job, usual_latency: float, best: ProxyBackend | None) -> ProxyBackend | None:
         """Return the home backend of the job's conversation if it is ready and not much worse than others.
 
         The home backend's latency is compared with the class's usual latency, not with the best backend's,
@@ -340,20 +340,20 @@
             return None
         queue = len(home.in_flight) / max(1.0, home.entry.weight)
         best_queue = len(best.in_flight) / max(1.0, best.entry.weight) if best is not None else queue
-        is_fast = self.expected_latency(home, usual) <= HOME_FACTOR
+        is_fast = self.expected_latency(home, usual_latency) <= HOME_FACTOR
         return (
             home if is_fast and 1 + queue <= HOME_FACTOR * (1 + best_queue) and queue < QUEUE_DEPTH else None
         )
 
-    def expected_latency(self, backend: ProxyBackend, usual: float) -> float:
+    def expected_latency(self, backend: ProxyBackend, usual_latency: float) -> float:
         """Return a backend's relative latency, which grows while it is silent with attempts in flight."""
         latency = backend.relative_latency
         if self.now < backend.entry.started + WARM_UP_S:
             latency *= WARM_UP_FACTOR
         if backend.in_flight:
             silence = self.now - max(next(iter(backend.in_flight.values())), backend.answered_at)
-            if silence > max(MIN_SILENCE_S, SILENT_FACTOR * usual):
-                latency = max(latency, silence / usual)
+            if silence > max(MIN_SILENCE_S, SILENT_FACTOR * usual_latency):
+                latency = max(latency, silence / usual_latency)
         return latency
 
     # --- attempts and final answers ---------------------------------------------------------------
@@ -409,11 +409,13 @@
             if not backend.is_reported or self.now >= backend.ejected_until:
                 backend.ejected_until, backend.is_reported = 0.0, False
             cls = job.req.cls
-            usual = self.class_latency[cls]
+            usual_latency = self.class_latency[cls]
             self.answer_counts[cls] += 1
             weight = max(LATENCY_WEIGHT / 4, 1 / self.answer_counts[cls])
-            self.class_latency[cls] += weight * (min(took, 4 * usual) - usual)
-            backend.relative_latency += LATENCY_WEIGHT * (min(4.0, took / usual) - backend.relative_latency)
+            self.class_latency[cls] += weight * (min(took, 4 * usual_latency) - usual_latency)
+            backend.relative_latency += LATENCY_WEIGHT * (
+                min(4.0, took / usual_latency) - backend.relative_latency
+            )
         elif outcome in (Outcome.ERROR, Outcome.FULL):
             backend.answered_at = self.now
             if outcome is Outcome.FULL:
@@ -528,14 +530,14 @@
             if job.cls.effect is not Effect.SAFE:
                 continue
             ((attempt, (backend, sent_at)),) = job.in_flight.items()
-            usual = self.class_latency[job.req.cls]
+            usual_latency = self.class_latency[job.req.cls]
             silence = self.now - max(sent_at, backend.answered_at)
-            is_silent = silence >= max(MIN_SILENCE_S, SILENT_FACTOR * usual)
-            if not is_silent or self.now - sent_at < LOST_FACTOR * usual:
+            is_silent = silence >= max(MIN_SILENCE_S, SILENT_FACTOR * usual_latency)
+            if not is_silent or self.now - sent_at < LOST_FACTOR * usual_latency:
                 continue
             max_attempts = job.req.most or self.settings.limits.max_attempts
             service = self.service(job.req.service)
             reached_count = job.attempts - self.unreached.get(job.req.request, 0)
             may_retry = reached_count < max_attempts and service.retry_tokens >= 1
-            if may_retry and job.deadline - self.now > usual:
+            if may_retry and job.deadline - self.now > usual_latency:
                 self.actions.append(i.Cancel(job.req.request, attempt))  # `retry_or_end` sends it again
