--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -70,8 +70,9 @@
 # --- leases of wide customers: those with more gateways than units in their burst ---
 
 
-def make_wide_request(rid: int, is_retry: bool = False) -> i.Request:
-    return replace(make_request(rid), width=100, is_retry=is_retry)
+def make_wide_request(request: int, is_retry: bool = False) -> i.Request:
+    """Return a request of a customer whose requests come to 100 gateways."""
+    return replace(make_request(request), width=100, is_retry=is_retry)
 
 
 def make_gateways(count: int) -> list[Gateway]:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -32,11 +32,11 @@
 Step = tuple[float, int]
 
 
-def serve_request(gateway: Gateway, counter: FakeCounter, now: float, rid: int, **kind: int) -> bool:
+def serve_request(gateway: Gateway, counter: FakeCounter, now: float, request: int, **kind: int) -> bool:
     """Handle one request, answer it at once if it was sent, and return whether it was sent."""
-    sent = sends(handle_event(gateway, counter, now, make_request(rid, **kind)))
+    sent = sends(handle_event(gateway, counter, now, make_request(request, **kind)))
     for send in sent:
-        handle_event(gateway, counter, now, make_finished(rid, send, i.Outcome.OK, closed=True))
+        handle_event(gateway, counter, now, make_finished(request, send, i.Outcome.OK, closed=True))
     return bool(sent)
 
 
@@ -162,7 +162,7 @@
     for rid in range(960):
         now += random_numbers.expovariate(16.0)
         admitted += serve_request(random_numbers.choice(gateways), counter, now, rid)
-        for gateway in gateways if rid % 4 == 0 else ():  # returns idle credits
+        for gateway in gateways if rid % 4 == 0 else ():  # ticks return idle credits
             handle_event(gateway, counter, now, i.Fired(1))
     quota = 4 * (now - START) + 8
     assert (0.9 if width == 100 else 0.95) * quota <= admitted <= 1.1 * quota
@@ -307,26 +307,26 @@
 
 
 @pytest.mark.parametrize("parts", [(1, 0, 0), (2, 1, 0), (1, 1, 1)])
-@pytest.mark.parametrize("before", [12.0, 48.0])
-@pytest.mark.parametrize("kind", [0, 1])
+@pytest.mark.parametrize("seconds_before", [12.0, 48.0])
+@pytest.mark.parametrize("plan", [0, 1])
 def test_local_shares_under_a_ceiling_or_high_over_cost_add_up_and_follow_past_use(
-    kind: int, parts: tuple[int, ...], before: float
+    plan: int, parts: tuple[int, ...], seconds_before: float
 ) -> None:
     """Half of the quota is split evenly, half by past use; together the shares admit at most the quota."""
     counter, turn = FakeCounter(), 0
     gateways = [make_gateway(me=str(n), tariffs__0__over_cost="2.0") for n in range(3)]
     order = [n for n, part in enumerate(parts) for _ in range(part)]
-    for rid in range(int(before * 4)):
+    for rid in range(int(seconds_before * 4)):
         index, turn = order[turn % len(order)], turn + 1
-        serve_request(gateways[index], counter, START + rid / 4, rid, plan=kind)
-    counter.outcome, now = i.Outcome.CONNECT_FAILED, START + before
+        serve_request(gateways[index], counter, START + rid / 4, rid, plan=plan)
+    counter.outcome, now = i.Outcome.CONNECT_FAILED, START + seconds_before
     admitted = [
-        sum(serve_request(one, counter, now + k / 16, 1000 * (n + 1) + k, plan=kind) for k in range(480))
+        sum(serve_request(one, counter, now + k / 16, 1000 * (n + 1) + k, plan=plan) for k in range(480))
         for n, one in enumerate(gateways)
     ]
-    for got, part in zip(admitted, parts, strict=True):
+    for admitted_here, part in zip(admitted, parts, strict=True):
         # Not the whole share: totals are not exact, and the first gateway to lease adds more to the total.
-        assert got >= max(30 * 4 / 6 - 2, 0.6 * 30 * 4 * (1 / 6 + part / sum(parts) / 2))
+        assert admitted_here >= max(30 * 4 / 6 - 2, 0.6 * 30 * 4 * (1 / 6 + part / sum(parts) / 2))
     assert sum(admitted) <= 30 * 4 + 8 + 3
 
 
@@ -336,14 +336,14 @@
     counter = FakeCounter()
     pair = [make_gateway(me=str(n)) for n in range(2)]
 
-    def serve(gateway: Gateway, now: float, rid: int) -> bool:
-        actions = gateway.handle(now, make_request(rid))
+    def serve(gateway: Gateway, now: float, request: int) -> bool:
+        actions = gateway.handle(now, make_request(request))
         for action in actions:
             if isinstance(action, i.Count):
                 counter.is_late = counter.calls + 1 in late
                 actions += gateway.handle(now, counter.answer(action))
             elif isinstance(action, i.Send):
-                actions += gateway.handle(now, make_finished(rid, action, i.Outcome.OK, closed=True))
+                actions += gateway.handle(now, make_finished(request, action, i.Outcome.OK, closed=True))
         return bool(sends(actions))
 
     # In the middle of a window, after an overflow of at least 40 units: 4 s at twice the quota.
@@ -377,17 +377,17 @@
         return replace(answer, total=float(f"{answer.total:.7g}"))
 
 
-def run_large_plan(counter: FakeCounter, count: int, seconds: float = 25.0) -> tuple[float, int, int]:
+def run_large_plan(counter: FakeCounter, gateway_count: int, seconds: float = 25.0) -> tuple[float, int, int]:
     """Request 10 % more than a quota of 100,000 units/s; return units admitted, losses logged and calls."""
     plan = {"tariffs__0__quota_rate": "100000.0", "tariffs__0__peak_units": "200000.0"}
-    gateways = [make_gateway(me=str(n), **plan) for n in range(count)]
+    gateways = [make_gateway(me=str(n), **plan) for n in range(gateway_count)]
     random_numbers, now, admitted, lost = random.Random(3), START, 0.0, 0
     rid = 0
     while now < START + seconds:
         rid += 1
         units = 300 + 200 * random_numbers.random()
         now += units / 110_000
-        gateway = gateways[rid % count]
+        gateway = gateways[rid % gateway_count]
         actions = handle_event(gateway, counter, now, replace(make_request(rid), units=units))
         lost += sum(isinstance(a, i.Log) and a.text.startswith("counter-lost") for a in actions)
         for send in sends(actions):
@@ -440,8 +440,11 @@
 # --- attempts and answers ---
 
 
-def send_one(gateway: Gateway, rid: int, **kind: int) -> i.Send:
-    (sent,) = sends(handle_event(gateway, FakeCounter(), START, make_request(rid, customer=rid, **kind)))
+def send_one(gateway: Gateway, request: int, **kind: int) -> i.Send:
+    """Handle the first request of a new customer; return its only attempt."""
+    (sent,) = sends(
+        handle_event(gateway, FakeCounter(), START, make_request(request, customer=request, **kind))
+    )
     return sent
 
 
