--- a/orchidhill/admission.py
+++ b/orchidhill/admission.py
@@ -242,7 +242,7 @@
         Gateways with the same total compute the same level: the bucket was full when the window began and
         refills at the rate, and all that leaves it is in the total.  So is overflow: if each gateway kept its
         own, levels would drift apart, and one would admit too much while another refused with a full bucket.
-        Units that a dying gateway added in excess are missing until the edge or `repair_total`.
+        Units that a dying gateway added in excess are missing until the window's edge or `repair_total`.
         """
         elapsed = self.now + lease.phase - lease.window * lease.window_length
         return lease.plan.burst + elapsed * lease.plan.rate - lease.total - lease.owed
@@ -260,7 +260,7 @@
         if self.counter_caps:
             lease.edge_deficit = 0.0
         elif is_replaced or lost > max(0.01, TOTAL_PRECISION * lease.confirmed):
-            # The counter lost this total or was replaced: restore the last known total once, others' too.
+            # The counter lost the total or was replaced: restore the last known total once, others' part too.
             self.actions.append(i.Log(f"counter-lost customer={lease.customer}"))
             if is_replaced:
                 self.counter_health.replaced_at = self.now
@@ -307,7 +307,7 @@
         """Handle a failed call; `added`: whether it may have been added, as is likely without an answer.
 
         Returns without an answer are repeated: credits that were never returned would be missing until the
-        edge, while credits that were returned twice only fill the bucket sooner.
+        window's edge, while credits that were returned twice only fill the bucket sooner.
         """
         self.enter_degraded_mode(lease)
         amount = call.amount
--- a/orchidhill/gateway.py
+++ b/orchidhill/gateway.py
@@ -86,8 +86,8 @@
     def on_classes(self, classes: tuple[i.RequestClass, ...]) -> None:
         """Replace the classes and drop what was learned of changed ones; open jobs keep their class."""
         self.class_latency += [INITIAL_LATENCY_S] * (len(classes) - len(self.class_latency))
-        for number, (was, cls) in enumerate(zip(self.settings.classes, classes, strict=False)):
-            if cls != was:
+        for number, (previous, cls) in enumerate(zip(self.settings.classes, classes, strict=False)):
+            if cls != previous:
                 self.class_latency[number] = INITIAL_LATENCY_S
                 for backend in self.backends.values():
                     backend.class_answered_at.pop(number, None)
--- a/orchidhill/interface.py
+++ b/orchidhill/interface.py
@@ -70,7 +70,7 @@
     COUNTER = "counter"  # no call to the counter was possible in time, and the local share is exhausted
     ROOM = "room"  # no backend had capacity in time
     BACKENDS = "backends"  # all attempts failed, and no retry is allowed
-    DEADLINE = "deadline"  # too little time was left to serve it
+    DEADLINE = "deadline"  # too little time was left to serve the request
 
 
 @dataclass(slots=True, frozen=True)
@@ -100,7 +100,7 @@
     over_cost: float  # cost of a unit admitted beyond the quota
     over_worth: float  # revenue from such a unit
     ceiling_rate: float  # units per second, never exceeded, not even in degraded mode
-    ceiling_burst: float  # units, the same
+    ceiling_burst: float  # units, likewise never exceeded
     ceiling_slack: float  # a fraction
 
 
@@ -112,8 +112,8 @@
     drain_grace: float
     cold_share: float  # part of its capacity that a backend has when it starts
     warm_up: float  # from a backend's start until it has its full capacity
-    fall_multiple: float  # of a warm backend's requests within `fall_time`, the limit for a cold one
-    fall_time: float  # over which that limit is measured
+    fall_multiple: float  # limit of a cold backend's requests, as a multiple of a warm one's
+    fall_time: float  # over which these requests are counted
     ask_within: float
 
 
@@ -125,7 +125,7 @@
     second_copies: bool  # whether a request may have two attempts in flight
     cancel: bool  # whether attempts may be cancelled
     probes: bool  # whether backends may be asked for their load
-    retry_after: bool  # whether refusals may carry a retry-after
+    retry_after: bool  # whether most clients heed a retry-after
     max_retry_after: float
     connect_timeout: float
 
--- a/orchidhill/proxy_gateway.py
+++ b/orchidhill/proxy_gateway.py
@@ -17,12 +17,12 @@
 
 INITIAL_LATENCY_SHARE = 0.3  # of a class's target latency, the estimate before its first answer
 MAX_INITIAL_LATENCY_S = 1.0  # upper bound of that estimate
-INITIAL_ANSWER_COUNT = 4  # answers that the estimate weighs as much as
-LATENCY_WEIGHT = 0.1  # weight of the newest latency
+INITIAL_ANSWER_COUNT = 4  # weight of that estimate, in answers
+LATENCY_WEIGHT = 0.1  # weight of the newest latency in the mean
 QUEUE_DEPTH = 4.0  # times a backend's slots, the maximum of this proxy's attempts in flight there
 RETRY_BUDGET_SHARE = 0.6  # part of the operators' retry ratio that is used
-INITIAL_RETRY_TOKENS = 1.0  # by service
-MAX_RETRY_TOKENS = 2.0  # by service; keeps all proxies together within the operators' slack
+INITIAL_RETRY_TOKENS = 1.0  # per service
+MAX_RETRY_TOKENS = 2.0  # per service; keeps all proxies together within the operators' slack
 SILENT = 1  # `Entry.kind` of a draining backend that is not leaving, but sends no heartbeats
 EJECT_S = 0.6  # for which an unreachable backend is ejected; doubles with each further failure in a row
 MAX_EJECT_S = 5.0
@@ -36,13 +36,13 @@
 UNSPENT_ALLOWANCE = 0.4  # held unspent by all proxies together
 RETRY_RATE_SHARE = 0.5  # of a tenant's rate, over which the retries of refused requests are spread
 FLOOD_S = 4.0  # a tenant with retries scheduled this far ahead counts as far beyond its quota
-MAX_RETRY_DELAY_SHARE = 0.3  # of a request's remaining time, as clients heed a retry-after up to a third
+MAX_RETRY_DELAY_SHARE = 0.3  # of a request's remaining time, of which clients wait a third at most
 HOME_FACTOR = 3.0  # times the usual latency and the best backend's queue up to which a home backend is used
 OTHER_ZONE_FACTOR = 1.2  # on the score of a backend in another zone, as traffic between zones costs more
 ROTATION_S = 40.0  # since a backend's last attempt, beyond which its idle time no longer improves its score
 ROTATION_BONUS_PER_S = 3e-4  # part of the score that is deducted for each second of idle time
-WARM_UP_S = 3.0
-WARM_UP_FACTOR = 2.0  # on the latency of a backend that has just started
+WARM_UP_S = 3.0  # after a backend's start
+WARM_UP_FACTOR = 2.0  # on the latency of a backend in its warm-up
 
 
 @dataclass(slots=True)
--- a/orchidhill/wire.py
+++ b/orchidhill/wire.py
@@ -267,8 +267,8 @@
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
         for line in text.splitlines():
-            key, sep, value = line.partition("=")
-            if sep:
+            key, separator, value = line.partition("=")
+            if separator:
                 self.values[key.strip()] = value.strip()
 
     def text(self, key: str, default: str | None = None) -> str:
