--- a/ivymux/config_store/actions.py
+++ b/ivymux/config_store/actions.py
@@ -23,12 +23,12 @@
     """
 
     epoch_record: EpochRecord | None = None
-    promised: tuple[int, str] | None = None
+    promised: tuple[int, str] | None = None  # number of the promised epoch, and its candidate
     state: ConfigurationState | None = None
     idempotency_records: tuple[tuple[str, IdempotencyRecord | None], ...] = ()
-    history: tuple[tuple[int, str], ...] | None = None
-    change: tuple[int, str] | None = None
-    same_primary: bool = False  # of `epoch_record`: the epoch record before it has the same primary
+    history: tuple[tuple[int, str], ...] | None = None  # versions with the digests of their texts
+    change: tuple[int, str] | None = None  # a version with the digest of its text
+    same_primary: bool = False  # whether `epoch_record` names the same primary as the epoch known before
 
 
 @dataclass(slots=True)
@@ -103,10 +103,10 @@
 def may_overtake(action: Action, unwritten: Iterable[Action]) -> bool:
     """Whether an action may be carried out before writes that are not on disk yet.
 
-    A message that depends on no write may.  A lease grant depends on its epoch's record: a member that
-    forgot the record in a restart would grant its next lease to another primary while this one still counts
-    on it.  Where the epoch record before names the same primary, a member that forgot still grants its lease
-    to that primary alone.
+    A write never may, and of the messages only those in DISK_INDEPENDENT.  A lease grant must not overtake
+    the write of its epoch's record: a member that lost the record in a restart could grant its next lease to
+    another primary while the epoch's primary still relies on this grant.  It may overtake the write if the
+    epoch before has the same primary, as the member then grants its lease to no other machine.
     """
     if not isinstance(action, Send):
         return not isinstance(action, Persist)
--- a/ivymux/config_store/calls.py
+++ b/ivymux/config_store/calls.py
@@ -31,7 +31,7 @@
 
     key: str
     tenant: str
-    claim: str
+    claim: str  # id of the claim
     request_digest: str = msgspec.field(name="place")
     body_digest: str = msgspec.field(name="body")
     lifetime_s: float = msgspec.field(name="life")
@@ -42,7 +42,7 @@
 
     key: str
     claim: str
-    state: str
+    state: str  # one of the end states in ivymux/idempotency/record_store.py
     answer: str = ""
 
 
--- a/ivymux/config_store/changes.py
+++ b/ivymux/config_store/changes.py
@@ -29,7 +29,7 @@
     digest: str
     calls: list[int]
     sent_at: float = 0.0
-    written_at: float = 0.0  # when it was first written under the epoch in force
+    written_at: float = 0.0  # when the change was first written under the epoch in force
     on_own_disk: bool = False
     on_backup: bool = False
 
@@ -120,7 +120,7 @@
                 self.send_write(change)
 
     def rewrite_pending(self) -> None:
-        """Write changes that are still pending under the epoch that has come into force."""
+        """Write the pending changes again, under the epoch that has come into force."""
         for change in self.pending:
             self.write_change(change)
 
--- a/ivymux/config_store/durable_store.py
+++ b/ivymux/config_store/durable_store.py
@@ -26,7 +26,7 @@
 HISTORY_PREFIX = b"history/"  # before each stored version
 FOUNDER_TOKEN = "first"  # of a machine that took part in the first start
 
-_pack = msgspec.json.encode
+_encode = msgspec.json.encode
 
 
 class DurableStoreError(ConfigError):
@@ -75,9 +75,9 @@
         token = FOUNDER_TOKEN if initial else secrets.token_hex(6)
         record = EpochRecord(0, "", "", tuple(sorted(f"{seed}/{FOUNDER_TOKEN}" for seed in seeds)))
         with self.env.begin(write=True) as transaction:
-            transaction.put(b"token", _pack(token))
+            transaction.put(b"token", _encode(token))
             if initial and address in seeds:
-                transaction.put(b"record", _pack(record))
+                transaction.put(b"record", _encode(record))
         return token
 
     def get(self, name: bytes) -> Any:
@@ -124,7 +124,7 @@
 def _write_step(transaction: lmdb.Transaction, step: Persist) -> None:
     for name, value in ((b"record", step.epoch_record), (b"promised", step.promised), (b"state", step.state)):
         if value is not None:
-            transaction.put(name, _pack(value))
+            transaction.put(name, _encode(value))
     if step.history is not None:
         _delete(transaction, [key for key, _ in _rows(transaction, HISTORY_PREFIX)])
         for version, digest in step.history:
@@ -138,7 +138,7 @@
         if record is None:
             transaction.delete(name)
         else:
-            transaction.put(name, _pack(record))
+            transaction.put(name, _encode(record))
 
 
 def _history_key(version: int) -> bytes:
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -3,7 +3,7 @@
 The protocol follows Vertical Paxos II (Lamport, Malkhi, Zhou 2009) and PacificA (2008).  A candidate is the
 primary or the backup of the newest epoch that any promise names, or the primary in force when it changes its
 backup or the members.  It repeats its requests under one number until a member refuses: each new number costs
-every member a commit, which on a slow disk takes longer than any time-out that suits a fast one.
+every member a commit to disk, and a slow disk takes longer for it than any time-out that suits a fast disk.
 """
 
 from __future__ import annotations
@@ -57,9 +57,9 @@
 
     def __init__(self, durable: DurableState, now: float) -> None:
         super().__init__(durable, now)
-        self.deferral_count = 0  # attempts of others since the last lease request of a primary
-        self.deferred_since = now  # when the latest of them was first received
-        self.defer_until = 0.0  # how long that attempt may keep this member from its own
+        self.deferral_count = 0  # attempts of other candidates since a primary last requested its lease
+        self.deferred_since = now  # when the latest of these attempts was first received
+        self.defer_until = 0.0  # until when it may postpone an attempt of this member
         if self.is_founder():
             self.next_attempt_at = now + FIRST_START_DELAY_S + FIRST_START_RANK_DELAY_S * self.attempt_rank()
 
@@ -113,8 +113,8 @@
             self.choose_epoch(attempt)
             if self.attempt is not attempt or attempt.epoch_record is not None:
                 return
-            patience_s = RETRY_INTERVAL_S * (1 + self.attempt_rank())
-            if attempt.refused_by and self.now - attempt.last_progress_at > patience_s:
+            max_wait_s = RETRY_INTERVAL_S * (1 + self.attempt_rank())
+            if attempt.refused_by and self.now - attempt.last_progress_at > max_wait_s:
                 # Another candidate has this number too, and the members that could decide are silent.
                 self.abandon_attempt(0.0)
                 return
@@ -217,7 +217,7 @@
         if attempt.number == message.promised and self.known_epoch is not None:
             remaining = set(self.known_epoch.members) - attempt.refused_by
             if is_majority(self.known_epoch.members, remaining):
-                return  # this member promised the number to another candidate, but the others suffice
+                return  # the sender promised this number to another candidate; the others suffice
         # The pause grows with the rank, so that two candidates do not keep colliding.
         pause_s = REFUSAL_PAUSE_S + REFUSAL_RANK_PAUSE_S * self.attempt_rank()
         self.abandon_attempt(pause_s * min(MAX_REFUSAL_FACTOR, self.failed_attempts))
@@ -242,7 +242,7 @@
     def choose_epoch(self, attempt: ElectionAttempt) -> None:
         """Choose the new epoch's backup and members, once a majority has promised.
 
-        Its state is fixed then, and is sent to the backup.
+        From then on the epoch's state is fixed; it is sent to the backup.
         """
         previous = max(attempt.promises.values(), key=lambda record: record.number)
         if not is_majority(previous.members, set(attempt.promises)):
@@ -272,8 +272,10 @@
     def better_backup_may_answer(self, attempt: ElectionAttempt, backup: str, partner: str) -> bool:
         """Whether the promise of a better backup may still be on its way."""
         unfit = self.unfit_backups()
-        partner_may = partner not in attempt.promises and partner not in unfit
-        return (partner_may or backup in unfit) and self.now - attempt.started_at < RETRY_INTERVAL_S / 3
+        partner_may_answer = partner not in attempt.promises and partner not in unfit
+        return (
+            partner_may_answer or backup in unfit
+        ) and self.now - attempt.started_at < RETRY_INTERVAL_S / 3
 
     def next_epoch_members(self, record: EpochRecord, present: set[str]) -> tuple[str, ...]:
         """Return the members of the epoch after `record`, as far as known now."""
@@ -285,11 +287,11 @@
         has_replacement = any(joiner not in record.members for joiner in joiners)
         silence_s = BACKUP_TIMEOUT_S if has_replacement else MEMBER_TIMEOUT_S
         leaving_members = self.leaving_members()
-        going = [member for member in others if self.is_silent(member, present, silence_s)]
+        removable = [member for member in others if self.is_silent(member, present, silence_s)]
         # A leaving member that is the only possible backup stays until another machine can be the backup.
         if any(member in present and member not in leaving_members for member in others):
-            going += [member for member in others if member in leaving_members]
-        return next_members(record, self.identity, joiners, going)
+            removable += [member for member in others if member in leaving_members]
+        return next_members(record, self.identity, joiners, removable)
 
     def is_silent(self, member: str, present: set[str], silence: float) -> bool:
         """Whether a member has sent nothing for `silence` seconds.
@@ -348,7 +350,7 @@
     # --- acceptance of the epoch record -----------------------------------------------------------------
 
     def accept_own_record(self, attempt: ElectionAttempt) -> None:
-        """Store the new epoch's record here, before the other members are asked to."""
+        """Store the new epoch's record on this machine, then ask the other members to store it."""
         assert attempt.epoch_record is not None
         self.known_epoch = attempt.epoch_record
         self.actions.append(Persist(epoch_record=attempt.epoch_record))
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -5,8 +5,8 @@
 digests over ranges of keys, and ranges that differ are repaired from the primary's copy before the epoch
 comes into force.  While it is in force, the copies are compared periodically.
 
-A replicated setting is a setting of the system's own with a name, a version and a text, which is broadcast
-to all core machines.  It is kept as a record that never expires.
+A replicated setting is an internal setting of the system with a name, a version and a text; it is broadcast
+to all core machines.  It is stored as a record that never expires.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 COMPARE_INTERVAL_S = 5.0  # between comparisons of the copies
 SWEEP_INTERVAL_S = 1.0  # between removals of expired records
 MAX_RECORDS_IN_REPAIR = 400  # in one message; a message ends with the range that reaches this
-CHANGE_NUMBERS_PER_EPOCH = 1 << 32
+CHANGE_NUMBERS_PER_EPOCH = 1 << 32  # so that the numbers of a later epoch are higher
 PENDING_RETRY_AFTER_S = 0.1  # when to repeat a claim whose record is still being written
 MAX_SETTING_CHARS = 32 << 10
 MAX_SETTINGS = 200
@@ -146,8 +146,8 @@
     def handle_call(self, call_id: int, call: Call) -> Reply | None:
         """Handle a call of a proxy or a registry.
 
-        Returns None where this machine is not a primary that can write.  Raises ValueError for a call that no
-        correct process makes.
+        Returns None where this machine is not the primary, or may not write now.  Raises ValueError for a
+        call that no correct process makes.
         """
         if not self.replica.may_serve(self.replica.now) or not self.replica.is_writable():
             return None
@@ -216,7 +216,7 @@
             return self.reply_after(self.pending_for(record.key), call_id, answer)
         is_too_many = held is None and len(self.store.settings) >= MAX_SETTINGS
         if len(call.text) > MAX_SETTING_CHARS or is_too_many:
-            raise IdempotencyRecordError("a note that is too large, or too many")
+            raise IdempotencyRecordError("the setting is too long, or there are too many settings")
         self.replicate(record, call_id)
         return self.reply(answer, wait=True)
 
@@ -411,7 +411,7 @@
         changes: list[tuple[str, IdempotencyRecord | None]] = []
         for number, records in message.ranges:
             if not 0 <= number < len(self.store.digests):
-                raise IdempotencyRecordError("no range of keys")
+                raise IdempotencyRecordError("the repair names a range of keys that does not exist")
             changes += self.store.repair_range(number, list(records), self.replica.now)
         if changes:
             self.replica.actions.append(Persist(idempotency_records=tuple(changes)))
@@ -444,14 +444,14 @@
             self.publish_settings()
 
     def update_setting(self, setting: ReplicatedSetting) -> None:
-        """Take a setting into force unless the same or a later version is."""
+        """Put a setting into force unless the same or a later version of it is in force."""
         held = self.settings.get(setting.name)
         if held is not None and held.version >= setting.version:
             return
         self.settings[setting.name] = setting
         self.replica.actions.append(PublishSetting(setting))
         if setting.name == CONVERSATIONS:
-            # Imported only where such settings exist, as the import slows the start.
+            # Imported only where such settings exist, as the import slows the process's start.
             from ivymux.idempotency.settings import ConversationSettingsError, read
 
             # The settings were validated when they were stored; an older release that cannot read them keeps
--- a/ivymux/config_store/leadership.py
+++ b/ivymux/config_store/leadership.py
@@ -43,7 +43,7 @@
         self.last_primary, self.primary_seen_at = "", NEVER  # the last primary that asked for its lease
         self.next_announcement_at = now + 2 * LEASE_S
         self.departure_granted = False  # whether this process, which was asked to shut down, may exit
-        self.no_lease_until = 0.0  # after an epoch was learned from a lease request
+        self.no_lease_until = 0.0  # set when an epoch is learned from a lease request
 
     # --- the primary -----------------------------------------------------------------------------------
 
@@ -139,18 +139,20 @@
         if record is None:
             return  # the epoch is not known here; a later request carries its record
         # A primary that makes the next epoch itself stays in charge until that epoch is in force.
-        follows = self.known_epoch is not None and self.known_epoch.primary == primary
-        later_known = self.known_epoch is not None and record.number < self.known_epoch.number and not follows
+        same_primary = self.known_epoch is not None and self.known_epoch.primary == primary
+        later_known = (
+            self.known_epoch is not None and record.number < self.known_epoch.number and not same_primary
+        )
         if later_known or (record.number < self.promised and self.promised_to != primary):
             self.send_refusal(source)
             return
         self.last_primary, self.primary_seen_at = primary, self.now
         self.deferral_count = 0
         if self.known_epoch is None or self.known_epoch.number < record.number:
-            self.learn_epoch_in_force(record, follows)
+            self.learn_epoch_in_force(record, same_primary)
         if self.attempt is not None and self.attempt.number <= record.number:
             self.attempt = None
-        if self.identity not in record.members and not (follows and self.is_member()):
+        if self.identity not in record.members and not (same_primary and self.is_member()):
             self.join_requested_at.clear()
         elif self.now >= self.no_lease_until:
             self.leased_to, self.leased_until = primary, self.now + LEASE_S
@@ -173,17 +175,17 @@
             return EpochRecord(message.epoch, message.sender, "", ())
         return self.known_epoch
 
-    def learn_epoch_in_force(self, record: EpochRecord, follows: bool) -> None:
+    def learn_epoch_in_force(self, record: EpochRecord, same_primary: bool) -> None:
         """Store an epoch that was learned from a lease request, and is therefore in force.
 
-        `follows`: its primary is the primary of the epoch known before.
+        `same_primary`: the epoch known before has the same primary.
         """
         if self.promised < record.number:
             self.promise(record.number, record.primary)
         self.learn_epoch(record)
-        if not follows:
-            # A grant is safe only once the epoch's record is on disk: a restart before that would forget
-            # both.
+        if not same_primary:
+            # A grant is safe only once the epoch's record is on disk: a restart before that would lose the
+            # record and the grant.
             self.no_lease_until = self.now + LEASE_S
 
     def on_lease_grant(self, source: str, message: LeaseGrant) -> None:
--- a/ivymux/config_store/membership.py
+++ b/ivymux/config_store/membership.py
@@ -9,13 +9,13 @@
 
 
 def next_members(
-    record: EpochRecord, identity: str, joining: Iterable[str], going: Sequence[str]
+    record: EpochRecord, identity: str, joining: Iterable[str], removable: Sequence[str]
 ) -> tuple[str, ...]:
     """Return the next epoch's members, which differ from `record`'s by at most one machine.
 
     A joining machine replaces the member at its own address, whose disk was lost; else it replaces a
-    member in `going`, which is silent or leaves; else it is added.  Without a joining machine, a member in
-    `going` is removed while more than MIN_MEMBERS are left.
+    member in `removable`, which is silent or leaves; else it is added.  Without a joining machine, a member
+    in `removable` is removed while more than MIN_MEMBERS are left.
     """
     members = list(record.members)
     joiner = next((machine for machine in joining if machine not in members), None)
@@ -23,7 +23,7 @@
     if replaced == identity:  # another machine at the primary's address: the primary stays
         joiner = None
     if replaced is None or replaced == identity:
-        replaced = next(iter(going), None)
+        replaced = next(iter(removable), None)
     if joiner is not None and replaced is not None:
         members[members.index(replaced)] = joiner
     elif joiner is not None:
@@ -43,8 +43,9 @@
 def choose_backup(
     record: EpochRecord, identity: str, able: Iterable[str], unfit: Iterable[str], partner: str
 ) -> str | None:
-    """Return the backup: preferably the partner, which has the state, then a member, then a joining machine.
+    """Return the backup: preferably `partner`, then another member, then a joining machine.
 
+    The partner holds the state: it is the other one of the previous epoch's primary and backup.
     A machine in `unfit` comes after every other one.  Returns None where no machine is `able`.
     """
     avoided = set(unfit)
--- a/ivymux/config_store/messages.py
+++ b/ivymux/config_store/messages.py
@@ -137,7 +137,7 @@
     sent_at: float  # seconds on the sender's steady clock
     version: int  # of the configuration that the sender holds
     epoch_record: EpochRecord | None = msgspec.field(name="record", default=None)
-    settings_progress: int = msgspec.field(name="notes_told", default=0)
+    settings_progress: int = msgspec.field(name="notes_told", default=0)  # see RecordReplication
 
 
 class LeaseGrant(ReplicaMessage, frozen=True, tag="lease_grant"):
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -34,9 +34,9 @@
 from ivymux.transport.frames import Message
 
 TICK_INTERVAL_S = 0.05
-SHUTDOWN_MARGIN_S = 1.0  # before the end of `grace`, when the process ends even if it still holds a copy
+SHUTDOWN_MARGIN_S = 1.0  # before the end of `grace`, when the process ends even if it is still needed
 SHUTDOWN_POLL_INTERVAL_S = 0.02
-CALL_TIMEOUT_S = 0.85  # for a call that names none; callers try another machine after about 1 s
+CALL_TIMEOUT_S = 0.85  # for a call that names no timeout; callers try another machine after about 1 s
 CALL_RETRY_INTERVAL_S = 0.04
 CALL_POLL_INTERVAL_S = 0.05
 MIN_FORWARD_TIMEOUT_S = 0.02  # with less time left, a call is not forwarded
@@ -45,7 +45,7 @@
 MAX_PEERS = 32  # core machines to connect to
 MAX_TASKS = 4000  # calls of registries and proxies in progress
 MAX_FAILED_CONNECTS = 40  # after which an unknown machine is no longer connected to
-LOGGED_INVALID_COUNTS = (1, 10, 100, 1000)
+LOGGED_INVALID_COUNTS = (1, 10, 100, 1000)  # invalid messages are logged at these counts only
 EXIT_DISK_FAILED = 3
 
 log = Log("config_store")
@@ -127,7 +127,7 @@
             self.on_replica_message(connection, message)
             return
         kind = message.get("k")
-        if kind == "desk":
+        if kind == "desk":  # a registry subscribes to updates
             self.on_registry(connection)
         elif kind in calls.TAGS:
             if len(self.tasks) > MAX_TASKS:
@@ -310,7 +310,7 @@
         connection.answer(message, ok=False)
 
     async def try_call(self, message: Message, deadline: float) -> Message | None:
-        """Try a call once; returns None where no primary is reachable, or it did not answer in time."""
+        """Try a call once; returns None where no primary is reachable, or none answered in time."""
         self.last_call_id += 1
         call_id = self.last_call_id
         completed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -332,7 +332,7 @@
         return await self.forward_call(message, deadline)
 
     async def forward_call(self, message: Message, deadline: float) -> Message | None:
-        """Forward a call to the primary on another machine, unless it was forwarded here."""
+        """Forward a call to the primary on another machine, unless this call was already forwarded."""
         address = self.primary_address()
         if address is None or message.get("passed"):
             return None
@@ -351,7 +351,7 @@
         return {key: value for key, value in answer.items() if key != "re"}
 
     def on_get(self, connection: Connection, message: Message) -> None:
-        """Answer with the configuration, from the primary."""
+        """Answer a request for the newest configuration, which only the primary knows for certain."""
         if self.replica.may_serve(time.monotonic()):
             state = self.replica.state
             version = state.version if state is not None else NO_VERSION
@@ -374,7 +374,7 @@
         connection.answer(message, ok=False)
 
     async def stop(self) -> None:
-        """Hand over what this machine holds, for as long as `grace` allows, and close all connections."""
+        """Hand over this machine's roles, for as long as `grace` allows, and close all connections."""
         deadline = time.monotonic() + max(0.0, self.settings.shutdown_grace_s - SHUTDOWN_MARGIN_S)
         self.carry_out(self.replica.leave(time.monotonic()))
         while not self.replica.may_exit() and time.monotonic() < deadline:
--- a/ivymux/config_store/records.py
+++ b/ivymux/config_store/records.py
@@ -31,7 +31,7 @@
 
 
 class ReplicatedSetting(msgspec.Struct, frozen=True, array_like=True):
-    """A setting of the system's own that is replicated by the config stores."""
+    """An internal setting of the system, which the config stores replicate."""
 
     name: str
     version: int
@@ -44,8 +44,8 @@
 
     identity: str
     epoch_record: EpochRecord | None
-    promised: int
-    promised_to: str
+    promised: int  # number of the highest epoch that this machine has promised; 0 if none
+    promised_to: str  # identity of that epoch's candidate
     state: ConfigurationState | None
     idempotency_records: dict[str, IdempotencyRecord] = field(default_factory=dict)  # by key
     history: tuple[tuple[int, str], ...] = ()  # stored versions, with the digests of their texts
--- a/ivymux/config_store/replica.py
+++ b/ivymux/config_store/replica.py
@@ -82,14 +82,14 @@
         self.now, self.actions = now, []
 
     def handle(self, now: float, source: str, message: ReplicaMessage) -> list[Action]:
-        """Handle a message of the machine at address `source`.
+        """Handle a message from the machine at address `source`.
 
         Raises ValueError for a message that no correct peer sends.
         """
         self.begin_step(now)
         handler = self.handlers.get(type(message))
         if handler is None:
-            raise ValueError(f"no message to a replica: {type(message).__name__}")
+            raise ValueError(f"not a message between replicas: {type(message).__name__}")
         handler(source, message)
         return self.actions
 
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -57,7 +57,7 @@
         self.led_epoch: EpochRecord | None = None  # the epoch in force whose primary this machine is
         self.attempt: ElectionAttempt | None = None
         self.failed_attempts = 0
-        self.step_downs = 0
+        self.step_downs = 0  # how often this machine has stopped being the primary
         self.highest_promise_seen = durable.promised  # by any member
         self.lease_grants: dict[str, float] = {}  # until when each member grants this primary its lease
         self.last_received_at: dict[str, float] = {}  # when each member last answered
@@ -164,7 +164,7 @@
         self.persist_epoch_step(Persist(promised=(number, candidate)))
 
     def send_refusal(self, source: str) -> None:
-        """Answer a request for less than was promised with the promise."""
+        """Refuse a request that this machine's promise excludes; the refusal carries the promise."""
         if self.known_epoch is not None:
             self.send(source, Refusal(self.identity, self.promised, self.known_epoch))
 
--- a/ivymux/config_store/timing.py
+++ b/ivymux/config_store/timing.py
@@ -11,22 +11,23 @@
 # Members and backups.
 BACKUP_TIMEOUT_S = 1.0  # without a message, after which the backup counts as lost
 BACKUP_DISK_TIMEOUT_S = 2.0  # for which a primary waits for the backup's disk; a slow commit takes 0.5 s
-DISK_DISTRUST_S = 20.0  # for which a member that exceeded it becomes the backup only if no other can
+DISK_DISTRUST_S = 20.0  # for which a member whose disk timed out becomes the backup only if no other can
 MEMBER_TIMEOUT_S = 2.5  # without a message, after which a member is removed if enough others remain
 JOIN_INTERVAL_S = 0.3  # between the requests of a machine that asks to become a member
 MIN_MEMBERS = 3  # below this, no member is removed without a replacement
 
 # Elections.
 RETRY_INTERVAL_S = 0.35  # after which an unanswered request for a new epoch or to the backup is repeated
-TRANSFER_RETRY_INTERVAL_S = 0.45  # the same for a whole state; two of them fit into BACKUP_TIMEOUT_S
+TRANSFER_RETRY_INTERVAL_S = 0.45  # the same for a state transfer; two intervals fit into BACKUP_TIMEOUT_S
 PROGRESS_TIMEOUT_S = 10.0  # without progress, after which an attempt that waits for a disk is abandoned
 MIN_DEFERRAL_S = 2 * RETRY_INTERVAL_S  # for which a member defers to another's first attempt
 MAX_DEFERRAL_S = 8.0  # the deferral doubles with each failed attempt, up to this
 MAX_DISK_DEFERRAL_S = 20.0  # for which a member defers to an attempt that waits for a disk
 FIRST_START_DELAY_S, FIRST_START_RANK_DELAY_S = 0.05, 0.3  # before a seed's first attempt, by its rank
-STALL_PAUSE_S, MAX_STALL_FACTOR = 0.05, 8  # after a stalled attempt, times the number of failed attempts
-REFUSAL_PAUSE_S, REFUSAL_RANK_PAUSE_S, MAX_REFUSAL_FACTOR = 0.03, 0.15, 4  # the same after a refusal
+# Pauses after a stalled or a refused attempt, times the number of failed attempts, at most times the factor.
+STALL_PAUSE_S, MAX_STALL_FACTOR = 0.05, 8
+REFUSAL_PAUSE_S, REFUSAL_RANK_PAUSE_S, MAX_REFUSAL_FACTOR = 0.03, 0.15, 4  # the rank pause is added per rank
 
 # A primary whose process ends.
-DRAIN_S = 0.3  # for which it lets pending changes complete before it hands over
-RECLAIM_DELAY_S = 1.5  # after which it leads again if it has received no new epoch since it handed over
+DRAIN_S = 0.3  # for which the primary lets pending changes complete before it hands over
+RECLAIM_DELAY_S = 1.5  # after a handover, when it may try to lead again if it has received no new epoch
