--- a/ivymux/registry/message_kinds.py
+++ b/ivymux/registry/message_kinds.py
@@ -28,5 +28,5 @@
 CORES = "cores"  # l: addresses
 
 # To the config store.
-SUBSCRIPTION = "desk"  # asks for every message above from now on
+SUBSCRIPTION = "desk"  # asks for CONFIG, SETTING and CORES messages from now on
 CONFIG_READ = "get"  # a call: the newest configuration
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -1,7 +1,7 @@
 """The registry's process: which backends, proxies and core machines there are.
 
 It serves HTTP calls of backends and operators, and is connected to the proxies and to the config store of its
-own machine.  From it, proxies get every change of backends, proxies, core machines and the configuration.
+own machine.  It sends the proxies every change of backends, proxies, core machines and the configuration.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
 
 MAX_SILENT_HEARTBEATS = 2.3  # heartbeat periods without a call after which a backend counts as lost
 EXPIRY_INTERVAL_S = 0.25
-STORE_CALL_TIMEOUT_S = 0.95  # after a second, an operator sends a call to another core machine
+STORE_CALL_TIMEOUT_S = 0.95  # operators send a call to another core machine after 1 s without an answer
 CONFIG_READ_TIMEOUT_S = 0.9
-APPLY_TIMEOUT_S = 0.3  # of that second, for the proxies to put a configuration in force
+APPLY_TIMEOUT_S = 0.3  # within STORE_CALL_TIMEOUT_S, for the proxies to put a configuration in force
 ACK_TIMEOUT_S = 0.45  # for the proxies to acknowledge a change of a backend
 FORWARD_TIMEOUT_S = 0.88  # of a proxy's call that the config store answers
 MAX_FORWARDED_CALLS = 4000  # at once
@@ -102,7 +102,7 @@
     address: str
     port: int
     zone: str
-    joined_at: float  # steady time since when it is connected to any core machine
+    joined_at: float  # steady time since which it has been connected to some core machine
     acked_change: int = 0  # the last change of backends that it has acknowledged
     config_version: int = -1  # of the configuration that it has in force
     ack_waiters: list[tuple[int, asyncio.Future[None]]] = field(default_factory=list)  # by change
@@ -441,7 +441,7 @@
     @endpoint("PUT", "/configuration")
     async def put_configuration(self, request: HttpRequest) -> Answer:
         """Check a configuration and have the config store take it."""
-        from ivymux.routing_config.validation import parse_route_plan  # slow to import: not at the start
+        from ivymux.routing_config.validation import parse_route_plan  # slow import, deferred until needed
 
         try:
             plan = parse_route_plan(request.body)
@@ -456,7 +456,7 @@
             return reply
         if reply["outcome"] != ChangeOutcome.STORED.value:
             return rejection_answer(plan.version, reply)
-        # The change is final whatever the proxies do, but connected ones apply it before this call's answer.
+        # The change is final whatever the proxies do, but connected ones should apply it before the answer.
         left_s = STORE_CALL_TIMEOUT_S - (time.monotonic() - began)
         await self.wait_until_applied(plan.version, min(APPLY_TIMEOUT_S, left_s))
         body = {"config_version": plan.version, "outcome": reply["outcome"], "digest": reply["digest"]}
@@ -474,7 +474,7 @@
 
     @endpoint("GET", "/configuration")
     async def get_configuration(self, request: HttpRequest) -> Answer:
-        """The newest configuration, as the config store's leader knows it."""
+        """The newest configuration, as the config store's primary knows it."""
         try:
             reply = await self.config_store.call({"k": kinds.CONFIG_READ}, CONFIG_READ_TIMEOUT_S)
         except TransportError as error:
@@ -491,7 +491,7 @@
     async def put_conversations(self, request: HttpRequest) -> Answer:
         """Check the settings of conversations and have the config store take them."""
         from ivymux.idempotency.settings import ConversationSettingsError
-        from ivymux.idempotency.validation import read  # slow to import: not at the start
+        from ivymux.idempotency.validation import read  # slow import, deferred until needed
 
         try:
             settings = read(request.body)
@@ -515,7 +515,7 @@
         return Answer(200, text.encode(), JSON)
 
     async def stop(self) -> None:
-        """Finish HTTP calls under way, then close all connections; proxies notice by that."""
+        """Finish HTTP calls under way, then close all connections, by which proxies notice the end."""
         self.server.stop_listening()
         until = time.monotonic() + STOP_TIMEOUT_S
         while self.http_calls.tasks and time.monotonic() < until:
--- a/ivymux/registry/trial_endpoints.py
+++ b/ivymux/registry/trial_endpoints.py
@@ -12,7 +12,7 @@
 
 
 class TrialEndpoints:
-    """A base class of the registry."""
+    """The part of `Registry` that declares these endpoints, as a base class."""
 
     max_trial_s: float
     loaded_trial_service: TrialService | None = None
--- a/ivymux/registry/trial_service.py
+++ b/ivymux/registry/trial_service.py
@@ -3,9 +3,10 @@
 Imported on first use.
 
 The set of trials is a replicated setting of the config store, written by compare-and-set on the version
-that was read.  While a trial runs, the set is read again and again from the leader.  Each answer to a proxy
-says how old that reading is, and the proxy's lease counts from there.  Every registry ends the trials whose
-time is over and those that the guard stops; it is no error if another registry was faster.
+that was read.  While a trial runs, the set is read every READ_INTERVAL_S from the config store's primary.
+Each answer to a proxy says how old that reading is, and the proxy's lease counts from the time of the
+reading.  Every registry ends the trials whose time is over and those that the guard stops; it is no error if
+another registry has ended them first.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 READ_INTERVAL_S = 0.4  # while a trial runs
 STORE_CALL_TIMEOUT_S = 0.8
 REPORT_TTL_S = 30.0  # a proxy's last report is shown this long
-MAX_COUNT = 1 << 53
+MAX_COUNT = 1 << 53  # up to it, every JSON reader keeps whole numbers exact
 MAX_LISTED_PROXIES = 2000  # in the status of one trial
 MAX_NAME_CHARS = 48  # of a trial, in a proxy's report
 MAX_WRITE_ATTEMPTS = 5  # of a change, when others write in between
@@ -95,7 +96,7 @@
             self.watcher = asyncio.get_running_loop().create_task(self.watch_running())
 
     async def read_trials(self) -> TrialSet | None:
-        """Read the set of trials from the config store's leader; None if no leader can be reached."""
+        """Read the set of trials from the config store's primary; None if no primary can be reached."""
         requested_at = time.monotonic()
         call = encode(ReadSetting(TRIALS))
         try:
@@ -142,7 +143,7 @@
                 try:
                     await self.end_trial(name, ENDED_BY_SYSTEM, why)
                 except TrialError:
-                    continue  # ended by another registry, or there is no leader: the next round tries again
+                    continue  # ended by another registry, or there is no primary: the next round tries again
                 log.info(f"trial {name} is ended: {trip_reason or trial_set.EXPIRED}.")
 
     async def end_trial(self, name: str, by: str, why: str) -> Trial:
--- a/ivymux/runtime/__init__.py
+++ b/ivymux/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What each process of the system starts from: settings file, log, system time, signals."""
+"""Shared by all processes of the system: the settings file, the log, system time, start and signals."""
--- a/ivymux/runtime/early_listener.py
+++ b/ivymux/runtime/early_listener.py
@@ -1,9 +1,9 @@
-"""Opens a proxy's listening socket first, so that clients queue in the kernel while the proxy starts.
+"""Opens a proxy's listening socket before all else, so that clients queue in the kernel during the start.
 
-When all proxies are down, a client that is refused by each of them uses up its few attempts.  Importing the
-YAML reader and the settings checks takes a third of a start, so this module recognises one line of the
-settings file without parsing it.  The whole file is read and checked later; a socket that doesn't match the
-checked settings is closed (`keep_matching`).
+When all proxies are down, a client that each of them refuses uses up its few attempts.  Importing the YAML
+reader and the settings checks takes a third of a start, so this module recognises one line of the settings
+file without parsing it.  The whole file is read and checked later; a socket that doesn't match the checked
+settings is closed (`keep_matching`).
 """
 
 from __future__ import annotations
--- a/ivymux/runtime/program.py
+++ b/ivymux/runtime/program.py
@@ -31,6 +31,7 @@
 
 
 def define_flags(flag_values: flags.FlagValues) -> None:
+    """Define the flags of every program of the system."""
     flags.DEFINE_string(
         "settings", None, "The settings file; by default IVYMUX_NODE_FILE names it.", flag_values=flag_values
     )
@@ -104,7 +105,7 @@
         if len(rest) > 1:
             raise flags.Error(f"unknown argument: {rest[1]}")
     except flags.Error as error:
-        return logs.fail(f"{error}; --settings FILE, --check")
+        return logs.fail(f"{error}; the flags are --settings FILE and --check")
     try:
         path = settings_path(values.settings)
         settings = load(path)
--- a/ivymux/runtime/settings.py
+++ b/ivymux/runtime/settings.py
@@ -79,7 +79,7 @@
 
 @dataclass
 class TrialSettings:
-    """The only table that is the system's own; the others are defined by the platform."""
+    """Settings of trials; the only table that this system defines, as the platform defines the others."""
 
     longest: str = "600s"
 
@@ -122,8 +122,8 @@
         self.config_apply_s = duration_bound(bounds, "config_apply", "2500ms")
         self.retry_ratio = number_bound(bounds, "retry_ratio", 0.2)
         self.quota_window_s = duration_bound(bounds, "quota_window", "5s")
-        self.quota_excess = number_bound(bounds, "quota_excess", 0.0)
-        self.quota_slack = number_bound(bounds, "quota_slack", 0.0)
+        self.quota_excess = number_bound(bounds, "quota_excess", 0.0)  # share of a quota
+        self.quota_slack = number_bound(bounds, "quota_slack", 0.0)  # requests
         self.max_trial_s = seconds(file.trials.longest, "trials.longest")
 
 
--- a/ivymux/transport/connection.py
+++ b/ivymux/transport/connection.py
@@ -19,8 +19,8 @@
 RECEIVE_TIMEOUT_S = 2.0  # a connection on which nothing arrives for this long counts as dead
 FIRST_RETRY_DELAY_S = 0.04
 MAX_RETRY_DELAY_S = 0.5
-# A killed process is back within about FAST_RETRIES attempts.  The delay stays short for that long, so that
-# its peers reconnect as soon as it listens.
+# A killed process listens again within about FAST_RETRIES attempts.  The delay stays short for that many, so
+# that its peers reconnect at once.
 FAST_RETRIES = 30
 MAX_FAST_RETRY_DELAY_S = 0.08
 MAX_UNSENT_BYTES = 16 << 20  # written to a peer that does not read
@@ -104,11 +104,16 @@
         self.last_sent_at = time.monotonic()
         try:
             self.transport.write(data)
-        except RuntimeError:  # the loop closed it without notice: a connect cancelled while it completed
+        except (
+            RuntimeError
+        ):  # the event loop closed the transport: its connect was cancelled while completing
             self.abort()
 
     async def call(self, message: Message, timeout: float) -> Message:
-        """Send a message and return its answer, which has its number under `re`.  Raises TransportError."""
+        """Send a message and return its answer, for which it waits at most `timeout` seconds.
+
+        Raises TransportError.
+        """
         if not self.is_connected:
             raise TransportError("not connected")
         call_number = next(self.call_numbers)
@@ -232,7 +237,7 @@
         return True
 
     async def call(self, message: Message, timeout: float) -> Message:
-        """Send a message and return its answer.  Raises TransportError."""
+        """Send a message and return its answer, as `Connection.call`.  Raises TransportError."""
         if self.connection is None or not self.connection.is_connected:
             raise TransportError("not connected")
         return await self.connection.call(message, timeout)
--- a/ivymux/transport/http_calls.py
+++ b/ivymux/transport/http_calls.py
@@ -152,11 +152,11 @@
         self.failed_calls = 0
 
     def as_host(self) -> Host:
-        """This object under the type that `Server` asks for."""
+        """This object, typed as the `Host` that `Server` expects."""
         return cast("Host", self)
 
     def submit(self, call: Call, reply: Callable[[Answer], None], release: Callable[[], None]) -> Any:
-        """Start the call's handler in a task; `reply` takes its answer, `release` is called after that."""
+        """Start the call's handler in a task; `reply` gets the answer, then `release` is called."""
         assert isinstance(call, HttpCall)
         task = asyncio.get_running_loop().create_task(self.handle(call, reply, release))
         self.tasks.add(task)
