--- a/ivymux/data_plane/answer_policy.py
+++ b/ivymux/data_plane/answer_policy.py
@@ -11,7 +11,7 @@
 class AnswerPolicy:
     """How a gateway interprets the answers of its backends."""
 
-    passes_all_statuses: bool  # pass on each status with its headers; else only the bodies of 200s
+    passes_all_statuses: bool  # whether each status is passed on with its headers; else only bodies of 200s
     max_body_bytes: int  # of one answer
     max_held_bytes: int  # of the bodies of all answers that are being received
     not_run_header: bytes = b"not-started"  # in which a backend says that it did not execute a request
@@ -59,5 +59,5 @@
     return is_head or status in (204, 304)
 
 
-# By the platform's protocol.
+# The platform's protocol sets no limit on the bodies of all answers together.
 PLATFORM_POLICY = AnswerPolicy(passes_all_statuses=False, max_body_bytes=64 * 1024, max_held_bytes=1 << 62)
--- a/ivymux/data_plane/client_departures.py
+++ b/ivymux/data_plane/client_departures.py
@@ -5,21 +5,21 @@
 from dataclasses import dataclass
 from enum import Enum
 
-LATE_AFTER_S = 0.5  # after its client's disconnect, when attempts of a request should have ended
+LATE_AFTER_S = 0.5  # after a client's disconnect, when the attempts of its request should have ended
 
 
 class OnDeparture(Enum):
     """What happens to a request's attempts when its client disconnects."""
 
-    RUN_ON = "run on"  # they go on and are reported, as the platform's protocol demands
-    CANCEL_UNWRITTEN = "cancel unwritten"  # those that a backend may have started go on
+    RUN_ON = "run on"  # they continue and are reported, as the platform's protocol demands
+    CANCEL_UNWRITTEN = "cancel unwritten"  # attempts that a backend may have started continue
     CANCEL = "cancel"  # all are cancelled, as their results are not used
 
     @classmethod
     def for_request(cls, repeatable: bool) -> OnDeparture:
         """Return the rule for a request by whether it may be repeated.
 
-        One that may not is never cancelled after it was written: whether it was executed would be unknown.
+        An unrepeatable request is never cancelled after it was written: its outcome would be unknown.
         """
         return cls.CANCEL if repeatable else cls.CANCEL_UNWRITTEN
 
--- a/ivymux/data_plane/frontend.py
+++ b/ivymux/data_plane/frontend.py
@@ -41,8 +41,8 @@
 class Claim(Protocol):
     """The exclusive right to run an action, acquired before the action is sent to a backend."""
 
-    def acquire(self, go: Callable[[Answer | None], None]) -> None:
-        """Call `go` with None if the action may be sent, else with the answer to the request."""
+    def acquire(self, on_result: Callable[[Answer | None], None]) -> None:
+        """Call `on_result` with None if the action may be sent, else with the answer to the request."""
 
     def finish(self, answer: Answer | None, ran: bool) -> None:
         """End the claim with the backend's answer, if any; `ran`: the action may have been executed."""
@@ -62,13 +62,13 @@
     # Replaces `make_payload` if the bytes depend on the backend; by the seconds left and the backend.
     make_payload_for: Callable[[float, int], bytes] | None = None
     claim: Claim | None = None
-    hold_s: float = 0.0  # delay before it is passed to the decision module
+    hold_s: float = 0.0  # delay before it is passed to the decision module (fault injection)
     drops_answer: bool = False  # whether the client gets no answer from a backend (fault injection)
     on_departure: OnDeparture = OnDeparture.RUN_ON
 
 
 class Frontend(Protocol):
-    """What speaks a protocol with clients: that of the platform, of the proxy, or ordinary HTTP."""
+    """Implements a protocol with clients: the platform's, the proxy's, or ordinary HTTP."""
 
     max_body_bytes: int  # of a request
     allows_half_close: bool  # whether a client that has closed its sending side still gets its answers
--- a/ivymux/data_plane/host.py
+++ b/ivymux/data_plane/host.py
@@ -50,7 +50,7 @@
 
 
 class Counter(Protocol):
-    """The counter that a host uses: it answers each call once, by posting a `Counted` to the host."""
+    """The counter that a host uses: it answers each `Count` once, by posting a `Counted` to the host."""
 
     def add(self, count: i.Count) -> None: ...
 
@@ -242,7 +242,7 @@
                 self.upstream.close_idle(action.backend)
             case i.Log():
                 log.info("module: %s", action.text)
-            case _:  # `Watch`, as discovery is always watched, and `Tell`, as gateways have no connections
+            case _:  # `Watch`: discovery is always watched; `Tell`: gateways are not connected to each other
                 if type(action).__name__ not in self.unsupported_actions:
                     self.unsupported_actions.add(type(action).__name__)
                     log.warning("unsupported action: %s", type(action).__name__)
--- a/ivymux/data_plane/limits.py
+++ b/ivymux/data_plane/limits.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-# For the event loop, the log, the listening socket and its copy, discovery and the counter; the last two
-# double while their address changes.
+# For the event loop, the log, the listening socket and its copy, the discovery client and the counter client;
+# each of the two clients needs twice as many while its address changes.
 RESERVED_DESCRIPTORS = 29
 BODY_MEMORY_SHARE = 1 / 8  # of the process's memory, for request bodies
 
--- a/ivymux/data_plane/refusals.py
+++ b/ivymux/data_plane/refusals.py
@@ -30,14 +30,14 @@
     def count(self, cause: str) -> bool:
         """Count a refusal; return whether it is the first since the last line.
 
-        If it is, the next line is due in `LOG_INTERVAL_S`.
+        After the first one, the next line is due in `LOG_INTERVAL_S`.
         """
         first, self.has_unlogged = not self.has_unlogged, True
         self.counts[cause] += 1
         return first
 
     def count_unserved(self) -> int:
-        """Return the number of requests since the start that failed for lack of backends, not of quota."""
+        """Return how many requests since the start failed for lack of backends, as opposed to quota."""
         return sum(self.counts[cause] for cause in UNSERVED)
 
     def log_line(self) -> str:
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -38,7 +38,7 @@
 
 
 class Exchange:
-    """One request on a client connection and its answer, which is written after those before it."""
+    """One request on a client connection and its answer, which is written after all earlier answers."""
 
     __slots__ = ("answer", "call", "client", "held_bytes", "keep_alive", "request")
 
@@ -102,7 +102,7 @@
             self.queued_at = time.monotonic()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self.transport = transport
         name = transport.get_extra_info("peername")
         self.peer_address = name[0] if name else ""
@@ -299,7 +299,7 @@
             self.transport.resume_reading()
 
     def reject(self, error: BadRequest) -> None:
-        """Answer bytes that can't be parsed as a request, after the answers still due, and close."""
+        """Refuse bytes that can't be parsed as a request, after the answers still due, and close."""
         if not self.is_discarding:
             self.is_discarding, self.is_receiving = True, False
             self.release_body()
@@ -341,8 +341,8 @@
         self.max_held_bytes = bounds.max_held_bytes  # of request bodies; requests beyond it are refused
         self.loop = asyncio.get_running_loop()
         self.clients: set[ClientConnection] = set()
-        # Each connection is in at most one queue, ordered by the time at which it entered it; one that
-        # waits for an answer is in none.
+        # Queues of connections, each in the order in which connections entered it.  A connection is in at
+        # most one of them; while it waits for an answer it is in none.
         self.new_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # no complete request yet
         self.idle_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # between two requests
         self.receiving_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # within a request
@@ -393,15 +393,15 @@
             copy = socket.fromfd(listening.fileno(), listening.family, listening.type)
             copy.setblocking(False)
             self.listener_copies.append(copy)
-            # Called later, as uvloop itself takes a single connection at less cost.
+            # By `call_soon`, so that uvloop accepts first: for a single connection that costs less.
             self.loop.add_reader(copy, self.loop.call_soon, self.accept_further, copy)
 
     def accept_further(self, listening: socket.socket) -> None:
-        """Accept more of a burst of connections than the one that uvloop accepts in each of its steps.
+        """Accept further connections of a burst; uvloop itself accepts one in each step of the event loop.
 
-        Else the last ones would wait for as many steps, each of which also serves requests of the first ones.
-        Beyond half of the limit this is left to uvloop: a connection whose request is not read yet may have
-        to make room for those behind it.
+        Otherwise the last of n connections would wait for n steps, each of which also serves requests of
+        earlier connections.  While more than half of `max_clients` are open, only uvloop accepts: a
+        connection whose request is not read yet could be evicted in favour of the next ones.
         """
         room = self.max_clients // 2 - len(self.clients) - len(self.accepting)
         for _ in range(min(ACCEPTS_PER_STEP, room)):
--- a/ivymux/data_plane/upstream.py
+++ b/ivymux/data_plane/upstream.py
@@ -21,8 +21,8 @@
 MAX_HEAD_BYTES = 16 * 1024  # of an answer's header section, including interim answers
 MAX_CHUNKED_OVERHEAD = 8  # bytes on the wire for each byte of body, as a chunk may hold a single byte
 MAX_SHARE_PER_BACKEND = 0.5  # of all connections that one backend may have
-IDLE_TIME_SHARE = 0.5  # of the backend's idle timeout, after which an idle connection is closed here
-SWEEP_INTERVAL_S = 1.0  # between two searches for such connections
+IDLE_TIME_SHARE = 0.5  # of a backend's idle timeout, after which an idle connection is closed on this side
+SWEEP_INTERVAL_S = 1.0  # between two searches for connections that were idle for too long
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d{1,6})", re.ASCII | re.IGNORECASE)
 REPORT_VALUE = re.compile(r"\d{1,15}(\.\d{1,15})?", re.ASCII)
 
@@ -147,7 +147,7 @@
         self.content_type = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         transport.set_write_buffer_limits(high=0)  # `pause_writing` is called as soon as bytes are buffered
         self.transport = transport
         self.poller.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -196,7 +196,8 @@
             self.abort()  # ends the attempt, in `connection_lost`
             return
         # Deliver only after all bytes read were parsed: `finish` may start the next attempt on this
-        # connection, and bytes behind this answer must not count for it.  This answer is valid anyway.
+        # connection, and bytes after this answer must not count for that attempt.  They do not invalidate
+        # this answer.
         self.deliver(
             self.attempt, self.result, self.is_reusable and error is None and not self.has_unsent_bytes
         )
--- a/ivymux/fault_injection/guard.py
+++ b/ivymux/fault_injection/guard.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 WINDOW_S = 5.0  # failures are counted over this time
-MIN_FAILURE_RATE = 0.01  # expected where no failures were seen before the trials
+MIN_FAILURE_RATE = 0.01  # the expected rate is at least this, also if no request failed before the trials
 RATE_FACTOR = 2.0  # by which the failure rate from before the trials may rise
 MAX_DEVIATIONS = 4.0  # standard deviations above the expected failures that still count as chance
 MIN_FAILURES = 10  # fewer never end a trial
--- a/ivymux/fault_injection/request_matcher.py
+++ b/ivymux/fault_injection/request_matcher.py
@@ -1,10 +1,10 @@
 """Decides at a proxy which requests are under a trial, and until when.  Pure; times are passed in.
 
-A trial is in force at a proxy only under a lease.  The proxy asks the core for the trials again and again;
-each answer says how old it is, and grants a lease of LEASE_S from the moment at which it was true.  Without
-a renewal every trial ends at that proxy, by its steady clock.  So a trial has ended at each proxy at most
-one lease after its end, even at a proxy that is partitioned from the core; a proxy that restarts has no
-lease at first.
+A trial is in force at a proxy only under a lease.  The proxy requests the trials from the core every
+RENEWAL_INTERVAL_S; each answer says how old its data is, and grants a lease of LEASE_S from the time at which
+the data was current.  Without a renewal every trial ends at that proxy, by the proxy's steady clock.  Thus an
+ended trial is in force for at most LEASE_S longer, even at a proxy that is partitioned from the core.  After
+its start a proxy has no lease at first.
 """
 
 from __future__ import annotations
@@ -87,10 +87,13 @@
             active.keys = frozenset() if key is None else frozenset({key})
             self.active_by_caller.setdefault(trial.caller, []).append(active)
 
-    def renew_lease(self, version: int, asked_at: float, age_s: float) -> None:
-        """Take the core's answer to a question asked at `asked_at`: `age_s` before, `version` was current."""
+    def renew_lease(self, version: int, requested_at: float, age_s: float) -> None:
+        """Renew the lease by the core's answer to a request of the time `requested_at`.
+
+        `version` was the current one `age_s` seconds before that time.
+        """
         if version == self.trials.version:
-            self.lease_until = max(self.lease_until, asked_at - max(0.0, age_s) + LEASE_S)
+            self.lease_until = max(self.lease_until, requested_at - max(0.0, age_s) + LEASE_S)
 
     def has_running_trial(self, steady: float) -> bool:
         """Whether the lease has to be renewed."""
--- a/ivymux/fault_injection/trial_set.py
+++ b/ivymux/fault_injection/trial_set.py
@@ -2,8 +2,8 @@
 
 A trial names one caller, what happens to its requests, to which share of them, from when and for how long.
 The set is one replicated setting of the config store, changed by compare-and-set on its version, so that a
-change is made whole or not at all.  Ended trials stay in it, with author and reason, until newer ones need
-the space.
+change is made whole or not at all.  Ended trials stay in the set, with author and reason, until newer ones
+need the space.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 MAX_DOCUMENT_BYTES = 8 << 10  # of what an operator sends
 MAX_DELAY_S = 10.0
 DEFAULT_MAX_TRIAL_S = 600.0  # a trial lasts at most this long where the settings give no limit
-MAX_STARTS_IN_S = 3600.0
+MAX_STARTS_IN_S = 3600.0  # from the order of a trial to its start
 MAX_RETRY_AFTER_S = 60.0
 MAX_ZONE_CHARS = 100
 MAX_REMARK_CHARS = 200  # of `by` and `why`
@@ -85,9 +85,9 @@
 
     name: str
     caller: str  # the tenant's name
-    does: str
-    by: str
-    why: str
+    does: str  # a key of FAULTS
+    by: str  # who ordered it
+    why: str  # the operator's reason
     made: float  # when it was ordered
     at: float  # when it starts
     lasts: float
@@ -95,10 +95,10 @@
     route: str = ""
     service: str = ""
     zone: str = ""
-    status: int = 503
-    after: float = 1.0
-    delay: float = 0.0
-    share: float = 1.0
+    status: int = 503  # of a refusal
+    after: float = 1.0  # Retry-After of a refusal
+    delay: float = 0.0  # of a delayed request
+    share: float = 1.0  # of the caller's requests
     ended: float = 0.0
     ended_by: str = ""
     ended_why: str = ""
@@ -244,7 +244,10 @@
 
 
 def resolve_key_digest(prefix: str, caller: str, plan: RoutePlan) -> str:
-    """Return the digest of the caller's only key whose digest has this prefix.  Raises TrialError."""
+    """Return the digest of the caller's only key whose digest has this prefix; empty without a prefix.
+
+    Raises TrialError.
+    """
     if not prefix:
         return ""
     if not DIGEST.fullmatch(prefix):
--- a/ivymux/fault_injection/validation.py
+++ b/ivymux/fault_injection/validation.py
@@ -1,4 +1,4 @@
-"""Decodes operators' calls about trials by msgspec and by pyserde; both have to accept.  Pure.
+"""Decodes operators' calls about trials by msgspec and by pyserde; both have to accept a call.  Pure.
 
 Importing pyserde takes long: import this module only where such a call is served.
 """
