--- a/tests/config_store/test_epochs.py
+++ b/tests/config_store/test_epochs.py
@@ -30,10 +30,11 @@
     run_two_changes,
 )
 
-SCHEDULES = int(os.environ.get("EPOCH_SCHEDULES", "400"))
+SCHEDULES = int(os.environ.get("EPOCH_SCHEDULES", "400"))  # how many random fault schedules are run
 
 
-def started(seed: int, count: int = 3, make_replica: ReplicaFactory = Replica) -> CoreCluster:
+def started_cluster(seed: int, count: int = 3, make_replica: ReplicaFactory = Replica) -> CoreCluster:
+    """Return a cluster of `count` machines that serves, after starts at random times."""
     cluster = CoreCluster(seed, count, make_replica)
     for ip in cluster.machines:
         cluster.start_at(cluster.random.uniform(0, 0.3), ip)
@@ -52,11 +53,11 @@
         epochs = {line.split(" is in force")[0] for line in cluster.log if "is in force" in line}
         # No epoch number is used twice.
         assert len({line.split("epoch ")[1] for line in epochs}) == len(epochs)
-    assert started(3).log == snapshot
+    assert started_cluster(3).log == snapshot
 
 
 def test_a_fourth_machine_joins_and_a_lost_one_is_removed() -> None:
-    cluster = started(5, 4)
+    cluster = started_cluster(5, 4)
     assert cluster.run_until(lambda: members(cluster) == {"m0", "m1", "m2", "m3"}, 3.0)
     cluster.kill("m3")
     assert cluster.run_until(lambda: members(cluster) == {"m0", "m1", "m2"}, 12.0)
@@ -82,6 +83,7 @@
 
 
 def members(cluster: CoreCluster) -> set[str]:
+    """Return the addresses of the members of the epoch in force; empty without a primary."""
     primaries = cluster.primaries()
     replica = cluster.machines[primaries[0]].replica if primaries else None
     if replica is None or replica.led_epoch is None:
@@ -93,7 +95,7 @@
 def test_a_lost_primary_is_replaced_within_three_seconds(count: int) -> None:
     waits = []
     for seed in range(50):
-        cluster = started(seed, count)
+        cluster = started_cluster(seed, count)
         cluster.run_for(1.0)
         primary = cluster.primaries()[0]
         cluster.kill(primary)
@@ -109,7 +111,7 @@
 def test_an_acknowledged_change_survives_a_lost_disk_and_a_power_failure(count: int) -> None:
     """The primary loses its disk and every other machine its power, right after an acknowledgement."""
     for seed in range(40):
-        cluster = started(seed, count)
+        cluster = started_cluster(seed, count)
         cluster.run_for(1.5)
         primary = cluster.primaries()[0]
         for version in (4, 9):
@@ -124,7 +126,7 @@
 
 def test_a_change_survives_the_loss_of_the_backups_disk_and_then_of_the_primarys() -> None:
     for seed in range(30):
-        cluster = started(seed)
+        cluster = started_cluster(seed)
         cluster.run_for(1.0)
         primary = cluster.primaries()[0]
         replica = cluster.machines[primary].replica
@@ -143,7 +145,7 @@
 @pytest.mark.parametrize("one_way", [False, True])
 def test_a_primary_that_is_cut_off_serves_no_stale_reads(one_way: bool) -> None:
     for seed in range(30):
-        cluster = started(seed, 3 + seed % 2)
+        cluster = started_cluster(seed, 3 + seed % 2)
         cluster.run_for(1.0)
         primary = cluster.primaries()[0]
         for ip in cluster.machines:
@@ -166,7 +168,7 @@
     Just before the backup may start an election, the primary no longer receives the witness's messages, so it
     does not learn of a new epoch.
     """
-    cluster = started(seed, 3, make_replica)
+    cluster = started_cluster(seed, 3, make_replica)
     cluster.run_for(1.0)
     replica = cluster.machines[cluster.primaries()[0]].replica
     assert replica is not None and replica.led_epoch is not None
@@ -184,17 +186,19 @@
 
 
 def test_a_primary_that_is_cut_off_from_its_backup_serves_no_stale_reads() -> None:
-    taken = 0
+    acknowledging_runs = 0
     for seed in range(20):
         cluster = run_partitioned_pair(seed)
-        taken += cluster.highest_acknowledged > 0  # the candidates may keep colliding for longer than the run
+        acknowledging_runs += (
+            cluster.highest_acknowledged > 0
+        )  # the candidates may keep colliding for longer than the run
         assert cluster.read(cluster.heal()) is not None
-    assert taken > 15
+    assert acknowledging_runs > 15
 
 
 def test_changes_are_acknowledged_again_after_a_disk_hung() -> None:
     for seed in range(20):
-        cluster = started(seed)
+        cluster = started_cluster(seed)
         primary = cluster.primaries()[0]
         cluster.machines[primary].disk.commit_s = 8.0
         cluster.put(primary, 4, "four")
@@ -269,7 +273,10 @@
 
 
 def test_no_lease_grant_for_an_epoch_that_may_not_be_on_disk_yet() -> None:
-    """A member that loses an epoch learned from a lease request in a restart could grant another's lease."""
+    """A restart before the epoch is on disk would lose the epoch and the grant.
+
+    The member could then grant its lease to another machine while the first grant still counts.
+    """
     old = EpochRecord(2, "a/1", "b/1", ("a/1", "b/1", "c/1"))
     replica = Replica(DurableState("c/1", old, 2, "a/1", None), 100.0)
     new = EpochRecord(3, "b/1", "a/1", old.members)
--- a/tests/config_store/test_idempotency_records.py
+++ b/tests/config_store/test_idempotency_records.py
@@ -23,17 +23,17 @@
 from ivymux.simulation.core_cluster import Answer, CoreCluster, GuaranteeViolation
 from ivymux.simulation.fault_schedules import play_random_schedule
 
-from .test_epochs import started
+from .test_epochs import started_cluster
 
 
 def claim(key: int, number: int = 1) -> ClaimAction:
     return ClaimAction(f"{key:032x}", "tenant", f"door/{number}", "place", "body", 4.0)
 
 
-def call_primary(cluster: CoreCluster, call: Call, most: float = 5.0) -> Answer:
+def call_primary(cluster: CoreCluster, call: Call, timeout_s: float = 5.0) -> Answer:
     """Return the primary's answer to a call."""
     answers: list[Answer] = []
-    for _ in range(int(most / 0.05)):
+    for _ in range(int(timeout_s / 0.05)):
         for ip in cluster.machines:
             if not answers:
                 cluster.call(ip, call, answers.append)
@@ -69,7 +69,7 @@
 
 
 def test_a_claim_is_on_both_disks_before_it_is_answered() -> None:
-    cluster = started(3)
+    cluster = started_cluster(3)
     primary, backup = primary_and_backup(cluster)
     answers: list[Answer] = []
     assert cluster.call(primary, claim(1), answers.append) and not answers
@@ -82,7 +82,7 @@
 
 
 def test_a_new_backup_receives_only_the_ranges_that_differ() -> None:
-    cluster = started(4)
+    cluster = started_cluster(4)
     for key in range(40):
         call_primary(cluster, claim(key << 120 | key))
     _, backup = primary_and_backup(cluster)
@@ -109,7 +109,7 @@
 
 
 def test_copies_that_differ_are_repaired_while_an_epoch_is_in_force() -> None:
-    cluster = started(5)
+    cluster = started_cluster(5)
     for key in range(10):
         call_primary(cluster, claim(key))
     primary, backup = primary_and_backup(cluster)
@@ -123,14 +123,14 @@
 
 
 def test_copies_are_not_compared_without_records() -> None:
-    cluster = started(6)
+    cluster = started_cluster(6)
     seen = record_message_types(cluster)
     cluster.run_for(8.0)
     assert not {RecordDigest, RecordRangeDigests, RecordRepair, RecordWrite} & set(seen)
 
 
 def test_settings_reach_all_machines_and_one_that_starts_later() -> None:
-    cluster = started(7)
+    cluster = started_cluster(7)
     cluster.kill("m2")
     cluster.run_for(0.5)
     setting = PutSetting("conversations", 4, '{"settings_version":4,"kept_for":"1h"}')
@@ -153,7 +153,7 @@
 
 
 def test_a_claim_out_of_bounds_is_rejected() -> None:
-    cluster = started(8)
+    cluster = started_cluster(8)
     with pytest.raises(ValueError):
         cluster.call(
             cluster.primaries()[0], ClaimAction("no key", "tenant", "door/1", "place", "body", 4.0), print
@@ -198,7 +198,7 @@
 
 def test_a_setting_based_on_another_version_is_not_stored() -> None:
     """Of two operators who change the same setting at once, the later one must make the change again."""
-    cluster = started(3)
+    cluster = started_cluster(3)
 
     def put(based_on: int, version: int, text: str) -> Answer:
         return call_primary(cluster, PutSetting("trials", version, text, based_on))
@@ -217,7 +217,7 @@
 
 
 def test_another_text_under_the_version_held_is_not_stored() -> None:
-    cluster = started(3)
+    cluster = started_cluster(3)
     assert call_primary(cluster, PutSetting("conversations", 4, "one")) == {"ok": True, "version": 4}
     assert call_primary(cluster, PutSetting("conversations", 4, "other")) == {
         "ok": True,
--- a/tests/config_store/test_losses.py
+++ b/tests/config_store/test_losses.py
@@ -226,7 +226,7 @@
 
 def test_a_thousand_changes_while_machines_are_down_in_turn() -> None:
     cluster = start_cluster(5, 4)
-    away: dict[str, int] = {}
+    away: dict[str, int] = {}  # machines that are down, and the version at which each starts again
     for version in range(2, 1002):
         if version % 100 == 50:
             victim = machine_with_role(cluster, ROLES[version // 100 % 3])
--- a/tests/fault_injection/test_request_matcher.py
+++ b/tests/fault_injection/test_request_matcher.py
@@ -1,4 +1,4 @@
-"""Trials at a proxy: which requests they match, for how long, and 1,000 random runs of the whole model."""
+"""Trials at a proxy: which requests they match, for how long, and 1,000 random runs of a simulated system."""
 
 from __future__ import annotations
 
@@ -97,12 +97,12 @@
 
 def test_random_runs_detect_a_lease_that_is_too_long(monkeypatch: pytest.MonkeyPatch) -> None:
     """The model must find a lease that ignores the answer's age, and one of twice the length."""
-    true = RequestMatcher.renew_lease
+    original = RequestMatcher.renew_lease
     monkeypatch.setattr(
-        RequestMatcher, "renew_lease", lambda self, v, asked, age: true(self, v, asked + age, 0.0)
+        RequestMatcher, "renew_lease", lambda self, v, asked, age: original(self, v, asked + age, 0.0)
     )
     assert any(TrialRun(seed).play().violations for seed in range(200))
-    monkeypatch.setattr(RequestMatcher, "renew_lease", true)
+    monkeypatch.setattr(RequestMatcher, "renew_lease", original)
     monkeypatch.setattr(request_matcher, "LEASE_S", 2 * LEASE_S)
     assert any(TrialRun(seed).play().violations for seed in range(200))
 
--- a/tests/registry/test_applied.py
+++ b/tests/registry/test_applied.py
@@ -15,7 +15,7 @@
 
 
 def connect_proxy(registry: Registry, number: int) -> Connection:
-    """Connect a proxy, as far as the registry can tell."""
+    """Register a proxy without a socket; return its connection."""
     connection = Connection(registry.on_message, on_disconnect=registry.on_disconnect)
     connection.is_connected = True
     registry.handle_message(
--- a/tests/registry/test_calls.py
+++ b/tests/registry/test_calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls of backends that are truncated change nothing."""
+"""Truncated HTTP calls of backends change nothing."""
 
 from __future__ import annotations
 
--- a/tests/registry/test_outlier_detection.py
+++ b/tests/registry/test_outlier_detection.py
@@ -62,10 +62,10 @@
 
 
 def test_answers_of_an_overloaded_backend_are_no_failures() -> None:
-    against = {
+    counted = {
         (o, s) for o in Outcome for s in (0, 200, 404, 500, 502, 503, 504) if indicates_backend_failure(o, s)
     }
-    assert {(o, s) for o, s in against if o is not Outcome.CANCELLED} == {
+    assert {(o, s) for o, s in counted if o is not Outcome.CANCELLED} == {
         (Outcome.ERROR, 500), (Outcome.ERROR, 502),
     }  # fmt: skip
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -152,7 +152,10 @@
 
 @dataclass
 class FakeAgent:
-    """A discovery agent: sends the whole list, then each of `watch_lines` as a chunk of the watch."""
+    """A discovery agent: sends the whole list, then each of `watch_lines` as a chunk of the watch.
+
+    The line `<end>` ends the watch.
+    """
 
     watch_lines: list[bytes] = field(default_factory=list)
     targets: list[str] = field(default_factory=list)
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -18,11 +18,14 @@
 
 
 async def put(cluster: LocalCluster, body: Any) -> dict[str, Any]:
+    """Send a configuration; return the fields of the answer, and its status under `status`."""
     status, answer = await cluster.put_configuration(body)
     return {"status": status, **json.loads(answer)}
 
 
 def test_two_operators_send_one_version_to_two_machines(tmp_path: Path) -> None:
+    """One text is accepted and the other refused, also after a failover and after later versions."""
+
     async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=0) as cluster:
             await cluster.start_all(initial_start=True)
--- a/tests/system/test_conversations.py
+++ b/tests/system/test_conversations.py
@@ -12,7 +12,7 @@
 
 
 async def try_action(
-    cluster: LocalCluster, proxy: int, key: str, path: str = "/sign/1", body: bytes = b"yes", **more: str
+    cluster: LocalCluster, proxy: int, key: str, path: str = "/sign/1", body: bytes = b"yes", **headers: str
 ) -> str:
     """Try an action once, and summarise the answer that its caller gets."""
     answer = await cluster.send_request(
@@ -21,7 +21,7 @@
         path,
         content=body,
         Idempotency_Key=key,
-        **{"Time_Remaining": "1500", **more},
+        **{"Time_Remaining": "1500", **headers},
     )
     if answer is None:
         return "no answer"
@@ -112,7 +112,7 @@
     assert summary == snapshot
 
 
-def test_an_answered_action_survives_the_loss_of_the_leader_and_of_all_processes(tmp_path: Path) -> None:
+def test_an_answered_action_survives_the_loss_of_the_primary_and_of_all_processes(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with local_cluster(tmp_path) as cluster:
             (desk,) = await start_backends(cluster, "i-desk")
--- a/tests/system/test_leaving.py
+++ b/tests/system/test_leaving.py
@@ -17,7 +17,7 @@
 from standins.backend import Backend
 
 MAX_CANCEL_DELAY_S = 0.5  # from a client's disconnect to the end of the work for it
-ROUNDS = 3  # the fastest counts, as other load can only slow one down
+ROUNDS = 3  # the fastest one counts, as other load on the machine can only slow a round down
 CLIENT_TIMEOUT_MS = 30_000  # so long that no deadline ends the work
 
 
@@ -117,7 +117,7 @@
 
 
 def test_work_ends_when_clients_leave_a_proxy_that_is_shutting_down(tmp_path: Path) -> None:
-    """Also for a pipelined request behind another one."""
+    """The work for a pipelined request behind another one ends too."""
 
     async def scenario() -> None:
         async with cluster_with_gated_backends(tmp_path) as (cluster, proxy, backend):
--- a/tests/system/test_offsets.py
+++ b/tests/system/test_offsets.py
@@ -1,6 +1,6 @@
 """Connections to backends that break at each byte of a request and of an answer, over real processes.
 
-A non-idempotent request arrives complete at most once, and a success is its own request's complete answer.
+A non-idempotent request arrives complete at most once, and a success is the complete answer to its request.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
     return backend
 
 
-def check(answer: httpx.Response | None, id: str, target: str, desk: BreakingBackend) -> None:
+def check_outcome(answer: httpx.Response | None, id: str, target: str, desk: BreakingBackend) -> None:
     """Check the outcome of one try against what its client and the backend observed."""
     assert answer is not None and answer.status_code in (200, 502, 503, 504), answer
     assert desk.complete_runs[id] <= 1
@@ -120,7 +120,7 @@
             async def ask(id: str) -> int:
                 target = f"/sign/{id}"
                 answer = await cluster.send_request(cluster.proxy_ips[0], "POST", target, Try_Id=id)
-                check(answer, id, target, desk)
+                check_outcome(answer, id, target, desk)
                 assert answer is not None
                 return answer.status_code
 
@@ -133,10 +133,10 @@
                 for offset in range(1, offsets):
                     desk.armed = replace(kind, offset=offset)
                     statuses[name, await ask(f"{number}-{offset:03d}")] += 1
-                    # The next request may use the same connection, if that is kept.
+                    # The next request may use the same connection, if the proxy keeps it.
                     while await ask(f"{number}+{offset:03d}") == 503:  # the backend is avoided for a while
                         desk.complete_runs.pop(f"{number}+{offset:03d}", None)
-            assert statuses["answer", 200] == 2  # only those whose last byte was sent
+            assert statuses["answer", 200] == 2  # only the answers whose last byte was sent
             assert statuses["late", 200] >= 1 and statuses["request", 200] == 0, statuses
 
     asyncio.run(scenario())
--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -156,7 +156,7 @@
     asyncio.run(scenario())
 
 
-def test_the_configuration_survives_a_lost_leader_and_a_loss_of_all_processes(tmp_path: Path) -> None:
+def test_the_configuration_survives_a_lost_primary_and_a_loss_of_all_processes(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with local_cluster(tmp_path, proxy_count=1) as cluster:
             await cluster.start_all(initial_start=True)
@@ -193,7 +193,7 @@
                 await cluster.start(ip, initial_start=True)
             text = json.dumps(build_configuration(3)).encode()
             assert (await cluster.put_configuration(text, cluster.core_ips[:2]))[0] == 200
-            # Its first start, as a seed: it does not found a second core, and soon answers like the others.
+            # The late machine starts for the first time, as a seed: it must not found a second core.
             await cluster.start(late, initial_start=True)
             while (await cluster.call_core("GET", late, "/configuration"))[0] != 200:
                 await asyncio.sleep(0.02)
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -42,10 +42,10 @@
 
 
 async def start_trial(
-    cluster: LocalCluster, name: str, caller: str = "clerks", core: int = 0, **more: Any
+    cluster: LocalCluster, name: str, caller: str = "clerks", core: int = 0, **fields: Any
 ) -> dict[str, Any]:
     """Start a trial, and wait until it is in force at both proxies."""
-    body = {"caller": caller, "by": "ann", "why": "to see it fail", **more}
+    body = {"caller": caller, "by": "ann", "why": "to see it fail", **fields}
     status, answer = await cluster.call_core("PUT", cluster.core_ips[core], f"/trials/{name}", body)
     assert status == 200, answer
     while len((result := await trial_report(cluster, name, core))["in_force_at"]) < 2:
@@ -71,6 +71,7 @@
 async def answer_to(
     cluster: LocalCluster, proxy: int, caller: str, path: str = "/read/1", **headers: str
 ) -> str:
+    """Send a request of a caller, or with a key of its own, and summarise the answer."""
     key = CALLERS.get(caller, caller)
     answer = await cluster.send_request(cluster.proxy_ips[proxy], "GET", path, key, b"", **headers)
     if answer is None:
@@ -160,9 +161,9 @@
             await start_trial(cluster, "t-delay", does="delay", delay="400ms")
             began = asyncio.get_running_loop().time()
             assert (await answer_to(cluster, 0, "chairs")).startswith("200")
-            quick = asyncio.get_running_loop().time() - began
+            undelayed_s = asyncio.get_running_loop().time() - began
             assert (await answer_to(cluster, 0, "clerks")).startswith("200")
-            assert asyncio.get_running_loop().time() - began - quick >= 0.4
+            assert asyncio.get_running_loop().time() - began - undelayed_s >= 0.4
             await end_trial(cluster, "t-delay")
             status, answer = await cluster.call_core("GET", cluster.core_ips[0], "/trials")
             result = json.loads(answer)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -244,7 +244,7 @@
     assert not caplog.records
 
 
-# Idle connections must not keep new clients from being served, as in incident r76ab84.
+# Idle connections must not keep new clients from being served, as in incident r76ab84 (README.md).
 def test_idle_connections_are_closed_early_once_half_of_all_are_in_use(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -268,7 +268,7 @@
 
 
 def test_a_burst_of_connections_is_accepted_in_few_steps_of_the_event_loop() -> None:
-    """The last one must not wait for as many steps, as each may serve requests of those before it."""
+    """The last of n connections must not wait for n steps: each may also serve requests of earlier ones."""
 
     async def test() -> None:
         async with platform_gateway("127.0.0.1:1", react=send_to_first) as (gateway, _):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -19,7 +19,7 @@
 from .sockets import config_text
 
 
-def test_nested_settings_read_as_the_simulators_do() -> None:
+def test_nested_settings_equal_the_simulators_flat_settings() -> None:
     config = parse(config_text([], "127.0.0.1:6400", report__columns="latency_ms,util"), {})
     expected = parse_settings(settings_text(report__columns="latency_ms,util"))
     assert config.settings == expected
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -551,14 +551,14 @@
             GatewayClient(gateway.server) as other,
         ):
             decision_module = gateway.host.decision_module
-            asked = asyncio.ensure_future(client.send_request(1, Idempotency_Key="costly"))
+            pending = asyncio.ensure_future(client.send_request(1, Idempotency_Key="costly"))
             await until(lambda: costly)
             sent = time.monotonic()
             while time.monotonic() - sent < 0.5:
                 decision_module.class_latency[1] = decision_module.latency = 0.1
                 assert (await other.send_request(1)).status == 200
             release.set()
-            assert (await asked).status == 200
+            assert (await pending).status == 200
             assert len(costly) == 1
 
     run(test())
@@ -850,8 +850,8 @@
         async with (
             listening(tally.handle) as counter,
             listening(FakeBackend().handle) as endpoint,
-            # A call that takes half of its timeout cuts the rate too, however it ends.  Half of this one is
-            # as long as a test may run, so that a stall of the machine makes no slow call.
+            # A call that takes half of its timeout cuts the rate too, however it ends.  Half of this timeout
+            # is as long as a test may run, so that a stall of the machine makes no slow call.
             platform_gateway(endpoint, counter=counter, extra__counter_timeout_s="120") as (gateway, _),
         ):
             decision_module = gateway.host.decision_module
