--- a/ivymux/config_store/changes.py
+++ b/ivymux/config_store/changes.py
@@ -136,7 +136,7 @@
         if self.led_epoch is None or message.epoch != self.led_epoch.number or not self.is_writable():
             return
         for change in self.pending:
-            # Changes are written in order: a disk that holds a later one holds this one too.
+            # Changes are written in order: a disk that holds a later change holds this one too.
             if change.version <= message.version:
                 change.on_own_disk = change.on_own_disk or message.sender == self.identity
                 change.on_backup = change.on_backup or message.sender == self.led_epoch.backup
@@ -168,7 +168,7 @@
             return  # promised to another candidate: writes of an earlier primary are fenced off
         if message.version > self.state.version:
             if message.previous > self.state.version:
-                return  # a change before it was lost on the way and will be sent again
+                return  # an earlier change was lost on the way; the primary will send it again
             self.state = ConfigurationState(message.epoch, message.version, message.text)
             change = (message.version, digest_of(message.text))
             self.history.add(*change)
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -272,10 +272,8 @@
     def better_backup_may_answer(self, attempt: ElectionAttempt, backup: str, partner: str) -> bool:
         """Whether the promise of a better backup may still be on its way."""
         unfit = self.unfit_backups()
-        partner_may_answer = partner not in attempt.promises and partner not in unfit
-        return (
-            partner_may_answer or backup in unfit
-        ) and self.now - attempt.started_at < RETRY_INTERVAL_S / 3
+        awaits_partner = partner not in attempt.promises and partner not in unfit
+        return (awaits_partner or backup in unfit) and self.now - attempt.started_at < RETRY_INTERVAL_S / 3
 
     def next_epoch_members(self, record: EpochRecord, present: set[str]) -> tuple[str, ...]:
         """Return the members of the epoch after `record`, as far as known now."""
@@ -283,7 +281,7 @@
             joiner for joiner, at in self.join_requested_at.items() if self.now - at <= 3 * JOIN_INTERVAL_S
         ]
         others = [member for member in record.members if member != self.identity]
-        # A silent member is replaced sooner than it is removed without a replacement, as it may return.
+        # A silent member may return, so it is removed without a replacement only after a longer silence.
         has_replacement = any(joiner not in record.members for joiner in joiners)
         silence_s = BACKUP_TIMEOUT_S if has_replacement else MEMBER_TIMEOUT_S
         leaving_members = self.leaving_members()
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -70,7 +70,7 @@
         self.disk_executor = ThreadPoolExecutor(1)
         self.queue: deque[Action] = deque()  # actions that wait for the write in progress
         self.writing: list[Persist] = []  # the write in progress
-        self.after_write: list[Action] = []  # actions to carry out once it is done
+        self.after_write: list[Action] = []  # actions to carry out once that write is done
         self.peers: dict[str, Connector] = {}  # by address
         self.listener = Listener(self.on_message, on_disconnect=self.on_disconnect)
         self.registries: set[Connection] = set()  # that receive updates
--- a/ivymux/config_store/timing.py
+++ b/ivymux/config_store/timing.py
@@ -4,9 +4,9 @@
 LEASE_S = 0.75  # for which a member grants its lease, from when it receives the request
 LEASE_MARGIN = 0.85  # share of LEASE_S for which the primary counts on a grant, from when it sent the request
 RENEWAL_INTERVAL_S = 0.2  # between a primary's lease requests
-RENEWALS_PER_RECORD = 5  # one in so many lease requests carries the whole epoch record, not just its number
+RENEWALS_PER_RECORD = 5  # one of this many lease requests carries the whole epoch record, not just its number
 LOST_MAJORITY_TIMEOUT_S = 0.5  # without a majority's grants, after which a primary steps down
-PROCESS_PAUSE_S = 0.3  # between two calls of a replica, above which its process was paused
+PROCESS_PAUSE_S = 0.3  # a longer time between two calls of a replica means that its process was paused
 
 # Members and backups.
 BACKUP_TIMEOUT_S = 1.0  # without a message, after which the backup counts as lost
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -304,7 +304,7 @@
             self.is_discarding, self.is_receiving = True, False
             self.release_body()
             if self.exchanges:
-                self.move_to_queue(None)  # the requests before it have their own deadlines
+                self.move_to_queue(None)  # the requests before this answer have their own deadlines
             exchange = Exchange(self, keep_alive=False)
             self.exchanges.append(exchange)
             exchange.reply(self.server.refusal(error))
@@ -355,7 +355,7 @@
         self.max_head_bytes = MAX_HEAD_BYTES
         self.read_timeout, self.idle_timeout = READ_TIMEOUT_S, IDLE_TIMEOUT_S
         self.asyncio_server: asyncio.Server | None = None
-        self.listener_copies: list[socket.socket] = []  # of its sockets, for `accept_further`
+        self.listener_copies: list[socket.socket] = []  # copies of its sockets, for `accept_further`
         self.accepting: set[asyncio.Task[None]] = set()
         self.listening_socket: socket.socket | None = None  # until connections are accepted from it
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_overdue)
@@ -417,7 +417,7 @@
         try:
             accepted.setblocking(False)
             _, client = await self.loop.connect_accepted_socket(lambda: self.client_type(self), accepted)
-        except OSError:  # its client has left
+        except OSError:  # the client has disconnected
             accepted.close()
             return
         if self.is_stopping and client in self.new_clients and not client.is_receiving:
@@ -463,7 +463,7 @@
             for client in self.pop_overdue(queue, timeout):
                 # A client that sent bytes outside of a request, such as empty lines, gets an answer too.
                 client.reject(late) if client.is_receiving or client.stray_bytes else client.abort()
-        # Free descriptors early: a burst of new connections must not close those about to send a request.
+        # Free descriptors early: a burst of new connections must not evict clients about to send a request.
         is_half_full = len(self.clients) >= self.max_clients / 2
         max_idle_s = EVICTABLE_IDLE_S if is_half_full else self.idle_timeout
         for queue, timeout in ((self.idle_clients, max_idle_s), (self.closing_clients, LINGER_S)):
--- a/ivymux/fault_injection/__init__.py
+++ b/ivymux/fault_injection/__init__.py
@@ -1,3 +1,3 @@
 """Fault injection: in a trial, all proxies fail or delay the requests of one named caller."""
 
-TRIALS = "trials"  # the replicated setting that holds them
+TRIALS = "trials"  # name of the replicated setting that holds all trials
--- a/ivymux/fault_injection/request_matcher.py
+++ b/ivymux/fault_injection/request_matcher.py
@@ -49,7 +49,8 @@
     active: dict[str, ActiveTrial] = field(default_factory=dict)  # by the trial's name
     key_by_digest: dict[str, bytes] = field(default_factory=dict)  # the configuration's keys
     lease_until: float = -math.inf  # steady time
-    active_by_caller: dict[str, list[ActiveTrial]] = field(default_factory=dict)  # those of this zone
+    # The trials in `active` that concern this zone.
+    active_by_caller: dict[str, list[ActiveTrial]] = field(default_factory=dict)
     forwarded: int = 0  # requests under a trial that still went to a backend
 
     def apply(self, trials: TrialSet, steady: float, unix: float) -> bool:
--- a/ivymux/registry/backend_records.py
+++ b/ivymux/registry/backend_records.py
@@ -37,9 +37,9 @@
     capacity: int
     state: str
     call_seq: int
-    warm_until: float  # until then it is slow because it has just started
+    warm_until: float  # until then the backend is slow because it has just started
     last_call_at: float
-    silence_timeout_s: float  # without a call for this long, it counts as lost
+    silence_timeout_s: float  # without a call for this long, the backend counts as lost
     change_number: int = 0  # of the last change of this record
 
 
@@ -47,7 +47,7 @@
     """All records of one registry, with a log of their changes."""
 
     def __init__(self, silence_timeout_s: float) -> None:
-        """A backend without a call for `silence_timeout_s` counts as lost."""
+        """A backend without a call for `silence_timeout_s` seconds counts as lost."""
         self.silence_timeout_s = silence_timeout_s
         self.records: dict[str, BackendRecord] = {}
         self.change_log: deque[tuple[int, str]] = deque(maxlen=MAX_LOGGED_CHANGES)  # change numbers and ids
--- a/ivymux/registry/program.py
+++ b/ivymux/registry/program.py
@@ -289,7 +289,7 @@
                 waiter.set_result(None)
         self.release_apply_waiters()
         if any(p.id == proxy.id for p in self.proxies.values()):
-            return  # it has reconnected already
+            return  # the proxy has reconnected already
         self.announce(proxy, False)
 
     def announce(self, proxy: ConnectedProxy, has_joined: bool) -> None:
--- a/ivymux/transport/connection.py
+++ b/ivymux/transport/connection.py
@@ -104,9 +104,8 @@
         self.last_sent_at = time.monotonic()
         try:
             self.transport.write(data)
-        except (
-            RuntimeError
-        ):  # the event loop closed the transport: its connect was cancelled while completing
+        except RuntimeError:
+            # The event loop closed the transport without notice: the connect was cancelled while completing.
             self.abort()
 
     async def call(self, message: Message, timeout: float) -> Message:
