--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -27,7 +27,8 @@
 MAX_TASKS = 2000  # claims and ends in progress
 NOT_CLAIMED_RETRY_AFTER_S = 0.5
 
-Go = Callable[[Answer | None], None]  # called with None if the action may be sent, else with its answer
+# Called with None if the action may be sent, else with the answer to the request.
+ResultCallback = Callable[[Answer | None], None]
 
 
 class ActionClaims:
@@ -96,17 +97,17 @@
         self.deadline, self.try_id = deadline, try_id
         self.is_open = False  # whether the core may hold this claim
 
-    def acquire(self, go: Go) -> None:
-        """Acquire the claim; calls `go` with None if the action may be sent, otherwise with its answer."""
+    def acquire(self, on_result: ResultCallback) -> None:
+        """Acquire the claim; calls `on_result` with None if the action may be sent, else with the answer."""
         if len(self.claims.tasks) >= MAX_TASKS:
             self.claims.failed += 1
-            go(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
+            on_result(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
             return
         self.is_open = True
         self.claims.acquired += 1
-        self.claims.spawn(self.acquire_at_core(go))
+        self.claims.spawn(self.acquire_at_core(on_result))
 
-    async def acquire_at_core(self, go: Go) -> None:
+    async def acquire_at_core(self, on_result: ResultCallback) -> None:
         now = time.monotonic()
         left = self.deadline - now
         action = self.action
@@ -130,14 +131,14 @@
             verdict = ""
         if verdict == PROCEED:
             self.claims.proceeded += 1
-            go(None)
+            on_result(None)
         elif not verdict:
             # The claim stays open: the core may hold it, and it is then ended as not run.
             self.claims.failed += 1
-            go(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
+            on_result(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
         else:
             self.is_open = False
-            go(answer)
+            on_result(answer)
 
     def finish(self, answer: Answer | None, ran: bool) -> None:
         """End the claim: with a backend's answer, without one, or (not `ran`) as never sent."""
--- a/tests/proxy/test_claimed.py
+++ b/tests/proxy/test_claimed.py
@@ -22,11 +22,11 @@
     """A claim whose result the test delivers."""
 
     def __init__(self) -> None:
-        self.go: Callable[[Answer | None], None] | None = None
+        self.on_result: Callable[[Answer | None], None] | None = None
         self.ends: list[tuple[int | None, bool]] = []
 
-    def acquire(self, go: Callable[[Answer | None], None]) -> None:
-        self.go = go
+    def acquire(self, on_result: Callable[[Answer | None], None]) -> None:
+        self.on_result = on_result
 
     def finish(self, answer: Answer | None, ran: bool) -> None:
         self.ends.append((answer.status if answer is not None else None, ran))
@@ -73,8 +73,8 @@
 def test_an_acquired_claim_is_ended_with_the_backends_answer() -> None:
     async def scenario() -> None:
         harness = HostHarness()
-        assert not harness.sent and harness.claim.go is not None
-        harness.claim.go(None)
+        assert not harness.sent and harness.claim.on_result is not None
+        harness.claim.on_result(None)
         harness.sent[0](Result(Outcome.OK, 0.1, status=200, body=b"x", headers=[]))
         assert harness.answers == [200] and harness.claim.ends == [(200, True)] and not harness.host.requests
 
@@ -84,8 +84,8 @@
 def test_a_request_that_its_claim_answers_is_not_sent() -> None:
     async def scenario() -> None:
         harness = HostHarness()
-        assert harness.claim.go is not None
-        harness.claim.go(Answer(409, retry_after=0.1))
+        assert harness.claim.on_result is not None
+        harness.claim.on_result(Answer(409, retry_after=0.1))
         assert harness.answers == [409] and not harness.sent and not harness.host.requests
         assert harness.finished() == [(Outcome.MOOT, True)] and harness.claim.ends == [(None, False)]
 
@@ -98,8 +98,8 @@
             harness = HostHarness()
             end_request(harness.host, harness.request)
             assert harness.answers == answers and harness.host.requests  # until the claim has its result
-            assert harness.claim.go is not None
-            harness.claim.go(None)
+            assert harness.claim.on_result is not None
+            harness.claim.on_result(None)
             assert not harness.sent and not harness.host.requests
             assert harness.finished() == [(Outcome.MOOT, True)] and harness.claim.ends == [(None, False)]
 
@@ -109,15 +109,15 @@
 def test_an_action_completes_after_its_client_left_and_is_unknown_after_its_deadline() -> None:
     async def scenario() -> None:
         harness = HostHarness()
-        assert harness.claim.go is not None
-        harness.claim.go(None)
+        assert harness.claim.on_result is not None
+        harness.claim.on_result(None)
         harness.host.on_client_left(harness.request)
         assert harness.host.requests and not harness.claim.ends  # the action may have begun, and continues
         harness.sent[0](Result(Outcome.OK, 0.1, status=201, body=b"x", headers=[]))
         assert harness.answers == [] and harness.claim.ends == [(201, True)]
         harness = HostHarness()
-        assert harness.claim.go is not None
-        harness.claim.go(None)
+        assert harness.claim.on_result is not None
+        harness.claim.on_result(None)
         harness.host.on_deadline(harness.request)
         assert harness.answers == [504] and harness.claim.ends == [(None, True)]
 
@@ -128,8 +128,8 @@
     async def scenario() -> None:
         harness = HostHarness()
         harness.written = False
-        assert harness.claim.go is not None
-        harness.claim.go(None)
+        assert harness.claim.on_result is not None
+        harness.claim.on_result(None)
         attempt = harness.request.attempts[0]
         attempt.give_up = lambda outcome: harness.sent[0](Result(Outcome.MOOT, 0.0))  # type: ignore[method-assign]
         harness.host.on_client_left(harness.request)
