--- a/tests/system/test_conversations.py
+++ b/tests/system/test_conversations.py
@@ -68,11 +68,11 @@
                 await try_action(cluster, 0, '"a"'),
                 await try_until_ended(cluster, 1, '"a"'),
             )
-            await record_outcomes("the same key bare", await try_action(cluster, 1, "a"))
+            await record_outcomes("the same key without quotes", await try_action(cluster, 1, "a"))
             await record_outcomes("another body", await try_action(cluster, 0, '"a"', body=b"no"))
             await record_outcomes("another path", await try_action(cluster, 1, '"a"', "/sign/2"))
             await record_outcomes(
-                "no key in the quotes, two keys",
+                "an empty key, two keys",
                 await try_action(cluster, 0, '""'),
                 await try_action(cluster, 0, 'a" "b'),
             )
@@ -82,9 +82,11 @@
                 await asyncio.sleep(0.01)
             second = await try_action(cluster, 1, '"b"')
             desk.answer_gate.set()
-            await record_outcomes("while the first is at work", second, await first)
+            await record_outcomes("while the first request runs", second, await first)
             desk.answer_gate = None
-            await record_outcomes("and then", await try_until_ended(cluster, 1, '"b"'))
+            await record_outcomes(
+                "after the first request has ended", await try_until_ended(cluster, 1, '"b"')
+            )
             desk.make_answer = lambda ran: CLOSE_MARKER
             await record_outcomes(
                 "its answer is lost",
@@ -102,10 +104,10 @@
             desk.executed.clear()
             desk.make_answer = lambda ran: None
             await record_outcomes(
-                "it did not run at first", refused, await try_until_ended(cluster, 1, '"e"')
+                "the backend did not execute it at first", refused, await try_until_ended(cluster, 1, '"e"')
             )
             await record_outcomes(
-                "a read is no action", (await cluster.wait_until_served(cluster.proxy_ips[0])).text
+                "a read needs no key", (await cluster.wait_until_served(cluster.proxy_ips[0])).text
             )
 
     asyncio.run(scenario())
--- a/tests/system/test_path.py
+++ b/tests/system/test_path.py
@@ -33,7 +33,8 @@
 
             text = json.dumps(build_configuration(7)).encode()
             for name, body in (
-                ("a whole one", text), ("the same again, elsewhere", text), ("one byte short", text[:-1]),
+                ("a complete one", text), ("the same at another machine", text),
+                ("one byte short", text[:-1]),
                 ("a later one, invalid", json.dumps(build_configuration(9, read="nobody")).encode()),
                 ("an older one", json.dumps(build_configuration(3, read="desk")).encode()),
             ):  # fmt: skip
@@ -76,7 +77,7 @@
             summary.append(f"PUT /configuration, read goes to desk -> {status}")
             for proxy in cluster.proxy_ips:
                 await cluster.wait_until_routed_to(proxy, "desk")
-            summary.append("both proxies send it there")
+            summary.append("both proxies route it to desk")
 
     asyncio.run(scenario())
     assert summary == snapshot
--- a/tests/system/test_trials.py
+++ b/tests/system/test_trials.py
@@ -100,14 +100,15 @@
                         )
 
             for body, what in (
-                ({}, "nothing"), ({"caller": "clerk"}, "no tenant"), ({"caller": "*"}, "all"),
+                ({}, "an empty body"), ({"caller": "clerk"}, "an unknown tenant"),
+                ({"caller": "*"}, "all callers"),
                 ({"caller": "clerks", "lasts": "2h"}, "too long"),
-                ({"caller": "clerks", "does": "burn"}, "burn"),
-                ({"caller": "clerks", "status": 500}, "a status that promises nothing"),
-                ({"caller": "clerks", "share": 0}, "no share"),
-                ({"caller": "clerks", "route": "none"}, "no route"),
+                ({"caller": "clerks", "does": "burn"}, "an unknown fault"),
+                ({"caller": "clerks", "status": 500}, "a status that may follow an execution"),
+                ({"caller": "clerks", "share": 0}, "a share of 0"),
+                ({"caller": "clerks", "route": "none"}, "an unknown route"),
                 ({"caller": "clerks", "key_digest": key_digest(b"key-two")[:16]}, "another's key"),
-                ({"caller": "clerks", "delay": "1s"}, "a delay that nothing heeds"),
+                ({"caller": "clerks", "delay": "1s"}, "a delay with another fault"),
             ):  # fmt: skip
                 sent = {"by": "ann", "why": "to see it fail", **body} if body else {}
                 status, answer = await cluster.call_core("PUT", cluster.core_ips[0], "/trials/t", sent)
@@ -121,7 +122,7 @@
             status, answer = await cluster.call_core(
                 "PUT", cluster.core_ips[1], "/trials/other", {"caller": "clerks", "by": "ann", "why": "more"}
             )
-            summary.append(f"the same caller once more: {status} {json.loads(answer)['error']}")
+            summary.append(f"a second trial of the same caller: {status} {json.loads(answer)['error']}")
             # A retry after a lost answer.
             again = {
                 "caller": "clerks", "by": "ann", "why": "to see it fail", "status": 429, "retry_after": "2s",
@@ -139,9 +140,9 @@
                 cluster, "t-key", key_digest=key_digest(b"key-one-b")[:20], route="sign", does="close"
             )
             await record_answers(
-                "its connection closed, of one key on one route", "/sign/1", ("clerks", "key-one-b", "chairs")
+                "connections closed, for one key on one route", "/sign/1", ("clerks", "key-one-b", "chairs")
             )
-            await record_answers("and on the other", "/read/1", ("clerks", "key-one-b"))
+            await record_answers("the same callers on the other route", "/read/1", ("clerks", "key-one-b"))
             await end_trial(cluster, "t-key")
             assert (
                 sum("key-one-b" in str(ran.headers) for ran in desk.executed) == 0 and len(desk.executed) == 4
@@ -149,13 +150,13 @@
 
             desk.executed.clear()
             await start_trial(cluster, "t-lose", does="lose", route="sign")
-            await record_answers("run, and its answer lost", "/sign/2", ("clerks", "chairs"))
+            await record_answers("executed, and the answer lost", "/sign/2", ("clerks", "chairs"))
             assert len(desk.executed) == 4
             keyed = await answer_to(cluster, 0, "clerks", "/sign/k", Idempotency_Key="k")
             summary.append(f"an action with a key: {keyed}")
             await end_trial(cluster, "t-lose")
             result = await answer_to(cluster, 1, "clerks", "/sign/k", Idempotency_Key="k")
-            summary.append(f"sent again behind the trial: {result}")
+            summary.append(f"sent again after the trial: {result}")
             assert len(desk.executed) == 5
 
             await start_trial(cluster, "t-delay", does="delay", delay="400ms")
@@ -167,9 +168,7 @@
             await end_trial(cluster, "t-delay")
             status, answer = await cluster.call_core("GET", cluster.core_ips[0], "/trials")
             result = json.loads(answer)
-            summary.append(
-                f"on the board: {[t['name'] for t in result['past']]}, running {result['running']}"
-            )
+            summary.append(f"listed: {[t['name'] for t in result['past']]}, running {result['running']}")
             log = (tmp_path / "log.txt").read_text()
             assert not any(key in log for key in CALLERS.values()) and key_digest(b"key-one") not in log
 
