--- a/ivymux/config_store/changes.py
+++ b/ivymux/config_store/changes.py
@@ -132,6 +132,7 @@
         return min([*changes, self.record_replication.waiting_for_backup_since()])
 
     def on_write_stored(self, source: str, message: WriteStored) -> None:
+        """Note that a disk holds all changes up to a version, and complete those that both disks hold."""
         self.last_received_at[message.sender] = self.now
         if self.led_epoch is None or message.epoch != self.led_epoch.number or not self.is_writable():
             return
@@ -162,6 +163,7 @@
     # --- at the backup -------------------------------------------------------------------------------
 
     def on_write_request(self, source: str, message: WriteRequest) -> None:
+        """Store a change as the backup; changes of another epoch or with a gap before them are ignored."""
         if self.state is None or self.state.epoch != message.epoch:
             return
         if self.promised > message.epoch and self.promised_to != message.sender:
--- a/ivymux/config_store/elections.py
+++ b/ivymux/config_store/elections.py
@@ -156,6 +156,7 @@
         self.broadcast(PromiseRequest(self.identity, attempt.number, self.known_epoch, waits_for_disk))
 
     def on_promise_request(self, source: str, message: PromiseRequest) -> None:
+        """Promise a candidate's epoch, unless a higher promise or a lease that was granted forbids it."""
         candidate, number = message.sender, message.epoch
         is_named_member = self.identity in message.epoch_record.members
         if not self.is_member() and is_named_member and self.leaving_since is None:
@@ -208,6 +209,7 @@
         self.next_attempt_at = max(self.next_attempt_at, until)
 
     def on_refusal(self, source: str, message: Refusal) -> None:
+        """Abandon the attempt if a member promised a higher epoch, or too few are left for a majority."""
         self.learn_epoch(message.epoch_record)
         self.highest_promise_seen = max(self.highest_promise_seen, message.promised)
         attempt = self.attempt
@@ -316,6 +318,7 @@
         self.send(address_of(attempt.epoch_record.backup), transfer)
 
     def on_state_transfer(self, source: str, message: StateTransfer) -> None:
+        """Store a new epoch's state as its backup; acknowledge it once the record stores are equal."""
         number = message.epoch
         if number < self.promised or (number == self.promised and message.sender != self.promised_to):
             self.send_refusal(source)
@@ -363,6 +366,7 @@
         self.broadcast(AcceptRequest(self.identity, attempt.epoch_record))
 
     def on_accept_request(self, source: str, message: AcceptRequest) -> None:
+        """Store a candidate's epoch record, unless a promise forbids it."""
         record = message.epoch_record
         if record.number < self.promised:
             self.send_refusal(source)
--- a/ivymux/config_store/idempotency.py
+++ b/ivymux/config_store/idempotency.py
@@ -265,6 +265,7 @@
         return min(written_at, default=math.inf)
 
     def on_record_stored(self, source: str, message: RecordStored) -> None:
+        """Note that a disk holds a change, and complete the change once both disks hold it."""
         replica = self.replica
         replica.last_received_at[message.sender] = replica.now
         epoch = replica.led_epoch
--- a/ivymux/config_store/leadership.py
+++ b/ivymux/config_store/leadership.py
@@ -134,6 +134,7 @@
     # --- leases ----------------------------------------------------------------------------------------
 
     def on_lease_request(self, source: str, message: LeaseRequest) -> None:
+        """Grant the lease to the primary of the epoch in force, and request what is newer than known here."""
         primary = message.sender
         record = self.requested_epoch(message)
         if record is None:
@@ -223,6 +224,7 @@
         self.leave_announced_at.pop(joiner, None)
 
     def on_leaving(self, source: str, message: Leaving) -> None:
+        """Reconfigure for a machine that leaves, and permit it to exit once nothing depends on it."""
         self.leave_announced_at[message.sender] = self.now
         if self.led_epoch is None:
             return
@@ -245,6 +247,7 @@
             self.departure_granted = True
 
     def on_leadership_released(self, source: str, message: LeadershipReleased) -> None:
+        """Drop the lease granted to the sender, and begin an attempt at once if this machine may lead."""
         sender_was_primary = self.known_epoch is not None and self.known_epoch.primary == message.sender
         if self.leased_to != message.sender and not sender_was_primary:
             return
--- a/ivymux/config_store/program.py
+++ b/ivymux/config_store/program.py
@@ -123,6 +123,7 @@
     # --- messages ------------------------------------------------------------------------------------
 
     def on_message(self, connection: Connection, message: Message) -> None:
+        """Handle a message of another config store or of a registry."""
         if messages.TAG in message:
             self.on_replica_message(connection, message)
             return
@@ -150,6 +151,7 @@
                 log.info(f"ignored an invalid message of a peer: {error} ({self.invalid_messages} so far).")
 
     def on_greeting(self, connection: Connection, greeting: Greeting) -> None:
+        """Accept a peer that uses the same version of the protocol; ignore any other."""
         if greeting.version != PROTOCOL_VERSION:
             if greeting.address not in self.incompatible_peers:
                 self.incompatible_peers.add(greeting.address)
@@ -241,6 +243,7 @@
         write.add_done_callback(self.on_written)
 
     def on_written(self, write: asyncio.Future[None]) -> None:
+        """Carry out the actions that waited for a write, then start the next; a failure ends the process."""
         self.writing = []
         error = write.exception() if not write.cancelled() else None
         if error is not None:
@@ -257,6 +260,7 @@
         raise SystemExit(EXIT_DISK_FAILED)
 
     def carry_out_now(self, action: Action) -> None:
+        """Carry out an action that depends on no write, or whose writes are on disk."""
         match action:
             case Send():
                 self.send(action)
--- a/ivymux/data_plane/host.py
+++ b/ivymux/data_plane/host.py
@@ -380,6 +380,7 @@
         self.loop.call_later(max(0.001, delay), self.on_timer, at, token)
 
     def on_timer(self, at: float, token: int) -> None:
+        """Pass a timer to the decision module; wait again if the event loop fired it early."""
         if self.current_time() < at:
             self.set_timer(at, token)
         else:
--- a/ivymux/data_plane/refusal_log.py
+++ b/ivymux/data_plane/refusal_log.py
@@ -18,6 +18,7 @@
         self.timer: asyncio.TimerHandle | None = None  # set from the first refusal to the next line
 
     def record(self, cause: str) -> None:
+        """Count a refusal, and schedule the next line if none is due."""
         if self.refusals.count(cause) and self.timer is None:
             self.timer = asyncio.get_running_loop().call_later(LOG_INTERVAL_S, self.write)
 
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -131,6 +131,7 @@
                 exchange.request.host.on_client_left(exchange.request)
 
     def release_body(self) -> None:
+        """Drop the body that is being received, and stop counting its bytes."""
         self.server.held_bytes -= self.held_bytes
         self.held_bytes, self.body = 0, []
 
@@ -414,6 +415,7 @@
             task.add_done_callback(self.accepting.discard)
 
     async def add_accepted(self, accepted: socket.socket) -> None:
+        """Serve a connection that `accept_further` accepted."""
         try:
             accepted.setblocking(False)
             _, client = await self.loop.connect_accepted_socket(lambda: self.client_type(self), accepted)
@@ -424,6 +426,7 @@
             client.abort()
 
     def add_client(self, client: ClientConnection) -> None:
+        """Add a connection; if there are too many, close the one whose closing does the least harm."""
         self.clients.add(client)
         if len(self.clients) <= self.max_clients:
             return
--- a/ivymux/data_plane/upstream.py
+++ b/ivymux/data_plane/upstream.py
@@ -78,6 +78,7 @@
         return self.connection is not None
 
     def finish(self, result: Result) -> None:
+        """End the attempt with a result; later calls have no effect."""
         if not self.is_finished:
             self.is_finished = True
             if self.timer is not None:
@@ -133,6 +134,7 @@
         self.begin_answer()
 
     def begin_answer(self) -> None:
+        """Reset what is known of the answer that is being received."""
         self.has_final_headers = False
         # Whether the answer ended with its header section; the parser then still waits for a body.
         self.is_bodiless = False
@@ -365,6 +367,7 @@
         task.add_done_callback(self.upstream.tasks.discard)
 
     async def connect(self, attempt: Attempt) -> None:
+        """Open a connection and send the attempt on it."""
         try:
             async with asyncio.timeout(self.upstream.connect_timeout):
                 _, connection = await self.upstream.loop.create_connection(
@@ -455,6 +458,7 @@
             self.backend_by_address[address] = backend
 
     def remove_backend(self, backend: int) -> None:
+        """Forget a backend and close its idle connections; its attempts in flight go on."""
         if (pool := self.pools.pop(backend, None)) is not None:
             del self.backend_by_address[pool.address]
             pool.close_idle()
--- a/ivymux/runtime/log.py
+++ b/ivymux/runtime/log.py
@@ -44,6 +44,7 @@
         self.prefix = prefix
 
     def info(self, sentence: str) -> None:
+        """Log one sentence."""
         log_message(message_type=self.prefix, says=sentence)
 
 
