--- a/ivymux/config_store/changes.py
+++ b/ivymux/config_store/changes.py
@@ -29,7 +29,7 @@
     digest: str
     calls: list[int]
     sent_at: float = 0.0
-    written_at: float = 0.0  # when it was first written under the epoch in force
+    written_at: float = 0.0  # when the change was first written under the epoch in force
     on_own_disk: bool = False
     on_backup: bool = False
 
@@ -120,7 +120,7 @@
                 self.send_write(change)
 
     def rewrite_pending(self) -> None:
-        """Write changes that are still pending under the epoch that has come into force."""
+        """Write the pending changes again, under the epoch that has come into force."""
         for change in self.pending:
             self.write_change(change)
 
@@ -132,11 +132,12 @@
         return min([*changes, self.record_replication.waiting_for_backup_since()])
 
     def on_write_stored(self, source: str, message: WriteStored) -> None:
+        """Note that a disk holds all changes up to a version, and complete those that both disks hold."""
         self.last_received_at[message.sender] = self.now
         if self.led_epoch is None or message.epoch != self.led_epoch.number or not self.is_writable():
             return
         for change in self.pending:
-            # Changes are written in order: a disk that holds a later one holds this one too.
+            # Changes are written in order: a disk that holds a later change holds this one too.
             if change.version <= message.version:
                 change.on_own_disk = change.on_own_disk or message.sender == self.identity
                 change.on_backup = change.on_backup or message.sender == self.led_epoch.backup
@@ -162,13 +163,14 @@
     # --- at the backup -------------------------------------------------------------------------------
 
     def on_write_request(self, source: str, message: WriteRequest) -> None:
+        """Store a change as the backup; changes of another epoch or with a gap before them are ignored."""
         if self.state is None or self.state.epoch != message.epoch:
             return
         if self.promised > message.epoch and self.promised_to != message.sender:
             return  # promised to another candidate: writes of an earlier primary are fenced off
         if message.version > self.state.version:
             if message.previous > self.state.version:
-                return  # a change before it was lost on the way and will be sent again
+                return  # an earlier change was lost on the way; the primary will send it again
             self.state = ConfigurationState(message.epoch, message.version, message.text)
             change = (message.version, digest_of(message.text))
             self.history.add(*change)
--- a/ivymux/config_store/replica_state.py
+++ b/ivymux/config_store/replica_state.py
@@ -57,7 +57,7 @@
         self.led_epoch: EpochRecord | None = None  # the epoch in force whose primary this machine is
         self.attempt: ElectionAttempt | None = None
         self.failed_attempts = 0
-        self.step_downs = 0
+        self.step_downs = 0  # how often this machine has stopped being the primary
         self.highest_promise_seen = durable.promised  # by any member
         self.lease_grants: dict[str, float] = {}  # until when each member grants this primary its lease
         self.last_received_at: dict[str, float] = {}  # when each member last answered
@@ -68,8 +68,8 @@
         self.leaving_since: float | None = None  # when this process was asked to shut down
         # As a member.
         self.leased_to, self.leased_until = "", 0.0  # the lease that this member grants
-        # A lease granted before a restart is not remembered: until it must have ended, only the primary of
-        # the known epoch, which may hold it, gets a promise.
+        # A lease granted before a restart is not remembered.  Until it must have expired, this member gives
+        # promises only to the primary of the known epoch, as that machine may hold the lease.
         self.restart_lease_until = now + LEASE_S if durable.epoch_record is not None else 0.0
         self.next_attempt_at = 0.0  # the earliest time for an attempt of this machine
         store = RecordStore()
@@ -164,7 +164,7 @@
         self.persist_epoch_step(Persist(promised=(number, candidate)))
 
     def send_refusal(self, source: str) -> None:
-        """Answer a request for less than was promised with the promise."""
+        """Refuse a request that this machine's promise excludes; the refusal carries the promise."""
         if self.known_epoch is not None:
             self.send(source, Refusal(self.identity, self.promised, self.known_epoch))
 
--- a/ivymux/data_plane/server.py
+++ b/ivymux/data_plane/server.py
@@ -38,7 +38,7 @@
 
 
 class Exchange:
-    """One request on a client connection and its answer, which is written after those before it."""
+    """One request on a client connection and its answer, which is written after all earlier answers."""
 
     __slots__ = ("answer", "call", "client", "held_bytes", "keep_alive", "request")
 
@@ -102,7 +102,7 @@
             self.queued_at = time.monotonic()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self.transport = transport
         name = transport.get_extra_info("peername")
         self.peer_address = name[0] if name else ""
@@ -131,6 +131,7 @@
                 exchange.request.host.on_client_left(exchange.request)
 
     def release_body(self) -> None:
+        """Drop the body that is being received, and stop counting its bytes."""
         self.server.held_bytes -= self.held_bytes
         self.held_bytes, self.body = 0, []
 
@@ -299,12 +300,12 @@
             self.transport.resume_reading()
 
     def reject(self, error: BadRequest) -> None:
-        """Answer bytes that can't be parsed as a request, after the answers still due, and close."""
+        """Refuse bytes that can't be parsed as a request, after the answers still due, and close."""
         if not self.is_discarding:
             self.is_discarding, self.is_receiving = True, False
             self.release_body()
             if self.exchanges:
-                self.move_to_queue(None)  # the requests before it have their own deadlines
+                self.move_to_queue(None)  # the requests before this answer have their own deadlines
             exchange = Exchange(self, keep_alive=False)
             self.exchanges.append(exchange)
             exchange.reply(self.server.refusal(error))
@@ -341,8 +342,8 @@
         self.max_held_bytes = bounds.max_held_bytes  # of request bodies; requests beyond it are refused
         self.loop = asyncio.get_running_loop()
         self.clients: set[ClientConnection] = set()
-        # Each connection is in at most one queue, ordered by the time at which it entered it; one that
-        # waits for an answer is in none.
+        # Queues of connections, each in the order in which connections entered it.  A connection is in at
+        # most one of them; while it waits for an answer it is in none.
         self.new_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # no complete request yet
         self.idle_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # between two requests
         self.receiving_clients: OrderedDict[ClientConnection, None] = OrderedDict()  # within a request
@@ -355,7 +356,7 @@
         self.max_head_bytes = MAX_HEAD_BYTES
         self.read_timeout, self.idle_timeout = READ_TIMEOUT_S, IDLE_TIMEOUT_S
         self.asyncio_server: asyncio.Server | None = None
-        self.listener_copies: list[socket.socket] = []  # of its sockets, for `accept_further`
+        self.listener_copies: list[socket.socket] = []  # copies of its sockets, for `accept_further`
         self.accepting: set[asyncio.Task[None]] = set()
         self.listening_socket: socket.socket | None = None  # until connections are accepted from it
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_overdue)
@@ -393,15 +394,15 @@
             copy = socket.fromfd(listening.fileno(), listening.family, listening.type)
             copy.setblocking(False)
             self.listener_copies.append(copy)
-            # Called later, as uvloop itself takes a single connection at less cost.
+            # By `call_soon`, so that uvloop accepts first: for a single connection that costs less.
             self.loop.add_reader(copy, self.loop.call_soon, self.accept_further, copy)
 
     def accept_further(self, listening: socket.socket) -> None:
-        """Accept more of a burst of connections than the one that uvloop accepts in each of its steps.
+        """Accept further connections of a burst; uvloop itself accepts one in each step of the event loop.
 
-        Else the last ones would wait for as many steps, each of which also serves requests of the first ones.
-        Beyond half of the limit this is left to uvloop: a connection whose request is not read yet may have
-        to make room for those behind it.
+        Otherwise the last of n connections would wait for n steps, each of which also serves requests of
+        earlier connections.  While more than half of `max_clients` are open, only uvloop accepts: a
+        connection whose request is not read yet could be evicted in favour of the next ones.
         """
         room = self.max_clients // 2 - len(self.clients) - len(self.accepting)
         for _ in range(min(ACCEPTS_PER_STEP, room)):
@@ -414,16 +415,18 @@
             task.add_done_callback(self.accepting.discard)
 
     async def add_accepted(self, accepted: socket.socket) -> None:
+        """Serve a connection that `accept_further` accepted."""
         try:
             accepted.setblocking(False)
             _, client = await self.loop.connect_accepted_socket(lambda: self.client_type(self), accepted)
-        except OSError:  # its client has left
+        except OSError:  # the client has disconnected
             accepted.close()
             return
         if self.is_stopping and client in self.new_clients and not client.is_receiving:
             client.abort()
 
     def add_client(self, client: ClientConnection) -> None:
+        """Add a connection; if there are too many, close the one whose closing does the least harm."""
         self.clients.add(client)
         if len(self.clients) <= self.max_clients:
             return
@@ -463,7 +466,7 @@
             for client in self.pop_overdue(queue, timeout):
                 # A client that sent bytes outside of a request, such as empty lines, gets an answer too.
                 client.reject(late) if client.is_receiving or client.stray_bytes else client.abort()
-        # Free descriptors early: a burst of new connections must not close those about to send a request.
+        # Free descriptors early: a burst of new connections must not evict clients about to send a request.
         is_half_full = len(self.clients) >= self.max_clients / 2
         max_idle_s = EVICTABLE_IDLE_S if is_half_full else self.idle_timeout
         for queue, timeout in ((self.idle_clients, max_idle_s), (self.closing_clients, LINGER_S)):
--- a/ivymux/proxy/action_claims.py
+++ b/ivymux/proxy/action_claims.py
@@ -27,7 +27,8 @@
 MAX_TASKS = 2000  # claims and ends in progress
 NOT_CLAIMED_RETRY_AFTER_S = 0.5
 
-OnVerdict = Callable[[Answer | None], None]  # gets None if the action may be sent, else its answer
+# Called with None if the action may be sent, else with the answer to the request.
+ResultCallback = Callable[[Answer | None], None]
 
 
 class ActionClaims:
@@ -98,17 +99,17 @@
         self.deadline, self.try_id = deadline, try_id
         self.is_open = False  # whether the core may hold this claim
 
-    def acquire(self, on_verdict: OnVerdict) -> None:
-        """Acquire the claim; call `on_verdict` with None if the action may be sent, else with its answer."""
+    def acquire(self, on_result: ResultCallback) -> None:
+        """Acquire the claim; calls `on_result` with None if the action may be sent, else with the answer."""
         if len(self.claims.tasks) >= MAX_TASKS:
             self.claims.failed += 1
-            on_verdict(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
+            on_result(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
             return
         self.is_open = True
         self.claims.acquired += 1
-        self.claims.spawn(self.acquire_at_core(on_verdict))
+        self.claims.spawn(self.acquire_at_core(on_result))
 
-    async def acquire_at_core(self, on_verdict: OnVerdict) -> None:
+    async def acquire_at_core(self, on_result: ResultCallback) -> None:
         now = time.monotonic()
         left = self.deadline - now
         action = self.action
@@ -132,14 +133,14 @@
             verdict = ""
         if verdict == PROCEED:
             self.claims.proceeded += 1
-            on_verdict(None)
+            on_result(None)
         elif not verdict:
             # The claim stays open, as the core may hold it; `finish` then ends it as not run.
             self.claims.failed += 1
-            on_verdict(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
+            on_result(Answer(503, retry_after=NOT_CLAIMED_RETRY_AFTER_S))
         else:
             self.is_open = False
-            on_verdict(answer)
+            on_result(answer)
 
     def finish(self, answer: Answer | None, ran: bool) -> None:
         """End the claim: with a backend's answer, without one, or (not `ran`) as never sent."""
