--- a/ivymux/platform/counter.py
+++ b/ivymux/platform/counter.py
@@ -25,7 +25,7 @@
 RETRY_MIN_S, RETRY_MAX_S = 0.05, 1.0  # between attempts to connect
 CONNECT_TIMEOUT_S = 1.0
 MAX_ANSWER_BYTES = 64 * 1024  # a total is far shorter
-TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")  # neither nan nor inf
+TOTAL_PATTERN = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")  # neither nan nor inf
 
 log = logging.getLogger(__name__)
 
@@ -67,7 +67,7 @@
         self.retry_delay = RETRY_MIN_S  # seconds
         self.reader: Any = None
         self.unread_bytes = 0  # read since the last complete answer
-        self.incarnation = 0  # of the service's counts, if it has one (see `incarnation_number`)
+        self.incarnation = 0  # of the service's counts (see `incarnation_number`); 0: unknown
 
     # --- calls -------------------------------------------------------------------------------------
 
@@ -77,7 +77,7 @@
         if len(self.written_calls) + len(self.queued_calls) >= MAX_PENDING:
             self.owner.settle(call, Outcome.FULL)
             return
-        if self.transport is None and not self.is_connecting:  # it waits for the next attempt to connect
+        if self.transport is None and not self.is_connecting:  # waiting for the next attempt to connect
             self.owner.settle(call, Outcome.CONNECT_FAILED)
             return
         self.owner.expiring.append(call)
@@ -89,8 +89,8 @@
     def can_write(self) -> bool:
         """Whether a call may be written now.
 
-        After a change of address that is only after all calls at the old one are settled, as the results
-        for one name must be reported in the order of its calls.
+        After a change of address, calls are written only once all calls at the old address are settled, as
+        the results for one name must be reported in the order of its calls.
         """
         return self.transport is not None and not self.transport.is_closing() and self.predecessor is None
 
@@ -209,7 +209,7 @@
         self.transport = None
         calls, self.written_calls = self.written_calls, deque()
         for call in calls:
-            # Unsent bytes belong to an unknown one of several calls; only a single call is surely incomplete.
+            # If several calls were written, it is unknown which of them still has unsent bytes.
             is_unsent = self.has_unsent_bytes and len(calls) == 1
             self.owner.settle(call, Outcome.CONNECT_FAILED if is_unsent else Outcome.TIMEOUT)
         self.close_if_drained()
@@ -252,14 +252,14 @@
         elif call.count is None:
             if reply != b"PONG":
                 raise hiredis.ProtocolError(f"not an answer to PING: {reply!r:.40}")
-        elif isinstance(reply, bytes) and TOTAL.fullmatch(reply):
+        elif isinstance(reply, bytes) and TOTAL_PATTERN.fullmatch(reply):
             self.owner.settle(call, Outcome.OK, float(reply))
         else:
             self.owner.settle(call, Outcome.TIMEOUT)  # it may have been counted
             raise hiredis.ProtocolError(f"not a total: {reply!r:.40}")
 
     def check_liveness(self, now: float) -> None:
-        """Close a connection that does not answer; send PING or TIME on one that does."""
+        """Close the connection if it does not answer; otherwise send PING or TIME if one is due."""
         if self.transport is None:
             return
         if self.written_calls and now - self.last_received_at > DEAD_AFTER_S:
@@ -287,8 +287,8 @@
     ) -> None:  # fmt: skip
         """`timeout`: of a call, in seconds; `on_result` gets the results, in call order for each name.
 
-        `shared_clock`: is set by the service's time.  It is given for an `ivymux tally`, which supports
-        INCARNATION and TIME; the operators' counter does not.
+        `shared_clock`: the clock to synchronize with an `ivymux tally`; None for the operators' counter,
+        which does not support INCARNATION and TIME.
         """
         self.timeout, self.on_result, self.shared_clock = timeout, on_result, shared_clock
         self.caller_id = secrets.token_hex(6)  # identifies repeated calls together with their number
@@ -297,10 +297,10 @@
         self.expiring: deque[CounterCall] = deque()  # oldest first, as all have the same timeout
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.is_closed = False
-        # Done once a first connection has failed or is established and, with a shared clock, has the time.
+        # Done once a first connection has failed, or is established and (with a shared clock) has the time.
         self.ready = self.loop.create_future()
         self.connections = [CounterConnection(self, address) for _ in range(CONNECTION_COUNT)]
-        # To a new address; each replaces an old one once it is established.
+        # Connections to a new address; each replaces an old connection once it is established.
         self.next_connections: list[CounterConnection] = []
         for connection in self.connections:
             connection.connect()
--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -86,7 +86,7 @@
                 del self.name_by_id[entry.backend]  # new backends have new ids, so the map would grow
         if raw["hosts"] and not entries and listing is not Listing.DELTA:
             self.name_by_id = previous
-            raise ValueError("no entry can be read")  # an unreadable list must not remove all backends
+            raise ValueError("no entry is valid")  # an unreadable list must not remove all backends
         return Members(listing, version, tuple(entries)), addresses
 
 
@@ -166,12 +166,12 @@
 
     def __init__(self, owner: Discovery, address: Address) -> None:
         self.owner, self.address = owner, address
-        self.version = -1  # of the last list or change; agents may number them differently
+        self.version = -1  # of the last list or change; agents may use different version numbers
         self.last_received_at = 0.0
         self.task = owner.loop.create_task(self.run())
 
     async def run(self) -> None:
-        """Watch again and again; the delay grows while watches end quickly, to spare the agent."""
+        """Watch repeatedly; the delay between watches grows while they end quickly, to spare the agent."""
         retry_delay = RETRY_MIN_S
         while True:
             started_at = time.monotonic()
@@ -190,8 +190,8 @@
         self.last_received_at = time.monotonic()
         try:
             # A failed machine never closes its connections, so silence ends the watch too.  An agent that
-            # was asked for the list while discovery was down never answers and counts what it receives later
-            # as sent already, so a new connection has to ask soon.
+            # was asked for the list while discovery was down never answers: it treats the list that it
+            # receives later as already sent.  A new connection therefore has to ask again soon.
             while (time_left := self.last_received_at + watch.silence_timeout() - time.monotonic()) > 0:
                 await asyncio.wait([watch.closed], timeout=time_left)
                 if watch.closed.done():
--- a/ivymux/platform/program.py
+++ b/ivymux/platform/program.py
@@ -1,6 +1,6 @@
 """The platform gateway's process: start, wiring and signals.
 
-SIGTERM and SIGINT drain and end it; SIGHUP reloads the configuration.
+SIGTERM and SIGINT drain the gateway and end the process; SIGHUP reloads the configuration.
 """
 
 from __future__ import annotations
--- a/ivymux/platform/protocol_settings.py
+++ b/ivymux/platform/protocol_settings.py
@@ -11,24 +11,25 @@
 from orchidhill import interface as i
 from orchidhill.interface import Effect
 
-CUSTOMERS = 1 << 33  # customer numbers are below this
-MAX_TERMS_BYTES = 96  # of X-Call-Terms; longer ones would also fill the cache
+CUSTOMER_NUMBER_LIMIT = 1 << 33  # customer numbers are below this
+MAX_TERMS_BYTES = 96  # of X-Call-Terms; longer values would also fill the cache
+# Headers of the protocol that a request may hold only once.
 SINGLE_HEADERS = frozenset(
     b"request-id request-class x-tier request-timeout idempotency-key x-call-terms content-length host"
     b" client-retry".split()
 )
-TARGET = re.compile(rb"(/[!-\"$->@-~]*)(?:\?([!-\"$-~]*))?")  # no spaces, controls or fragment
-TIMEOUT = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")
-CUSTOMER = re.compile(r"[0-9a-fA-F]{16}")
-REQUEST_ID = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
-IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,128}")
-UNITS = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
-NODE_NUMBER = re.compile(r"\d{1,9}", re.ASCII)
+TARGET_PATTERN = re.compile(rb"(/[!-\"$->@-~]*)(?:\?([!-\"$-~]*))?")  # no spaces, controls or fragment
+TIMEOUT_PATTERN = re.compile(rb"(\d{1,12})(?:\.(\d{1,6}))?([mu])")
+CUSTOMER_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+REQUEST_ID_PATTERN = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")
+IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-~]{1,128}")
+UNITS_PATTERN = re.compile(r"\d{1,9}(\.\d{1,9})?", re.ASCII)
+INTEGER_PATTERN = re.compile(r"\d{1,9}", re.ASCII)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestTerms:
-    """The validated terms of a request; `cls` and `plan` are indices into the settings."""
+    """The validated terms of a request; `cls` and `plan` are indices into the settings' classes and plans."""
 
     request_id: bytes
     cls: int
@@ -36,8 +37,8 @@
     customer: int
     timeout: float  # seconds
     units: float
-    spread: int
-    first: int
+    spread: int  # number of gateways that the customer's requests go to
+    first: int  # number of the first of these gateways
     is_retry: bool
 
 
@@ -51,7 +52,9 @@
     except (KeyError, ValueError):
         raise BadRequest("malformed X-Call-Terms") from None
     if len(values) != len(pairs) or not (
-        UNITS.fullmatch(units) and NODE_NUMBER.fullmatch(spread) and NODE_NUMBER.fullmatch(first)
+        UNITS_PATTERN.fullmatch(units)
+        and INTEGER_PATTERN.fullmatch(spread)
+        and INTEGER_PATTERN.fullmatch(first)
     ):
         raise BadRequest("malformed X-Call-Terms")
     return float(units), int(spread), int(first)
@@ -59,7 +62,7 @@
 
 def parse_timeout(text: bytes) -> float:
     """Return Request-Timeout in seconds.  Raises BadRequest."""
-    found = TIMEOUT.fullmatch(text)
+    found = TIMEOUT_PATTERN.fullmatch(text)
     if found is None:
         raise BadRequest("malformed Request-Timeout")
     number = float(found[1] + b"." + (found[2] or b"0"))
@@ -73,7 +76,11 @@
         found = [v for k, v in parse_qsl(query.decode("ascii"), True, max_num_fields=32) if k == "customer"]
     except ValueError:
         raise BadRequest("malformed query") from None
-    if len(found) != 1 or not CUSTOMER.fullmatch(found[0]) or int(found[0], 16) >= CUSTOMERS:
+    if (
+        len(found) != 1
+        or not CUSTOMER_PATTERN.fullmatch(found[0])
+        or int(found[0], 16) >= CUSTOMER_NUMBER_LIMIT
+    ):
         raise BadRequest("malformed customer")
     return int(found[0], 16)
 
@@ -91,7 +98,7 @@
         headers = dict(fields)
         if len(headers) != len(fields):
             self.check_single_headers(fields)
-        found = TARGET.fullmatch(target)
+        found = TARGET_PATTERN.fullmatch(target)
         if found is None or (b"/." in found[1] and {b".", b".."} & set(found[1].split(b"/"))):
             raise BadRequest("malformed target")
         name = found[1][1:].partition(b"/")[0]
@@ -108,11 +115,11 @@
         if (
             method not in (b"GET", b"POST")
             or effect is not cls.effect
-            or (key and not IDEMPOTENCY_KEY.fullmatch(key))
+            or (key and not IDEMPOTENCY_KEY_PATTERN.fullmatch(key))
         ):
             raise BadRequest("the method or Idempotency-Key is not that of the class")
         request_id = headers.get(b"request-id", b"")
-        if not REQUEST_ID.fullmatch(request_id):
+        if not REQUEST_ID_PATTERN.fullmatch(request_id):
             raise BadRequest("malformed Request-Id")
         # The client waits for all its attempts no longer than the deadline of the request's class.
         timeout = min(cls.deadline, parse_timeout(headers.get(b"request-timeout", b"")))
--- a/ivymux/service/callers.py
+++ b/ivymux/service/callers.py
@@ -12,12 +12,12 @@
 
 
 class CallerError(ValueError):
-    """Invalid entries of keys; the text never holds a key."""
+    """An invalid list of API keys; the message never contains a key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """The customer that a request is made for, as its API key tells."""
+    """The customer that an API key belongs to, and the customer's plan."""
 
     customer: str
     number: int  # the decision module's id of the customer, the same at every gateway
@@ -57,17 +57,19 @@
                 or len(digest) != 64
                 or set(digest) - set("0123456789abcdef")
             ):
-                raise CallerError(f"keys[{index}].hash is no hash of a key: make one with 'ivymux key'")
+                raise CallerError(f"keys[{index}].hash is not the hash of a key: make one with 'ivymux key'")
             caller = customers.setdefault(customer, Caller(customer, customer_number(customer), plan))
             if caller.plan != plan:
                 raise CallerError(
-                    f"keys[{index}]: the customer {customer!r} has another plan in an entry before"
+                    f"keys[{index}]: the customer {customer!r} has another plan in an earlier entry"
                 )
             if numbers.setdefault(caller.number, customer) != customer:
                 other = numbers[caller.number]
-                raise CallerError(f"keys[{index}]: {customer!r} has the same number as {other!r}: rename it")
+                raise CallerError(
+                    f"keys[{index}]: the ids of {customer!r} and {other!r} collide: rename one of them"
+                )
             if self.callers_by_digest.setdefault(bytes.fromhex(digest), caller) is not caller:
-                raise CallerError(f"keys[{index}]: this key is another customer's")
+                raise CallerError(f"keys[{index}]: this key belongs to another customer")
 
     def find(self, key: bytes) -> Caller | None:
         return self.callers_by_digest.get(sha256(key).digest()) if len(key) <= MAX_KEY_BYTES else None
--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -51,8 +51,8 @@
     folder = path.parent.resolve()
 
     def read(name: str) -> bytes:
-        # The description itself may be a link, as configuration tools replace files so; the files that it
-        # refers to may not be links out of the folder.
+        # The description itself may be a link, as some configuration tools replace a file by changing a link.
+        # The files that the description refers to may not be links out of the folder.
         target = path if name == path.name else folder / name
         if name != path.name and not target.resolve().is_relative_to(folder):
             raise OSError(None, "it leads out of the description's folder")
@@ -65,7 +65,7 @@
 
 
 class Texts(msgspec.Struct, frozen=True):
-    """A description whose files are in memory, such as one that came by the administration API."""
+    """A description whose files are in memory, such as one uploaded through the administration API."""
 
     main: str  # the name of the main file
     files: dict[str, bytes]  # contents by name
@@ -127,7 +127,7 @@
             out, _ = await child.communicate(input_data)
     except TimeoutError:
         raise CompilerError(f"{path}: not compiled within {TIMEOUT_S:g} s") from None
-    except (OSError, RuntimeError):  # it ended before it read its input; uvloop raises RuntimeError for that
+    except (OSError, RuntimeError):  # the child ended before it read its input; uvloop raises RuntimeError
         out = b""
     finally:
         if child.returncode is None:
@@ -144,7 +144,7 @@
 
 
 def cache_file(folder: Path, path: Path) -> Path:
-    """Return the cache file for a description; descriptions with the same name have different ones."""
+    """Return the cache file of a description; another folder gives another cache file."""
     return folder / f"{path.name}.{sha256(str(path.resolve()).encode()).hexdigest()[:12]}.routes"
 
 
@@ -155,7 +155,7 @@
 
 
 def load_cached(folder: Path, path: Path, options: Options) -> CompiledDescription | None:
-    """Return the compiled description from the cache, or None if it is not there, damaged or outdated."""
+    """Return the compiled description from the cache, or None if that is missing, damaged or outdated."""
     try:
         data = cache_file(folder, path).read_bytes()
         if not data.startswith(MAGIC):
--- a/ivymux/service/frontend.py
+++ b/ivymux/service/frontend.py
@@ -106,7 +106,7 @@
         self, caller: Caller | None, method: bytes, target: bytes, headers: Headers, body: list[bytes],
         received_at: float, peer_address: str,
     ) -> Call | Answer:  # fmt: skip
-        """Accept a request as `accept` does; `caller` is None if its key has not been checked yet."""
+        """Accept a request as `accept` does; `caller` is None if the API key has not been checked yet."""
         host = self.read_host(headers)
         fields = forwardable_fields(headers, self.dropped_fields)
         try:
@@ -131,13 +131,13 @@
         request_id = self.choose_request_id(headers)
         target_sent = parsed.path if parsed.query is None else parsed.path + b"?" + parsed.query
         if self.is_trusted(peer_address):
-            own_fields = forwarding_fields(
+            forwarding_lines = forwarding_fields(
                 peer_address, host, [p for p in headers if p[0] in FORWARDING_NAMES]
             )
         else:
-            own_fields = untrusted_forwarding_fields(peer_address, host)
+            forwarding_lines = untrusted_forwarding_fields(peer_address, host)
         head = b"%s %s HTTP/1.1\r\nhost: %s\r\n%s%srequest-id: %s\r\nivymux-customer: %s\r\n" % (
-            method, target_sent, host, b"".join([b"%s: %s\r\n" % pair for pair in fields]), own_fields,
+            method, target_sent, host, b"".join([b"%s: %s\r\n" % pair for pair in fields]), forwarding_lines,
             request_id, caller.header_value,
         )  # fmt: skip
         if content or method not in METHODS_WITHOUT_BODY:
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -36,6 +36,10 @@
     most_operations: int = 20_000
 
 
+# Some tables of the file are also schemas of the administration API's OpenAPI document.  They have comments
+# where others have docstrings, because the document would show a docstring.
+
+
 # The settings of operations whose description and class set none.
 class DefaultsPart(Part, frozen=True):
     aim: float = 2.0  # the target latency, in seconds
@@ -45,7 +49,7 @@
 
 # How workers treat repeated requests with the same Idempotency-Key.
 class KeyedPart(Part, frozen=True):
-    memory: float = 0.0  # seconds for which workers drop a repeat with the same key; 0: they do not
+    memory: float = 0.0  # seconds for which workers drop a repeat with the same key; 0: never
     scope: str = "bay"  # which workers share that memory: all, room or bay
 
 
@@ -92,7 +96,7 @@
 
 
 class InventoryPart(Part, frozen=True):
-    """A file with the list of backends, which is followed as it changes."""
+    """A file with the list of backends; the gateway reads it again when it changes."""
 
     file: str
     state: str = ""  # folder for the history of accepted lists; empty: they are kept in memory only
@@ -104,10 +108,10 @@
 # Parameters of the decision module's operating rules; times in seconds.
 class RulesPart(Part, frozen=True):
     drain_grace: float = 2.0
-    cold_share: float = 0.2  # of its capacity that a backend has when it starts
-    warm_up: float = 15.0  # seconds until it has all of it
-    fall_multiple: float = 2.0
-    fall_time: float = 2.0
+    cold_share: float = 0.2  # of its full capacity that a backend has when it starts
+    warm_up: float = 15.0  # seconds from a backend's start until it has its full capacity
+    fall_multiple: float = 2.0  # bound on the load of a backend that warms up, relative to a warm one's share
+    fall_time: float = 2.0  # seconds over which that load is measured
 
 
 class LimitsPart(Part, frozen=True):
@@ -161,7 +165,7 @@
     listen: Address
     callers: Any  # Callers
     plans: tuple[i.Plan, ...]
-    workers: tuple[Worker, ...]  # that the file lists itself; none if it names an inventory
+    workers: tuple[Worker, ...]  # listed_workers in the site file; empty if that names an inventory
     tally: Address | None
     tally_listen: Address | None
     options: Options
@@ -182,7 +186,7 @@
     try:
         file = msgspec.convert(raw, SiteFile)
     except msgspec.ValidationError as error:
-        # msgspec's text ends with the place: "... - at `$.plans[...].rate`".
+        # msgspec's message ends with the place: "... - at `$.plans[...].rate`".
         raise SiteError(f"{name}: {error}") from None
     try:
         return check_site(file)
@@ -250,14 +254,14 @@
             ip_network(network)
         except ValueError:
             raise ConfigError(f"trusted_proxies[{number}]: {network!r} is no network") from None
-    listed = make_workers(file.workers)
+    listed_workers = make_workers(file.workers)
     options = Options(
         parse_base_path(file.description.base), file.defaults.aim, file.defaults.deadline,
         file.defaults.worth, file.classes, MAX_DEADLINE_S, file.description.most_operations,
     )  # fmt: skip
     return Site(
         file, parse_address_setting("listen", file.listen), read_callers(file.callers, names),
-        tuple(make_plan(name, part) for name, part in file.plans.items()), listed,
+        tuple(make_plan(name, part) for name, part in file.plans.items()), listed_workers,
         parse_address_setting("tally.address", file.tally.address) if file.tally.address else None,
         parse_address_setting("tally.listen", file.tally.listen) if file.tally.listen else None, options,
     )  # fmt: skip
@@ -303,21 +307,21 @@
 
 def make_plan(name: str, part: PlanPart) -> i.Plan:
     """Validate a plan and return it as the decision module takes it.  Raises ConfigError."""
-    at = f"plans.{name}"
+    place = f"plans.{name}"
     for field, maximum in (("rate", 1e9), ("burst", 1e9), ("price", 1e6), ("over_cost", 1e6)):
-        check_range(f"{at}.{field}", getattr(part, field), 0, maximum)
-    check_range(f"{at}.parallel", part.parallel, 0, 1_000_000)
+        check_range(f"{place}.{field}", getattr(part, field), 0, maximum)
+    check_range(f"{place}.parallel", part.parallel, 0, 1_000_000)
     if part.rate > 0 and part.burst < 1:
-        raise ConfigError(f"{at}.burst is {part.burst:g}; a plan with a rate holds at least 1 unit")
+        raise ConfigError(f"{place}.burst is {part.burst:g}; a plan with a rate holds at least 1 unit")
     if part.burst and not part.rate:
-        raise ConfigError(f"{at}.rate is 0: a burst alone is never filled again")
+        raise ConfigError(f"{place}.rate is 0: a burst alone is never filled again")
     ceiling = part.ceiling
     if ceiling is not None:
-        check_range(f"{at}.ceiling.rate", ceiling.rate, max(part.rate, 1e-6), 1e9)
-        check_range(f"{at}.ceiling.burst", ceiling.burst, max(part.burst, 1.0), 1e9)
-        check_range(f"{at}.ceiling.slack", ceiling.slack, 0, 1)
+        check_range(f"{place}.ceiling.rate", ceiling.rate, max(part.rate, 1e-6), 1e9)
+        check_range(f"{place}.ceiling.burst", ceiling.burst, max(part.burst, 1.0), 1e9)
+        check_range(f"{place}.ceiling.slack", ceiling.slack, 0, 1)
         if not part.rate:
-            raise ConfigError(f"{at}.ceiling: a plan without a rate has none")
+            raise ConfigError(f"{place}.ceiling: a plan without a rate has none")
     limits = (ceiling.rate, ceiling.burst, ceiling.slack) if ceiling else (0.0, 0.0, 0.0)
     return i.Plan(
         name, part.rate, part.burst, part.parallel, part.price, part.over_cost, 0.0, *limits
@@ -329,21 +333,21 @@
     workers: dict[str, Worker] = {}
     names_by_address: dict[tuple[str, int], str] = {}
     for index, part in enumerate(parts):
-        at = f"workers[{index}]"
+        place = f"workers[{index}]"
         if not part.name or len(part.name) > 128:
-            raise ConfigError(f"{at}.name: write 1 to 128 characters")
+            raise ConfigError(f"{place}.name: write 1 to 128 characters")
         if part.name in workers:
-            raise ConfigError(f"{at}.name: {part.name!r} stands twice")
+            raise ConfigError(f"{place}.name: {part.name!r} stands twice")
         try:
             host, port = parse_worker_address(part.address)
         except FieldError as error:
-            raise ConfigError(f"{at}.address: {error}") from None
+            raise ConfigError(f"{place}.address: {error}") from None
         if port is None:
-            raise ConfigError(f"{at}.address: {part.address!r} has no port")
+            raise ConfigError(f"{place}.address: {part.address!r} has no port")
         if (host, port) in names_by_address:
-            raise ConfigError(f"{at}.address: {part.address} is that of {names_by_address[host, port]!r}")
-        check_range(f"{at}.weight", part.weight, 0.001, 1000)
-        check_range(f"{at}.bay", part.bay, 0, 1 << 31)
+            raise ConfigError(f"{place}.address: {part.address} is that of {names_by_address[host, port]!r}")
+        check_range(f"{place}.weight", part.weight, 0.001, 1000)
+        check_range(f"{place}.bay", part.bay, 0, 1 << 31)
         workers[part.name] = Worker(part.name, host, port, part.room, part.bay, "standard", part.weight)
         names_by_address[host, port] = part.name
     return tuple(workers.values())
--- a/ivymux/service/standalone.py
+++ b/ivymux/service/standalone.py
@@ -203,7 +203,7 @@
                 log.exception("checking the description for changes failed")
 
     def file_stamps(self) -> dict[str, object]:
-        """Return, for each file of the description, values that change with it, without reading it."""
+        """Return metadata of each file of the description, which differs once the file has changed."""
         path = description_path(self.site, self.path)
         stamps: dict[str, object] = {}
         for name in {path.name, *self.table.compiled.files}:
@@ -218,7 +218,7 @@
         """Reload the description if one of its files has changed since the last check."""
         stamps = self.file_stamps()
         if self.last_stamps is None:
-            # Files may have changed between their compilation and this first check; their digests tell.
+            # Files may have changed between their compilation and this first check, so compare their digests.
             path = description_path(self.site, self.path)
             with contextlib.suppress(OSError):
                 if await asyncio.to_thread(is_unchanged, path, self.table.compiled):
@@ -303,7 +303,7 @@
 
 
 def restart_settings(site: Site) -> object:
-    """Return the settings of a site that change only with a restart, to compare them."""
+    """Return the settings of a site that take effect only at a restart, for comparison."""
     file = site.file
     return (
         file.listen, file.limits, file.rules, file.tally, file.keyed, file.reports, file.callers.header,
