--- a/ivymux/admin/operations.py
+++ b/ivymux/admin/operations.py
@@ -31,7 +31,7 @@
 from ivymux.inventory.model import Inventory, InventoryError
 from ivymux.membership.files import Content, parse_content
 from ivymux.routes.model import CompiledDescription, DescriptionError
-from ivymux.service.compiler import CompilerError, Texts, compile_texts
+from ivymux.service.compiler import CompilerError, DescriptionFiles, compile_in_memory
 from ivymux.service.site import findings as site_findings
 from ivymux.tenants import secret
 from ivymux.tenants.merge import differences, merge
@@ -250,7 +250,7 @@
             is_stale = before is None or not before.plans or site_of(before).options != site.options
             if is_stale or not routes.compiled or before is None or before.routes != routes:
                 texts = {name: await self.read_text(uid, d, new_blobs) for name, d in routes.files.items()}
-                compiled = await compile_routes(Texts(routes.main, texts, site.options))
+                compiled = await compile_routes(DescriptionFiles(routes.main, texts, site.options))
                 data = msgspec.msgpack.encode(compiled)
                 new_blobs[digest(data)] = data
                 tenant = replace(tenant, routes=replace(routes, compiled=digest(data)))
@@ -547,9 +547,9 @@
     return main, found, base
 
 
-async def compile_routes(texts: Texts) -> CompiledDescription:
+async def compile_routes(description: DescriptionFiles) -> CompiledDescription:
     try:
-        return await compile_texts(texts)
+        return await compile_in_memory(description)
     except DescriptionError as error:
         found = [Finding("error" if f.level == "error" else "warning", f"/files/{f.file}#{f.place}", f.text)
                  for f in error.findings]  # fmt: skip
--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -1,8 +1,9 @@
 """Compiles route descriptions in a child process with bounded memory and time; caches the results on disk.
 
 A gateway goes on serving meanwhile.  The child process is `python -m ivymux.service.compiler FILE` with the
-options as JSON on standard input, or the same without FILE and with `Texts` as MessagePack.  It writes one
-byte, `COMPILED_MARK` or `FINDINGS_MARK`, then the compiled description or the findings as MessagePack.
+options as JSON on standard input, or the same without FILE and with `DescriptionFiles` as MessagePack.  It
+writes one byte, `COMPILED_MARK` or `FINDINGS_MARK`, then the compiled description or the findings as
+MessagePack.
 """
 
 from __future__ import annotations
@@ -64,7 +65,7 @@
     return read
 
 
-class Texts(msgspec.Struct, frozen=True):
+class DescriptionFiles(msgspec.Struct, frozen=True):
     """A description whose files are in memory, such as one uploaded through the administration API."""
 
     main: str  # the name of the main file
@@ -90,8 +91,8 @@
         path = Path(sys.argv[1])
         read, options = folder_reader(path), msgspec.json.decode(input_data, type=Options)
     else:
-        texts = msgspec.msgpack.decode(input_data, type=Texts)
-        path, read, options = Path(texts.main), texts.read, texts.options
+        uploaded = msgspec.msgpack.decode(input_data, type=DescriptionFiles)
+        path, read, options = Path(uploaded.main), uploaded.read, uploaded.options
     try:
         out = COMPILED_MARK + msgspec.msgpack.encode(compile_description(path.name, read, options))
     except DescriptionError as error:
@@ -108,9 +109,9 @@
     return await run_compiler(str(path), [str(path)], msgspec.json.encode(options))
 
 
-async def compile_texts(texts: Texts) -> CompiledDescription:
+async def compile_in_memory(files: DescriptionFiles) -> CompiledDescription:
     """Compile a description in memory.  Raises DescriptionError, CompilerError."""
-    return await run_compiler(texts.main, [], msgspec.msgpack.encode(texts))
+    return await run_compiler(files.main, [], msgspec.msgpack.encode(files))
 
 
 async def run_compiler(path: str, arguments: list[str], input_data: bytes) -> CompiledDescription:
