--- a/tests/service/fixtures.py
+++ b/tests/service/fixtures.py
@@ -27,7 +27,7 @@
 def site_text(workers: Sequence[Worker], plan: str = "", top: str = "", **tables: str) -> str:
     """Return a site file with one plan, one customer and these workers.
 
-    `plan` replaces the plan's quota, `top` has settings outside of tables, `tables` the content of tables.
+    `plan` replaces the plan's quota.  `top` has settings outside of tables, `tables` the content of tables.
     """
     parts = [
         'listen = "127.0.0.1:0"', top, '[description]\nfile = "api.json"', tables.pop("description", ""),
@@ -48,23 +48,23 @@
     gateway: StandaloneGateway
     folder: Path
     workers: list[Worker]
-    fleet: ExecutionRecord
+    record: ExecutionRecord  # what the workers executed
 
     def write_description(self, document: Any) -> None:
         """Replace the description atomically."""
         data = document if isinstance(document, bytes) else json.dumps(document).encode()
-        part = self.folder / "api.json.part"
-        part.write_bytes(data)
-        part.replace(self.folder / "api.json")
+        temporary = self.folder / "api.json.part"
+        temporary.write_bytes(data)
+        temporary.replace(self.folder / "api.json")
 
 
 @contextlib.asynccontextmanager
 async def running_gateway(
-    folder: Path, plans: Sequence[Responder] = (reply_normally,), document: Any = None, **site: str
+    folder: Path, responders: Sequence[Responder] = (reply_normally,), document: Any = None, **site: str
 ) -> AsyncIterator[GatewayFixture]:
-    """Run a gateway with a worker for each of `plans`; `site` has further arguments of `site_text`."""
-    fleet = ExecutionRecord()
-    workers = [await Worker(fleet, plan, bay=n % 2).start() for n, plan in enumerate(plans)]
+    """Run a gateway with a worker for each responder; `site` has further arguments of `site_text`."""
+    record = ExecutionRecord()
+    workers = [await Worker(record, responder, bay=n % 2).start() for n, responder in enumerate(responders)]
     document = document or described(PATHS)
     (folder / "api.json").write_bytes(
         document if isinstance(document, bytes) else json.dumps(document).encode()
@@ -74,7 +74,7 @@
     gateway = await open_standalone(folder / "site.toml")
     await gateway.start()
     try:
-        yield GatewayFixture(gateway, folder, workers, fleet)
+        yield GatewayFixture(gateway, folder, workers, record)
     finally:
         await gateway.close()
         for worker in workers:
@@ -102,7 +102,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader, is_head: bool = False) -> HttpAnswer:
-    """Read one answer; `is_head`: to a HEAD request, so without a body."""
+    """Read one answer.  `is_head`: the request was HEAD, so the answer has no body."""
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = [(k, v.strip()) for k, _, v in (line.partition(":") for line in lines[1:] if line)]
     answer = HttpAnswer(int(lines[0].split()[1]), headers, b"")
@@ -114,7 +114,7 @@
 def make_request(line: str, body: bytes = b"", key: str = KEY, /, **headers: str) -> bytes:
     """Return a request as bytes; `line` is METHOD TARGET.
 
-    An empty header removes it; underscores in header names stand for hyphens.
+    An empty value removes a header; underscores in header names stand for hyphens.
     """
     method, target = line.split(" ", 1)
     fields = {"Host": "h.example", "X-API-Key": key} | {k.replace("_", "-"): v for k, v in headers.items()}
@@ -151,6 +151,6 @@
 async def send_request(
     fixture: GatewayFixture, line: str, body: bytes = b"", key: str = KEY, /, **headers: str
 ) -> HttpAnswer:
-    """Send a request on a connection of its own."""
+    """Send a request on a new connection."""
     async with Client(fixture.gateway) as client:
         return await client.send_request(line, body, key, **headers)
--- a/tests/service/test_frontend.py
+++ b/tests/service/test_frontend.py
@@ -1,4 +1,4 @@
-"""The frontend for ordinary HTTP: which fields pass, which are set, and which requests no worker receives."""
+"""The frontend for ordinary HTTP: which header fields it forwards or sets, and which requests it refuses."""
 
 from __future__ import annotations
 
@@ -18,45 +18,48 @@
 
 
 def test_a_request_is_served_and_headers_pass_both_ways(tmp_path: Path) -> None:
-    def plan(seen: ReceivedRequest) -> Reply:
+    def respond(request: ReceivedRequest) -> Reply:
         fields = "X-Own: 1\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\nServer-Load: TEXT queue=1\r\n"
         fields += "Connection: X-Hop\r\nX-Hop: secret\r\nKeep-Alive: timeout=5"
         return Reply(data=encode_answer(418, b"tea", fields))
 
     async def test() -> None:
-        async with running_gateway(tmp_path, [plan]) as fixture:
-            got = await send_request(
+        async with running_gateway(tmp_path, [respond]) as fixture:
+            answer = await send_request(
                 fixture, "GET /read/7?x=%41", X_Extra="e", Connection="X-Away", X_Away="1", TE="trailers"
             )
-            assert (got.status, got.body, got.header("x-own")) == (418, b"tea", "1")
-            assert [v for k, v in got.headers if k.lower() == "set-cookie"] == ["a=1", "b=2"]
-            assert not any(got.header(n) for n in ("x-hop", "keep-alive", "server-load", "connection"))
-            seen = fixture.workers[0].last_request
-            assert seen is not None and (seen.method, seen.target) == ("GET", b"/read/7?x=%41")
-            assert (seen.header("x-extra"), seen.header("host")) == ("e", "h.example")
-            assert seen.header("ivymux-customer") == "c" and len(seen.header("request-id")) == 16
-            assert not any(seen.header(n) for n in ("x-away", "te", "connection", "x-api-key"))
+            assert (answer.status, answer.body, answer.header("x-own")) == (418, b"tea", "1")
+            assert [v for k, v in answer.headers if k.lower() == "set-cookie"] == ["a=1", "b=2"]
+            assert not any(answer.header(n) for n in ("x-hop", "keep-alive", "server-load", "connection"))
+            forwarded = fixture.workers[0].last_request
+            assert forwarded is not None and (forwarded.method, forwarded.target) == ("GET", b"/read/7?x=%41")
+            assert (forwarded.header("x-extra"), forwarded.header("host")) == ("e", "h.example")
+            assert forwarded.header("ivymux-customer") == "c" and len(forwarded.header("request-id")) == 16
+            assert not any(forwarded.header(n) for n in ("x-away", "te", "connection", "x-api-key"))
 
     run(test())
 
 
-def test_forwarded_is_set_and_not_believed_from_strangers(tmp_path: Path) -> None:
+def test_forwarding_fields_are_accepted_from_trusted_proxies_only(tmp_path: Path) -> None:
     async def test() -> None:
-        lies = {"X_Forwarded_For": "6.6.6.6", "Forwarded": "for=6.6.6.6", "X_Real_IP": "6.6.6.6"}
-        lies |= {"X_Original_URL": "/admin", "Ivymux_Customer": "other", "X_Forwarded_Host": "evil"}
+        forged_fields = {"X_Forwarded_For": "6.6.6.6", "Forwarded": "for=6.6.6.6", "X_Real_IP": "6.6.6.6"}
+        forged_fields |= {"X_Original_URL": "/admin", "Ivymux_Customer": "other", "X_Forwarded_Host": "evil"}
         async with running_gateway(tmp_path) as fixture:
-            await send_request(fixture, "GET /read/7", **lies)
-            seen = fixture.workers[0].last_request
-            assert seen is not None and seen.header("x-forwarded-for") == "127.0.0.1"
-            assert seen.header("forwarded") == 'for=127.0.0.1;host="h.example";proto=http'
-            assert seen.header("x-forwarded-host") == "h.example" and seen.header("ivymux-customer") == "c"
-            assert not any(b"6.6.6.6" in v or b"/admin" in v for _, v in seen.headers)
+            await send_request(fixture, "GET /read/7", **forged_fields)
+            forwarded = fixture.workers[0].last_request
+            assert forwarded is not None and forwarded.header("x-forwarded-for") == "127.0.0.1"
+            assert forwarded.header("forwarded") == 'for=127.0.0.1;host="h.example";proto=http'
+            assert (
+                forwarded.header("x-forwarded-host") == "h.example"
+                and forwarded.header("ivymux-customer") == "c"
+            )
+            assert not any(b"6.6.6.6" in v or b"/admin" in v for _, v in forwarded.headers)
         async with running_gateway(tmp_path, top='trusted_proxies = ["127.0.0.0/8"]') as fixture:
-            await send_request(fixture, "GET /read/7", **lies)
-            seen = fixture.workers[0].last_request
-            assert seen is not None and seen.header("x-forwarded-for") == "6.6.6.6, 127.0.0.1"
-            assert seen.header("forwarded").startswith("for=6.6.6.6, for=127.0.0.1")
-            assert seen.header("ivymux-customer") == "c" and not seen.header("x-original-url")
+            await send_request(fixture, "GET /read/7", **forged_fields)
+            forwarded = fixture.workers[0].last_request
+            assert forwarded is not None and forwarded.header("x-forwarded-for") == "6.6.6.6, 127.0.0.1"
+            assert forwarded.header("forwarded").startswith("for=6.6.6.6, for=127.0.0.1")
+            assert forwarded.header("ivymux-customer") == "c" and not forwarded.header("x-original-url")
 
     run(test())
 
@@ -75,7 +78,7 @@
         ("GET /read/7", {"Transfer_Encoding": "gzip, chunked"}, 501),
     ],
 )  # fmt: skip
-def test_what_is_refused_never_reaches_a_worker(
+def test_a_refused_request_never_reaches_a_worker(
     tmp_path: Path, line: str, headers: dict[str, str], status: int
 ) -> None:
     async def test() -> None:
@@ -84,17 +87,17 @@
             if "Transfer_Encoding" in headers:
                 data += b"0\r\n\r\n"
             async with Client(fixture.gateway) as client:
-                got = await client.send_bytes(data)
-            assert got.status == status
+                answer = await client.send_bytes(data)
+            assert answer.status == status
             if status >= 400:
-                assert got.problem["detail"] and not fixture.fleet.received
+                assert answer.problem["detail"] and not fixture.record.received
             if status in (204, 405):
-                assert got.header("allow").split(", ")[-1] in ("PUT", "POST")
+                assert answer.header("allow").split(", ")[-1] in ("PUT", "POST")
             if status == 401:
-                assert got.header("www-authenticate").startswith("ApiKey")
+                assert answer.header("www-authenticate").startswith("ApiKey")
             if "other" in line:
-                seen = fixture.workers[0].last_request
-                assert seen is not None and (seen.target, seen.header("host")) == (
+                forwarded = fixture.workers[0].last_request
+                assert forwarded is not None and (forwarded.target, forwarded.header("host")) == (
                     b"/read/7",
                     "other.example",
                 )
@@ -102,14 +105,16 @@
     run(test())
 
 
-def test_a_form_that_overrides_the_method_is_refused_but_for_unsafe_ones(tmp_path: Path) -> None:
+def test_a_form_field_that_overrides_the_method_is_refused_unless_the_operation_is_unsafe(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         async with running_gateway(tmp_path) as fixture:
             form = {"Content_Type": "application/x-www-form-urlencoded; charset=utf-8"}
-            got = await send_request(
+            answer = await send_request(
                 fixture, "POST /keyed", b"a=1&%5Fmethod=delete", Idempotency_Key="k", **form
             )
-            assert got.status == 400 and not fixture.fleet.received
+            assert answer.status == 400 and not fixture.record.received
             assert (await send_request(fixture, "POST /write", b"_method=delete", **form)).status == 200
             assert (
                 await send_request(fixture, "POST /keyed", b"_method=delete", Idempotency_Key="k")
@@ -126,37 +131,37 @@
             )
             async with Client(fixture.gateway) as client:
                 assert (await client.send_bytes(data)).status == 200
-            seen = fixture.workers[0].last_request
-            assert seen is not None and not any(b"_" in name for name, _ in seen.headers)
+            forwarded = fixture.workers[0].last_request
+            assert forwarded is not None and not any(b"_" in name for name, _ in forwarded.headers)
 
     run(test())
 
 
-def test_a_body_too_large_is_413_and_one_that_fits_comes_whole(tmp_path: Path) -> None:
+def test_a_body_too_large_is_413_and_one_that_fits_is_forwarded_completely(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_gateway(tmp_path, limits="body_kb = 64") as fixture:
             assert (await send_request(fixture, "POST /write", b"x" * 65_537)).status == 413
             assert (await send_request(fixture, "POST /write", b"y" * 65_536)).status == 200
-            seen = fixture.workers[0].last_request
-            assert seen is not None and seen.body == b"y" * 65_536
+            forwarded = fixture.workers[0].last_request
+            assert forwarded is not None and forwarded.body == b"y" * 65_536
 
     run(test())
 
 
-def test_an_exhausted_quota_is_429_with_the_wait_and_a_too_costly_request_403(tmp_path: Path) -> None:
+def test_an_exhausted_quota_is_429_with_retry_after_and_a_too_costly_request_403(tmp_path: Path) -> None:
     limit = {"name": "limit", "in": "query", "schema": {"type": "integer"}}
-    dear = operation(parameters=[limit], x={"cost": {"from": "query.limit", "per": 1, "most": 50}})
+    costly = operation(parameters=[limit], x={"cost": {"from": "query.limit", "per": 1, "most": 50}})
 
     async def test() -> None:
-        document = described({"/a": {"get": dear}})
+        document = described({"/a": {"get": costly}})
         async with running_gateway(tmp_path, document=document, plan="rate = 2.0\nburst = 10") as fixture:
             assert (await send_request(fixture, "GET /a?limit=10")).status == 200
-            got = await send_request(fixture, "GET /a?limit=8")
-            assert got.status == 429 and "Nothing was done" in got.problem["detail"]
-            assert 1 <= int(got.header("retry-after")) <= 4  # 8 units are refilled in 4 s
-            got = await send_request(fixture, "GET /a?limit=11")
-            assert got.status == 403 and "11 units" in got.problem["detail"]
-            assert sum(fixture.fleet.received.values()) == 1
+            answer = await send_request(fixture, "GET /a?limit=8")
+            assert answer.status == 429 and "Nothing was done" in answer.problem["detail"]
+            assert 1 <= int(answer.header("retry-after")) <= 4  # 8 units are refilled in 4 s
+            answer = await send_request(fixture, "GET /a?limit=11")
+            assert answer.status == 403 and "11 units" in answer.problem["detail"]
+            assert sum(fixture.record.received.values()) == 1
 
     run(test())
 
@@ -174,25 +179,25 @@
         (Reply(data=encode_answer(404, b"gone")), "POST /write", 404, 1),
     ],
 )
-def test_failures_of_workers_reach_the_client_as_what_they_are(
+def test_a_workers_failure_is_answered_with_the_matching_status(
     tmp_path: Path, reply: Reply, line: str, status: int, runs: int
 ) -> None:
     async def test() -> None:
-        async with running_gateway(tmp_path, [lambda seen: reply] * 3) as fixture:
-            got = await send_request(fixture, line, Request_Id="r1")
-            assert got.status == status and fixture.fleet.executions["r1"] <= runs
+        async with running_gateway(tmp_path, [lambda request: reply] * 3) as fixture:
+            answer = await send_request(fixture, line, Request_Id="r1")
+            assert answer.status == status and fixture.record.executions["r1"] <= runs
             if runs == 1:
-                assert fixture.fleet.executions["r1"] == 1
+                assert fixture.record.executions["r1"] == 1
             if reply.data and b"Not-Started" not in reply.data:
-                assert got.body == reply.data.partition(b"\r\n\r\n")[2]  # the worker's own body
+                assert answer.body == reply.data.partition(b"\r\n\r\n")[2]  # the worker's own body
             else:
-                assert got.problem["instance"] == "urn:request:r1" and got.header("request-id") == "r1"
+                assert answer.problem["instance"] == "urn:request:r1" and answer.header("request-id") == "r1"
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("line", "data", "status", "length", "again"),
+    ("line", "data", "status", "length", "is_reused"),
     [
         ("HEAD /read/7", b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n", 200, "99", True),
         ("HEAD /read/7", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", 200, "", True),
@@ -209,21 +214,21 @@
     ],
 )  # fmt: skip
 def test_answers_with_and_without_bodies(
-    tmp_path: Path, line: str, data: bytes, status: int, length: str, again: bool
+    tmp_path: Path, line: str, data: bytes, status: int, length: str, is_reused: bool
 ) -> None:
-    to_the_end = data.endswith(b"to the end")
+    ends_with_connection = data.endswith(b"to the end")
 
-    def plan(seen: ReceivedRequest) -> Reply:
-        return Reply(data=data, close=to_the_end)
+    def respond(request: ReceivedRequest) -> Reply:
+        return Reply(data=data, close=ends_with_connection)
 
     async def test() -> None:
-        async with running_gateway(tmp_path, [plan]) as fixture:
+        async with running_gateway(tmp_path, [respond]) as fixture:
             async with Client(fixture.gateway) as client:
                 for _ in range(3):  # on one connection: no bytes of an answer may be left for the next one
-                    got = await client.send_request(line)
-                    assert (got.status, got.header("content-length")) == (status, length)
-                    assert not got.header("transfer-encoding")
-            assert (fixture.workers[0].accepted_connections == 1) is again
+                    answer = await client.send_request(line)
+                    assert (answer.status, answer.header("content-length")) == (status, length)
+                    assert not answer.header("transfer-encoding")
+            assert (fixture.workers[0].accepted_connections == 1) is is_reused
 
     run(test())
 
@@ -240,15 +245,15 @@
     ],
 )
 def test_an_ambiguous_answer_is_invalid(tmp_path: Path, head: bytes) -> None:
-    def plan(seen: ReceivedRequest) -> Reply:
+    def respond(request: ReceivedRequest) -> Reply:
         return Reply(data=head + b"4\r\nHTTP\r\n0\r\n\r\n" + encode_answer(200, b"another's"))
 
     async def test() -> None:
-        async with running_gateway(tmp_path, [plan]) as fixture:
+        async with running_gateway(tmp_path, [respond]) as fixture:
             async with Client(fixture.gateway) as client:
                 for _ in range(3):
-                    got = await client.send_request("POST /write")
-                    assert got.status == 502 and b"another" not in got.body
+                    answer = await client.send_request("POST /write")
+                    assert answer.status == 502 and b"another" not in answer.body
             assert fixture.workers[0].accepted_connections == 3
 
     run(test())
@@ -273,31 +278,31 @@
             data = b"POST /write HTTP/1.1\r\nHost: h\r\nX-API-Key: iv_test-key\r\n" + fields + b"\r\n"
             data += b"0\r\n\r\nGET /read/smuggled HTTP/1.1\r\nHost: h\r\nX-API-Key: iv_test-key\r\n\r\n"
             async with Client(fixture.gateway) as client:
-                got = await client.send_bytes(data)
-                assert got.status in (400, 501)
+                answer = await client.send_bytes(data)
+                assert answer.status in (400, 501)
                 rest = await client.reader.read()
-            assert rest.count(b"HTTP/1.1 200") <= 1 and not fixture.fleet.received
+            assert rest.count(b"HTTP/1.1 200") <= 1 and not fixture.record.received
 
     run(test())
 
 
-def test_a_trailer_and_a_chunked_body_become_a_plain_one(tmp_path: Path) -> None:
+def test_a_chunked_body_is_forwarded_with_its_length_and_without_trailers(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_gateway(tmp_path) as fixture:
             data = make_request("POST /write").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
             async with Client(fixture.gateway) as client:
-                got = await client.send_bytes(data + b"3\r\nabc\r\n0\r\nX-API-Key: other\r\n\r\n")
-            seen = fixture.workers[0].last_request
-            assert got.status == 200 and seen is not None
-            assert (seen.body, seen.header("content-length")) == (b"abc", "3")
-            assert not seen.header("transfer-encoding") and not seen.header("x-api-key")
+                answer = await client.send_bytes(data + b"3\r\nabc\r\n0\r\nX-API-Key: other\r\n\r\n")
+            forwarded = fixture.workers[0].last_request
+            assert answer.status == 200 and forwarded is not None
+            assert (forwarded.body, forwarded.header("content-length")) == (b"abc", "3")
+            assert not forwarded.header("transfer-encoding") and not forwarded.header("x-api-key")
 
     run(test())
 
 
 def test_a_client_that_closes_its_sending_side_still_gets_its_answers(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running_gateway(tmp_path, [lambda seen: Reply(delay=0.05)]) as fixture:
+        async with running_gateway(tmp_path, [lambda request: Reply(delay=0.05)]) as fixture:
             async with Client(fixture.gateway) as client:
                 client.writer.write(make_request("GET /read/1") + make_request("GET /read/2"))
                 client.writer.write_eof()
@@ -317,7 +322,7 @@
                 client.writer.write_eof()
                 await client.reader.read()
             await until(lambda: not fixture.gateway.server.clients)
-            assert not fixture.fleet.received and fixture.gateway.server.held_bytes == 0
+            assert not fixture.record.received and fixture.gateway.server.held_bytes == 0
 
     run(test())
 
@@ -331,32 +336,32 @@
 
 def test_a_disconnected_client_holds_no_memory(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running_gateway(tmp_path, [lambda seen: Reply(delay=0.2)]) as fixture:
+        async with running_gateway(tmp_path, [lambda request: Reply(delay=0.2)]) as fixture:
             client = Client(fixture.gateway)
             await client.__aenter__()
             client.writer.write(make_request("POST /write", b"x" * 1000))
-            await until(lambda: fixture.fleet.received)
+            await until(lambda: fixture.record.received)
             reset(client)
             await until(lambda: not fixture.gateway.host.requests)
             assert fixture.gateway.server.held_bytes == 0 and not any(fixture.gateway.classes.open_requests)
-            assert max(fixture.fleet.executions.values()) == 1
+            assert max(fixture.record.executions.values()) == 1
 
     run(test())
 
 
-@pytest.mark.parametrize(("line", "ends"), [("GET /read/1", True), ("POST /write", False)])
-def test_a_disconnect_cancels_a_read_but_not_a_write(tmp_path: Path, line: str, ends: bool) -> None:
+@pytest.mark.parametrize(("line", "is_cancelled"), [("GET /read/1", True), ("POST /write", False)])
+def test_a_disconnect_cancels_a_read_but_not_a_write(tmp_path: Path, line: str, is_cancelled: bool) -> None:
     async def test() -> None:
-        async with running_gateway(tmp_path, [lambda seen: Reply(delay=20.0)]) as fixture:
+        async with running_gateway(tmp_path, [lambda request: Reply(delay=20.0)]) as fixture:
             async with Client(fixture.gateway) as client:
                 client.writer.write(make_request(line))
-                await until(lambda: fixture.fleet.received)
+                await until(lambda: fixture.record.received)
                 reset(client)  # after a plain close the client might still read its answer
             host = fixture.gateway.host
             await until(lambda: host.departures.requests)
-            if ends:
+            if is_cancelled:
                 await until(lambda: not host.requests)
-            assert (host.departures.cancelled, len(host.requests)) == ((1, 0) if ends else (0, 1))
+            assert (host.departures.cancelled, len(host.requests)) == ((1, 0) if is_cancelled else (0, 1))
 
     run(test())
 
@@ -366,14 +371,14 @@
 
     async def test() -> None:
         limits = "answer_kb = 2048\nmemory_mb = 128"
-        async with running_gateway(tmp_path, [lambda seen: Reply(data=big)], limits=limits) as fixture:
+        async with running_gateway(tmp_path, [lambda request: Reply(data=big)], limits=limits) as fixture:
             max_unread = fixture.gateway.frontend.max_unread_clients
             clients = [Client(fixture.gateway) for _ in range(max_unread + 4)]
             for client in clients:
                 await client.__aenter__()
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 client.writer.write(make_request("GET /read/1") * 4)
-            await until(lambda: fixture.fleet.received.total() >= max_unread)
+            await until(lambda: fixture.record.received.total() >= max_unread)
             await until(lambda: len(fixture.gateway.server.clients) <= max_unread)
             assert len(fixture.gateway.server.slow_readers) <= max_unread
             assert (await send_request(fixture, "GET /read/1")).status == 200
@@ -388,8 +393,8 @@
         async with running_gateway(tmp_path) as fixture:
             assert (await send_request(fixture, "GET /-/ready", b"", "")).body == b"ready\n"
             await send_request(fixture, "GET /read/7", Request_Id="mine-1")
-            seen = fixture.workers[0].last_request
-            assert seen is not None and seen.header("request-id") == "mine-1"
+            forwarded = fixture.workers[0].last_request
+            assert forwarded is not None and forwarded.header("request-id") == "mine-1"
             await send_request(fixture, "GET /read/7", Request_Id="a b\tc")
             assert fixture.workers[0].last_request is not None
             assert len(fixture.workers[0].last_request.header("request-id")) == 16
@@ -400,8 +405,8 @@
 def test_a_refusal_is_problem_details_in_json(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_gateway(tmp_path, document=described(PATHS)) as fixture:
-            got = await send_request(fixture, "GET /none")
-            assert json.loads(got.body) == {
+            answer = await send_request(fixture, "GET /none")
+            assert json.loads(answer.body) == {
                 "type": "about:blank", "title": "No such path", "status": 404,
                 "detail": "no such path in the description",
             }  # fmt: skip
@@ -409,7 +414,7 @@
     run(test())
 
 
-def test_a_bearer_token_is_a_key_too(tmp_path: Path) -> None:
+def test_a_bearer_token_is_accepted_as_an_api_key(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_gateway(tmp_path, callers='header = "Authorization"') as fixture:
             assert (
@@ -421,8 +426,8 @@
             assert (
                 await send_request(fixture, "GET /read/1", Authorization="Basic iv_test-key")
             ).status == 401
-            seen = fixture.workers[0].last_request
-            assert seen is not None and not seen.header("authorization")
+            forwarded = fixture.workers[0].last_request
+            assert forwarded is not None and not forwarded.header("authorization")
             await asyncio.sleep(0)
 
     run(test())
--- a/tests/service/test_site.py
+++ b/tests/service/test_site.py
@@ -10,7 +10,7 @@
 from tests.routes.describing import compiled, described, operation
 
 HASH = hash_key(b"k")
-GOOD = f"""
+VALID_SITE = f"""
 listen = "127.0.0.1:0"
 [description]
 file = "api.yaml"
@@ -34,7 +34,7 @@
 
 
 def test_a_site_becomes_the_decision_modules_settings() -> None:
-    site = read_site(GOOD + "[keyed]\nmemory = 6.0\n", "s.toml")
+    site = read_site(VALID_SITE + "[keyed]\nmemory = 6.0\n", "s.toml")
     converted = settings(site, ())
     assert [p.name for p in converted.plans] == ["a", "b"] and converted.plans[1].ceiling_burst == 8
     assert site.workers[0].room == "r" and converted.has_counter and converted.limits.retry_after
@@ -68,25 +68,25 @@
         ("listen", 'trusted_proxies = ["x"]\nlisten', "trusted_proxies[0]"),
     ],
 )
-def test_errors_name_their_place(old: str, new: str, error_text: str) -> None:
-    assert old in GOOD
+def test_errors_name_the_file_and_the_setting(old: str, new: str, error_text: str) -> None:
+    assert old in VALID_SITE
     with pytest.raises(SiteError) as caught:
-        read_site(GOOD.replace(old, new, 1), "s.toml")
+        read_site(VALID_SITE.replace(old, new, 1), "s.toml")
     text = str(caught.value)
     assert text.startswith("s.toml: ") and error_text in text and "\n" not in text
     assert "iv_a-key" not in text  # an API key that was written by mistake must not be logged
 
 
-def test_workers_are_distinct() -> None:
-    again = GOOD + '[[workers]]\nname = "w"\naddress = "127.0.0.1:8001"\n'
+def test_workers_have_distinct_names_and_addresses() -> None:
+    site_text = VALID_SITE + '[[workers]]\nname = "w"\naddress = "127.0.0.1:8001"\n'
     with pytest.raises(SiteError, match="stands twice"):
-        read_site(again, "s.toml")
-    again = GOOD + '[[workers]]\nname = "v"\naddress = "127.0.0.1:8000"\n'
+        read_site(site_text, "s.toml")
+    site_text = VALID_SITE + '[[workers]]\nname = "v"\naddress = "127.0.0.1:8000"\n'
     with pytest.raises(SiteError, match="is that of 'w'"):
-        read_site(again, "s.toml")
+        read_site(site_text, "s.toml")
 
 
-def test_keys_are_kept_as_hashes_and_found_by_them() -> None:
+def test_keys_are_stored_as_hashes_and_found_by_them() -> None:
     callers = Callers([(hash_key(b"one"), "c", 0), (hash_key(b"two"), "c", 0), (hash_key(b"x"), "d", 1)])
     one, two, other = callers.find(b"one"), callers.find(b"two"), callers.find(b"x")
     assert one is two and one is not None and other is not None
@@ -108,8 +108,8 @@
     terms = {"cost": {"from": "query.limit", "most": 50}}
     document = described({"/a": {"get": operation(parameters=[limit], x=terms)},
                           "/b": {"post": operation(x={"effect": "keyed"})}})  # fmt: skip
-    warnings = findings(read_site(GOOD, "s.toml"), compiled(document))
+    warnings = findings(read_site(VALID_SITE, "s.toml"), compiled(document))
     assert len(warnings) == 3 and "plan a holds 5 units" in warnings[0] and "keyed.memory is 0" in warnings[2]
-    assert settings(read_site(GOOD, "s.toml"), ()).plans[0] == i.Plan(
+    assert settings(read_site(VALID_SITE, "s.toml"), ()).plans[0] == i.Plan(
         "a", 2.0, 5, 0, 1.0, 2.0, 0.0, 0.0, 0.0, 0.0
     )
--- a/tests/service/test_standalone.py
+++ b/tests/service/test_standalone.py
@@ -35,7 +35,7 @@
 # --- descriptions that change ------------------------------------------------------------------------
 
 
-def test_a_changed_description_is_noticed_and_taken(tmp_path: Path) -> None:
+def test_a_changed_description_is_detected_and_applied(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_gateway(tmp_path, description="watch = 0.02") as fixture:
             assert (await send_request(fixture, "GET /new")).status == 404
@@ -62,23 +62,23 @@
 
         async def change(fixture: GatewayFixture) -> bool:
             fixture.write_description(document(after))
-            taken = await fixture.gateway.reload_description()
+            is_changed = await fixture.gateway.reload_description()
             gate.set()
-            return taken
+            return is_changed
 
-        def plan(seen: ReceivedRequest) -> Reply:
-            if len(held) == 0:
-                held.append(seen)
-                tasks.append(asyncio.ensure_future(change(box[0])))
+        def respond(request: ReceivedRequest) -> Reply:
+            if len(first_attempts) == 0:
+                first_attempts.append(request)
+                tasks.append(asyncio.ensure_future(change(fixtures[0])))
                 return Reply(delay=60.0)  # no answer; the test aborts the connection
             return Reply()
 
-        held: list[ReceivedRequest] = []
-        box: list[GatewayFixture] = []
+        first_attempts: list[ReceivedRequest] = []
+        fixtures: list[GatewayFixture] = []  # set once the gateway runs
         async with running_gateway(
-            tmp_path, [plan] * 3, document(before), description="watch = 0"
+            tmp_path, [respond] * 3, document(before), description="watch = 0"
         ) as fixture:
-            box.append(fixture)
+            fixtures.append(fixture)
             async with Client(fixture.gateway) as client:
                 client.writer.write(make_request("GET /a", Request_Id="r"))
                 await gate.wait()
@@ -89,17 +89,17 @@
                             connection.transport.abort()
                 from .fixtures import read_answer
 
-                got = await read_answer(client.reader)
+                answer = await read_answer(client.reader)
             if before == "unsafe":
-                assert got.status == 502 and fixture.fleet.received["r"] == 1
+                assert answer.status == 502 and fixture.record.received["r"] == 1
             else:
-                assert got.status == 200 and fixture.fleet.received["r"] == 2
+                assert answer.status == 200 and fixture.record.received["r"] == 2
             assert not any(fixture.gateway.classes.open_requests)
 
     run(test())
 
 
-BROKEN = [
+INVALID_DESCRIPTIONS = [
     b"", b"{", b"not: [closed", json.dumps(described(PATHS)).encode()[:-40], b"\xff\xfe\x00", b"[]", b"null",
     b"openapi: 3.0.0\n" + alias_bomb(30), json.dumps({"openapi": "2.0"}).encode(),
     json.dumps(described({"/a": {"get": operation(x={"effect": "sometimes"})}})).encode(),
@@ -109,8 +109,8 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("data", BROKEN, ids=range(len(BROKEN)))
-def test_a_damaged_description_changes_nothing(
+@pytest.mark.parametrize("data", INVALID_DESCRIPTIONS, ids=range(len(INVALID_DESCRIPTIONS)))
+def test_an_invalid_description_changes_nothing(
     tmp_path: Path, data: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -143,7 +143,7 @@
     run(test())
 
 
-def test_serving_goes_on_while_a_description_is_compiled(tmp_path: Path) -> None:
+def test_requests_are_served_while_a_description_is_compiled(tmp_path: Path) -> None:
     from bench.descriptions import large_description_text
 
     async def test() -> None:
@@ -155,7 +155,7 @@
                 while not work.done():
                     assert (await client.send_request("GET /read/7")).status in (200, 404)
                     served += 1
-            assert await work and served > 20  # the benchmark measures how fast
+            assert await work and served > 20  # bench/routes.py measures the latency meanwhile
 
     run(test())
 
@@ -192,20 +192,20 @@
     assert read("near.json") == b"{}"
     with pytest.raises(OSError, match="leads out"):
         read("link.json")
-    # The description itself may be a link, as configuration tools replace it so.
+    # The description itself may be a link, as some configuration tools replace a file by changing a link.
     (folder / "api.json").symlink_to(tmp_path / "secret.json")
     assert read("api.json") == b"{}"
     os.mkfifo(folder / "pipe.json")
 
 
-def test_the_cache_is_used_only_where_every_file_is_the_same(tmp_path: Path) -> None:
+def test_the_cache_is_used_only_if_every_file_is_unchanged(tmp_path: Path) -> None:
     path, cache, options = tmp_path / "api.json", tmp_path / "cache", Options()
-    more = {"limit": {"name": "limit", "in": "query", "schema": {"type": "integer"}}}
+    definitions = {"limit": {"name": "limit", "in": "query", "schema": {"type": "integer"}}}
 
     def write(extra: Any) -> None:
         parameters = [{"$ref": "more.json#/limit"}]
         path.write_text(json.dumps(described({"/a": {"get": operation(parameters=parameters)}})))
-        (tmp_path / "more.json").write_text(json.dumps(more | {"extra": extra}))
+        (tmp_path / "more.json").write_text(json.dumps(definitions | {"extra": extra}))
 
     async def test() -> None:
         write(1)
@@ -218,14 +218,16 @@
         second, from_cache = await load_or_compile(path, options, cache)
         assert not from_cache and second.files != first.files
         assert load_cached(cache, path, Options(base="/x")) is None
-        whole = cache_file(cache, path).read_bytes()
-        for cut in (0, 5, 60, len(whole) // 2, len(whole) - 1):
-            cache_file(cache, path).write_bytes(whole[:cut])
+        contents = cache_file(cache, path).read_bytes()
+        for cut in (0, 5, 60, len(contents) // 2, len(contents) - 1):
+            cache_file(cache, path).write_bytes(contents[:cut])
             assert load_cached(cache, path, options) is None
-        for at in (20, 90, len(whole) // 2):
-            cache_file(cache, path).write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
+        for at in (20, 90, len(contents) // 2):
+            cache_file(cache, path).write_bytes(
+                contents[:at] + bytes([contents[at] ^ 1]) + contents[at + 1 :]
+            )
             assert load_cached(cache, path, options) is None
-        cache_file(cache, path).write_bytes(whole)
+        cache_file(cache, path).write_bytes(contents)
         assert load_cached(cache, path, options) == second
 
     run(test())
@@ -253,7 +255,7 @@
 def test_keys_and_workers_change_with_the_site_file(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_gateway(tmp_path, description="watch = 0") as fixture:
-            other = await Worker(fixture.fleet).start()
+            other = await Worker(fixture.record).start()
             text = site_text([other], keyed="memory = 30.0", description="watch = 0")
             site = fixture.folder / "site.toml"
             site.write_text(text.replace('name = "w0"', 'name = "other"'))
@@ -303,12 +305,12 @@
     run(test())
 
 
-def test_a_drain_answers_what_is_open(tmp_path: Path) -> None:
+def test_a_drain_answers_open_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running_gateway(tmp_path, [lambda seen: Reply(delay=0.3)]) as fixture:
+        async with running_gateway(tmp_path, [lambda request: Reply(delay=0.3)]) as fixture:
             async with Client(fixture.gateway) as client:
                 client.writer.write(make_request("POST /write"))
-                await until(lambda: fixture.fleet.received)
+                await until(lambda: fixture.record.received)
                 draining = asyncio.ensure_future(fixture.gateway.drain())
                 from .fixtures import read_answer
 
