--- a/ivymux/simulation/backend_selection.py
+++ b/ivymux/simulation/backend_selection.py
@@ -24,9 +24,9 @@
 RULES = ProxyRules(retry_ratio=0.2, quota_window=5.0, quota_excess=0.1, quota_slack=20.0)
 HOP_S = 0.001  # one way between a proxy and a backend
 EJECTION_DELAY_S = 0.035  # from a failure report to the ejection at all proxies
-SLOTS, MAX_QUEUED = 2, 6  # of a backend: concurrent and queued requests
+SLOTS, MAX_QUEUED = 2, 6  # requests that a backend works on at once and that it queues
 FAILURE_RESPONSE_S = 0.01  # until a failing backend answers
-IDLE_CONNECTION_S = 10.0  # for which an idle connection is kept open
+IDLE_TIMEOUT_S = 10.0  # after which an idle connection is closed
 ZONES = 4
 TARGET_LATENCY_FACTOR = 4.0  # of the mean work of a request
 
@@ -150,7 +150,7 @@
         if self.now < START_TIME + 1:
             self.first_second_requests[backend_index] = self.first_second_requests.get(backend_index, 0) + 1
         idle = self.idle_connections.setdefault((proxy, backend_index), [])
-        while idle and idle[0] < self.now - IDLE_CONNECTION_S:
+        while idle and idle[0] < self.now - IDLE_TIMEOUT_S:
             idle.pop(0)
         if idle:
             idle.pop()
--- a/ivymux/simulation/conversation_load.py
+++ b/ivymux/simulation/conversation_load.py
@@ -1,7 +1,8 @@
 """Conversation load test: conversations act, retry and read while proxies, backends and the primary fail.
 
-Real processes on loopback, and stand-in backends that record each effect.  The report compares two outside
-observations: what callers were answered, and how often each action had an effect.
+A conversation is a caller's sequence of reads and actions; its actions carry its name in a header.  Proxies
+and core machines are real processes on loopback; stand-in backends record each effect.  The report compares
+two outside observations: what callers were answered, and how often each action had an effect.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 HOST = "minutes.example"
 SERVICES = ("archive", "desk", "store")  # the first serves reads, the others actions
 ACTIONS = ("desk", "store")
-MAX_ATTEMPTS, MAX_ACTION_S = 12, 8.0  # of one action
+MAX_ATTEMPTS, MAX_ACTION_S = 12, 8.0  # attempts of one action, and seconds for which it is retried
 ATTEMPT_TIMEOUT_S = 1.5
 MAX_READ_ATTEMPTS = 3
 DEFAULT_RETRY_AFTER_S = 0.1
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.05, 1.0
 FAULT_INTERVAL_S = 2.0
-FREEZE_S = 1.2
-MIN_SERVING_PROXIES = 4
+FREEZE_S = 1.2  # for which a proxy is frozen
+MIN_SERVING_PROXIES = 4  # with no more than these, a proxy joins instead of another fault
 OUTCOME_UNKNOWN_TEXT = "not known"  # in the answer to an action whose outcome is unknown for good
 PROPAGATION_S = 1.5  # time within which all proxies know a change of the backends
 FAULT_KINDS = ("join", "leave", "kill", "freeze", "release")
@@ -44,7 +45,7 @@
     proxies: int = 8
     backends_per_service: int = 4
     conversations: int = 300
-    partners: int = 8
+    partners: int = 8  # tenants
     pause_s: float = 4.0  # mean time between two steps of one conversation
     work_s: float = 0.03  # that a backend takes for a request
 
@@ -281,7 +282,7 @@
             self.record.serving_proxies.append((self.now(), len(self.serving_proxies)))
 
     async def inject_fault(self, kind: str, number: int) -> None:
-        """Inject one fault and record it; a proxy joins instead where too few serve."""
+        """Inject one fault and record it; if too few proxies serve, one joins instead."""
         stopped = [ip for ip in self.cluster.proxy_ips if ip not in self.serving_proxies]
         has_few_proxies = len(self.serving_proxies) <= MIN_SERVING_PROXIES
         if kind == "join" or (kind != "release" and has_few_proxies):
--- a/ivymux/simulation/core_cluster.py
+++ b/ivymux/simulation/core_cluster.py
@@ -68,7 +68,7 @@
 class CoreCluster:
     """Core machines with simulated disks, network and operators, and checks of the core's guarantees.
 
-    `replica` creates the replica of a machine; tests pass a faulty one to verify that the checks detect it.
+    `replica` creates the replica of a machine; tests pass a faulty one to verify the checks.
     """
 
     def __init__(
@@ -83,8 +83,8 @@
         self.removed_machines: set[str] = set()  # never started again
         self.loss_rate = 0.0
         self.machines: dict[str, Machine] = {}
-        self.sent_texts: dict[int, set[str]] = {}  # by version, as operators sent them
-        self.text_by_version: dict[int, str] = {}  # as acknowledged or read
+        self.sent_texts: dict[int, set[str]] = {}  # by version: the texts that operators sent
+        self.text_by_version: dict[int, str] = {}  # the text that was acknowledged or read
         self.acknowledged_versions: set[int] = set()
         self.highest_acknowledged = -1  # of the versions acknowledged as stored
         self.highest_read = -1
--- a/ivymux/simulation/day_file.py
+++ b/ivymux/simulation/day_file.py
@@ -1,4 +1,4 @@
-"""The file format of a day: events that replay plays, and what was observed from outside.  Pure.
+"""The file format of a day: timed events that replay plays, and what was observed from outside.  Pure.
 
 JSON Lines.  The first record is the `day`, then follow its events (`at` in seconds from the beginning of the
 day) and, in a recorded day, the observations.  A recorded day can be played again, without its observations.
@@ -15,17 +15,17 @@
 MAX_LINE_BYTES = 1 << 16
 MAX_LINES = 500_000
 MAX_DAY_S = 3600
-FORMAT = 2
+FORMAT = 2  # version of the format that is written
 READABLE_FORMATS = (1, 2)  # an older format lacks fields, which have defaults
 
-# Of a drawn day:
+# Parameters of a day that is drawn at random.
 DISCONNECT_SHARE = 0.2  # of the reads, those whose clients disconnect
 DISCONNECT_AFTER_S = 0.1
 SLOW_RUNS = 5  # consecutive slow requests of a backend
 
 
 class DayError(ValueError):
-    """The file is not a valid day; the text is one line that names the place and the remedy."""
+    """The file is not a valid day; the message is one line that says where and what to write."""
 
 
 class Record(msgspec.Struct, frozen=True, tag_field="is", forbid_unknown_fields=True):
@@ -104,7 +104,7 @@
 
 
 class ClientAnswer(Record, frozen=True, tag="answered"):
-    """What a client received; status 0 where the connection ended without an answer."""
+    """What a client received; the status is 0 if the connection ended without an answer."""
 
     at: float
     sent: float
@@ -126,7 +126,7 @@
     target: str
     tenant: str
     key: bool  # whether the client's key was passed on
-    done: bool  # False where the backend refused the request
+    done: bool  # False if the backend refused the request
     remaining: float = -1.0  # seconds of remaining time that the backend received; -1: none
     work: float = 0.0  # seconds that the request takes
 
@@ -176,7 +176,7 @@
 
     at: float
     backend: str
-    sent: float = -1.0  # when it was first announced; -1: not recorded
+    sent: float = -1.0  # when the backend first announced that it quiesces; -1: not recorded
 
 
 class ConfigurationRead(Record, frozen=True, tag="read"):
@@ -246,7 +246,7 @@
     try:
         record: Day | Event | Observation = RECORD_DECODER.decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise DayError(f"line {number}: {error}; see the page of replay") from None
+        raise DayError(f"line {number}: {error}; see docs/operators/replay.md") from None
     return record
 
 
@@ -281,20 +281,20 @@
     at, number = 0.0, 0
     while (at := at + rng.expovariate(rate)) < seconds:
         number += 1
-        sign = rng.random() < 0.4
+        is_sign = rng.random() < 0.4
         events.append(
             ClientRequest(
                 round(at, 4), f"r{number}", rng.randrange(day.doors),
-                f"/{'sign' if sign else 'read'}/{number}", "POST" if sign else "GET",
+                f"/{'sign' if is_sign else 'read'}/{number}", "POST" if is_sign else "GET",
             )
         )  # fmt: skip
     version = 1
-    for part in (0.1, 0.35, 0.6, 0.8):
+    for fraction in (0.1, 0.35, 0.6, 0.8):
         version += rng.randint(1, 4)
         is_moved = rng.random() < 0.5
         events.append(
             ConfigurationChange(
-                round(seconds * part, 3), rng.randrange(day.cores), version,
+                round(seconds * fraction, 3), rng.randrange(day.cores), version,
                 {"read": "desk" if is_moved else "archive", "sign": "desk"},
             )
         )  # fmt: skip
@@ -306,17 +306,17 @@
         StartMachine(round(seconds * 0.5 + 4.0, 3), "door-1"),
         QuiesceBackend(round(seconds * 0.7, 3), "archive-2"),
     ]
-    for part in (0.15, 0.45, 0.75):
+    for fraction in (0.15, 0.45, 0.75):
         how: list[Literal["lost", "unsealed", "full"]] = ["lost", "unsealed", "full"]
         backend = f"desk-{rng.randrange(2)}"
-        events.append(SpoilAnswers(round(seconds * part, 3), backend, rng.choice(how), 3))
+        events.append(SpoilAnswers(round(seconds * fraction, 3), backend, rng.choice(how), 3))
     return day, sorted(add_disconnects(seed, seconds, events), key=lambda event: event.at)
 
 
 def add_disconnects(seed: int, seconds: float, events: list[Event]) -> list[Event]:
     """Let clients of some reads disconnect, and make backends slow for a while.
 
-    The draws have a generator of their own, so that the given events do not depend on them.
+    A separate random generator draws these, so that the given events do not depend on them.
     """
     rng = random.Random(f"departures {seed}")
     changed: list[Event] = [
@@ -327,7 +327,7 @@
         else event
         for event in events
     ]
-    for part in (0.2, 0.4, 0.65):
+    for fraction in (0.2, 0.4, 0.65):
         backend = f"archive-{rng.randrange(2)}"
-        changed.append(SpoilAnswers(round(seconds * part, 3), backend, "slow", SLOW_RUNS))
+        changed.append(SpoilAnswers(round(seconds * fraction, 3), backend, "slow", SLOW_RUNS))
     return changed
--- a/ivymux/simulation/local_cluster.py
+++ b/ivymux/simulation/local_cluster.py
@@ -143,7 +143,7 @@
     # --- the operator ----------------------------------------------------------------------------------
 
     async def call_core(self, method: str, ip: str, path: str, body: Any = None) -> tuple[int, bytes]:
-        """Call a core machine once; the status is 0 where no answer arrived."""
+        """Call a core machine once; the status is 0 if no answer arrived."""
         content = body if isinstance(body, bytes) else json.dumps(body).encode() if body is not None else None
         try:
             answer = await self.http_client.request(method, f"http://{ip}:8529{path}", content=content)
@@ -229,7 +229,7 @@
         content: bytes = b"",
         **headers: str,
     ) -> httpx.Response | None:
-        """Send one request to a proxy; None where no answer arrived.
+        """Send one request to a proxy; return None if no answer arrived.
 
         An underscore in the name of a header stands for a hyphen.
         """
@@ -293,7 +293,7 @@
 ) -> AsyncIterator[LocalCluster]:
     """Yield a cluster, whose machines are not started yet, and close it afterwards.
 
-    Raises AssertionError with the end of the processes' log where the body takes longer than `timeout_s`.
+    Raises AssertionError with the end of the processes' log if the body takes longer than `timeout_s`.
     """
     cluster = LocalCluster(folder, core_count, proxy_count, entry_point)
     try:
--- a/ivymux/simulation/loss_scenarios.py
+++ b/ivymux/simulation/loss_scenarios.py
@@ -75,7 +75,7 @@
 def departure(
     seed: int, count: int, role: str, victim: str, delay: float, make_replica: ReplicaFactory = Replica
 ) -> CoreCluster:
-    """A machine with a successor leaves for good; then the machine with the role `victim` loses its disk.
+    """Let a machine with a successor leave for good, then the machine with the role `victim` lose its disk.
 
     `delay` is the time from the exit to the loss, in seconds.  Raises GuaranteeViolation.
     """
@@ -102,7 +102,7 @@
 def slow_repair(
     seed: int, count: int, commit_s: float, delay: float = CATCH_UP_S, make_replica: ReplicaFactory = Replica
 ) -> CoreCluster:
-    """A machine returns with an empty slow disk, then another loses its disk and the rest lose power.
+    """Let a machine return with an empty slow disk, then another lose its disk and the rest lose power.
 
     `commit_s` is the mean duration of a commit on the slow disk.  Raises GuaranteeViolation if there is no
     primary in time, or for too small a share of the observation.
@@ -138,10 +138,10 @@
 
 
 def two_operators(seed: int, count: int, delay: float, make_replica: ReplicaFactory = Replica) -> CoreCluster:
-    """Two texts are sent under one version at once; the primary is killed `delay` seconds later.
+    """Send two texts under one version at once, and kill the primary `delay` seconds later.
 
-    Both are repeated at any machine until each has a definite answer, and again after a hundred changes and a
-    lost disk.  CoreCluster checks that the version has one text.  Raises GuaranteeViolation.
+    Both texts are sent again to any machine until each has a definite answer, and once more after a hundred
+    changes and a lost disk.  CoreCluster checks that the version has one text.  Raises GuaranteeViolation.
     """
     cluster = start_cluster(seed, count, 0, make_replica)
     texts = ("seven by a", "seven by b")
@@ -215,7 +215,7 @@
 def hanging_backup(
     seed: int, count: int, delay: float, victim: str = PRIMARY, make_replica: ReplicaFactory = Replica
 ) -> tuple[CoreCluster, float]:
-    """The backup's disk hangs while its process runs; later the machine in the role `victim` loses its disk.
+    """Let the backup's disk hang while its process runs; later the machine with role `victim` loses its disk.
 
     `delay` is the time from the change that waits for the backup to the restart of the backup, in seconds.
     Returns the cluster and the seconds that the change waited.  Raises GuaranteeViolation.
@@ -245,7 +245,7 @@
 
 
 def hanging_disks(seed: int, count: int, make_replica: ReplicaFactory = Replica) -> int:
-    """All disks but the primary's hang for a while; returns the number of epochs tried meanwhile.
+    """Let all disks but the primary's hang for a while; return the number of epochs tried meanwhile.
 
     Raises GuaranteeViolation.
     """
--- a/ivymux/simulation/replay.py
+++ b/ivymux/simulation/replay.py
@@ -1,4 +1,4 @@
-"""Plays a day against real processes on loopback, and reports which request broke which rule.
+"""Plays a day, a file of timed events, against real processes on loopback; reports which rules are broken.
 
 python3 -m ivymux replay DAY [--record FILE]     play a day, or a record again; the record goes to FILE
 python3 -m ivymux replay --make DAY --seed N     draw a day and write it
@@ -45,8 +45,8 @@
 
 FIRST_VERSION = 1  # of the configuration that is in force when a day begins
 FIRST_ROUTES = {"read": "archive", "sign": "desk"}
-MAX_BODY_CHARS = 500  # recorded of an answer
-SLOW_WORK_S = 1.5  # that a slow backend takes for a request beyond the day's `work`
+MAX_BODY_CHARS = 500  # of an answer's body that are recorded
+SLOW_WORK_S = 1.5  # time that a slow backend takes for a request in addition to the day's `work`
 MIN_STALL_S = 0.15  # delay of this process that is recorded as a stall
 STALL_CHECK_INTERVAL_S = 0.05
 READINESS_POLL_INTERVAL_S = 0.5
@@ -264,7 +264,7 @@
 async def play_day(
     day: Day, events: Sequence[Event], folder: Path, entry_point: tuple[str, ...] = ENTRY_POINT
 ) -> list[Observation]:
-    """Return what was observed on a day.  Raises AssertionError with the processes' log where it hangs."""
+    """Return what was observed on a day.  Raises AssertionError with the processes' log if the day hangs."""
     last_event_at = max((event.at for event in events), default=0.0)
     async with local_cluster(
         folder, day.cores, day.doors, timeout_s=last_event_at + HANG_TIMEOUT_S, entry_point=entry_point
@@ -273,7 +273,7 @@
 
 
 def find_breaches(day: Day, events: Sequence[Event], observations: Sequence[Observation]) -> list[Breach]:
-    """Check the observations of a played day, which began with the first configuration in force."""
+    """Return the breaches of a played day, which began with the first configuration in force."""
     first_change = ConfigurationChange(0.0, 0, FIRST_VERSION, FIRST_ROUTES)
     return check(day, [first_change, *events], observations)
 
@@ -287,12 +287,14 @@
 
 
 def define_flags(values: flags.FlagValues) -> None:
-    flags.DEFINE_string("record", None, "Write the day with its observations.", flag_values=values)
-    flags.DEFINE_string("make", None, "Draw a day by --seed and write it.", flag_values=values)
+    flags.DEFINE_string(
+        "record", None, "Write the day with its observations to this file.", flag_values=values
+    )
+    flags.DEFINE_string("make", None, "Draw a day by --seed and write it to this file.", flag_values=values)
     flags.DEFINE_bool("check", False, "Check a record without playing it.", flag_values=values)
     flags.DEFINE_integer("seed", 1, "Seed of a drawn day.", flag_values=values)
     flags.DEFINE_float("seconds", 20.0, "Length of a drawn day.", 1.0, 3600.0, flag_values=values)
-    flags.DEFINE_float("rate", 40.0, "Requests per second on it.", 0.1, 1000.0, flag_values=values)
+    flags.DEFINE_float("rate", 40.0, "Requests per second of a drawn day.", 0.1, 1000.0, flag_values=values)
 
 
 def main(arguments: Sequence[str]) -> int:
--- a/ivymux/simulation/seeded_faults.py
+++ b/ivymux/simulation/seeded_faults.py
@@ -1,7 +1,7 @@
 """Faults that are seeded into the decision code, to verify that the simulations detect them.
 
-Each fault is a context manager that patches the code and yields a world to explore.  Each is a mistake that a
-change of the code could plausibly introduce.
+Each fault is a context manager that patches the code and yields a world to explore.  Each fault is a mistake
+that a change of the code could plausibly introduce.
 """
 
 from __future__ import annotations
@@ -43,16 +43,16 @@
 
 
 @contextlib.contextmanager
-def patched(world: World, owner: Any, **parts: Any) -> Iterator[World]:
+def patched(world: World, owner: Any, **attributes: Any) -> Iterator[World]:
     """Yield the world while attributes of a class or a module are replaced."""
-    original = {name: getattr(owner, name) for name in parts}
-    for name, part in parts.items():
-        setattr(owner, name, part)
+    original = {name: getattr(owner, name) for name in attributes}
+    for name, value in attributes.items():
+        setattr(owner, name, value)
     try:
         yield world
     finally:
-        for name, part in original.items():
-            setattr(owner, name, part)
+        for name, value in original.items():
+            setattr(owner, name, value)
 
 
 @contextlib.contextmanager
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -1,6 +1,6 @@
 """Starts a program with a seeded fault: `python -m tests.simulation.faulty FAULT ROLE --settings FILE`.
 
-Only a proxy gets the fault; other roles start as they are.  Each fault patches one method, as a faulty change
+Only a proxy gets the fault; other roles start without it.  Each fault patches one method, as a faulty change
 to the code could, and breaks one rule of `ivymux.simulation.rules`.
 """
 
@@ -24,6 +24,7 @@
 
 
 def replace_attribute(owner: Any, name: str, value: Any) -> None:
+    """Set an attribute of a class; unlike an assignment, mypy accepts this for methods."""
     setattr(owner, name, value)
 
 
--- a/tests/simulation/test_exploration.py
+++ b/tests/simulation/test_exploration.py
@@ -1,4 +1,4 @@
-"""The simulations find no violation in the code as it is, and one for each seeded fault, in few events."""
+"""The simulations find no violation in the code, and one for each seeded fault, shrunk to few events."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from ivymux.simulation.exploration import WORLDS, Finding, World, explore, shrink
 from ivymux.simulation.seeded_faults import FAULTS
 
+# Runs of each world without seeded faults.
 RUNS = {"core": 60, "control": 150, "trials": 40, "quotas": 4, "cuts": 6, "doubts": 40}
 MAX_EVENTS = 12
 
--- a/tests/simulation/test_replay.py
+++ b/tests/simulation/test_replay.py
@@ -1,4 +1,4 @@
-"""Days as files; a drawn day is played against real processes, recorded and checked again."""
+"""The files of days; a drawn day is played against real processes, recorded and checked again."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert errors == snapshot
 
 
-def test_a_day_is_played_recorded_and_judged_again(
+def test_a_day_is_played_recorded_and_checked_again(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     drawn, record = str(tmp_path / "day.jsonl"), tmp_path / "record.jsonl"
@@ -59,14 +59,14 @@
     capsys.readouterr()
     assert main(["--check", str(record)]) == 1
     assert f"broken: TWICE {action.id}: ran 2 times" in capsys.readouterr().out
-    # Each request ends either with an answer or with its client's departure, and only a client that is drawn
-    # to disconnect may depart: on a slow machine it does so before a fast answer arrives.
+    # Each request ends either with an answer or with its client's disconnect.  Only clients that are drawn to
+    # disconnect may do so; on a slow machine they disconnect before even a fast answer arrives.
     requests = {event.id: event for event in events if isinstance(event, ClientRequest)}
     answered = {line.id for line in observations if isinstance(line, ClientAnswer)}
-    departed = {line.id for line in observations if isinstance(line, ClientDisconnect)}
-    assert answered.isdisjoint(departed)
-    assert answered | departed == set(requests)
-    assert all(requests[id].leaves > 0 for id in departed)
+    disconnected = {line.id for line in observations if isinstance(line, ClientDisconnect)}
+    assert answered.isdisjoint(disconnected)
+    assert answered | disconnected == set(requests)
+    assert all(requests[id].leaves > 0 for id in disconnected)
 
 
 def test_wrong_usage_and_unreadable_files_end_with_one_line(
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -1,4 +1,4 @@
-"""Breaks each rule once with a hand-made record; the check reports the rule and the request."""
+"""Breaks each rule with a constructed record; the check must report the rule and the request."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     ChangeAnswer(0.0, 0.0, 1, 200), ChangeAnswer(3.1, 3.0, 4, 200), BackendQuiesced(6.0, "archive-0"),
     *RUNS, *map(make_answer, RUNS), ConfigurationRead(12.0, 4, True),
 ]  # fmt: skip
-FIRST_RUN, FIRST_ANSWER, READ = 3, 6, 9  # positions in VALID
+FIRST_RUN, FIRST_ANSWER, READ = 3, 6, 9  # indices into VALID
 
 
 def find_breaches(
@@ -161,10 +161,10 @@
     return replace(run, remaining=request.waits - after, **fields)
 
 
-def answer_read(request: ClientRequest, took: float = 0.1, status: int = 200) -> ClientAnswer:
+def answer_read(request: ClientRequest, took_s: float = 0.1, status: int = 200) -> ClientAnswer:
     body, seal = (f"archive {request.path}", f"seal-{request.id}") if status == 200 else ("", "")
     named = request.id if status else ""
-    return ClientAnswer(request.at + took, request.at, request.id, status, named, seal, body)
+    return ClientAnswer(request.at + took_s, request.at, request.id, status, named, seal, body)
 
 
 def disconnect(request: ClientRequest) -> ClientDisconnect:
@@ -172,12 +172,13 @@
 
 
 def find_rules(events: list[Event], observations: list[Observation]) -> list[str]:
+    """Return the names of the rules that these events and observations break, on a day with a high quota."""
     all_observations = [FIRST_CHANGE_ANSWER, LAST_READ, *observations]
     return [breach.rule for breach in check(HIGH_QUOTA_DAY, [FIRST_CHANGE, *events], all_observations)]
 
 
 @pytest.mark.parametrize(("ended", "rules"), [(0.1, []), (0.6, ["GONE"]), (None, ["GONE"])])
-def test_work_ends_within_half_a_second_of_the_clients_disconnect(
+def test_work_that_lasts_half_a_second_after_the_clients_disconnect_is_reported(
     ended: float | None, rules: list[str]
 ) -> None:
     requests = make_reads(3, leaves=0.1)
@@ -208,12 +209,14 @@
     assert find_rules([*requests], disconnects + late_runs[:3]) == []
 
 
-@pytest.mark.parametrize(("took", "rules"), [(2.4, []), (2.6, ["CONFIG"])])
-def test_a_request_has_its_answer_within_half_a_second_of_its_deadline(took: float, rules: list[str]) -> None:
+@pytest.mark.parametrize(("took_s", "rules"), [(2.4, []), (2.6, ["CONFIG"])])
+def test_a_request_has_its_answer_within_half_a_second_of_its_deadline(
+    took_s: float, rules: list[str]
+) -> None:
     requests = make_reads(8)
     observations: list[Observation] = []
     for request in requests:
-        observations += [run_read(request), answer_read(request, took, 504)]
+        observations += [run_read(request), answer_read(request, took_s, 504)]
     assert find_rules([*requests], observations) == rules
     assert find_rules([*requests[:7]], observations[:14]) == []  # fewer than the rule's minimum
     # A stalled recorder sees answers too late.
--- a/tests/simulation/test_seeded_rules.py
+++ b/tests/simulation/test_seeded_rules.py
@@ -27,11 +27,12 @@
 DAY_S = 7.0
 READS_PER_S, ACTIONS_PER_S = 12, 8
 DISCONNECTS_FROM_S, DISCONNECTS_TO_S = 1.0, 2.5  # clients of reads sent in between disconnect
-SHORT_WAIT_S = 0.7  # of every second client, less than a slow backend takes
-FULL_QUOTA, LOW_QUOTA = 60.0, 6.0  # requests per second
+SHORT_WAIT_S = 0.7  # that every second client waits for its answer; a slow backend takes longer
+FULL_QUOTA, LOW_QUOTA = 60.0, 6.0  # above and below the load, in requests per second
 
 
 def make_events() -> list[Event]:
+    """Return the events of a day on which each seeded fault breaks its rule."""
     events: list[Event] = []
     for number in range(int(DAY_S * READS_PER_S)):
         at = number / READS_PER_S
