--- a/ivymux/tally/clock.py
+++ b/ivymux/tally/clock.py
@@ -1,11 +1,11 @@
 """The clock that gateways share for their quota windows: the counter service's.  Pure.
 
-The name of a window is derived from the time.  Two gateways whose clocks differ by a second would lease from
-two names for a second of each window, and compute different fill levels of the token bucket of one name.  The
-counter service's clock is read over its connections as in Cristian, "Probabilistic clock synchronization",
-1989: the reply is assumed to be from the middle of the call, an error of at most half the call's duration.
-Between readings, and without a counter service, the clock advances with the machine's monotonic clock.  A
-step of the gateway's own wall clock has no effect.
+The name of a quota window's counter is derived from the time.  Two gateways whose clocks differ by a second
+would lease from two names for a second of each window, and compute different fill levels of the token bucket
+of one name.  The counter service's clock is read over its connections as in Cristian, "Probabilistic clock
+synchronization", 1989: the reply is assumed to be from the middle of the call, an error of at most half the
+call's duration.  Between readings, and without a counter service, the clock advances with the machine's
+monotonic clock.  A step of the gateway's own wall clock has no effect.
 
 The callers pass in the monotonic time, in seconds.
 """
--- a/ivymux/tally/durable.py
+++ b/ivymux/tally/durable.py
@@ -22,8 +22,8 @@
 SYNC_PERIOD_S = 0.1  # between calls of fsync
 SIZE_CHECK_PERIOD_S = 1.0
 MIN_REWRITE_BYTES = 16 << 20  # smaller files are not rewritten
-REWRITE_RATIO = 4  # rewrites a file that is this many times larger than its live records
-ESTIMATED_RECORD_BYTES = 48
+REWRITE_RATIO = 4  # a file is rewritten if it is this many times larger than its live records
+ESTIMATED_RECORD_BYTES = 48  # of one record in the file
 CATCH_UP_PASSES = 2  # over the changes that arrive during a rewrite
 REWRITE_BATCH_NAMES = 2000  # names written before the event loop serves other calls
 log = logging.getLogger("ivymux")
--- a/ivymux/tally/engine.py
+++ b/ivymux/tally/engine.py
@@ -1,4 +1,4 @@
-"""Counters in Redis or Valkey: settings, the script, keys' hash slots, lanes and retry delays.  Pure."""
+"""Counters in Redis or Valkey: settings, the script, hash slots of keys, lanes and retry delays.  Pure."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from ivymux.data_plane.limits import ConfigError, parse_address
 
 # A script, because the server executes it atomically: no other gateway's calls may run between its commands.
-# The first call for a name sets the name's life and its random number `b`, by which callers notice that the
-# name was lost and created again.  A repeated call (its number is one of the caller's last two) adds nothing.
+# The first call for a name sets the name's life and its incarnation `b`, a random number by which callers
+# notice that the name was lost and created again.  A repeated call adds nothing: its number is one of the
+# caller's last two.  Fields of a name: `t` is the total, `l` and `p` with a caller's id its last two numbers.
 SCRIPT = """\
 local last, before = 'l' .. ARGV[4], 'p' .. ARGV[4]
 local again = ARGV[5] ~= '0'
@@ -70,11 +71,15 @@
         except ConfigError as error:
             raise ConfigError(f"tally.redis.nodes: {error}") from None
     if (part.mode == "sentinel") != bool(part.service):
-        raise ConfigError("tally.redis.service: the master's name, where mode is sentinel and nowhere else")
+        raise ConfigError(
+            "tally.redis.service: write the master's name if mode is sentinel, and nothing otherwise"
+        )
     if part.protocol not in (2, 3):
         raise ConfigError(f"tally.redis.protocol is {part.protocol}; write 2 or 3")
     if part.password or part.sentinel_password:
-        raise ConfigError("tally.redis.password: write it into a file, and the file into password_file")
+        raise ConfigError(
+            "tally.redis.password: write the password into a file, and name the file in password_file"
+        )
     if "{" in part.prefix or "}" in part.prefix or len(part.prefix) > 32:
         raise ConfigError("tally.redis.prefix: up to 32 characters, without braces")
 
@@ -99,14 +104,16 @@
     return hash_slot(key) * LANES // HASH_SLOTS
 
 
-def script_arguments(amount: float, life: float, born: int, caller: bytes, call: int) -> tuple[bytes, ...]:
+def script_arguments(
+    amount: float, life: float, incarnation: int, caller: bytes, call: int
+) -> tuple[bytes, ...]:
     """Return the script's arguments.
 
-    `life` is in seconds.  `born` identifies the name's totals if this call creates them.  `call` is the
-    caller's number for this call; 0 if the call is never repeated.
+    `life` is in seconds.  `incarnation` identifies the name's totals if this call creates them.  `call` is
+    the caller's number for this call; 0 if the call is never repeated.
     """
     life_ms = max(1, min(MAX_LIFE_MS, round(life * 1000)))
-    return b"%.6f" % amount, b"%d" % life_ms, b"%d" % born, caller, b"%d" % call
+    return b"%.6f" % amount, b"%d" % life_ms, b"%d" % incarnation, caller, b"%d" % call
 
 
 def retry_delay(backoff: float, jitter: float) -> tuple[float, float]:
--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -45,7 +45,7 @@
 ANSWER_TIMEOUT_S = 2.0  # a call is abandoned after this
 CONNECT_TIMEOUT_S = 1.0
 MIN_LOG_INTERVAL_S = 1.0  # between log lines about errors
-TIME_PERIOD_S = 2.0  # between two requests for the server's time
+TIME_PERIOD_S = 2.0  # between requests for the server's time
 # Error answers by which the server says that it has not executed the call.
 NOT_EXECUTED_ERRORS = (
     errors.BusyLoadingError, errors.ReadOnlyError, errors.ClusterDownError, errors.TryAgainError,
@@ -145,7 +145,7 @@
         counter = self.counter
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                total, born = await counter.send(call)
+                total, incarnation = await counter.send(call)
         except (errors.RedisError, OSError, TimeoutError, ValueError) as error:
             outcome = classify_error(error)
             counter.log_error(error)
@@ -155,7 +155,7 @@
                 self.unreachable_until = time.monotonic() + delay
         else:
             self.backoff = MIN_RETRY_DELAY_S
-            counter.on_answer(call, total, born)
+            counter.on_answer(call, total, incarnation)
 
 
 def classify_error(error: Exception) -> Outcome:
@@ -163,7 +163,7 @@
     if isinstance(error, NOT_EXECUTED_ERRORS) or "is now a slave" in str(error):
         return Outcome.FULL
     if isinstance(error, errors.ConnectionError | OSError) and not isinstance(error, TimeoutError):
-        # These errors come before a connection is established, so the call was not sent.
+        # These errors are raised before a connection is established, so the call was not sent.
         never_sent = "connecting to" in str(error) or "No master found" in str(error)
         never_sent = never_sent or isinstance(error, errors.MaxConnectionsError)
         return Outcome.CONNECT_FAILED if never_sent else Outcome.TIMEOUT
@@ -175,7 +175,7 @@
 
 
 class RedisCounter:
-    """A client that reports one outcome for each call, in call order for each name."""
+    """A counter client that reports one outcome for each call, in call order for each name."""
 
     def __init__(
         self, part: RedisPart, timeout: float, on_result: Callable[[Counted | Late], None],
@@ -232,28 +232,28 @@
                 self.expiry_timer = self.loop.call_later(self.timeout, self.expire)
 
     async def send(self, call: Call) -> tuple[float, int]:
-        """Execute a call; return the total and the number that identifies the name's current totals."""
-        count, born = call.count, self.rng.getrandbits(52) + 1
-        arguments = script_arguments(count.amount, count.expires, born, self.caller_id, count.call)
+        """Execute a call; return the total and the incarnation of the name's totals."""
+        count, incarnation = call.count, self.rng.getrandbits(52) + 1
+        arguments = script_arguments(count.amount, count.expires, incarnation, self.caller_id, count.call)
         try:
             answer = await self.client.execute_command("EVALSHA", SCRIPT_SHA1, 1, call.key, *arguments)
         except errors.NoScriptError:  # restarted, or its scripts were flushed; nothing was executed
             answer = await self.client.execute_command("EVAL", SCRIPT, 1, call.key, *arguments)
         return float(answer[0]), int(answer[1])
 
-    def on_answer(self, call: Call, total: float, born: int) -> None:
+    def on_answer(self, call: Call, total: float, incarnation: int) -> None:
         """Report the result of an answered call, or that the answer is late."""
         if call.settled:
             self.deliver(call.count, Late(call.count.name))
         else:
-            self.settle(call, Outcome.OK, total, born)
+            self.settle(call, Outcome.OK, total, incarnation)
 
-    def settle(self, call: Call, outcome: Outcome, total: float = 0.0, born: int = 0) -> None:
+    def settle(self, call: Call, outcome: Outcome, total: float = 0.0, incarnation: int = 0) -> None:
         """Report the result of a call, once."""
         if not call.settled:
             call.settled = True
             elapsed = time.monotonic() - call.began
-            self.deliver(call.count, Counted(call.count.name, outcome, total, elapsed, born))
+            self.deliver(call.count, Counted(call.count.name, outcome, total, elapsed, incarnation))
 
     def deliver(self, count: Count, result: Counted | Late) -> None:
         """Pass a result on; subclasses choose the receiver by `count`."""
--- a/ivymux/tally/server.py
+++ b/ivymux/tally/server.py
@@ -71,7 +71,7 @@
     def __init__(self, store: CounterStore, clock: Callable[[], float] = time.monotonic) -> None:
         """`clock`: returns the store's time in seconds, and must not go back."""
         self.store, self.clock = store, clock
-        # The totals of a store without an incarnation end with the process, so no other process has this one.
+        # The totals of a store without an incarnation end with the process, so it gets one for this process.
         self.incarnation = store.incarnation or secrets.token_bytes(16)
         self.connections: set[ClientConnection] = set()
         self.server: asyncio.Server | None = None
--- a/ivymux/tally/store.py
+++ b/ivymux/tally/store.py
@@ -10,7 +10,7 @@
 
 MAX_NAMES = 1_000_000
 MAX_LIFE_S = 60.0  # longer lives are cut to this
-MAX_AMOUNT = 1e9
+MAX_AMOUNT = 1e9  # of one call, positive or negative
 REMEMBERED_CALLS = 4  # call numbers kept for each caller of a name, to detect repeated calls
 AMOUNT_PATTERN = re.compile(rb"-?\d{1,20}(\.\d{1,20})?", re.ASCII)
 INTEGER_PATTERN = re.compile(rb"\d{1,15}", re.ASCII)
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TallyCall:
-    """A parsed TALLY call."""
+    """A parsed TALLY call; `caller` and `number` are empty if the call is never repeated."""
 
     name: bytes
     amount: float
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in backend of the users' protocol: executes requests, answers with their IDs, and records them."""
+"""A stand-in backend behind the proxies: executes requests, answers with their IDs, and records them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-CLOSE_MARKER = b"close"
+CLOSE_MARKER = b"close"  # at the end of an answer's bytes: close the connection after the answer
 
 
 @dataclass
@@ -29,7 +29,7 @@
         return 0.0
 
     def on_end(self, request: ExecutedRequest, completed: bool) -> None:
-        """Called when the work has ended: `completed`, or because the connection was closed."""
+        """Called when the work has ended; `completed` is False if the connection was closed before."""
 
 
 @dataclass
@@ -40,16 +40,16 @@
     service: str
     host: str
     zone: str
-    make_answer: Callable[[ExecutedRequest], bytes | None] = lambda ran: None
+    make_answer: Callable[[ExecutedRequest], bytes | None] = lambda request: None
     answer_gate: asyncio.Event | None = None  # answers wait until it is set
     work_s: float = 0.0  # the time that a request takes
     observer: RequestObserver = field(default_factory=RequestObserver)
     executed: list[ExecutedRequest] = field(default_factory=list)
     finished: list[str] = field(default_factory=list)  # IDs of requests whose work was completed
-    disconnected: list[str] = field(default_factory=list)  # IDs of those whose connection was closed before
-    misdirected: int = 0
+    disconnected: list[str] = field(default_factory=list)  # IDs of requests whose connection closed before
+    misdirected: int = 0  # requests for another instance
     address: str = ""
-    seq: int = 0
+    seq: int = 0  # number of the last heartbeat
     server: asyncio.Server | None = None
     connections: set[asyncio.StreamWriter] = field(default_factory=set)
 
@@ -77,7 +77,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections.add(writer)
-        next_request_start = b""  # its first bytes, if they came while a request was worked on
+        next_request_start = b""  # first bytes of the next request, if read while this one was worked on
         try:
             while True:
                 head = (next_request_start + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
--- a/standins/etcd.py
+++ b/standins/etcd.py
@@ -413,7 +413,8 @@
 
     def __init__(self, users: dict[str, str] | None = None, ssl: dict[str, Any] | None = None) -> None:
         self.etcd = Etcd(users)
-        # asyncio sets TCP_NODELAY if the protocol is named; without it each answer waits 40 ms for an ACK.
+        # asyncio sets TCP_NODELAY only if the socket names its protocol; without that option each answer
+        # waits 40 ms for an ACK.
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         self.socket.bind(("127.0.0.1", 0))
         self.socket.listen(128)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -3,8 +3,8 @@
 A gateway is the real decision module; everything around it is modelled.  The load, the workers and the
 customers do not depend on the number of gateways, so the results show the cost of the fleet's size alone.
 Everything is drawn from one seed.  Each customer's exact token bucket is computed separately, as the
-operators define it: a try that is sent to a worker takes a unit if there is one; otherwise it is beyond the
-quota and takes nothing.
+operators define it: a try that is sent to a worker takes a unit if there is one; otherwise the try is
+beyond the quota and takes nothing.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 IDLE_TIMEOUT_S = 15.0  # of connections to workers
 HANDSHAKE_S = 0.004  # of a new connection
 NETWORK_DELAY_S = 0.001  # in each direction, to a worker or the counter
-BUCKET_TOLERANCE = 1e-9
+BUCKET_TOLERANCE = 1e-9  # units, for rounding errors
 
 
 def make_settings(gateway_count: int, call_rate: float) -> i.Settings:
@@ -60,18 +60,18 @@
     """A customer, its exact token buckets and its totals."""
 
     number: int
-    plan: int
-    width: int
+    plan: int  # index into PLANS
+    width: int  # number of gateways that its requests go to
     first_gateway: int
     weights: list[float]  # shares of its gateways
     level: float  # of its exact token bucket
     level_at: float = 0.0
     first_try_level: float = 0.0  # of a bucket for first tries only, over all gateways
     first_try_level_at: float = 0.0
-    offered: int = 0  # first tries that found a unit in that bucket
+    offered: int = 0  # first tries that found a unit in the bucket for first tries
     served: int = 0  # tries within the quota, answered within the target latency
     sent: int = 0
-    beyond_quota: int = 0  # of those sent
+    beyond_quota: int = 0  # tries that were sent without a unit in the exact bucket
     ceiling_level: float = 0.0  # of the ceiling's token bucket, if its plan has one
     ceiling_level_at: float = 0.0
 
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class Worker:
-    """Four cores and a queue; rejected work was never begun."""
+    """A worker with four cores and a queue; work that it rejects was never begun."""
 
     cores: int = 4
     max_queued: int = 64
@@ -110,22 +110,24 @@
     sent: int = 0
     beyond_quota: int = 0  # units sent to workers beyond their quota
     tries: int = 0
-    calls: Counter[str] = field(default_factory=Counter)  # to the counter, by kind, and the failed ones
+    calls: Counter[str] = field(default_factory=Counter)  # to the counter, by kind; failed calls too
     refused: Counter[str] = field(default_factory=Counter)  # by reason
-    refused_within_quota: Counter[str] = field(default_factory=Counter)  # with a unit in the bucket
-    refused_with_half_bucket: int = 0  # with half of the bucket or more
+    # Refused although the exact bucket held a unit, by reason; although it held half of its burst or more.
+    refused_within_quota: Counter[str] = field(default_factory=Counter)
+    refused_with_half_bucket: int = 0
     connections: int = 0  # opened to workers, in all
     open_connections: int = 0  # at the end
     cancelled_attempts: int = 0
     min_ceiling_level: float = math.inf  # the lowest level of any ceiling's bucket
     waits: list[float] = field(default_factory=list)  # seconds from a try to its first attempt
-    by_plan: dict[str, list[int]] = field(default_factory=dict)  # offered and served
+    by_plan: dict[str, list[int]] = field(default_factory=dict)  # offered and served tries, by plan name
 
 
 class FleetSimulation:
-    """`counter_rate`: calls per second that the counter serves, half by each of two shards.
+    """Gateways, their counter, workers and customers in one queue of events in virtual time.
 
-    `call_rate`: the gateways' initial rate of calls, all together.
+    `counter_rate`: calls per second that the counter serves, half by each of two shards.  `call_rate`:
+    initial calls per second of all gateways together.
     """
 
     def __init__(
@@ -143,7 +145,7 @@
         self.worker_indexes = {entry.backend: n for n, entry in enumerate(self.entries)}
         self.gateways = [self.start_gateway(index) for index in range(gateway_count)]
         self.restarts = [0] * gateway_count
-        # For each gateway and worker: since when its idle connections are unused.
+        # For each gateway, by worker: the times since which its idle connections have been unused.
         self.idle_connections: list[dict[int, list[float]]] = [{} for _ in range(gateway_count)]
         self.tries: dict[int, ClientTry] = {}
         self.backend_of_attempt: dict[tuple[int, int], int] = {}  # attempts in flight
@@ -207,7 +209,7 @@
         return self.result
 
     def start_load(self, customer: Customer, end: float) -> None:
-        """Most customers use a part of their quota, some nearly all, some far more, some come in spikes."""
+        """Start a customer's load: part of its quota for most, all or far more for some, spikes for some."""
         kind, rate = self.rng.random(), PLANS[customer.plan].rate
         if kind < 0.09:
             self.schedule_tries(customer, self.load_factor * rate * self.rng.uniform(2.0, 4.8), end)
@@ -377,7 +379,7 @@
         if len(worker.queue) >= worker.max_queued:
             self.end_attempt(index, worker_index, request_id, attempt, began, i.Outcome.FULL)
             return
-        # Distributed as on the site: half is exponential, half the same for every request.
+        # As on the operators' site, half of the work is exponentially distributed, half is constant.
         seconds = MEAN_WORK_S[client_try.cls] * (0.5 + 0.5 * self.rng.expovariate(1.0))
 
         def begin() -> None:
@@ -450,7 +452,7 @@
     def kill_gateways(self, gateways: list[int]) -> None:
         """Kill gateways with their state and leases, and start others in their place.
 
-        Clients whose connections break try again; the work that was done for them is lost.
+        Clients whose connections break send their requests again; the work done for them is lost.
         """
         for index in gateways:
             self.restarts[index] += 1
--- a/standins/redis.py
+++ b/standins/redis.py
@@ -65,7 +65,7 @@
     delay: float = 0.0  # seconds before each answer is sent; the call is executed at once
     error: str = ""  # answers each call on a key: LOADING ..., BUSY ..., CLUSTERDOWN ...
     next_errors: deque[str] = field(default_factory=deque)  # answer the next calls on a key, one each
-    # This number of calls on a key are executed, and the connection is closed instead of an answer.
+    # Number of calls on a key to execute and then close the connection instead of answering.
     answers_to_drop: int = 0
     reset_connections: bool = False  # resets new connections
 
@@ -496,7 +496,7 @@
         self.service = "tally"
         self.nodes: list[Node] = []
         self.sentinels: list[Sentinel] = []
-        # Writes not yet replicated: when they will be, the master, the key and its new value.
+        # Writes not yet replicated: the time of their replication, the master, the key and its new value.
         self.unreplicated: deque[tuple[float, Node, bytes, Value | None]] = deque()
 
     def now(self) -> float:
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -31,14 +31,14 @@
 class Reply:
     """What a worker does with a request: execute it or not, answer after a delay, close the connection.
 
-    `data`: the answer's bytes; None gives the default answer.  `reset` resets the connection instead of
+    `data`: the bytes of the answer; None: the default answer.  `reset` resets the connection instead of
     answering, `close` closes it after the answer.
     """
 
     execute: bool = True
     data: bytes | None = None
-    gate: asyncio.Event | None = None  # the answer waits until it is set
-    delay: float = 0.0
+    gate: asyncio.Event | None = None  # the answer waits until this is set
+    delay: float = 0.0  # seconds before the answer
     reset: bool = False
     close: bool = False
 
@@ -63,9 +63,9 @@
 
     executions: Counter[str] = field(default_factory=Counter)
     outstanding: Counter[str] = field(default_factory=Counter)  # attempts not yet answered, by request
-    overlapping: set[str] = field(default_factory=set)  # requests with two such attempts at once
+    overlapping: set[str] = field(default_factory=set)  # requests with two unanswered attempts at once
     received: Counter[str] = field(default_factory=Counter)  # attempts received completely
-    executed_keys: set[tuple[int, str]] = field(default_factory=set)  # with the bay
+    executed_keys: set[tuple[int, str]] = field(default_factory=set)  # bay and idempotency key
 
 
 class ClientConnection(asyncio.Protocol):
@@ -204,7 +204,7 @@
 
 
 def random_faults(rng: random.Random, fault_share: float = 0.3, max_delay: float = 0.02) -> Responder:
-    """Return a responder with faults for a share of the requests, before and after their execution."""
+    """Return a responder that injects a fault before or after the execution of a share of the requests."""
 
     def respond(request: ReceivedRequest) -> Reply:
         if rng.random() > fault_share:
--- a/standins/world.py
+++ b/standins/world.py
@@ -29,7 +29,10 @@
 
 
 def make_plan(rate: float, burst: float, ceiling: float = 0.0) -> i.Plan:
-    """Return a plan.  `ceiling`: the ceiling as a multiple of the quota; 0: no ceiling."""
+    """Return a plan with a quota of `rate` units a second.
+
+    `ceiling`: the ceiling as a multiple of the quota; 0: no ceiling.
+    """
     return i.Plan("p", rate, burst, 0, 1.0, 1.0, 0.0, ceiling * rate, ceiling * burst, 0.1)
 
 
@@ -70,7 +73,7 @@
 
     counter: SimulatedCounter
     fault: str = "ok"
-    shard: int | None = None  # the fault is in this half of the names; None: in all
+    shard: int | None = None  # half of the names that the fault affects; None: all names
 
 
 @dataclass(slots=True)
@@ -84,7 +87,7 @@
 
 
 class GatewaySimulation:
-    """The decision modules of some gateways, their counters, and the requests of customers."""
+    """The decision modules of some gateways, their counters, and customers' requests, in virtual time."""
 
     def __init__(
         self,
@@ -94,7 +97,10 @@
         sends_incarnation: bool = True,
         call_rate: float = 800.0,
     ) -> None:
-        """`sends_incarnation`: whether counters do.  Customer n has plan n modulo the number of plans."""
+        """`sends_incarnation`: whether counters send their incarnation with each total.
+
+        Customer n has plan n modulo the number of plans.  `call_rate`: initial calls a second to the counter.
+        """
         self.settings = replace(make_settings(gateway_count, plans), counter_pace=call_rate)
         self.sends_incarnation, self.plan_count = sends_incarnation, len(plans)
         self.rng = random.Random(seed)
@@ -142,40 +148,44 @@
     def perform(self, index: int, action: i.Action) -> None:
         restarts = self.restarts[index]
 
-        def later(delay: float, event: i.Event) -> None:
+        def schedule_event(delay: float, event: i.Event) -> None:
             self.schedule(
                 delay, lambda: self.handle_event(index, event) if self.restarts[index] == restarts else None
             )
 
         match action:
             case i.Count():
-                self.call_counter(index, action, later)
+                self.call_counter(index, action, schedule_event)
             case i.Send():
                 if (request := self.pending.pop(action.request, None)) is not None:
                     self.admitted.append(AdmittedRequest(self.now, request[1], index, request[2]))
                     self.begun_units[request[1]] = self.begun_units.get(request[1], 0.0) + request[2]
                 finished = i.Finished(action.request, 0, action.backend, i.Outcome.OK, True, WORK_S, 0, 0, ())
-                later(WORK_S, finished)
+                schedule_event(WORK_S, finished)
             case i.Refuse() | i.Fail():
                 if (request := self.pending.pop(action.request, None)) is not None:
                     self.refused.append((self.now, request[1], index))
             case i.SetTimer():
-                later(max(0.001, action.at - self.now - self.clock_skew[index]), i.Fired(action.token))
+                schedule_event(
+                    max(0.001, action.at - self.now - self.clock_skew[index]), i.Fired(action.token)
+                )
             case i.Log():
                 self.logs.append(action.text)
 
-    def call_counter(self, index: int, count: i.Count, later: Callable[[float, i.Event], None]) -> None:
+    def call_counter(
+        self, index: int, count: i.Count, schedule_event: Callable[[float, i.Event], None]
+    ) -> None:
         self.calls += 1
         link = self.links[index]
         fault = link.fault if link.shard is None or link.shard == count.name % 2 else "ok"
         counter, name = link.counter, count.name
         call_id = index, self.restarts[index], count.call
         if fault == "refused":
-            later(0.001, i.Counted(name, i.Outcome.CONNECT_FAILED, 0.0, 0.001))
+            schedule_event(0.001, i.Counted(name, i.Outcome.CONNECT_FAILED, 0.0, 0.001))
             return
         if fault == "ok":
             incarnation = counter.incarnation if self.sends_incarnation else 0
-            later(
+            schedule_event(
                 ANSWER_DELAY_S,
                 i.Counted(
                     name, i.Outcome.OK, counter.add(name, count.amount, call_id), ANSWER_DELAY_S, incarnation
@@ -185,9 +195,9 @@
         if fault != "silent":
             add = partial(self.add_to_counter, counter, name, count.amount, call_id)
             self.schedule(CALL_TIMEOUT_S * 1.5 if fault == "late" else ANSWER_DELAY_S, add)
-        later(CALL_TIMEOUT_S, i.Counted(name, i.Outcome.TIMEOUT, 0.0, CALL_TIMEOUT_S))
+        schedule_event(CALL_TIMEOUT_S, i.Counted(name, i.Outcome.TIMEOUT, 0.0, CALL_TIMEOUT_S))
         if fault == "late":
-            later(CALL_TIMEOUT_S * 1.5, i.Late(name))
+            schedule_event(CALL_TIMEOUT_S * 1.5, i.Late(name))
 
     def add_to_counter(
         self, counter: SimulatedCounter, name: int, amount: float, call_id: tuple[int, int, int]
@@ -244,7 +254,7 @@
     # --- results -----------------------------------------------------------------------------------
 
     def overshoot(self, customer: int, rate: float, burst: float) -> float:
-        """Return the maximum of units admitted beyond a bucket that was full at first."""
+        """Return the most units that were admitted beyond a token bucket that was full at first."""
         level, at, worst = burst, 0.0, 0.0
         for request in self.admitted:
             if request.customer == customer:
