--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -80,6 +80,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
+    """Read a request or an answer; without a Content-Length the body is empty."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
@@ -87,6 +88,7 @@
 
 
 def http_answer(status: int = 200, body: bytes = b"", **headers: str) -> bytes:
+    """Encode an answer; underscores in header names stand for hyphens."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{k.replace('_', '-')}: {v}" for k, v in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -152,7 +154,10 @@
 
 @dataclass
 class FakeAgent:
-    """A discovery agent: sends the whole list, then each of `watch_lines` as a chunk of the watch."""
+    """A discovery agent: sends the whole list, then each of `watch_lines` as a chunk of the watch.
+
+    The line `<end>` ends the watch.
+    """
 
     watch_lines: list[bytes] = field(default_factory=list)
     targets: list[str] = field(default_factory=list)
@@ -181,6 +186,7 @@
 
 
 def host_line(name: str, endpoint: str, health: str = "Ready", block: int = 0) -> dict[str, Any]:
+    """Return a backend in the format of discovery's lists."""
     return {
         "host": name, "dial": endpoint, "site": "a", "class": "m2", "block": block,
         "health": health, "share": 1.0, "born_ms": 0,
@@ -202,6 +208,10 @@
 
 
 def config_text(known: list[dict[str, Any]], counter: str = "", discovery: str = "", **changes: str) -> str:
+    """Return the text of a configuration file with the `known` backends.
+
+    `changes`: settings by path, with two underscores for each dot.
+    """
     settings = BASE | {"caps.conn_idle_s": "30.0", "report.columns": "latency_ms,util,queue"}
     settings |= {key.replace("__", "."): value for key, value in changes.items()}
     if not counter:
@@ -239,7 +249,7 @@
     def make_request(self, cls: int = 0, timeout_ms: int = 4000, body: bytes = b"", **headers: str) -> bytes:
         """Return a request as bytes; `cls` is one of the helpers' classes: 0 safe, 1 keyed, 2 unsafe.
 
-        An empty header removes it; underscores in header names stand for hyphens.
+        An empty value removes a header; underscores in header names stand for hyphens.
         """
         self.request_count += 1
         base = {
@@ -298,6 +308,7 @@
 async def platform_gateway(
     *endpoints: str, react: Callable[[Any], list[i.Action]] | None = None, counter: str = "", **changes: str
 ) -> AsyncIterator[tuple[PlatformGateway, FakeDecisionModule]]:
+    """Run a gateway with a backend at each endpoint; with `react`, a fake replaces its decision module."""
     known = [host_line(f"s-{n:08x}", endpoint) for n, endpoint in enumerate(endpoints, 1)]
     gateway = PlatformGateway(config(known, counter, **changes))
     module = FakeDecisionModule(react or (lambda event: []))
--- a/tests/tally/four.py
+++ b/tests/tally/four.py
@@ -1,4 +1,4 @@
-"""Four gateways over loopback, each with a fault-injecting proxy to the counter, and recording workers."""
+"""Four gateways over loopback, each with a faulty counter server, and workers that record requests."""
 
 from __future__ import annotations
 
@@ -34,7 +34,8 @@
     store: CopyableStore
     folder: Path
     begin: float
-    # By customer: when requests ran, all answers by status, and those to requests sent during the outage.
+    # By customer: the times at which requests ran, the answers by status, and the answers to requests that
+    # were sent during the outage.
     run_times: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     answer_counts: dict[str, Counter[int]] = field(default_factory=lambda: defaultdict(Counter))
     outage_answers: dict[str, Counter[int]] = field(default_factory=lambda: defaultdict(Counter))
@@ -50,12 +51,12 @@
 
     async def generate_load(self, customer: str, rate: float, shares: Iterable[float], end: float) -> None:
         """Send `rate` requests per second at random times (open loop), spread over gateways by shares."""
-        rng, parts = random.Random(customer), list(shares)
+        rng, weights = random.Random(customer), list(shares)
         tasks: set[asyncio.Task[None]] = set()
         at = 0.0
         while (at := at + rng.expovariate(rate)) < end:
             await self.sleep_until(at)
-            (gateway,) = rng.choices(range(GATEWAY_COUNT), parts)
+            (gateway,) = rng.choices(range(GATEWAY_COUNT), weights)
             tasks.add(asyncio.create_task(self.send_request(gateway, customer)))
             tasks = {task for task in tasks if not task.done()}
         await asyncio.gather(*tasks)
@@ -92,10 +93,12 @@
         return found[200] / max(1, found.total())
 
     async def set_fault(self, fault: str, gateways: Iterable[int] = range(GATEWAY_COUNT)) -> None:
+        """Change the fault of the counter as these gateways reach it (see FaultyCounterServer)."""
         for gateway in gateways:
             await self.counter_servers[gateway].set_fault(fault)
 
     def use_counter(self, store: CopyableStore, gateways: Iterable[int] = range(GATEWAY_COUNT)) -> None:
+        """Connect these gateways to another counter."""
         for gateway in gateways:
             self.counter_servers[gateway].use_store(store)
 
--- a/tests/tally/test_four_doors.py
+++ b/tests/tally/test_four_doors.py
@@ -1,4 +1,4 @@
-"""Four gateways over real sockets while the counter is lost, cut off or replaced for a minute.
+"""Four gateways over real sockets while the counter is unreachable, partitioned or replaced for a minute.
 
 One customer floods every gateway at five times its quota, others use less than half of theirs; the workers
 count what ran.  The event loop's clock skips idle time, so each case is the same in every run.
@@ -18,7 +18,7 @@
 
 OUTAGE_BEGIN_S, OUTAGE_END_S, LOAD_END_S = 22.0, 82.0, 88.0  # from the start
 FLOODING, EVEN, ONE, FEW = "flood", "even", "one", "few"
-QUIET_RATE = 0.45 * RATE  # at random times, so half of the quota is exceeded now and then
+QUIET_RATE = 0.45 * RATE  # requests come at random times, so half of the quota is exceeded at times
 LOADS = {
     FLOODING: (5 * RATE, (1, 1, 1, 1)),
     EVEN: (QUIET_RATE, (1, 1, 1, 1)),
@@ -30,6 +30,8 @@
 
 
 def interrupt(fault: str, *gateways: int) -> Scenario:
+    """Return a scenario with a fault of the counter for these gateways, or for all if none is given."""
+
     async def scenario(cluster: FourGateways) -> None:
         await cluster.sleep_until(OUTAGE_BEGIN_S)
         await cluster.set_fault(fault, gateways or range(GATEWAY_COUNT))
@@ -56,6 +58,7 @@
 
 
 async def replaced_and_back(cluster: FourGateways) -> None:
+    """An empty counter replaces the current one for seven seconds."""
     await cluster.sleep_until(45.0)
     cluster.use_counter(CopyableStore())
     await cluster.sleep_until(52.0)
@@ -63,6 +66,7 @@
 
 
 async def two_counters_at_once(cluster: FourGateways) -> None:
+    """Two of the gateways use another, empty counter during the outage."""
     await cluster.sleep_until(OUTAGE_BEGIN_S)
     cluster.use_counter(CopyableStore(), (2, 3))
     await cluster.sleep_until(OUTAGE_END_S)
@@ -81,6 +85,7 @@
 
 
 async def all_restart_in_outage(cluster: FourGateways) -> None:
+    """All gateways restart at once while connections to the counter are refused."""
     await cluster.sleep_until(OUTAGE_BEGIN_S)
     await cluster.set_fault("refused")
     await asyncio.gather(*(cluster.restart(number) for number in range(GATEWAY_COUNT)))
@@ -110,7 +115,7 @@
     "an old copy": (replaced_by_old_copy, 0.95),
     "the old one back": (replaced_and_back, 0.95),
     "two at once": (two_counters_at_once, 0.95),
-    # Gateways that start in degraded mode know nothing about past use: the limit, by the design note.
+    # Gateways that start in degraded mode know nothing about past use (docs/design/tally.md).
     "one joins apart": (one_restarts_in_outage, 0.85),
     "restarts apart": (restarts_in_outage, 0.5),
     "all start at once": (all_restart_in_outage, 0.2),
@@ -125,12 +130,14 @@
             for name, (rate, shares) in LOADS.items()
         ]
         await asyncio.gather(scenario(cluster), *loads)
-        await cluster.sleep_until(LOAD_END_S + 3)  # what is owed is added to the counter
+        await cluster.sleep_until(
+            LOAD_END_S + 3
+        )  # until the gateways have added what they owe to the counter
         return cluster
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_ceilings_hold_and_quiet_groups_are_served(
+def test_ceilings_hold_and_quiet_customers_are_served(
     name: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     scenario, min_served_share = CASES[name]
@@ -153,8 +160,9 @@
 def test_after_recovery_the_counter_has_what_the_workers_counted(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Within one window three gateways lose the counter for some seconds; afterwards its total must match, to
-    one request for each gateway.  A lease call in flight when the outage began is repeated and counts once.
+    """Within one window three gateways lose the counter for some seconds.  Afterwards its total must match
+    what ran, within one request for each gateway.  A lease call in flight at the outage is repeated and
+    counts once.
     """
 
     async def test() -> None:
@@ -165,8 +173,8 @@
             load = asyncio.create_task(cluster.generate_load(FLOODING, 5 * RATE, (1, 1, 1, 1), 45.0))
             await cluster.sleep_until(4.0)
             lease = next(iter(decision_modules[0].leases.values()))
-            edge = (lease.window + 1) * lease.window_length - lease.phase - loop.time()
-            await asyncio.sleep(edge + 2.0)
+            until_next_window = (lease.window + 1) * lease.window_length - lease.phase - loop.time()
+            await asyncio.sleep(until_next_window + 2.0)
             before, began = len(cluster.run_times[FLOODING]), cluster.now
             totals_before = dict(cluster.store.totals)
             window = lease.window
@@ -199,7 +207,7 @@
 def test_gateways_with_differing_clocks_keep_one_quota(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two wall clocks are wrong by 200 ms and one by 5 s; gateways use the counter's clock."""
+    """Two wall clocks are wrong by 200 ms and one by 5 s, but gateways use the counter's clock."""
 
     async def test() -> None:
         async with run_four_gateways(tmp_path, LOADS) as cluster:
--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -43,11 +43,11 @@
     sides = max_counters(schedule) + any(f.kind in ("refused", "silent", "late", "lost") for f in schedule)
     if sides <= CEILING:
         return SLACK_SHARE * CEILING * BURST
-    swaps = sum(f.kind in ("empty", "copy", "old") for f in schedule)
+    replacements = sum(f.kind in ("empty", "copy", "old") for f in schedule)
     restarts = sum(len(f.gateways) for f in schedule if f.kind == "restart")
     return (
         (sides - CEILING) * (BURST + RATE * SCHEDULE_S)
-        + swaps * BURST
+        + replacements * BURST
         + restarts * (1 + BURST / GATEWAY_COUNT)
     )
 
@@ -100,27 +100,27 @@
 
 @pytest.mark.parametrize("part", range(PART_COUNT))
 def test_no_schedule_of_faults_exceeds_the_proven_bound(part: int) -> None:
-    """Of 1,000 schedules, a failing one is reduced to the smallest that fails, and printed."""
-    seen = 0
+    """Plays 1,000 random schedules; hypothesis shrinks one that fails, and prints it."""
+    example_count = 0
 
     @settings(max_examples=SCHEDULE_COUNT // PART_COUNT, deadline=None, database=None,
               suppress_health_check=list(HealthCheck))  # fmt: skip
     @given(schedules)
     def check(schedule: list[Fault]) -> None:
-        nonlocal seen
-        seen += 1
+        nonlocal example_count
+        example_count += 1
         simulation = run_schedule(schedule)
         over = simulation.overshoot(FLOODING, CEILING * RATE, CEILING * BURST)
         assert over <= allowed_excess(schedule), (schedule, over)
 
     seed(part)(check)()
-    assert seen >= SCHEDULE_COUNT // PART_COUNT
+    assert example_count >= SCHEDULE_COUNT // PART_COUNT
 
 
-def test_shares_that_do_not_add_up_are_found_and_reduced_to_one_fault(
+def test_local_shares_beyond_the_quota_are_detected_and_shrunk_to_one_fault(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Checks the search itself: with the whole quota as each local share it must fail and reduce."""
+    """Checks the search itself: if each local share is the whole quota, it must find and shrink a failure."""
     monkeypatch.setattr(degraded_mode, "quota_share", lambda width, part: 1.0)
     failed: list[list[Fault]] = []
 
@@ -147,11 +147,11 @@
     simulation = run_schedule([Fault(5.0, fault, (0, 1, 2, 3)), Fault(20.0, "ok", (0, 1, 2, 3))])
     logged = set(simulation.logs)
     assert expected <= logged and "counter-well" in logged
-    assert logged <= expected | {"counter-well", "counter-silent"}  # a slow one looks silent at first
+    assert logged <= expected | {"counter-well", "counter-silent"}  # a slow counter looks silent at first
 
 
 def test_a_replaced_counter_is_logged_and_its_totals_are_restored_once() -> None:
-    """Four gateways reach an empty counter in turn: the bucket gets no fuller, and emptier only briefly."""
+    """Four gateways find an empty counter one after another; the bucket must not get fuller by that."""
     simulation = GatewaySimulation(GATEWAY_COUNT, make_plan(RATE, BURST, CEILING), seed=1)
     begin = simulation.now
     simulation.generate_load(FLOODING, 5 * RATE, range(GATEWAY_COUNT), begin, begin + 19.0)
@@ -169,7 +169,7 @@
     assert len(flood) >= 0.8 * RATE * 9  # its quota remains available
 
 
-def test_a_local_share_fades_in_long_degraded_mode() -> None:
+def test_a_local_share_shrinks_during_a_long_outage() -> None:
     assert degraded_mode.fade_factor(10.0) == degraded_mode.fade_factor(degraded_mode.HOLD_S) == 1.0
     assert degraded_mode.fade_factor(90.0) == pytest.approx(2 / 3)
     assert degraded_mode.fade_factor(1e6) == degraded_mode.MIN_FADE
@@ -181,26 +181,26 @@
     st.floats(0.0, 1e3),
 )
 def test_local_shares_never_add_up_to_more_than_the_quota(
-    width: int, own: list[float], unseen: float
+    width: int, counts: list[float], unknown_count: float
 ) -> None:
-    own = own[:width]
-    whole = sum(own) + unseen
-    parts = [mine / max(mine, whole) if whole else 0.0 for mine in own]
-    total = sum(degraded_mode.quota_share(width, part) for part in parts) + (
-        width - len(own)
+    counts = counts[:width]
+    total_count = sum(counts) + unknown_count
+    parts = [count / max(count, total_count) if total_count else 0.0 for count in counts]
+    total_share = sum(degraded_mode.quota_share(width, part) for part in parts) + (
+        width - len(counts)
     ) * degraded_mode.quota_share(width, 0.0)
-    assert total <= 1 + 1e-9
+    assert total_share <= 1 + 1e-9
 
 
 @pytest.mark.parametrize(
     ("ceiling", "rate", "burst"), [(0.0, 1.0, 8.0), (3.0, 1.0, 8.0), (1.75, 0.75, 6.0), (1.0, 0.5, 4.0)]
 )
-def test_rate_and_burst_that_a_ceiling_leaves_beside_a_counter_that_grants_all(
+def test_rate_and_burst_left_by_a_ceiling_beside_a_counter_that_grants_the_quota(
     ceiling: float, rate: float, burst: float
 ) -> None:
-    tested = make_plan(4.0, 8.0, ceiling)
-    assert degraded_mode.rate_factor(tested) == pytest.approx(rate)
-    assert degraded_mode.shared_burst(tested) == pytest.approx(burst)
+    plan = make_plan(4.0, 8.0, ceiling)
+    assert degraded_mode.rate_factor(plan) == pytest.approx(rate)
+    assert degraded_mode.shared_burst(plan) == pytest.approx(burst)
 
 
 def test_if_gateways_outnumber_the_burst_only_the_first_ones_hold_a_unit() -> None:
@@ -257,7 +257,7 @@
     assert simulation.overshoot(FLOODING, CEILING * RATE, CEILING * BURST) <= SLACK_SHARE * CEILING * BURST
 
 
-def test_a_gateway_cut_off_alone_logs_that_the_others_counted_on() -> None:
+def test_a_gateway_that_is_partitioned_alone_logs_that_the_others_kept_counting() -> None:
     simulation = run_schedule([Fault(8.0, "silent", (2,)), Fault(16.0, "ok", (2,))])
     assert any(log.startswith("counter-split") for log in simulation.logs)
     simulation = run_schedule([])
@@ -266,10 +266,10 @@
 
 @pytest.mark.parametrize("fault", ["silent", "lost", "late"])
 def test_a_lease_call_without_an_answer_is_repeated_and_counts_once(fault: str) -> None:
-    """The counter has what was admitted and what is held unspent, however the answer was lost."""
+    """The counter's total is what was admitted and what is held unspent, however the answer was lost."""
 
     def remainder(fault: str) -> float:
-        """Return what else is in the total: the overflow when the first request came."""
+        """Return the rest of the total: the overflow that was added at the first request."""
         simulation = GatewaySimulation(1, make_plan(RATE, BURST, CEILING), seed=1)
         begin = simulation.now
         simulation.generate_load(FLOODING, 5 * RATE, [0], begin, begin + 12.0)  # nothing overflows later on
@@ -286,12 +286,12 @@
 
 
 def test_a_large_fleet_soon_uses_a_counter_of_higher_capacity() -> None:
-    """64 gateways share an initial 800 calls per second, 12 each, and the counter handles 20,000: requests
-    wait for their calls, and the rates rise soon.
+    """64 gateways share an initial 800 calls per second, 12 each, while the counter handles 20,000.  Requests
+    wait for their calls until the rates have risen, which must be soon.
     """
 
-    def served(pace: float) -> float:
-        simulation = GatewaySimulation(64, make_plan(20.0, 40.0, CEILING), seed=3, call_rate=pace)
+    def served_share(call_rate: float) -> float:
+        simulation = GatewaySimulation(64, make_plan(20.0, 40.0, CEILING), seed=3, call_rate=call_rate)
         begin = simulation.now
         for customer in range(1, 41):
             simulation.generate_load(
@@ -300,5 +300,5 @@
         simulation.run_until(begin + 7.0)
         return sum(simulation.served_share(customer) for customer in range(1, 41)) / 40
 
-    assert served(20_000.0) >= 0.99
-    assert served(800.0) >= 0.99
+    assert served_share(20_000.0) >= 0.99
+    assert served_share(800.0) >= 0.99
--- a/tests/tally/test_redis.py
+++ b/tests/tally/test_redis.py
@@ -373,7 +373,7 @@
 def test_a_cluster_serves_each_name_at_its_slots_owner(protocol: int) -> None:
     async def test(pauses: Pauses) -> None:
         deployment = await RedisDeployment(cluster=True).start(masters=3)
-        # The time of all calls is checked below, without what the machine takes of it.
+        # Calls must not time out: the duration of all calls, without pauses of the machine, is checked below.
         async with recording_counter(deployment, mode="cluster", timeout=60.0, protocol=protocol) as recorder:
             began = time.monotonic()
             for name in NAMES:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -153,9 +153,9 @@
 
 
 def test_an_agent_that_does_not_answer_is_soon_asked_again() -> None:
-    """An agent that is asked while discovery is down never answers, and counts later changes as sent.
+    """An agent that is asked while discovery is down never answers, and treats later lists as already sent.
 
-    To wait for `WATCH_SILENCE_S` would be too long.
+    Waiting for `WATCH_SILENCE_S` would take too long.
     """
 
     async def test() -> None:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -67,7 +67,7 @@
     assert len(gateway.subset) == SUBSET_SIZE
 
 
-# --- leases of wide customers: those with more gateways than units in their burst ---
+# --- leases of wide customers: customers with more gateways than units in their burst ---
 
 
 def make_wide_request(rid: int, is_retry: bool = False) -> i.Request:
@@ -106,7 +106,9 @@
 
 
 def test_a_deficit_stays_in_the_total_however_many_gateways_see_it() -> None:
-    """If all gateways took it off, less was left than each had added, and all restored theirs endlessly."""
+    """If each gateway subtracted the deficit, the total would fall below what each has added, and all would
+    restore their part endlessly.
+    """
     counter, gateways = FakeCounter(), make_gateways(6)
     handle_concurrently(gateways, counter, [make_wide_request(n) for n in range(6)], START)
     for name in counter.totals:
@@ -156,7 +158,9 @@
 
 
 def test_the_call_rate_in_a_large_fleet_rises_with_time_and_slowly_after_a_cut() -> None:
-    """Rising with each answer, a gateway with 4 calls per second took 20 s to find the counter's capacity."""
+    """If the rate rose with each answer only, a gateway with 4 calls per second would take 20 s to find the
+    counter's capacity.
+    """
     call_rate = CallRate(800.0, 200, 0.08, 1.0)
     now = call_at_full_rate(call_rate, 1.0, START)
     call_rate.record_answer(now, i.Outcome.FULL, 0.001, False)
@@ -176,7 +180,7 @@
 
 
 def test_a_counter_is_healthy_again_after_a_few_answers() -> None:
-    """Each of 200 gateways calls a silent counter only every few seconds: 13 answers took too long."""
+    """Each of 200 gateways calls a silent counter only every few seconds; 13 answers would take too long."""
     health = degraded_mode.CounterHealth()
     for _ in range(60):
         health.record_outcome(START, i.Outcome.TIMEOUT)
@@ -224,7 +228,7 @@
 
 
 def test_overflow_is_added_even_without_spare_calls() -> None:
-    """If it was left out for want of a call, a total implied ten bursts of credit for a whole window."""
+    """If it were omitted because no call is left, the total would imply ten bursts of credit for a window."""
     gateway, counter = make_gateway(peers_total="200", extra__counter_timeout_s="0.08"), FakeCounter()
     gateway.call_rate.tokens, gateway.call_rate.tokens_at = 1.5, START
     actions = handle_event(gateway, counter, START, replace(make_request(1, plan=1), width=100))
@@ -245,5 +249,5 @@
 
 def test_ceilings_hold_where_calls_are_few_and_demand_far_exceeds_quotas() -> None:
     result = FleetSimulation(100, seed=3, call_rate=100.0).run(5.0)
-    # Units left of a ceiling's 33, at worst; the rules allow no less than -3.
+    # The lowest level of any ceiling's bucket, which has 33 units; the rules allow no less than -3.
     assert result.min_ceiling_level >= 10.0
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -34,7 +34,7 @@
 )
 
 
-def in_mid_window() -> int:
+def customer_in_mid_window() -> int:
     """Return a customer whose lease window began 8 to 10 s ago."""
     ages = ((c, (time.time() + stable_hash(c) / 2**64 * WINDOW_S) % WINDOW_S) for c in range(1, 1000))
     return next(customer for customer, age in ages if 8 < age < 10)
@@ -503,7 +503,7 @@
 # window must take the token bucket neither for full nor for emptier than it is.
 def test_a_quota_holds_over_two_gateways_that_see_a_customer_first_in_mid_window() -> None:
     async def test() -> None:
-        customer = in_mid_window()
+        customer = customer_in_mid_window()
         async with (
             listening(FakeBackend().handle) as endpoint,
             listening(FakeCounter().handle) as counter,
@@ -823,7 +823,7 @@
 
 def test_a_gateway_that_ends_returns_its_unspent_credit_to_the_counter() -> None:
     async def test() -> None:
-        customer = in_mid_window()
+        customer = customer_in_mid_window()
         tally, backend = FakeCounter(), FakeBackend()
         async with (
             listening(tally.handle) as counter,
@@ -850,8 +850,8 @@
         async with (
             listening(tally.handle) as counter,
             listening(FakeBackend().handle) as endpoint,
-            # A call that takes half of its timeout cuts the rate too, however it ends.  Half of this one is
-            # as long as a test may run, so that a stall of the machine makes no slow call.
+            # A call that takes half of its timeout also cuts the rate, however it ends.  Half of the timeout
+            # here is as long as a test may run, so a stall of the machine makes no call slow.
             platform_gateway(endpoint, counter=counter, extra__counter_timeout_s="120") as (gateway, _),
         ):
             decision_module = gateway.host.decision_module
@@ -869,7 +869,7 @@
     """Lease windows follow from Unix time: a gateway with its own clock would use other names."""
 
     async def test() -> None:
-        customer = in_mid_window()
+        customer = customer_in_mid_window()
         tally, backend = FakeCounter(), FakeBackend()
         async with (
             listening(tally.handle) as counter,
