--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -19,13 +19,14 @@
 
 PROXY_COUNTS = (11, 85, 300, 1000)
 DURATION_S = 15.0
+# By tenant: its rate per second, which is also its burst, and the share of the rate that it uses.
 TENANTS = (
     (198.0, 0.6),
     (66.0, 0.8),
     (20.0, 0.6),
     (8.0, 0.6),
     (2.0, 0.5),
-)  # rate and burst; load factor
+)
 FLOODING_TENANT = 1  # index of the tenant that sends nine times its usual rate during a flood
 FLOOD_S = (5.0, 10.0)  # start and end of the flood
 
@@ -96,6 +97,7 @@
 
 
 def measure_partitions(quick: bool, figures: dict[str, Any]) -> None:
+    """Adds the figures of partitions; raises AssertionError if a quota was exceeded."""
     partition_seeds, schedule_count = (8, 24) if quick else (24, 400)
     with ProcessPoolExecutor() as pool:
         for rate, fraction in ((33.0, 0.62), (33.0, 0.9), (66.0, 0.8), (198.0, 0.7)):
--- a/ivymux/service/compiler.py
+++ b/ivymux/service/compiler.py
@@ -1,8 +1,9 @@
 """Compiles route descriptions in a child process with bounded memory and time; caches the results on disk.
 
 A gateway goes on serving meanwhile.  The child process is `python -m ivymux.service.compiler FILE` with the
-options as JSON on standard input, or the same without FILE and with `Texts` as MessagePack.  It writes one
-byte, `COMPILED_MARK` or `FINDINGS_MARK`, then the compiled description or the findings as MessagePack.
+options as JSON on standard input, or the same without FILE and with `DescriptionFiles` as MessagePack.  It
+writes one byte, `COMPILED_MARK` or `FINDINGS_MARK`, then the compiled description or the findings as
+MessagePack.
 """
 
 from __future__ import annotations
@@ -51,8 +52,8 @@
     folder = path.parent.resolve()
 
     def read(name: str) -> bytes:
-        # The description itself may be a link, as configuration tools replace files so; the files that it
-        # refers to may not be links out of the folder.
+        # The description itself may be a link, as some configuration tools replace a file by changing a link.
+        # The files that the description refers to may not be links out of the folder.
         target = path if name == path.name else folder / name
         if name != path.name and not target.resolve().is_relative_to(folder):
             raise OSError(None, "it leads out of the description's folder")
@@ -64,8 +65,8 @@
     return read
 
 
-class Texts(msgspec.Struct, frozen=True):
-    """A description whose files are in memory, such as one that came by the administration API."""
+class DescriptionFiles(msgspec.Struct, frozen=True):
+    """A description whose files are in memory, such as one uploaded through the administration API."""
 
     main: str  # the name of the main file
     files: dict[str, bytes]  # contents by name
@@ -90,8 +91,8 @@
         path = Path(sys.argv[1])
         read, options = folder_reader(path), msgspec.json.decode(input_data, type=Options)
     else:
-        texts = msgspec.msgpack.decode(input_data, type=Texts)
-        path, read, options = Path(texts.main), texts.read, texts.options
+        uploaded = msgspec.msgpack.decode(input_data, type=DescriptionFiles)
+        path, read, options = Path(uploaded.main), uploaded.read, uploaded.options
     try:
         out = COMPILED_MARK + msgspec.msgpack.encode(compile_description(path.name, read, options))
     except DescriptionError as error:
@@ -108,9 +109,9 @@
     return await run_compiler(str(path), [str(path)], msgspec.json.encode(options))
 
 
-async def compile_texts(texts: Texts) -> CompiledDescription:
+async def compile_in_memory(files: DescriptionFiles) -> CompiledDescription:
     """Compile a description in memory.  Raises DescriptionError, CompilerError."""
-    return await run_compiler(texts.main, [], msgspec.msgpack.encode(texts))
+    return await run_compiler(files.main, [], msgspec.msgpack.encode(files))
 
 
 async def run_compiler(path: str, arguments: list[str], input_data: bytes) -> CompiledDescription:
@@ -127,7 +128,7 @@
             out, _ = await child.communicate(input_data)
     except TimeoutError:
         raise CompilerError(f"{path}: not compiled within {TIMEOUT_S:g} s") from None
-    except (OSError, RuntimeError):  # it ended before it read its input; uvloop raises RuntimeError for that
+    except (OSError, RuntimeError):  # the child ended before it read its input; uvloop raises RuntimeError
         out = b""
     finally:
         if child.returncode is None:
@@ -144,7 +145,7 @@
 
 
 def cache_file(folder: Path, path: Path) -> Path:
-    """Return the cache file for a description; descriptions with the same name have different ones."""
+    """Return the cache file of a description; another folder gives another cache file."""
     return folder / f"{path.name}.{sha256(str(path.resolve()).encode()).hexdigest()[:12]}.routes"
 
 
@@ -155,7 +156,7 @@
 
 
 def load_cached(folder: Path, path: Path, options: Options) -> CompiledDescription | None:
-    """Return the compiled description from the cache, or None if it is not there, damaged or outdated."""
+    """Return the compiled description from the cache, or None if that is missing, damaged or outdated."""
     try:
         data = cache_file(folder, path).read_bytes()
         if not data.startswith(MAGIC):
--- a/ivymux/simulation/conversation_load.py
+++ b/ivymux/simulation/conversation_load.py
@@ -1,7 +1,8 @@
 """Conversation load test: conversations act, retry and read while proxies, backends and the primary fail.
 
-Real processes on loopback, and stand-in backends that record each effect.  The report compares two outside
-observations: what callers were answered, and how often each action had an effect.
+A conversation is a caller's sequence of reads and actions; its actions carry its name in a header.  Proxies
+and core machines are real processes on loopback; stand-in backends record each effect.  The report compares
+two outside observations: what callers were answered, and how often each action had an effect.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 HOST = "minutes.example"
 SERVICES = ("archive", "desk", "store")  # the first serves reads, the others actions
 ACTIONS = ("desk", "store")
-MAX_ATTEMPTS, MAX_ACTION_S = 12, 8.0  # of one action
+MAX_ATTEMPTS, MAX_ACTION_S = 12, 8.0  # attempts of one action, and seconds for which it is retried
 ATTEMPT_TIMEOUT_S = 1.5
 MAX_READ_ATTEMPTS = 3
 DEFAULT_RETRY_AFTER_S = 0.1
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.05, 1.0
 FAULT_INTERVAL_S = 2.0
-FREEZE_S = 1.2
-MIN_SERVING_PROXIES = 4
+FREEZE_S = 1.2  # for which a proxy is frozen
+MIN_SERVING_PROXIES = 4  # with no more than these, a proxy joins instead of another fault
 OUTCOME_UNKNOWN_TEXT = "not known"  # in the answer to an action whose outcome is unknown for good
 PROPAGATION_S = 1.5  # time within which all proxies know a change of the backends
 FAULT_KINDS = ("join", "leave", "kill", "freeze", "release")
@@ -44,7 +45,7 @@
     proxies: int = 8
     backends_per_service: int = 4
     conversations: int = 300
-    partners: int = 8
+    partners: int = 8  # tenants
     pause_s: float = 4.0  # mean time between two steps of one conversation
     work_s: float = 0.03  # that a backend takes for a request
 
@@ -219,6 +220,7 @@
     # --- callers ---------------------------------------------------------------------------------------
 
     async def run_conversation(self, number: int, partner: int, end: float) -> None:
+        """Act and read in random order until `end`, in monotonic seconds."""
         rng = random.Random(f"{self.record.seed} {number}")
         await asyncio.sleep(rng.uniform(0, self.settings.pause_s))
         while time.monotonic() < end:
@@ -229,6 +231,7 @@
             await asyncio.sleep(self.settings.pause_s * rng.uniform(0.5, 1.5))
 
     async def read(self, partner: int, rng: random.Random) -> None:
+        """Send a read until it is answered, at most `MAX_READ_ATTEMPTS` times."""
         for _ in range(MAX_READ_ATTEMPTS):
             proxy_ip = rng.choice(self.serving_proxies)
             answer = await self.cluster.send_request(proxy_ip, path="/archive/1", key=f"key-{partner}")
@@ -281,7 +284,7 @@
             self.record.serving_proxies.append((self.now(), len(self.serving_proxies)))
 
     async def inject_fault(self, kind: str, number: int) -> None:
-        """Inject one fault and record it; a proxy joins instead where too few serve."""
+        """Inject one fault and record it; if too few proxies serve, one joins instead."""
         stopped = [ip for ip in self.cluster.proxy_ips if ip not in self.serving_proxies]
         has_few_proxies = len(self.serving_proxies) <= MIN_SERVING_PROXIES
         if kind == "join" or (kind != "release" and has_few_proxies):
@@ -301,6 +304,7 @@
         self.record.faults.append((self.now(), kind, machine))
 
     async def restart_proxy(self, ip: str) -> None:
+        """Start a stopped proxy again, and let callers use it once it is ready."""
         await self.cluster.kill(ip)
         await self.cluster.start(ip)
         await self.cluster.wait_until_ready(ip)
@@ -316,6 +320,7 @@
         return name
 
     async def freeze_proxy(self, ip: str) -> None:
+        """Suspend a proxy for `FREEZE_S`, in which callers do not use it."""
         self.cluster.send_signal(ip, signal.SIGSTOP)
         self.serving_proxies.remove(ip)
         await asyncio.sleep(FREEZE_S)
@@ -323,6 +328,7 @@
         self.serving_proxies.append(ip)
 
     async def restart_primary(self) -> None:
+        """Kill the primary, and start it again after `FAULT_INTERVAL_S`."""
         primary_ip = self.cluster.primary_ip()
         await self.cluster.kill(primary_ip)
         self.record.faults.append((self.now(), "leader", primary_ip))
--- a/standins/redis.py
+++ b/standins/redis.py
@@ -65,7 +65,7 @@
     delay: float = 0.0  # seconds before each answer is sent; the call is executed at once
     error: str = ""  # answers each call on a key: LOADING ..., BUSY ..., CLUSTERDOWN ...
     next_errors: deque[str] = field(default_factory=deque)  # answer the next calls on a key, one each
-    # This number of calls on a key are executed, and the connection is closed instead of an answer.
+    # Number of calls on a key to execute and then close the connection instead of answering.
     answers_to_drop: int = 0
     reset_connections: bool = False  # resets new connections
 
@@ -430,6 +430,7 @@
             self.handle_call(call)
 
     def handle_call(self, call: list[bytes]) -> None:
+        """Execute a call and send its answer, with the faults of the node."""
         assert self.transport is not None
         name, faults = call[0].decode().upper(), self.node.faults
         try:
@@ -496,13 +497,14 @@
         self.service = "tally"
         self.nodes: list[Node] = []
         self.sentinels: list[Sentinel] = []
-        # Writes not yet replicated: when they will be, the master, the key and its new value.
+        # Writes not yet replicated: the time of their replication, the master, the key and its new value.
         self.unreplicated: deque[tuple[float, Node, bytes, Value | None]] = deque()
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
     async def start(self, masters: int = 1, replicas: int = 0, sentinels: int = 0) -> RedisDeployment:
+        """Start the nodes; `replicas` is the number for each master."""
         for number in range(masters):
             master = await Node(self, f"m{number}").start()
             self.nodes.append(master)
@@ -533,6 +535,7 @@
         return [node for node in self.nodes if node.master is master]
 
     def slot_owner(self, slot: int) -> Node | None:
+        """Return the master that owns a hash slot, or None."""
         return next((n for n in self.nodes if any(low <= slot <= high for low, high in n.slots)), None)
 
     # --- replication -------------------------------------------------------------------------------
--- a/tests/simulation/faulty.py
+++ b/tests/simulation/faulty.py
@@ -24,6 +24,7 @@
 
 
 def replace_attribute(owner: Any, name: str, value: Any) -> None:
+    """Set an attribute of a class; unlike an assignment, mypy accepts this for methods."""
     setattr(owner, name, value)
 
 
--- a/tests/simulation/test_seeded_rules.py
+++ b/tests/simulation/test_seeded_rules.py
@@ -27,11 +27,12 @@
 DAY_S = 7.0
 READS_PER_S, ACTIONS_PER_S = 12, 8
 DISCONNECTS_FROM_S, DISCONNECTS_TO_S = 1.0, 2.5  # clients of reads sent in between disconnect
-SHORT_WAIT_S = 0.7  # of every second client, less than a slow backend takes
-FULL_QUOTA, LOW_QUOTA = 60.0, 6.0  # requests per second
+SHORT_WAIT_S = 0.7  # that every second client waits for its answer; a slow backend takes longer
+FULL_QUOTA, LOW_QUOTA = 60.0, 6.0  # above and below the load, in requests per second
 
 
 def make_events() -> list[Event]:
+    """Return the events of a day on which each seeded fault breaks its rule."""
     events: list[Event] = []
     for number in range(int(DAY_S * READS_PER_S)):
         at = number / READS_PER_S
@@ -76,16 +77,16 @@
         ("action_retried", "TWICE", "ran"),
         ("failure_reported_as_not_executed", "REFUSED", "says that it has not run"),
         ("seal_not_checked", "MIXED", "no backend gave"),
-        ("key_passed_on", "UNASKED", "the key went along"),
+        ("key_passed_on", "UNASKED", "the client's key was passed on"),
         ("path_changed", "UNASKED", "ran as"),
         ("remaining_time_extended", "BUDGET", "more time than is left"),
-        ("valid_requests_denied", "DENIED", "proper requests were denied"),
+        ("valid_requests_denied", "DENIED", "valid requests were denied"),
         ("route_not_served", "STARVED", "served"),
         ("configuration_not_applied", "CONFIG", "after version 5 held"),
         ("configuration_reverted", "CONFIG", "which had taken effect"),
         ("draining_ignored", "DRAIN", "after its quiescing was acknowledged"),
         ("attempts_not_limited", "BUDGET", "more than 2 backends"),
-        ("deadline_ignored", "CONFIG", "past their time"),
+        ("deadline_ignored", "CONFIG", "after their deadline"),
         ("stop_cuts_requests", "LOST", "closed its connection"),
     ],
 )
--- a/tests/tally/test_living.py
+++ b/tests/tally/test_living.py
@@ -43,11 +43,11 @@
     sides = max_counters(schedule) + any(f.kind in ("refused", "silent", "late", "lost") for f in schedule)
     if sides <= CEILING:
         return SLACK_SHARE * CEILING * BURST
-    swaps = sum(f.kind in ("empty", "copy", "old") for f in schedule)
+    replacements = sum(f.kind in ("empty", "copy", "old") for f in schedule)
     restarts = sum(len(f.gateways) for f in schedule if f.kind == "restart")
     return (
         (sides - CEILING) * (BURST + RATE * SCHEDULE_S)
-        + swaps * BURST
+        + replacements * BURST
         + restarts * (1 + BURST / GATEWAY_COUNT)
     )
 
@@ -117,7 +117,7 @@
     assert checked_count >= SCHEDULE_COUNT // PART_COUNT
 
 
-def test_shares_that_do_not_add_up_are_found_and_reduced_to_one_fault(
+def test_local_shares_beyond_the_quota_are_detected_and_shrunk_to_one_fault(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Checks the search itself: with the whole quota as each local share, it must find a failing one."""
@@ -169,7 +169,7 @@
     assert len(flood) >= 0.8 * RATE * 9  # the customer's quota remains available
 
 
-def test_a_local_share_fades_in_long_degraded_mode() -> None:
+def test_a_local_share_shrinks_during_a_long_outage() -> None:
     assert degraded_mode.fade_factor(10.0) == degraded_mode.fade_factor(degraded_mode.HOLD_S) == 1.0
     assert degraded_mode.fade_factor(90.0) == pytest.approx(2 / 3)
     assert degraded_mode.fade_factor(1e6) == degraded_mode.MIN_FADE
@@ -181,26 +181,26 @@
     st.floats(0.0, 1e3),
 )
 def test_local_shares_never_add_up_to_more_than_the_quota(
-    width: int, own: list[float], unseen: float
+    width: int, counts: list[float], unknown_count: float
 ) -> None:
-    own = own[:width]
-    whole = sum(own) + unseen
-    parts = [mine / max(mine, whole) if whole else 0.0 for mine in own]
-    total = sum(degraded_mode.quota_share(width, part) for part in parts) + (
-        width - len(own)
+    counts = counts[:width]
+    total_count = sum(counts) + unknown_count
+    parts = [count / max(count, total_count) if total_count else 0.0 for count in counts]
+    total_share = sum(degraded_mode.quota_share(width, part) for part in parts) + (
+        width - len(counts)
     ) * degraded_mode.quota_share(width, 0.0)
-    assert total <= 1 + 1e-9
+    assert total_share <= 1 + 1e-9
 
 
 @pytest.mark.parametrize(
     ("ceiling", "rate", "burst"), [(0.0, 1.0, 8.0), (3.0, 1.0, 8.0), (1.75, 0.75, 6.0), (1.0, 0.5, 4.0)]
 )
-def test_rate_and_burst_that_a_ceiling_leaves_beside_a_counter_that_grants_all(
+def test_rate_and_burst_left_by_a_ceiling_beside_a_counter_that_grants_the_quota(
     ceiling: float, rate: float, burst: float
 ) -> None:
-    tested = make_plan(4.0, 8.0, ceiling)
-    assert degraded_mode.rate_factor(tested) == pytest.approx(rate)
-    assert degraded_mode.shared_burst(tested) == pytest.approx(burst)
+    plan = make_plan(4.0, 8.0, ceiling)
+    assert degraded_mode.rate_factor(plan) == pytest.approx(rate)
+    assert degraded_mode.shared_burst(plan) == pytest.approx(burst)
 
 
 def test_if_gateways_outnumber_the_burst_only_the_first_ones_hold_a_unit() -> None:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -67,7 +67,7 @@
     assert len(gateway.subset) == SUBSET_SIZE
 
 
-# --- leases of wide customers: those with more gateways than units in their burst ---
+# --- leases of wide customers: customers with more gateways than units in their burst ---
 
 
 def make_wide_request(request: int, is_retry: bool = False) -> i.Request:
