--- a/ivymux/membership/files.py
+++ b/ivymux/membership/files.py
@@ -1,4 +1,4 @@
-"""Reads an inventory's files consistently and detects changes of them without reading."""
+"""Reads an inventory's files consistently, and detects changes to them by their metadata."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 SHEET_SUFFIXES = (".csv", ".tsv", ".txt")
 ANSIBLE_SUFFIXES = (".yml", ".yaml", ".json")
-MAX_FILES = 5_000
+MAX_FILES = 5_000  # variable files next to one inventory
 VARIABLE_FOLDERS = ("group_vars", "host_vars")
 
 
@@ -35,10 +35,12 @@
 
     @property
     def digest(self) -> str:
+        """SHA-256 of all the bytes and their file names, in hex."""
         return sha256(msgspec.msgpack.encode(self)).hexdigest()
 
 
 def is_csv(path: Path) -> bool:
+    """Whether an inventory is read as CSV: all files whose suffix is not one of Ansible's are."""
     return path.suffix.lower() not in ANSIBLE_SUFFIXES
 
 
@@ -54,11 +56,12 @@
             folders.sort()
             found += [Path(parent) / name for name in sorted(files) if not name.startswith((".", "~"))]
             if len(found) > MAX_FILES:
-                raise FilesError(f"more than {MAX_FILES} files beside {path.name}")
+                raise FilesError(f"more than {MAX_FILES} variable files next to {path.name}")
     return [p for p in found if p.suffix.lower() in (*ANSIBLE_SUFFIXES, "")]
 
 
 def raise_unreadable(error: OSError) -> None:
+    """Error handler of `os.walk`, which ignores unreadable folders by default.  Raises FilesError."""
     raise FilesError(f"{error.filename} can't be read: {error.strerror}")
 
 
@@ -78,7 +81,7 @@
 
 
 def read_content(path: Path) -> Content:
-    """Read the files.  Raises FilesError, also if one of them changed meanwhile."""
+    """Read an inventory and its variable files.  Raises FilesError, also if one changed during the read."""
     before = fingerprint(path)
     if before is None:
         raise FilesError(f"{path} is not there")
--- a/ivymux/membership/list_change.py
+++ b/ivymux/membership/list_change.py
@@ -24,7 +24,7 @@
 from ivymux.membership.files import Content, is_csv, parse_content, read_content
 from ivymux.membership.snapshot_store import SnapshotStore
 
-POLL_PERIOD_S = 0.1
+POLL_PERIOD_S = 0.1  # between looks at the snapshots for the new list
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,9 @@
     """
     data = write_csv(inventory) if is_csv(target) else write_ansible(inventory)
     if parse_content(Content(target.name, data, {})).inventory != inventory:
-        raise InventoryError([Finding("error", target.name, 0, 0, "the list can't be written in this form")])
+        raise InventoryError(
+            [Finding("error", target.name, 0, 0, "this file format can't represent the list")]
+        )
     return data
 
 
@@ -57,6 +59,8 @@
 ) -> Proposal:
     """Check `source` as the new content of `target`, the file that a gateway follows.
 
+    `last` is the gateway's latest snapshot; without one, the change is measured from the target's content.
+
     Raises InventoryError, OSError.
     """
     content = read_content(source)
@@ -67,12 +71,12 @@
     else:
         data = convert(reading.inventory, target)
     proposed = Content(target.name, data, previous.beside)
-    # group_vars and host_vars beside the target apply to it too and override the list's values.
+    # group_vars and host_vars next to the target apply to the new content too and override its values.
     if (
         any(previous.beside.values())
         and parse_content(proposed, gateway_addresses).inventory != reading.inventory
     ):
-        message = "group_vars or host_vars beside it would change what this list says: change it there"
+        message = "group_vars or host_vars next to it override values of the new list: change them there"
         raise InventoryError([Finding("error", target.name, 0, 0, message)])
     current, shape = (
         (last.inventory, last.shape) if last is not None else parse_current(previous, gateway_addresses)
@@ -117,7 +121,7 @@
 
 
 def wait_until_stored(store: SnapshotStore, inventory: Inventory, timeout_s: float) -> Snapshot | None:
-    """Wait until the gateway has stored a list as its last one; return None after `timeout_s`."""
+    """Wait until the gateway's latest snapshot has this list; return it, or None after `timeout_s`."""
     deadline = time.monotonic() + timeout_s
     while True:
         last = store.load_last()
--- a/ivymux/membership/member_list.py
+++ b/ivymux/membership/member_list.py
@@ -12,24 +12,29 @@
 from orchidhill import interface as i
 
 MAX_ENTRIES_PER_EVENT = 64  # in all events but the first, so that a large list does not delay requests
-MembershipEvent = tuple[i.Members, dict[int, Address]]  # with the addresses of the entries, by number
+MembershipEvent = tuple[i.Members, dict[int, Address]]  # the event, and its workers' addresses by number
 
 
 class MemberListError(ValueError):
-    """Two workers have the same number, so that the decision module could not tell them apart."""
+    """Two workers have the same number, so the decision module could not distinguish them."""
 
 
 @lru_cache(maxsize=1 << 17)
 def worker_number(name: str) -> int:
-    """Return the decision module's number of a worker: a hash of its name, equal in every gateway."""
+    """Return the number that identifies a worker to the decision module: a hash of the worker's name.
+
+    Every gateway computes the same number.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 @dataclass(slots=True)
 class Member:
+    """A worker that the decision module knows."""
+
     worker: Worker
     address: Address
-    since: float  # when it joined or changed its address; 0 if it was listed when the gateway started
+    since: float  # Unix time of joining or of the last change of address; 0 if listed at the gateway's start
 
 
 @dataclass(slots=True)
@@ -47,9 +52,10 @@
     ) -> Iterator[MembershipEvent]:
         """Return the events that lead to the list `workers`, removals first.
 
-        `addresses` has the workers' addresses by name.  A worker without one is added once it has one;
-        a member without one keeps its last address.  A worker whose address changes is a new process, so
-        it starts cold.  `cold` is false when a gateway starts: its workers may have run for long.
+        `addresses` has the workers' addresses by name.  A new worker without an address is added once its
+        address is known; a present member keeps its last address.  A worker whose address changes is a new
+        process, so it starts cold.  `cold` is false when a gateway starts, as its workers may have been
+        running for a long time.
 
         Raises MemberListError, without a change, if two workers have the same number.
         """
@@ -66,8 +72,10 @@
     def generate_events(
         self, wanted: dict[int, Worker], addresses: Mapping[str, Address], now: float, cold: bool
     ) -> Iterator[MembershipEvent]:
+        """Yield the events for `change`, updating the members; `wanted` has the workers by number."""
         is_initial = not self.version
-        # Entries of the next event.  Full events are yielded at once, so a large list is processed in parts.
+        # Entries of the next event.  An event with the maximum of entries is yielded before the rest of the
+        # list is processed, so that a large list does not block the caller for long.
         pending: list[tuple[i.Entry, Address]] = []
         for number in [n for n in self.members if n not in wanted]:
             removed = self.members.pop(number)
--- a/ivymux/membership/reader.py
+++ b/ivymux/membership/reader.py
@@ -21,20 +21,25 @@
 MAX_ADDRESS_SPACE_BYTES = 1 << 30
 MAX_CPU_TIME_S = 30
 TIMEOUT_S = 45.0
-NICENESS = 10
+NICENESS = 10  # added to the child process's, so that requests go first
 
 
 class ReadTask(msgspec.Struct, frozen=True):
+    """The file to read, and what its content is checked against."""
+
     path: str
     limits: Limits
-    current: Inventory | None
+    current: Inventory | None  # the list in force; None if there is none
     base: Inventory | None  # the list in force at the start of the window in which changes add up
     shape: FileShape = FileShape()  # of the file that `current` was read from
-    own: GatewayAddresses = ()
+    own: GatewayAddresses = ()  # the gateway's listeners, which no worker may have as its address
 
 
 class ReadResult(msgspec.Struct, frozen=True):
-    """The outcome; without an inventory, `problem` or an error among the findings says why."""
+    """The outcome; without an inventory, `problem` or an error among the findings has the reason.
+
+    A change with `reasons` is held back until an operator gives its `confirmation` code.
+    """
 
     digest: str = ""
     inventory: Inventory | None = None
@@ -73,6 +78,7 @@
 
 
 def main() -> int:
+    """Run the child process within its limits on memory and CPU time."""
     resource.setrlimit(resource.RLIMIT_AS, (MAX_ADDRESS_SPACE_BYTES, MAX_ADDRESS_SPACE_BYTES))
     resource.setrlimit(resource.RLIMIT_CPU, (MAX_CPU_TIME_S, MAX_CPU_TIME_S))
     os.nice(NICENESS)
@@ -80,7 +86,7 @@
     try:
         result = read_and_check(task)
     except (MemoryError, RecursionError):
-        result = ReadResult(problem=f"{task.path} needs more memory than reading may take")
+        result = ReadResult(problem=f"{task.path} can't be read within the memory limit of the reader")
     sys.stdout.buffer.write(msgspec.msgpack.encode(result))
     return 0
 
@@ -101,7 +107,7 @@
     except TimeoutError:
         return ReadResult(problem=f"{task.path} was not read within {TIMEOUT_S:g} s")
     except (OSError, RuntimeError, msgspec.MsgspecError):
-        return ReadResult(problem=f"{task.path} needs more time or memory than reading may take")
+        return ReadResult(problem=f"{task.path} can't be read within the CPU and memory limits of the reader")
     finally:
         if child.returncode is None:
             with contextlib.suppress(ProcessLookupError):
--- a/ivymux/membership/resolver.py
+++ b/ivymux/membership/resolver.py
@@ -31,6 +31,8 @@
 
 @dataclass(slots=True)
 class Answer:
+    """The cached address of a host name."""
+
     address: str
     expires_at: float  # monotonic seconds
 
@@ -74,6 +76,7 @@
         return addresses
 
     async def refresh_name(self, name: str, limit: asyncio.Semaphore) -> None:
+        """Look up a name; after a failure its cached answer, if any, is valid for another lifetime."""
         async with limit:
             try:
                 async with asyncio.timeout(LOOKUP_TIMEOUT_S):
@@ -85,18 +88,22 @@
         if not addresses:
             if name not in self.failing_names:
                 self.failing_names.add(name)
-                log.warning("inventory: no address for %s%s", name, "; using the last one" if cached else "")
+                log.warning(
+                    "inventory: no address for %s%s", name, "; using the last known address" if cached else ""
+                )
             if cached is not None:
                 cached.expires_at = expires_at
             return
         self.failing_names.discard(name)
-        # The present address is preferred: a changed address makes the worker a new process that starts cold.
+        # The present address is kept if it is still valid, because a worker with a new address counts as a
+        # new process that starts cold.
         address = cached.address if cached is not None and cached.address in addresses else addresses[0]
         self.answers[name] = Answer(address, expires_at)
 
 
 @lru_cache(maxsize=1 << 17)
 def is_address(host: str) -> bool:
+    """Whether a host is an IP address, which needs no look-up."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
--- a/ivymux/membership/snapshot_store.py
+++ b/ivymux/membership/snapshot_store.py
@@ -21,7 +21,7 @@
 
 
 class SnapshotStore:
-    """The snapshots of one gateway; in memory only if there is no folder or it can't be written."""
+    """The snapshots of one gateway; in memory only if there is no folder or the folder can't be written."""
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -17,9 +17,10 @@
 from ivymux.membership.reader import ReadResult, ReadTask, read_in_child_process
 from ivymux.membership.snapshot_store import SnapshotStore
 
-# The coarsest file systems may give two writes within this time the same time stamp.
+# After a read the files are read once more: the coarsest file systems may give two writes within this time
+# the same time stamp.
 REREAD_DELAY_S = 2.5
-EARLY_APPROVAL_LIFETIME_S = 60.0
+EARLY_APPROVAL_LIFETIME_S = 60.0  # of a confirmation that arrives before its change is read
 log = logging.getLogger("ivymux")
 Apply = Callable[[Inventory], Awaitable[None]]
 
@@ -38,7 +39,7 @@
 
 @dataclass
 class InventorySource:
-    """Follows the files of one inventory."""
+    """Follows the files of one inventory; `apply` puts an accepted list into force."""
 
     path: Path
     store: SnapshotStore
@@ -49,7 +50,7 @@
     stability: FileStability = field(default_factory=FileStability)
     policy: ChangePolicy | None = None
     pending: Pending | None = None
-    ignored_digest: str = ""  # of a content that was rolled back; it is ignored until the file changes
+    ignored_digest: str = ""  # of the content that was rolled back, which is ignored until the file changes
     # A confirmation received before its change was read, and until when it is valid (monotonic seconds).
     early_approval: tuple[str, float] = ("", 0.0)
     is_missing: bool = False
@@ -59,6 +60,7 @@
 
     @property
     def current(self) -> Inventory:
+        """The list in force."""
         assert self.policy is not None
         return self.policy.current
 
@@ -90,7 +92,11 @@
         self.policy = ChangePolicy(self.limits, last.inventory)
         await self.apply(last.inventory)
         if not is_good or result.digest == self.ignored_digest:
-            reason = describe_failure(result, self.path) if not is_good else "it was rolled back from"
+            reason = (
+                describe_failure(result, self.path)
+                if not is_good
+                else "the file has the content that was rolled back"
+            )
             age_s = max(0.0, time.time() - last.taken)
             log.error("inventory: serving list %d, %.0f s old: %s", last.number, age_s, reason)
             return
@@ -105,6 +111,7 @@
     # --- polling -------------------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Poll until the task is cancelled."""
         while True:
             await asyncio.sleep(self.poll_period_s)
             try:
@@ -131,6 +138,7 @@
                 log.error("inventory: %s does not come to rest: the list stays as it was", self.path)
 
     async def read_files(self) -> None:
+        """Read the files, unless they change meanwhile, and handle a list with new content."""
         assert self.policy is not None
         base = self.policy.window_start(time.monotonic())
         seen = self.stability.last_fingerprint
@@ -151,6 +159,7 @@
         await self.handle_result(result)
 
     def build_task(self, base: Inventory | None) -> ReadTask:
+        """Return the task of reading the files; `base` is the list at the start of the change window."""
         return ReadTask(str(self.path), self.limits, self.current, base, self.shape, self.gateway_addresses)
 
     async def handle_result(self, result: ReadResult) -> None:
@@ -174,6 +183,7 @@
         await self.accept(result, "changed")
 
     async def accept(self, result: ReadResult, why: str) -> None:
+        """Store and apply a list; `why`, "changed" or "confirmed", is recorded in its snapshot."""
         assert self.policy is not None and result.inventory is not None
         self.pending, self.early_approval = None, ("", 0.0)
         self.policy.accept(result.inventory, time.monotonic(), confirmed=why != "changed")
@@ -204,7 +214,7 @@
             )
             return False
         if await asyncio.to_thread(fingerprint, self.path) != pending.fingerprint:
-            log.error("inventory: not confirmed: the file has changed since")
+            log.error("inventory: not confirmed: the file has changed since it was read")
             return False
         await self.accept(pending.result, "confirmed")
         return True
@@ -226,9 +236,9 @@
 
 
 def describe_failure(result: ReadResult, path: Path) -> str:
-    """Say in one line why no inventory could be read."""
+    """Return the reason in one line why no inventory could be read."""
     if result.problem:
         return result.problem
     errors = [f for f in result.findings if f.level == "error"]
     more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
-    return f"{errors[0]}{more}" if errors else f"{path}: can't be taken"
+    return f"{errors[0]}{more}" if errors else f"{path}: no inventory could be read"
--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -152,7 +152,7 @@
     (tmp_path / "host_vars" / "w01.yml").write_text("weight: 7\n")
     new.write_text(damage.SHEET)
     assert main(["inventory", "apply", str(site), str(new)]) == 1
-    assert "change it there" in capsys.readouterr().err and tree.read_text() == damage.YAML
+    assert "change them there" in capsys.readouterr().err and tree.read_text() == damage.YAML
     (tmp_path / "host_vars" / "w01.yml").unlink()
     assert main(["inventory", "apply", str(site), str(new), "--dry-run"]) == 0
     assert main(["inventory", "apply", str(site), str(new)]) == 0
