--- a/ivymux/routes/classes.py
+++ b/ivymux/routes/classes.py
@@ -14,8 +14,8 @@
 class ClassTable:
     """The decision module's list of classes; a class's number is its index.
 
-    A number belongs to its class while the current description uses the class or a request that arrived
-    with it is open.  After that it may be reused for another class.
+    A number belongs to its class while the current description uses the class, or a request of the class is
+    open.  After that it may be reused for another class.
     """
 
     def __init__(self, key_memory: float, scope: Scope) -> None:
@@ -28,6 +28,7 @@
     def request_class(
         self, name: str, effect: Effect, aim: float, deadline: float, worth: float
     ) -> RequestClass:
+        """Return the class of operations with these traits; times are in seconds."""
         keyed = effect is Effect.KEYED
         return RequestClass(
             name, aim, deadline, effect, self.scope, self.key_memory if keyed else 0.0, worth, 0.0, False
--- a/ivymux/routes/compare.py
+++ b/ivymux/routes/compare.py
@@ -32,7 +32,7 @@
         return "; ".join(parts) or "no change"
 
 
-RETRY_RANK = {"unsafe": 0, "keyed": 1, "safe": 2}
+RETRY_RANK = {"unsafe": 0, "keyed": 1, "safe": 2}  # effects, in the order of how freely they are retried
 
 
 def compare(old: CompiledDescription, new: CompiledDescription) -> Changes:
@@ -57,4 +57,5 @@
 
 
 def label(operation: Operation) -> str:
+    """Return an operation's method and path, as messages show it."""
     return f"{operation.method} {operation.path}"
--- a/ivymux/routes/description.py
+++ b/ivymux/routes/description.py
@@ -81,7 +81,7 @@
     ) -> None:
         self.documents, self.name, self.root = documents, name, root
         self.options, self.findings = options, findings
-        self.ids: dict[str, str] = {}
+        self.ids: dict[str, str] = {}  # the JSON pointer of each operationId
         self.router = Router()
         self.operation_count = 0
 
@@ -134,6 +134,7 @@
         return operations
 
     def compile_paths(self) -> Iterator[Operation]:
+        """Compile the operations of all path items."""
         paths = self.root.get("paths") or {}
         outer = self.read_settings(self.name, "", self.root, OperationSettings())
         servers = self.base_paths(self.name, "/servers", self.root.get("servers"), ("",))
@@ -170,6 +171,11 @@
         outer: OperationSettings,
         servers: BasePaths,
     ) -> Iterator[Operation]:
+        """Compile the operations of one path, once for each base path of their servers.
+
+        `file` and `pointer` are the position of the path item; `outer` and `servers` apply where the path
+        item has none of its own.
+        """
         settings = self.read_settings(file, pointer, item, outer)
         servers = self.base_paths(file, f"{pointer}/servers", item.get("servers"), servers)
         shared_parameters = self.read_parameters(file, f"{pointer}/parameters", item.get("parameters"))
@@ -321,6 +327,10 @@
         inherited: OperationSettings,
         parameters: dict[tuple[str, str], Any],
     ) -> Operation | None:
+        """Compile one operation; return None if its operationId is already used.
+
+        `nearest` are the settings of the operation's own extension, `inherited` those that apply around it.
+        """
         operation_id = raw.get("operationId")
         if isinstance(operation_id, str):
             if self.ids.setdefault(operation_id, pointer) != pointer:
@@ -372,17 +382,17 @@
     def resolve_effect(
         self, method: str, file: str, pointer: str, nearest: OperationSettings, inherited: OperationSettings
     ) -> Effect:
-        """Return the declared effect; by default reads are safe and all other methods unsafe.
+        """Return the declared effect; by default "safe" for HTTP's safe methods and "unsafe" for all others.
 
-        That includes PUT and DELETE: a backend may not implement them idempotently.
+        PUT and DELETE are unsafe too, because a backend may not implement them idempotently.
         """
         if nearest.effect is not None:
             if nearest.effect is Effect.SAFE and method not in SAFE_METHODS:
                 self.findings.note(file, pointer, f"{method} is declared safe: it may be sent more than once")
             return nearest.effect
         if inherited.effect is Effect.SAFE and method not in SAFE_METHODS:
-            # Declared for a path or the whole file, it is meant for reads; it must not cause retries of a
-            # write that is added later.
+            # An effect "safe" that is declared for a path or the whole file is meant for the reads there.  It
+            # must not cause retries of a write that is added later.
             self.findings.warning(
                 file,
                 pointer,
@@ -425,6 +435,7 @@
 
 
 def first_set(*values: float | None) -> float:
+    """Return the first value that is not None."""
     return next(value for value in values if value is not None)
 
 
@@ -479,19 +490,20 @@
 
 
 def overlapping_routes(router: Router, template: Any, max_steps: int = 64) -> Iterator[Route]:
-    """Yield the routes of other templates that a literal path matches; the search has a bounded length."""
+    """Yield the routes of other templates that a literal path matches, found within `max_steps` nodes."""
+    # Entries: a node, its depth, and whether only literal segments lead to it, as to the path's own template.
     stack = [(router.root, 0, True)]
     steps = 0
     while stack and steps < max_steps:
         steps += 1
-        node, position, is_own = stack.pop()
+        node, position, only_literals = stack.pop()
         if position == len(template):
-            if not is_own:
+            if not only_literals:
                 yield from (node.routes or {}).values()
             continue
         text = template[position].literal
         if text in node.literals:
-            stack.append((node.literals[text], position + 1, is_own))
+            stack.append((node.literals[text], position + 1, only_literals))
         if text and node.partials is not None:
             stack.extend((partial, position + 1, False) for partial in node.partials.matching(text))
         if text and node.parameter is not None:
--- a/ivymux/routes/extension.py
+++ b/ivymux/routes/extension.py
@@ -19,7 +19,7 @@
 FIELDS = ("class", "effect", "cost", "aim", "deadline", "worth", "key")
 CLASS = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
 HEADER_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]{1,64}")  # a header's name (RFC 9110, 5.1)
-MAX_COST = 1e6
+MAX_COST = 1e6  # quota units of one request
 ReportError = Callable[[str, str], None]  # takes a JSON pointer below the extension, and the error there
 
 
--- a/ivymux/routes/matcher.py
+++ b/ivymux/routes/matcher.py
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """A node of the tree; each edge is a segment of a template."""
+    """A node of the tree; each edge to a child is a segment of a template."""
 
     literals: dict[str, Node] = field(default_factory=dict)
     casefolded: dict[str, str] = field(default_factory=dict)  # literals by their case-folded form
@@ -102,7 +102,7 @@
 
 
 class Clash(ValueError):
-    """Two operations with the same method and equivalent templates."""
+    """Two operations have the same method, and templates that match the same targets."""
 
     def __init__(self, new: Operation, old: Operation) -> None:
         super().__init__(f"{new.method} {new.path} conflicts with {old.method} {old.path}")
@@ -125,6 +125,7 @@
 
     @classmethod
     def from_operations(cls, operations: Iterable[Operation]) -> Router:
+        """Build the router of all operations at once.  Raises TemplateError, Clash."""
         router = cls()
         for _ in router.add_all(operations):
             pass
--- a/ivymux/routes/model.py
+++ b/ivymux/routes/model.py
@@ -77,6 +77,7 @@
 
     @property
     def maximum(self) -> float:
+        """The largest number of units that a request can take."""
         return self.most if self.source else self.amount
 
 
@@ -116,14 +117,17 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """What a site sets for compiling its description; a cached result is valid for the same options only."""
+    """What a site sets for compiling its description; a cached result is valid for the same options only.
+
+    Times are in seconds.
+    """
 
     base: str | None = None  # replaces the base paths of `servers`
     aim: float = 2.0
     deadline: float = 10.0
     worth: float = 1.0
     classes: dict[str, ClassDefaults] = {}
-    most_deadline: float = 60.0
+    most_deadline: float = 60.0  # the largest allowed
     most_operations: int = 20_000
 
 
--- a/ivymux/routes/refs.py
+++ b/ivymux/routes/refs.py
@@ -13,9 +13,9 @@
 from ivymux.text import MAX_BYTES, TextError, parse
 
 MAX_FILES = 200
-MAX_HOPS = 32  # references that lead to further references
+MAX_HOPS = 32  # references in a chain, each of which leads to the next
 SCHEME = re.compile(r"[A-Za-z][A-Za-z0-9+.-]*:")
-# Keys whose values are data: what looks like a reference in them is none.
+# Keys whose values are data, in which `$ref` is not a reference.
 DATA_KEYWORDS = frozenset(("example", "examples", "default", "enum", "const"))
 ReadFile = Callable[[str], bytes]  # takes a path relative to the description's folder; raises OSError
 
@@ -29,9 +29,9 @@
 
     def __init__(self, read: ReadFile) -> None:
         self.read = read
-        self.values: dict[str, Any] = {}
-        self.digests: dict[str, str] = {}
-        self.size = 0
+        self.values: dict[str, Any] = {}  # parsed, by file name
+        self.digests: dict[str, str] = {}  # SHA-256 in hex, by file name
+        self.size = 0  # bytes of all files
 
     def load(self, name: str) -> Any:
         """Read and parse a file, once.  Raises RefError, TextError."""
@@ -77,7 +77,7 @@
         return name, fragment, value
 
     def resolve(self, file: str, pointer: str, value: Any) -> tuple[str, str, Any]:
-        """Follow a value's references until it is none; return its file, pointer and the value itself.
+        """Follow references until they lead to another value; return that value's file, pointer and itself.
 
         Raises RefError, TextError.
         """
@@ -131,7 +131,7 @@
 
 
 def check_references(documents: Documents, first: str, findings: Findings) -> None:
-    """Check that every reference of every file resolves, including those of schemas, which are not used."""
+    """Check that every reference of every file resolves, also in schemas, which are not used for routing."""
     checked: set[str] = set()
     known: set[tuple[str, str]] = set()
     while unchecked := [name for name in documents.values if name not in checked]:
--- a/ivymux/routes/table.py
+++ b/ivymux/routes/table.py
@@ -14,8 +14,8 @@
 from ivymux.routes.target import Target
 from orchidhill.interface import Effect, RequestClass
 
-AMOUNT = re.compile(r"\d{1,15}(\.\d{1,9})?", re.ASCII)
-KEY = re.compile(rb"[!-~]{1,256}")
+AMOUNT = re.compile(r"\d{1,15}(\.\d{1,9})?", re.ASCII)  # a parameter from which a cost is computed
+KEY = re.compile(rb"[!-~]{1,256}")  # an idempotency key
 
 
 class BadParameter(ValueError):
@@ -58,10 +58,14 @@
         return found
 
     def distinct_operations(self) -> dict[tuple[str, str, float, float, float], Operation]:
-        """Return one operation for each set of traits; there are few sets, and may be many operations."""
+        """Return one operation for each distinct set of traits.
+
+        Classes depend on the traits only, and there are far fewer sets of traits than operations.
+        """
         return {class_traits(operation): operation for operation in self.compiled.operations}
 
     def class_of(self, operation: Operation, effect: Effect) -> RequestClass:
+        """Return the class of an operation's requests that have this effect."""
         return self.classes.request_class(
             operation.cls, effect, operation.aim, operation.deadline, operation.worth
         )
@@ -97,11 +101,15 @@
 
 
 def class_traits(operation: Operation) -> tuple[str, str, float, float, float]:
+    """Return the properties of an operation that determine its request class."""
     return operation.cls, operation.effect.value, operation.aim, operation.deadline, operation.worth
 
 
 def has_key(operation: Operation, target: Target, headers: list[tuple[bytes, bytes]]) -> bool:
-    """Whether a keyed request carries its key.  Raises BadParameter for an ambiguous one."""
+    """Whether a request of a keyed operation carries an idempotency key.
+
+    Raises BadParameter if it carries several keys or an invalid one.
+    """
     key = operation.key
     assert key is not None
     if key.source == "header":
@@ -119,9 +127,9 @@
 
 
 def request_cost(route: Route, target: Target, headers: list[tuple[bytes, bytes]]) -> float:
-    """Compute the cost from the request's parameter.
+    """Compute the units that a request costs from the parameter that its operation names.
 
-    Raises BadParameter for a malformed one: a backend may read it differently and do more work.
+    Raises BadParameter for a malformed parameter: a backend may read it differently and do more work.
     """
     rule = route.operation.cost
     if rule.source == "query":
--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -240,7 +240,7 @@
     run(test())
 
 
-def test_a_large_change_is_held_back_until_exactly_it_is_confirmed(tmp_path: Path) -> None:
+def test_a_large_change_is_held_back_until_that_change_is_confirmed(tmp_path: Path) -> None:
     async def test() -> None:
         async with open_gateway(tmp_path) as setup:
             before = setup.routing()
