--- a/ivymux/inventory/__init__.py
+++ b/ivymux/inventory/__init__.py
@@ -1,1 +1,1 @@
-"""Reads lists of workers from CSV or YAML and checks changes of them; it uses no files, sockets or clocks."""
+"""Parses lists of workers from CSV or YAML and checks changes to them; uses no files, sockets or clocks."""
--- a/ivymux/inventory/ansible.py
+++ b/ivymux/inventory/ansible.py
@@ -31,7 +31,7 @@
 from ivymux.text import TextError, compose_yaml
 
 MAX_GROUPS = 5_000
-MAX_LEVELS = 50
+MAX_LEVELS = 50  # of groups in groups
 GROUP = re.compile(r"[A-Za-z_][A-Za-z0-9_.-]{0,127}", re.ASCII)
 RANGE = re.compile(r"\[([0-9A-Za-z]*):([0-9A-Za-z]+)(?::(\d+))?\]", re.ASCII)
 LETTERS = string.ascii_letters
@@ -163,6 +163,10 @@
     def read_group(
         self, group: Group, node: yaml.Node, level: int
     ) -> list[tuple[str, yaml.Node, yaml.Node, str | None, int]]:
+        """Read a group's hosts and variables; return its children, which are still to be read.
+
+        Each child has its name, key node, value node, parent and level.
+        """
         if is_empty(node):
             return []
         if not isinstance(node, yaml.MappingNode):
@@ -188,6 +192,7 @@
         return children
 
     def read_hosts(self, group: Group, node: yaml.MappingNode) -> None:
+        """Add the hosts of a group, whose keys may be ranges, with their variables."""
         for key, value in node.value:
             position = position_of(key)
             try:
@@ -217,7 +222,7 @@
                 return
 
     def read_vars(self, node: yaml.MappingNode) -> Variables:
-        """Read the variables that are used here, which must be plain values; others are ignored."""
+        """Read the variables that describe a worker, which must be plain values; others are ignored."""
         found: Variables = {}
         for key, value in node.value:
             if key.value not in KNOWN_VARIABLES and key.value != "ansible_group_priority":
@@ -271,6 +276,7 @@
         return ancestors[name]
 
     def precedence(self, name: str, folder_variables: Mapping[str, Variables]) -> tuple[int, int, str]:
+        """Return the sort key of a group: variables of groups that sort later override those before."""
         entry = self.groups[name].vars.get("ansible_group_priority") or folder_variables.get(name, {}).get(
             "ansible_group_priority"
         )
@@ -280,6 +286,7 @@
     def build_workers(
         self, group_vars: Mapping[str, Variables], host_vars: Mapping[str, Variables]
     ) -> list[tuple[Worker, Position]]:
+        """Build the workers from the merged variables of their hosts and groups; errors become findings."""
         ancestors: dict[str, frozenset[str]] = {}
         precedences = {name: self.precedence(name, group_vars) for name in self.groups}
         merged_by_groups: dict[frozenset[str], tuple[Variables, list[str]]] = {}
@@ -322,6 +329,7 @@
 
 
 def is_empty(node: yaml.Node) -> bool:
+    """Whether a node is YAML's null."""
     return isinstance(node, yaml.ScalarNode) and not node.style and node.value in ("", "~", "null")
 
 
--- a/ivymux/inventory/change_policy.py
+++ b/ivymux/inventory/change_policy.py
@@ -2,7 +2,7 @@
 
 Held back are changes that are rarely intended and often a mistake: many workers removed, many addresses
 changed, a room emptied.  Changes add up within a window, so that a large loss cannot pass as many small ones.
-It does no I/O; times are passed in, in seconds.
+Does no I/O; times are passed in, in seconds.
 """
 
 from __future__ import annotations
@@ -51,6 +51,7 @@
 
 
 def differences(old: Inventory, new: Inventory) -> Change:
+    """Return how one inventory differs from another, by the workers' names."""
     before, after = old.by_name(), new.by_name()
     drained, moved, other = [], [], []
     for name in sorted(before.keys() & after.keys()):
@@ -70,6 +71,7 @@
 
 
 def digest(inventory: Inventory) -> str:
+    """Return the SHA-256 of an inventory, in hex."""
     return sha256(msgspec.msgpack.encode(inventory)).hexdigest()
 
 
@@ -91,11 +93,15 @@
         return not self.reasons
 
 
+# The defaults of the fields that a file may leave out, as in `Worker`.
 DEFAULTS = {"room": "main", "bay": 0, "kind": "standard", "weight": 1.0, "state": "ready"}
 
 
 def only_reset_to_defaults(before: Inventory, after: Inventory, name: str) -> bool:
-    """Whether a worker differs only by fields that now have their defaults, as if lines were cut off."""
+    """Whether a worker differs only by fields that now have their defaults.
+
+    That is how the last worker of a YAML file looks after the lines of its last fields are cut off.
+    """
     was, now = before.by_name().get(name), after.by_name().get(name)
     if was is None or now is None:
         return False
@@ -106,11 +112,11 @@
 def truncation_reason(
     old: FileShape, new: FileShape, before: Inventory, after: Inventory, change: Change
 ) -> str | None:
-    """Return why a file may be truncated, or None.
+    """Return the reason why a file may be truncated, or None.
 
-    A file cut at a line's end is a valid shorter file, so it can only be recognized by its previous content.
-    A correct count in the last row rules it out.  A folder of variables whose mount was lost can also be
-    recognized only in this way.
+    A file that is cut at the end of a line is a valid shorter file, so a truncation can only be recognized by
+    a comparison with the previous content.  A correct count in the last row rules a truncation out.  A lost
+    mount of a folder of variables can also be recognized only by a comparison.
     """
     if not change:
         return None
@@ -131,6 +137,7 @@
 
 
 def ready_workers(inventory: Inventory) -> dict[str, Worker]:
+    """Return the workers that are ready, by name."""
     return {w.name: w for w in inventory.workers if w.state == "ready"}
 
 
@@ -140,7 +147,8 @@
 
     limits: Limits
     current: Inventory
-    accepted: deque[tuple[float, Inventory]] = field(default_factory=deque)  # when, and what was replaced
+    # The changes within the window: when each was accepted, and the inventory that it replaced.
+    accepted: deque[tuple[float, Inventory]] = field(default_factory=deque)
     latest_time: float = 0.0  # a clock that goes back must not shorten the window
 
     def window_start(self, now: float) -> Inventory:
@@ -154,8 +162,7 @@
         """Decide whether a new inventory may be applied; `truncation` is why its file may be truncated."""
         change = differences(self.current, new)
         reasons = tuple(self.find_reasons(self.window_start(now), new)) if change else ()
-        # A change back toward the window's start, or one that takes no workers away, is not held back for
-        # what earlier, confirmed changes took.
+        # A change that removes, drains or moves no worker is not held back for earlier changes in the window.
         if reasons and not (change.removed or change.drained or change.moved):
             reasons = ()
         if truncation and change:
@@ -163,6 +170,7 @@
         return Verdict(change, reasons, confirmation(self.current, new))
 
     def find_reasons(self, start: Inventory, new: Inventory) -> list[str]:
+        """Return the limits that the change from the window's start to a new inventory exceeds, as texts."""
         limits, was, now = self.limits, ready_workers(start), ready_workers(new)
         if not was:
             return []
@@ -193,13 +201,16 @@
         return found
 
     def accept(self, new: Inventory, now: float, confirmed: bool = False) -> None:
-        """Make a new inventory the current one.  A confirmed one starts a new window, as it was intended."""
+        """Make a new inventory the current one.
+
+        A confirmed change starts a new window, so that it does not count against later changes.
+        """
         self.latest_time = max(self.latest_time, now)
         if confirmed:
             self.accepted.clear()
         elif self.current != new:
             self.accepted.append((self.latest_time, self.current))
-            # In a flood of changes the first entry is kept, because it is the window's start.
+            # The entries are bounded; the first one stays, because it is the window's start.
             while len(self.accepted) > 1000:
                 del self.accepted[1]
         self.current = new
--- a/ivymux/inventory/csv_reader.py
+++ b/ivymux/inventory/csv_reader.py
@@ -21,9 +21,10 @@
     spreadsheet_damage,
 )  # fmt: skip
 
-MAX_BYTES = 16 << 20
+MAX_BYTES = 16 << 20  # of one file
 MAX_COLUMNS = 200
-MAX_CELL = 4096
+MAX_CELL = 4096  # characters
+# The header names that are accepted for each field, in the form that `parse_header` folds them to.
 ALIASES = {
     "name": "name host-id server worker id hostname node",
     "address": "address ip addr ip-address host ipaddress endpoint dial",
@@ -35,6 +36,7 @@
     "state": "state status health",
 }
 HEADERS = {alias: field for field, aliases in ALIASES.items() for alias in aliases.split()}
+# The last row, which states the number of workers, such as "# end 12".
 TRAILER = re.compile(r"#?\s*(end|count|total|rows)\s*[:=]?\s*(\d{1,9})\s*(workers|rows)?\s*", re.I | re.ASCII)
 
 
@@ -155,6 +157,7 @@
 
 
 def parse_rows(rows: list[tuple[int, list[str]]], findings: Findings) -> list[tuple[Worker, Position]]:
+    """Parse the header, the workers and the trailer; errors become findings."""
     fields: dict[int, str] | None = None
     header_line, workers = 0, list[tuple[Worker, Position]]()
     stated_count: int | None = None
@@ -204,6 +207,7 @@
 def parse_row(
     row: list[str], line: int, fields: dict[int, str], width: int, findings: Findings
 ) -> Worker | None:
+    """Parse a worker; `width` is the number of the header's cells.  Errors become findings."""
     if any(cell.strip() for cell in row[width:]):
         findings.error(
             line, width + 1, f"more cells than the header has ({width}): is there a delimiter in a cell?"
--- a/ivymux/inventory/file_stability.py
+++ b/ivymux/inventory/file_stability.py
@@ -1,4 +1,4 @@
-"""Decides when a file is stable enough to be read.  It does no I/O; times are seconds of a monotonic clock.
+"""Decides when a file is stable enough to be read.  Does no I/O; times are seconds of a monotonic clock.
 
 A file is read when its metadata (size, times, inode) has not changed for a while.  A file that keeps changing
 is never read; the last good list stays in force, and this is reported once.
@@ -9,12 +9,14 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
+# "same": in the state that was read last; "wait": changing or missing; "read": to be read now; "restless":
+# changing for too long, which is returned only once until the file is stable.
 Status = Literal["same", "wait", "read", "restless"]
 
 
 @dataclass(slots=True)
 class FileStability:
-    """Follows the metadata of one file, or of several that belong together."""
+    """Follows the fingerprint of one file, or of several that belong together."""
 
     quiet_period_s: float = 0.5  # without a change, before the file is read
     report_after_s: float = 30.0  # of continual changes
@@ -25,14 +27,15 @@
     read_fingerprint: object = field(default=None)  # of the state that was read last
 
     def observe(self, fingerprint: object, now: float) -> Status:
-        """Decide what to do by the file's present fingerprint, None if it is missing or unreadable."""
+        """Decide what to do by the present fingerprint: None if the file is missing or unreadable."""
         if fingerprint is None:
             self.last_fingerprint = None
             return "wait"
         if fingerprint != self.last_fingerprint:
             self.last_fingerprint, self.unchanged_since = fingerprint, now
             if fingerprint == self.read_fingerprint:
-                # It is as it was when it was read, so there is nothing to read; but it may keep changing.
+                # The file is back in the state that was read last, so there is nothing to read, but it may
+                # change again.
                 return self.unstable_or_wait(now)
             return self.unstable_or_wait(now)
         if fingerprint == self.read_fingerprint:
--- a/ivymux/inventory/model.py
+++ b/ivymux/inventory/model.py
@@ -29,7 +29,7 @@
 SPREADSHEET_ERRORS = frozenset(
     ("#ref!", "#n/a", "#name?", "#value!", "#div/0!", "#null!", "#num!", "#spill!", "########")
 )
-MIN_WEIGHT, MAX_WEIGHT = 0.001, 1000.0
+MIN_WEIGHT, MAX_WEIGHT = 0.001, 1000.0  # relative to other workers
 MAX_BAY = 1 << 31
 
 
@@ -37,7 +37,7 @@
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """A problem with its position; line and column count from 1, and are 0 if there is none."""
+    """A problem and its position; line and column count from 1, and are 0 if the problem has no position."""
 
     level: Literal["error", "warning"]
     file: str
@@ -90,6 +90,7 @@
 
     @property
     def address(self) -> str:
+        """HOST:PORT, or [IPV6]:PORT."""
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
 
@@ -103,7 +104,7 @@
 
 
 class FileShape(msgspec.Struct, frozen=True):
-    """Properties of a file besides its workers, by which a truncated one is recognized later."""
+    """Properties of a file besides its workers, with which the next version is checked for truncation."""
 
     order: tuple[str, ...] = ()  # the workers' names in the order of the file
     counted: bool = False  # whether the last row has the number of workers
@@ -180,7 +181,7 @@
 
 
 def parse_host(text: str) -> str:
-    """An IP address or a host name.  Raises FieldError."""
+    """Parse an IP address or a host name.  Raises FieldError."""
     text = text.strip("[]") if text.startswith("[") else text
     try:
         address = ipaddress.ip_address(text)
@@ -202,7 +203,7 @@
 
 
 def parse_worker_address(text: str) -> tuple[str, int | None]:
-    """HOST, HOST:PORT or [IPV6]:PORT.  Raises FieldError."""
+    """Parse HOST, HOST:PORT or [IPV6]:PORT into the host and the port, if any.  Raises FieldError."""
     text = clean(text)
     if text.startswith("["):
         host, sep, port = text.partition("]")
@@ -216,6 +217,7 @@
 
 
 def parse_label(text: str) -> str:
+    """Parse the name of a room or kind.  Raises FieldError."""
     text = clean(text)
     if not LABEL.fullmatch(text):
         raise FieldError(
@@ -249,7 +251,7 @@
 
 
 def make_worker(values: dict[str, SourceValue], position: Position, findings: Findings) -> Worker | None:
-    """Build a worker from its values; add findings and return None if one of them is invalid."""
+    """Build a worker from its values; add findings and return None if a value is invalid or missing."""
     errors_before = findings.errors
 
     def parse(field: str, parser: Callable[[str], T], default: T) -> T:
--- a/ivymux/inventory/snapshot.py
+++ b/ivymux/inventory/snapshot.py
@@ -1,4 +1,4 @@
-"""Encodes the last good inventory with a digest and a length, by which damage is detected."""
+"""Encodes an inventory for the disk, with a digest and a length by which damage is detected."""
 
 from __future__ import annotations
 
@@ -28,6 +28,7 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
+    """Encode a snapshot: the format's name, a line with digest and length, and MessagePack."""
     payload = msgspec.msgpack.encode(snapshot)
     return MAGIC + b"%s %d\n" % (sha256(payload).hexdigest().encode(), len(payload)) + payload
 
--- a/tests/inventory/damage.py
+++ b/tests/inventory/damage.py
@@ -1,7 +1,7 @@
 """Damaged variants of an inventory, each with a name for its damage and the line that must be reported.
 
-If the line is None, the file is valid and only the change policy can detect the damage, by comparing the
-inventory with the former one.
+If the line is None, the file is valid, and only the change policy can detect the damage, by comparing the
+inventory with the previous one.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
     yield Variant("a header alone", (HEADER + "\n").encode(), 0)
     yield Variant("blank lines alone", b"\n\n,,,\n", 0)
     yield Variant("a quote that is not closed", with_cell(3, 3, '"room-a').encode(), 5)
-    yield Variant("text behind a quote", with_cell(3, 3, '"room"x').encode(), 5)
+    yield Variant("text after a closing quote", with_cell(3, 3, '"room"x').encode(), 5)
     yield Variant("a comma in a cell", with_cell(3, 3, "room,a").encode(), 5)
     shifted = [r.replace(",127", ",,127", 1) if n > 4 else r for n, r in enumerate(ROWS)]
     yield Variant("a column shifted from a row on", "\n".join([HEADER, *shifted]).encode(), 7)
@@ -96,7 +96,7 @@
     yield Variant("a lost character", SHEET.replace("room-a", "ro\ufffdm", 1).encode(), 2)
     yield Variant("a count that is too large", text.replace("# end 12", "# end 13").encode(), 0)
     yield Variant("a count that is too small", text.replace("# end 12", "# end 11").encode(), 0)
-    yield Variant("rows behind the count", (text + "w99,127.0.0.1,29999\n").encode(), 15)
+    yield Variant("rows after the count", (text + "w99,127.0.0.1,29999\n").encode(), 15)
     for keep in (1, 4, 8, 11):
         cut = "\n".join([HEADER, *ROWS[:keep], "# end 12"]) + "\n"
         yield Variant(f"{keep} rows and the old count", cut.encode(), 0)
@@ -104,7 +104,7 @@
     yield Variant("cut in UTF-16", SHEET.encode("utf-16")[:-37], 0)
     yield Variant("HTML in its place", b"<!doctype html><html><body>502</body></html>", 1)
     yield Variant("JSON in its place", b'{"workers": []}', 1)
-    yield Variant("a page of a word processor", b"PK\x03\x04\x14\x00\x06\x00\x08\x00\x00\x00!\x00", 0)
+    yield Variant("a word processor's document", b"PK\x03\x04\x14\x00\x06\x00\x08\x00\x00\x00!\x00", 0)
     for keep in (1, 3, 6):
         cut = "\n".join([HEADER, *ROWS[:keep]]) + "\n"
         yield Variant(f"cut at a line's end after {keep}: a valid shorter file", cut.encode(), None)
@@ -210,7 +210,7 @@
     yield edit("a Python object", "ansible_host: 127.0.0.1", "ansible_host: !!python/name:os.system x")
     yield edit("one address under two names", "ansible_port: 20002", "ansible_port: 20000", -2)
     yield edit("names that differ in case", "w02:", "W00:")
-    yield edit("a circle of groups", "    room_a:", "    room_a:\n      children: {room_a: {}}", 0)
+    yield edit("a cycle of groups", "    room_a:", "    room_a:\n      children: {room_a: {}}", 0)
     yield edit("a group's name with a space", "    room_b:", "    room b:")
     yield Variant("an alias to itself", (YAML + "x: &x {children: *x}\n").encode(), YAML.count("\n") + 1)
     bomb = "\n".join(
@@ -233,7 +233,7 @@
         yield Variant(f"cut at {share}", (cut.rstrip() + "\n          x").encode(), 0)
     for nth, old in enumerate(("w01:", "w03:", "w05:", "w07:", "w09:", "w11:"), 1):
         # Without the first colon, the name and the next line up to its colon become one text.
-        yield edit(f"a colon lost behind host {nth}", old, old[:-1], 1 if nth == 1 else 0)
+        yield edit(f"a colon lost after host {nth}", old, old[:-1], 1 if nth == 1 else 0)
     yield edit("a key twice", "bay: 0", "bay: 0\n          bay: 1", 1)
     yield edit("all twice", "all:", "all: {}\nall:", 1)
     half = yaml.safe_dump({"all": {"children": {"room_a": tree()["all"]["children"]["room_a"]}}})  # type: ignore[index]
