--- a/ivymux/service/callers.py
+++ b/ivymux/service/callers.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """The customer that a request is made for, as its API key tells."""
+    """The customer that an API key belongs to, for whom requests with the key are made."""
 
     customer: str
     number: int  # the decision module's id of the customer, the same at every gateway
--- a/ivymux/tenants/merge.py
+++ b/ivymux/tenants/merge.py
@@ -31,7 +31,7 @@
 def differences(before: Any, after: Any, path: tuple[str, ...] = ()) -> list[dict[str, Any]]:
     """Return the places where two documents differ, at most MAX_DIFFERENCES.
 
-    Each entry has a `path`, and `before` and `after` if the document had or has a value there.
+    Each entry has a `path` (a JSON pointer), and the values `before` and `after` where there is one.
     """
     if before == after and type(before) is type(after):
         return []
--- a/ivymux/tenants/model.py
+++ b/ivymux/tenants/model.py
@@ -1,7 +1,7 @@
 """A tenant's desired state: one document that is changed and checked as a whole.  Pure.
 
-Large texts (route descriptions, inventories) are stored beside it under their digests.  The document contains
-no secrets.
+Large texts (route descriptions, inventories) are stored separately under their digests.  The document
+contains no secrets.
 
 The docstrings of the structs that `Tenant` contains are descriptions in the OpenAPI document of the
 administration API.
@@ -39,7 +39,7 @@
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 HOST = re.compile(r"[a-z0-9_]([a-z0-9_-]{0,61}[a-z0-9_])?(\.[a-z0-9_]([a-z0-9_-]{0,61}[a-z0-9_])?)*\.?")
 MAX_HOSTS, MAX_PLANS, MAX_CUSTOMERS, MAX_KEYS = 50, 200, 50_000, 50_000
-MAX_FINDINGS = 100
+MAX_FINDINGS = 100  # of one error
 
 
 class CustomerPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -98,7 +98,7 @@
 
 
 class TenantError(ValueError):
-    """Raised for a document that is no valid tenant."""
+    """A document is not a valid tenant; `findings` has the reasons."""
 
     def __init__(self, findings: list[Finding]) -> None:
         self.findings = findings[:MAX_FINDINGS]
@@ -112,6 +112,7 @@
 
 
 def digest(data: bytes) -> str:
+    """Return the SHA-256 of a text, in hex, under which it is stored."""
     return sha256(data).hexdigest()
 
 
@@ -213,9 +214,9 @@
 
 
 def missing_parts(tenant: Tenant) -> tuple[str, ...]:
-    """Return the names of the parts that a tenant still needs to be served.
+    """Return the names of the parts without which a tenant can't be served.
 
-    A new tenant lacks parts; its requests are answered with 503 until it has them all.
+    The requests of a tenant that lacks a part are answered with 503.
     """
     parts = (
         ("hosts", tenant.hosts), ("plans", tenant.plans), ("routes", tenant.routes.compiled),
--- a/ivymux/tenants/places.py
+++ b/ivymux/tenants/places.py
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressRules:
-    """The allowed networks (none: any), and the hosts and ports of the installation itself."""
+    """The networks that workers may be in (empty: any), and the installation's own listeners."""
 
     networks: tuple[IpNetwork, ...] = ()
-    own_addresses: tuple[tuple[str, int], ...] = ()
+    own_addresses: tuple[tuple[str, int], ...] = ()  # host and port
 
     @classmethod
     def parse(cls, networks: Iterable[str], own_addresses: Iterable[tuple[str, int]]) -> AddressRules:
@@ -46,7 +46,7 @@
         return ""
 
     def is_own(self, address: IpAddress | None, port: int) -> bool:
-        """Return whether an address, or loopback for None, is one of the installation's own."""
+        """Return whether an address, or loopback if it is None, with a port is the installation's own."""
         for own_host, own_port in self.own_addresses:
             if port != own_port:
                 continue
--- a/ivymux/tenants/secret.py
+++ b/ivymux/tenants/secret.py
@@ -1,6 +1,6 @@
 """API keys: created once, stored as salted hashes, compared in constant time.
 
-A key has the form `PREFIX_ID_SECRET`.  The id finds the stored entry; only the secret must stay confidential.
+A key has the form `PREFIX_ID_SECRET`.  The stored entry is found by the id; only the secret is confidential.
 The secret has 256 random bits, so one round of SHA-256 over salt and secret is as hard to invert as guessing
 the key.
 
@@ -37,10 +37,12 @@
     ends: float = 0.0
 
     def is_valid_at(self, now: float) -> bool:
+        """Return whether the key has not expired at a Unix time."""
         return not self.ends or now < self.ends
 
 
 def hash_secret(salt: str, secret: bytes) -> str:
+    """Return the hash of a secret, in hex; the salt is in hex too."""
     return sha256(bytes.fromhex(salt) + secret).hexdigest()
 
 
--- a/ivymux/tenants/shares.py
+++ b/ivymux/tenants/shares.py
@@ -62,6 +62,7 @@
 
     @property
     def max_held_bytes(self) -> int:
+        """The limit on buffered request bodies."""
         return int(self.limits.held_mb * (1 << 20))
 
 
@@ -79,6 +80,7 @@
     span_ended_at: float = 0.0
 
     def create(self, limits: TenantLimits, now: float) -> Share:
+        """Return the share of a new tenant, with a full token bucket."""
         return Share(limits, limits.burst, now)
 
     def change_limits(self, share: Share, limits: TenantLimits, now: float) -> None:
@@ -88,6 +90,7 @@
         share.tokens = min(share.tokens, limits.burst)
 
     def refill(self, share: Share, now: float) -> None:
+        """Add the tokens that have accrued since the last refill, up to the burst."""
         limits = share.limits
         share.tokens = min(limits.burst, share.tokens + max(0.0, now - share.refilled_at) * limits.requests)
         share.refilled_at = max(share.refilled_at, now)
@@ -168,7 +171,8 @@
             fair = max_min(capacity, [(id(s), s.limits.weight, s.requested) for s in self.active])
         for share in self.active:
             if self.is_scarce and len(self.active) > 1:  # a single tenant competes with no other
-                # At least the guaranteed share, as a tenant that requested less may request more next.
+                # At least the guaranteed share, as a tenant that requested less may request more in the next
+                # span.
                 share.allowance = min(
                     max(fair[id(share)], self.guaranteed_requests(share)), self.cpu_limit(share)
                 )
--- a/tests/routes/test_description.py
+++ b/tests/routes/test_description.py
@@ -267,7 +267,7 @@
 # --- hostile descriptions ----------------------------------------------------------------------------
 
 
-def test_aliases_that_would_expand_to_gigabytes() -> None:
+def test_aliases_that_would_expand_to_gigabytes_are_refused() -> None:
     assert "too large after expansion" in compile_errors(b"openapi: 3.0.0\n" + alias_bomb(30))
 
 
--- a/tests/routes/test_matcher.py
+++ b/tests/routes/test_matcher.py
@@ -18,13 +18,15 @@
 from .test_target import percent_encode
 
 
-def op(path: str, method: str = "GET", effect: Effect = Effect.SAFE) -> Operation:
+def make_operation(path: str, method: str = "GET", effect: Effect = Effect.SAFE) -> Operation:
     return Operation(f"{method} {path}", method, path, "c", effect, Cost(), 1.0, 2.0, 1.0)
 
 
 def make_router(*paths: str) -> Router:
     """Build a router from paths, each optionally after a method; the default is GET."""
-    return Router.from_operations(op(p.split()[-1], p.split()[0] if " " in p else "GET") for p in paths)
+    return Router.from_operations(
+        make_operation(p.split()[-1], p.split()[0] if " " in p else "GET") for p in paths
+    )
 
 
 def matched_path(router: Router, target: str, method: str = "GET") -> str:
@@ -154,10 +156,10 @@
         names = iter("pqrstuvwxyz")
         path = "/" + "/".join(re.sub(r"\{\}", lambda _, n=names: f"{{{next(n)}}}", t) for t in template)  # type: ignore[misc]
         try:
-            router.add(op(path))
+            router.add(make_operation(path))
         except Clash:
             continue
-        operations.append(op(path))
+        operations.append(make_operation(path))
     expected = reference_match(operations, segments)
     target = "/" + "/".join(segments)
     if expected:
@@ -180,8 +182,8 @@
     literals: list[tuple[str, Effect]], text: str, choices: list[int], upper: bool
 ) -> None:
     router = Router.from_operations(
-        [op(f"/p/{'%20'.join(name.split())}", effect=effect) for name, effect in literals]
-        + [op("/p/{id}", effect=Effect.SAFE)]
+        [make_operation(f"/p/{'%20'.join(name.split())}", effect=effect) for name, effect in literals]
+        + [make_operation("/p/{id}", effect=Effect.SAFE)]
     )
     text = text.upper() if upper else text
     outcomes: set[str | None] = set()
@@ -203,5 +205,5 @@
 def test_adding_operations_yields_regularly() -> None:
     router = Router()
     rng = random.Random(1)
-    operations = [op(f"/a{n}/{{x}}/b{rng.randrange(9)}") for n in range(1000)]
+    operations = [make_operation(f"/a{n}/{{x}}/b{rng.randrange(9)}") for n in range(1000)]
     assert len(list(router.add_all(operations))) == 1000 // 32 and router.size == 1000
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -161,14 +161,14 @@
 def test_a_class_keeps_its_number_while_a_request_is_open() -> None:
     classes = ClassTable(6.0, Scope.CELL)
     old_table = make_table({"/a": {"get": operation(x={"effect": "unsafe"})}}, classes)
-    open_numbers = decide(old_table, "GET /a").cls
-    classes.hold(open_numbers)
-    unsafe = classes.class_list[open_numbers]
+    open_number = decide(old_table, "GET /a").cls
+    classes.hold(open_number)
+    unsafe = classes.class_list[open_number]
     new_table = make_table({"/a": {"get": operation(x={"effect": "safe"})}}, classes)
-    assert decide(new_table, "GET /a").cls != open_numbers and classes.class_list[open_numbers] is unsafe
+    assert decide(new_table, "GET /a").cls != open_number and classes.class_list[open_number] is unsafe
     third_table = make_table({"/a": {"get": operation(x={"class": "third"})}}, classes)
-    assert classes.class_list[open_numbers] is unsafe
-    classes.release(open_numbers)
+    assert classes.class_list[open_number] is unsafe
+    classes.release(open_number)
     numbers = {decide(third_table, "GET /a").cls}
     for n in range(50):
         numbers.add(
@@ -228,6 +228,6 @@
     assert not compare(old, old) and str(compare(old, old)) == "no change"
 
 
-def test_no_route() -> None:
+def test_a_path_that_is_not_described_has_no_route() -> None:
     with pytest.raises(NoRoute):
         decide(make_table({"/a": {"get": operation()}}), "GET /b")
