--- a/ivymux/cli/admin.py
+++ b/ivymux/cli/admin.py
@@ -87,9 +87,9 @@
         return fail("a name has 1 to 100 printable characters")
     try:
         _, store = open_hosting(args.file)
-        number, key, stored = secret.create_key(secret.ADMIN_PREFIX, time.time())
+        key_id, key, stored = secret.create_key(secret.ADMIN_PREFIX, time.time())
         try:
-            store.add_operator(Admin(number, args.name, "", stored), time.time())
+            store.add_operator(Admin(key_id, args.name, "", stored), time.time())
         finally:
             store.close()
     except (ConfigError, StoreError) as error:
--- a/ivymux/desired/copying.py
+++ b/ivymux/desired/copying.py
@@ -171,8 +171,8 @@
     for revision, at, who, origin, action, uid, tenant, changes in rows:
         audit = AuditRecord(revision, at, who, origin, action, uid, tenant, msgspec.msgpack.decode(changes))
         put(Put(keys.audit(revision), encode_audit("", audit)), Put(keys.audit_of(uid, revision), b""))
-    for number, name, uid, kept in db.execute("SELECT id, name, uid, kept FROM admins").fetchall():
-        found = {"id": number, "name": name, "uid": uid, "kept": msgspec.msgpack.decode(kept)}
+    for key_id, name, uid, kept in db.execute("SELECT id, name, uid, kept FROM admins").fetchall():
+        found = {"id": key_id, "name": name, "uid": uid, "kept": msgspec.msgpack.decode(kept)}
         put(*admin_puts(keys, [msgspec.convert(found, Admin)]))
     if pending:
         store.transact(Txn((), tuple(pending)))
--- a/ivymux/desired/etcd/cache.py
+++ b/ivymux/desired/etcd/cache.py
@@ -59,7 +59,7 @@
         except (OSError, msgspec.MsgspecError):
             return None
 
-    def keep(self, known: Known) -> None:
+    def save(self, known: Known) -> None:
         """Write a state, and delete the texts that it does not refer to."""
         data = msgspec.msgpack.encode(known)
         self.write(STATE, sha256(data).digest() + data)
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -42,16 +42,17 @@
                 self.cache = Cache(folder)
             except OSError as error:
                 raise StoreError(f"the cache {folder} can't be used: {error.strerror}") from None
-        self.troubles: dict[str, str] = {}  # by source: "watch" or "reads"
+        self.errors: dict[str, str] = {}  # by source: "watch" or "reads"
         self.closed = threading.Event()
         self.end_watch: Callable[[], None] | None = None
         self.threads: list[threading.Thread] = []
         self.lease = 0
         # The status that was last reported, and the monotonic time of the last report of usage.
         self.last_report: tuple[GatewayStatus, float] | None = None
-        self.saved = -1  # the revision of etcd as of which the cache was written
-        self.cache_trouble = ""
-        self.fetched: set[tuple[str, int]] = set()  # uid and revision of tenants whose texts are cached
+        self.cached_revision = -1  # the revision of etcd as of which the cache was written
+        self.cache_error = ""
+        # Uid and revision of the tenants whose texts are cached.
+        self.cached_tenants: set[tuple[str, int]] = set()
         self.cache_lock = threading.Lock()
 
     # --- lifecycle -------------------------------------------------------------------------------------
@@ -70,8 +71,8 @@
             with self.lock:
                 self.replica.state, self.replica.at = known.state, known.at
                 self.replica.heads = {head.name: head for head in known.heads}
-            self.saved = known.at
-            self.troubles["watch"] = str(error)
+            self.cached_revision = known.at
+            self.errors["watch"] = str(error)
             age = max(0.0, time.time() - known.saved)
             log.warning("etcd: %s; serving what was known %.0f s ago", error, age)
         for work, name in ((self.run_watch, "watch"), (self.run_checks, "look")):
@@ -101,10 +102,10 @@
         kvs, at = self.store.read_range(live, prefix_end(live))
         with self.lock:
             self.replica.load(kvs, at)
-        self.keep()
+        self.write_cache()
 
     def run_watch(self) -> None:
-        wait, stale = RETRY_DELAY_S, "watch" in self.troubles
+        wait, stale = RETRY_DELAY_S, "watch" in self.errors
         while not self.closed.is_set():
             try:
                 if stale:
@@ -117,14 +118,14 @@
                 stale, wait = True, RETRY_DELAY_S
                 log.info("etcd: the watch fell behind a compaction: all is read anew")
             except StoreError as error:
-                self.set_trouble("watch", str(error))
+                self.set_error("watch", str(error))
                 stale = True
             except Exception:
                 log.exception("the watch of the desired state failed")
-                self.set_trouble("watch", "the watch failed; the log says more")
+                self.set_error("watch", "the watch failed; the log says more")
                 stale = True
             self.closed.wait(wait * (0.5 + random.random()))
-            wait = min(MAX_RETRY_DELAY_S, 2 * wait) if stale and "watch" in self.troubles else RETRY_DELAY_S
+            wait = min(MAX_RETRY_DELAY_S, 2 * wait) if stale and "watch" in self.errors else RETRY_DELAY_S
 
     def watch(self) -> None:
         """Apply the events of a watch until it ends.  Raises StoreError, Compacted."""
@@ -140,12 +141,12 @@
                         raise Compacted("the watch's first revision is no longer kept")
                     if response.canceled:
                         raise StoreBusy(f"etcd ended the watch: {response.reason[:100] or 'no reason given'}")
-                    self.set_trouble("watch", "")
+                    self.set_error("watch", "")
                     if response.events:
                         with self.lock:
                             changed = self.replica.apply(response.events, response.revision)
                         if changed:
-                            self.keep()
+                            self.write_cache()
             finally:
                 self.end_watch = None
         if not self.closed.is_set():
@@ -159,24 +160,24 @@
                 with self.lock:
                     kv = next(iter(found.kvs), None)
                     is_stalled = self.replica.needs_full_read(kv, found.revision, time.monotonic())
-                self.set_trouble("reads", "")
-                self.keep()  # retries what could not be written earlier
+                self.set_error("reads", "")
+                self.write_cache()  # retries what could not be written earlier
                 if is_stalled:
                     log.warning("etcd: the watch is stalled: it misses changes that reads show; restarting")
                     self.stop_watch()
             except StoreError as error:
-                self.set_trouble("reads", str(error))
+                self.set_error("reads", str(error))
             except Exception:
                 log.exception("the look at the desired state failed")
 
-    def set_trouble(self, source: str, text: str) -> None:
+    def set_error(self, source: str, text: str) -> None:
         """Record the error of a source; an empty text clears it."""
         if text:
-            self.troubles[source] = text
+            self.errors[source] = text
         else:
-            self.troubles.pop(source, None)
+            self.errors.pop(source, None)
 
-    def keep(self) -> None:
+    def write_cache(self) -> None:
         """Write the replica to the cache, after all texts that a start from it needs.
 
         If a text can't be read now, the write is retried later and the previous copy stays intact.  Without
@@ -188,32 +189,32 @@
             with self.lock:
                 state, at = self.replica.state, self.replica.at
                 heads = list(self.replica.heads.values())
-            if state is None or at == self.saved:
+            if state is None or at == self.cached_revision:
                 return
             try:
                 for head in heads:
-                    self.fetch(self.cache, head)
-                self.cache.keep(Known(state, heads, at, time.time()))
-                self.saved, self.cache_trouble = at, ""
-                self.fetched = {(head.uid, head.revision) for head in heads}
+                    self.cache_texts(self.cache, head)
+                self.cache.save(Known(state, heads, at, time.time()))
+                self.cached_revision, self.cache_error = at, ""
+                self.cached_tenants = {(head.uid, head.revision) for head in heads}
             except StoreError as error:
                 log.info("etcd: what is known is kept later: %s", error)
             except OSError as error:
-                if self.cache_trouble != str(error):
-                    self.cache_trouble = str(error)
+                if self.cache_error != str(error):
+                    self.cache_error = str(error)
                     log.warning("etcd: what is known can't be kept on the disk: %s", error.strerror)
 
-    def fetch(self, cache: Cache, head: Head) -> None:
+    def cache_texts(self, cache: Cache, head: Head) -> None:
         """Cache the texts from which a gateway sets a tenant up.  Raises StoreError, OSError."""
-        if (head.uid, head.revision) in self.fetched:
+        if (head.uid, head.revision) in self.cached_tenants:
             return
-        tenant = unpacked(self.fetched_text(cache, head.uid, head.body), Tenant)
+        tenant = unpacked(self.cached_text(cache, head.uid, head.body), Tenant)
         for name in (tenant.routes.compiled, tenant.inventory.parsed):
             if name:
-                self.fetched_text(cache, head.uid, name)
-        self.fetched.add((head.uid, head.revision))
+                self.cached_text(cache, head.uid, name)
+        self.cached_tenants.add((head.uid, head.revision))
 
-    def fetched_text(self, cache: Cache, uid: str, name: str) -> bytes:
+    def cached_text(self, cache: Cache, uid: str, name: str) -> bytes:
         data = cache.text(name)
         if data is None:
             data = self.store.blob(name, uid)
@@ -234,11 +235,11 @@
         return self.state().lineage
 
     def change_hint(self) -> object:
-        return self.replica.revision, bool(self.troubles)
+        return self.replica.revision, bool(self.errors)
 
     def revision(self) -> int:
         """The replica's revision.  Raises StoreError while that may be outdated."""
-        for text in list(self.troubles.values()):
+        for text in list(self.errors.values()):
             raise StoreBusy(text)
         return self.state().revision
 
--- a/ivymux/desired/etcd/keys.py
+++ b/ivymux/desired/etcd/keys.py
@@ -117,11 +117,11 @@
     def audit_of(self, uid: str, revision: int) -> bytes:
         return self.at("audit-of", uid or "-", revision_text(revision))
 
-    def admin(self, uid: str, number: str) -> bytes:
-        return self.at("admins", uid or "-", number)
+    def admin(self, uid: str, key_id: str) -> bytes:
+        return self.at("admins", uid or "-", key_id)
 
-    def admin_id(self, number: str) -> bytes:
-        return self.at("admin-ids", number)
+    def admin_id(self, key_id: str) -> bytes:
+        return self.at("admin-ids", key_id)
 
     def repeat(self, uid: str, key: str) -> bytes:
         return self.at("repeats", uid, key)
--- a/ivymux/desired/etcd/plan.py
+++ b/ivymux/desired/etcd/plan.py
@@ -149,7 +149,7 @@
     if change.tenant is None:
         operations += [Delete(keys.host(host)) for host in sorted(old_hosts)]
         operations.append(Delete(keys.tenant(change.name)))
-        operations += [Delete(keys.admin_id(number)) for number in snapshot.admins[:40]]
+        operations += [Delete(keys.admin_id(key_id)) for key_id in snapshot.admins[:40]]
         for part in ("history", "admins", "repeats", "blobs"):
             operations.append(Delete(keys.all(part, change.uid), prefix_end(keys.all(part, change.uid))))
     else:
@@ -171,8 +171,8 @@
             Compare(keys.blob(change.uid, name), "CREATE", "GREATER", 0) for name in (head.body, *head.texts)
         ]
         operations += admin_puts(keys, change.add_admins)
-        for dropped in change.drop_admins:
-            operations += [Delete(keys.admin(change.uid, dropped)), Delete(keys.admin_id(dropped))]
+        for key_id in change.drop_admins:
+            operations += [Delete(keys.admin(change.uid, key_id)), Delete(keys.admin_id(key_id))]
         if change.repeat is not None:
             key, answer = change.repeat
             kept = packed(RepeatAnswer(answer.fingerprint, answer.status, answer.body, answer.etag))
--- a/ivymux/desired/etcd/store.py
+++ b/ivymux/desired/etcd/store.py
@@ -160,11 +160,11 @@
         answer = unpacked(found.value, plan.RepeatAnswer)
         return StoredAnswer(answer.fingerprint, answer.status, answer.body, answer.etag)
 
-    def admin(self, number: str) -> Admin | None:
-        index = self.read_key(self.keys.admin_id(number))
+    def admin(self, key_id: str) -> Admin | None:
+        index = self.read_key(self.keys.admin_id(key_id))
         if index is None:
             return None
-        kv = self.read_key(self.keys.admin(index.value.decode().removeprefix("-"), number))
+        kv = self.read_key(self.keys.admin(index.value.decode().removeprefix("-"), key_id))
         return unpacked(kv.value, Admin) if kv is not None else None
 
     def admins(self, uid: str) -> list[Admin]:
--- a/ivymux/desired/sqlite.py
+++ b/ivymux/desired/sqlite.py
@@ -94,9 +94,9 @@
 
     poll_interval_s = 0.02
 
-    def __init__(self, path: Path, busy: float = BUSY_TIMEOUT_S) -> None:
+    def __init__(self, path: Path, busy_timeout_s: float = BUSY_TIMEOUT_S) -> None:
         """Open the store, or create it.  Raises StoreError."""
-        self.path, self.busy = path, busy
+        self.path, self.busy_timeout_s = path, busy_timeout_s
         self.wal_path = f"{path}-wal"
         self.lock = threading.Lock()
         with translated_errors():
@@ -105,7 +105,7 @@
 
     def connect(self, path: Path) -> sqlite3.Connection:
         is_new = not path.exists()
-        db = sqlite3.connect(path, timeout=self.busy, isolation_level=None, check_same_thread=False)
+        db = sqlite3.connect(path, timeout=self.busy_timeout_s, isolation_level=None, check_same_thread=False)
         if is_new:
             os.chmod(path, 0o600)
         db.execute("PRAGMA journal_mode = WAL")
@@ -206,8 +206,8 @@
         with translated_errors():
             return msgspec.msgpack.decode(rows[0][0], type=StoredAnswer) if rows else None
 
-    def admin(self, number: str) -> Admin | None:
-        return next(iter(self.read_admins("id", number)), None)
+    def admin(self, key_id: str) -> Admin | None:
+        return next(iter(self.read_admins("id", key_id)), None)
 
     def admins(self, uid: str) -> list[Admin]:
         return self.read_admins("uid", uid)
@@ -257,8 +257,8 @@
             for admin in change.add_admins:
                 db.execute("INSERT OR REPLACE INTO admins VALUES (?, ?, ?, ?)",
                            (admin.id, admin.name, admin.uid, packed(admin.kept)))  # fmt: skip
-            for number in change.drop_admins:
-                db.execute("DELETE FROM admins WHERE id = ? AND uid = ?", (number, change.uid))
+            for key_id in change.drop_admins:
+                db.execute("DELETE FROM admins WHERE id = ? AND uid = ?", (key_id, change.uid))
             if change.repeat is not None:
                 key, answer = change.repeat
                 db.execute("INSERT OR REPLACE INTO repeats VALUES (?, ?, ?, ?)",
@@ -350,7 +350,7 @@
         with contextlib.suppress(FileNotFoundError):
             partial_file.unlink()
         with translated_errors():
-            source = sqlite3.connect(f"file:{self.path}?mode=ro", uri=True, timeout=self.busy)
+            source = sqlite3.connect(f"file:{self.path}?mode=ro", uri=True, timeout=self.busy_timeout_s)
             target = sqlite3.connect(partial_file)
             try:
                 source.backup(target, pages=256)
--- a/tests/admin/api_client.py
+++ b/tests/admin/api_client.py
@@ -77,7 +77,7 @@
 @contextlib.asynccontextmanager
 async def api_over_sqlite(folder: Path) -> AsyncIterator[tuple[ApiClient, SqliteStore]]:
     """Serve the API over SQLite; yield an operator's client and the store."""
-    store = SqliteStore(folder / "desired.db", busy=0.2)
+    store = SqliteStore(folder / "desired.db", busy_timeout_s=0.2)
     async with api_over_store(store) as caller:
         yield caller, store
     store.close()
--- a/tests/desired/test_replica.py
+++ b/tests/desired/test_replica.py
@@ -145,7 +145,7 @@
     cache = Cache(tmp_path / "cache")
     known = Known(State(7, "one"), [head("a", 3)], 70, 1000.0)
     assert cache.known() is None
-    cache.keep(known)
+    cache.save(known)
     assert cache.known() == known and (tmp_path / "cache").stat().st_mode & 0o077 == 0
     data = (tmp_path / "cache" / "state").read_bytes()
     for at in range(len(data)):
@@ -162,5 +162,5 @@
     assert cache.text(name) == b"text"
     (tmp_path / "cache" / name).write_bytes(b"tex")
     assert cache.text(name) is None and cache.text("0" * 64) is None
-    cache.keep(known)  # deletes texts that no tenant refers to
+    cache.save(known)  # deletes texts that no tenant refers to
     assert [p.name for p in (tmp_path / "cache").iterdir()] == ["state"]
--- a/tests/desired/test_sqlite.py
+++ b/tests/desired/test_sqlite.py
@@ -95,7 +95,7 @@
 
 def test_a_locked_full_or_damaged_store_raises_its_error_and_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "s.db"
-    store = SqliteStore(path, busy=0.05)
+    store = SqliteStore(path, busy_timeout_s=0.05)
     put(store, "a")
     other = sqlite3.connect(path, isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
@@ -163,7 +163,7 @@
     stop = threading.Event()
 
     def keep_changing() -> None:
-        own_store = SqliteStore(tmp_path / "s.db", busy=10.0)
+        own_store = SqliteStore(tmp_path / "s.db", busy_timeout_s=10.0)
         last = 1
         while not stop.is_set():
             last = put(own_store, "a", last)
--- a/tests/hosting/fixtures.py
+++ b/tests/hosting/fixtures.py
@@ -119,7 +119,7 @@
     `follow` is the period in seconds at which the gateway reads the store; by default only a call of
     `gateway.follow` makes it read.  `extra` is further text of the installation's file.
     """
-    store = SqliteStore(folder / "desired.db", busy=0.1)
+    store = SqliteStore(folder / "desired.db", busy_timeout_s=0.1)
     text = f'store = "desired.db"\nlisten = "127.0.0.1:0"\nfollow = {follow}\n{extra}'
     fixture = HostingFixture(HostingGateway(read_hosting(text, "hosting.toml"), store), store)
     for name in names:
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -189,7 +189,7 @@
             await fixture.wait_for_status("a")
             follower = gateway.store
             assert isinstance(follower, Follower) and follower.cache is not None
-            await until(lambda: follower.saved == follower.replica.at)
+            await until(lambda: follower.cached_revision == follower.replica.at)
 
             def away(name: str, uid: str) -> bytes | None:
                 raise StoreBusy("etcd is away")
