--- a/ivymux/desired/__init__.py
+++ b/ivymux/desired/__init__.py
@@ -1,1 +1,1 @@
-"""Stores of an installation's desired state: tenants, their texts, administrators, audit records."""
+"""Stores of an installation's desired state: tenants, their texts, administrators and audit records."""
--- a/ivymux/desired/copying.py
+++ b/ivymux/desired/copying.py
@@ -1,7 +1,7 @@
-"""Backs up a desired state in etcd to an SQLite file, and restores it from one.
+"""Backs up a desired state in etcd to an SQLite file, and restores such a file to etcd.
 
-A backup is an SQLite file whichever store it is made from.  So an installation moves from one kind of store
-to the other by `ivymux backup` with the old configuration file and `ivymux restore` with the new one.
+A backup is an SQLite file for either kind of store.  So an installation moves from one kind to the other by
+`ivymux backup` with the old configuration file and `ivymux restore` with the new one.
 """
 
 from __future__ import annotations
@@ -35,10 +35,13 @@
 from ivymux.desired.sqlite import SqliteStore, verify
 from ivymux.tenants.model import Tenant
 
+# The first path segments of all keys of a desired state in etcd.
 PARTS = (
     "live", "hosts", "history", "audit", "audit-of", "admins", "admin-ids", "repeats", "repeat-ids", "blobs"
 )  # fmt: skip
-REVISION_GAP = 1_000_000  # exceeds the number of revisions assigned since the backup was made
+# Added to the revision of a restored state: more than were assigned since the backup was made, so that no
+# revision is assigned twice.
+REVISION_GAP = 1_000_000
 
 
 def backup_etcd(store: EtcdStore, path: Path) -> None:
@@ -104,7 +107,7 @@
     key = store.keys.blob(uid, name)
     found, _ = store.read_range(key, prefix_end(key), at=at)
     if not found or found[0].key != key:
-        raise StoreError("a text that a tenant names is not there: nothing was copied")
+        raise StoreError("a text that a tenant refers to is missing: nothing was copied")
     return join_text(unpacked(found[0].value, TextHeader), [kv.value for kv in found[1:]], name)
 
 
@@ -117,9 +120,9 @@
     verify(backup)
     if store.range(Range(store.keys.state)).kvs:
         raise StoreError(
-            f"a desired state is at {store.keys.prefix}: restore to another etcd.prefix, or delete its keys"
+            f"a desired state is at {store.keys.prefix} already: set another etcd.prefix, or delete its keys"
         )
-    # Delete what an interrupted restore left; other keys below the prefix belong to somebody else.
+    # Delete what an interrupted restore left.  Other keys below the prefix are not ivymux's, and stay.
     own_prefixes = [store.keys.all(part) for part in PARTS]
     store.transact(Txn((), tuple(Delete(key, prefix_end(key)) for key in own_prefixes)))
     with tempfile.TemporaryDirectory() as folder:
@@ -132,7 +135,7 @@
             copy.close()
     guard = Compare(store.keys.state, "CREATE", "EQUAL", 0)
     if not store.transact(Txn((guard,), (Put(store.keys.state, packed(state)),))).succeeded:
-        raise StoreError("another restore was first: nothing was changed")
+        raise StoreError("another restore has completed meanwhile: this one has no effect")
 
 
 def copy_to_etcd(db: sqlite3.Connection, store: EtcdStore) -> State:
--- a/ivymux/desired/etcd/cache.py
+++ b/ivymux/desired/etcd/cache.py
@@ -17,7 +17,7 @@
 
 
 class Known(msgspec.Struct, frozen=True):
-    """The state and the tenants' heads as last received."""
+    """The state and the tenants' heads as they were last received."""
 
     state: State
     heads: list[Head]
@@ -26,7 +26,7 @@
 
 
 class Cache:
-    """A folder with the state, after its checksum, and texts, named by their digests.
+    """A folder with a file of the state, preceded by its checksum, and files of texts, named by digest.
 
     Raises OSError if the folder can't be used.  Damaged files are treated as missing.
     """
@@ -36,7 +36,7 @@
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def write(self, name: str, data: bytes) -> None:
-        """Write a file atomically, also with respect to a power failure."""
+        """Write a file atomically, so that after a crash or power failure it is complete or unchanged."""
         handle, partial_file = tempfile.mkstemp(dir=self.folder, prefix=".", suffix=".part")
         try:
             with os.fdopen(handle, "wb") as sink:
--- a/ivymux/desired/etcd/client.py
+++ b/ivymux/desired/etcd/client.py
@@ -28,7 +28,7 @@
 MAX_ANSWER_BYTES = 64 << 20
 MAX_LINE_BYTES = 16 << 20  # of one response of a watch
 CONNECT_TIMEOUT_S = 1.0
-RETRY_DELAY_S = 0.02  # before the first retry; doubled for each further one
+RETRY_DELAY_S = 0.02  # before the first retry; doubled before each further one
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,9 +71,9 @@
         self.http.close()
 
     def call(self, path: str, body: Json) -> Json:
-        """Make one call.
+        """Make one call; an endpoint that can't be reached is skipped.
 
-        Raises OutcomeUnknown if it may have been carried out, another StoreError if it was not.
+        Raises OutcomeUnknown if the call may have been carried out, another StoreError if it was not.
         """
         last: StoreError = Unreachable("etcd is away")
         for offset in range(len(self.access.endpoints)):
@@ -91,10 +91,10 @@
         raise last
 
     def read(self, path: str, body: Json) -> Json:
-        """Make a call that is idempotent, with retries.
+        """Make an idempotent call, with retries.
 
-        A call without an answer is retried at the other endpoints.  While etcd elects a leader, it is retried
-        for the time-out of one call.
+        A call without an answer is retried at the other endpoints.  While etcd elects a leader, the call is
+        retried until the time-out of one call has passed.
         """
         deadline, delay = time.monotonic() + self.access.timeout, RETRY_DELAY_S
         attempt = 0
@@ -113,6 +113,7 @@
                 delay *= 2
 
     def post_authorized(self, endpoint: str, path: str, body: Json) -> Json:
+        """Send one request with a valid token, after a login if needed."""
         if self.access.username and not self.token:
             self.login(endpoint)
         try:
@@ -124,6 +125,7 @@
             return self.post(endpoint, path, body)
 
     def login(self, endpoint: str) -> None:
+        """Get a token for the username and password.  Raises StoreError."""
         body = {"name": self.access.username, "password": self.access.password}
         try:
             found = self.post(endpoint, "/v3/auth/authenticate", body)
@@ -136,6 +138,7 @@
         self.token = str(found.get("token", ""))
 
     def post(self, endpoint: str, path: str, body: Json) -> Json:
+        """Send one request to one endpoint.  Raises StoreError."""
         headers = {"Authorization": self.token} if self.token else {}
         try:
             with self.http.stream("POST", endpoint + path, json=body, headers=headers) as answer:
@@ -143,7 +146,7 @@
                 for part in answer.iter_bytes():
                     data += part
                     if len(data) > MAX_ANSWER_BYTES:
-                        raise StoreDamaged("etcd's answer has no end")
+                        raise StoreDamaged("etcd's answer exceeds the size limit")
                 return self.parse_answer(answer.status_code, bytes(data))
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout):
             raise Unreachable(f"etcd is away at {endpoint}") from None
@@ -167,7 +170,7 @@
 
     @contextlib.contextmanager
     def watch(self, body: Json) -> Iterator[tuple[Iterator[WatchResponse], Callable[[], None]]]:
-        """Open a watch; gives its responses, and a function that ends it from another thread.
+        """Open a watch; yield its responses, and a function that ends the watch from another thread.
 
         Raises StoreError.
         """
@@ -180,14 +183,14 @@
                 if answer.status_code != 200:
                     self.parse_answer(answer.status_code, answer.read())
                 # The watch has started, so no read time-out applies: without changes there are no responses.
-                # The caller checks by reads whether the watch still works.
+                # The caller checks with range requests whether the watch still works.
                 answer.request.extensions["timeout"]["read"] = None
                 yield self.watch_responses(answer), lambda: shut_down(answer)
         except Unauthenticated:
             self.token = ""
             raise
         except httpx.HTTPError as error:
-            raise StoreBusy(f"etcd's watch at {endpoint} broke off: {type(error).__name__}") from None
+            raise StoreBusy(f"etcd's watch at {endpoint} was interrupted: {type(error).__name__}") from None
 
     def watch_responses(self, answer: httpx.Response) -> Iterator[WatchResponse]:
         """Decode the lines of a watch stream."""
@@ -195,7 +198,7 @@
         for part in answer.iter_bytes():
             buffer += part
             if len(buffer) > MAX_LINE_BYTES:
-                raise StoreDamaged("an answer of etcd's watch has no end")
+                raise StoreDamaged("a response of etcd's watch exceeds the size limit")
             *lines, rest = bytes(buffer).split(b"\n")
             buffer = bytearray(rest)
             for line in lines:
@@ -216,7 +219,7 @@
     try:
         found = json.loads(line)
     except ValueError:
-        raise StoreBusy("etcd's watch broke off in the middle of an answer") from None
+        raise StoreBusy("etcd's watch was interrupted in the middle of a response") from None
     if not isinstance(found, dict):
         raise StoreDamaged("etcd's watch can't be read: is this its JSON gateway?")
     return found
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -1,4 +1,4 @@
-"""A gateway's view of the desired state in etcd: a watch, its replica, the copy on disk, reports."""
+"""A gateway's view of the desired state in etcd: the watch, the replica, the cache on disk and reports."""
 
 from __future__ import annotations
 
@@ -74,13 +74,14 @@
             self.cached_revision = known.at
             self.errors["watch"] = str(error)
             age = max(0.0, time.time() - known.saved)
-            log.warning("etcd: %s; serving what was known %.0f s ago", error, age)
+            log.warning("etcd: %s; serving the state that was cached %.0f s ago", error, age)
         for work, name in ((self.run_watch, "watch"), (self.run_checks, "look")):
             thread = threading.Thread(target=work, name=f"etcd {name}", daemon=True)
             thread.start()
             self.threads.append(thread)
 
     def close(self) -> None:
+        """Stop following, and delete this gateway's report from etcd."""
         self.closed.set()
         self.stop_watch()
         if self.lease:
@@ -91,6 +92,7 @@
         self.store.close()
 
     def stop_watch(self) -> None:
+        """End the running watch, if any; the watch thread starts another unless the follower is closed."""
         if (end_watch := self.end_watch) is not None:
             end_watch()
 
@@ -105,6 +107,7 @@
         self.write_cache()
 
     def run_watch(self) -> None:
+        """Keep a watch running until the follower is closed; read the whole state after each interruption."""
         wait, stale = RETRY_DELAY_S, "watch" in self.errors
         while not self.closed.is_set():
             try:
@@ -116,13 +119,13 @@
                 stale = True
             except Compacted:
                 stale, wait = True, RETRY_DELAY_S
-                log.info("etcd: the watch fell behind a compaction: all is read anew")
+                log.info("etcd: the watch's next revision was compacted: reading the whole state again")
             except StoreError as error:
                 self.set_error("watch", str(error))
                 stale = True
             except Exception:
                 log.exception("the watch of the desired state failed")
-                self.set_error("watch", "the watch failed; the log says more")
+                self.set_error("watch", "the watch failed; see the log")
                 stale = True
             self.closed.wait(wait * (0.5 + random.random()))
             wait = min(MAX_RETRY_DELAY_S, 2 * wait) if stale and "watch" in self.errors else RETRY_DELAY_S
@@ -138,7 +141,7 @@
                     return
                 for response in responses:
                     if response.compacted:
-                        raise Compacted("the watch's first revision is no longer kept")
+                        raise Compacted("the watch's first revision has been compacted")
                     if response.canceled:
                         raise StoreBusy(f"etcd ended the watch: {response.reason[:100] or 'no reason given'}")
                     self.set_error("watch", "")
@@ -163,12 +166,12 @@
                 self.set_error("reads", "")
                 self.write_cache()  # retries what could not be written earlier
                 if is_stalled:
-                    log.warning("etcd: the watch is stalled: it misses changes that reads show; restarting")
+                    log.warning("etcd: the watch is stalled: reads show changes that it lacks; restarting it")
                     self.stop_watch()
             except StoreError as error:
                 self.set_error("reads", str(error))
             except Exception:
-                log.exception("the look at the desired state failed")
+                log.exception("the check of the watch of the desired state failed")
 
     def set_error(self, source: str, text: str) -> None:
         """Record the error of a source; an empty text clears it."""
@@ -180,8 +183,8 @@
     def write_cache(self) -> None:
         """Write the replica to the cache, after all texts that a start from it needs.
 
-        If a text can't be read now, the write is retried later and the previous copy stays intact.  Without
-        space on the disk the gateway goes on from memory, and logs that once.
+        If a text can't be read now, the write is retried later, and the previous cache stays intact.  If the
+        disk is full, the gateway goes on without writing the cache, and logs this once.
         """
         if self.cache is None:
             return
@@ -198,14 +201,14 @@
                 self.cached_revision, self.cache_error = at, ""
                 self.cached_tenants = {(head.uid, head.revision) for head in heads}
             except StoreError as error:
-                log.info("etcd: what is known is kept later: %s", error)
+                log.info("etcd: the cache will be written later: %s", error)
             except OSError as error:
                 if self.cache_error != str(error):
                     self.cache_error = str(error)
                     log.warning("etcd: what is known can't be kept on the disk: %s", error.strerror)
 
     def cache_texts(self, cache: Cache, head: Head) -> None:
-        """Cache the texts from which a gateway sets a tenant up.  Raises StoreError, OSError."""
+        """Cache the texts that a gateway needs to serve a tenant.  Raises StoreError, OSError."""
         if (head.uid, head.revision) in self.cached_tenants:
             return
         tenant = unpacked(self.cached_text(cache, head.uid, head.body), Tenant)
@@ -215,6 +218,7 @@
         self.cached_tenants.add((head.uid, head.revision))
 
     def cached_text(self, cache: Cache, uid: str, name: str) -> bytes:
+        """Return a text, and cache it if it is not cached.  Raises StoreError, OSError."""
         data = cache.text(name)
         if data is None:
             data = self.store.blob(name, uid)
@@ -226,6 +230,7 @@
     # --- reads of the gateway ----------------------------------------------------------------------------
 
     def state(self) -> State:
+        """Return the replica's state, which may be outdated.  Raises StoreError if there is none."""
         state = self.replica.state
         if state is None:
             raise StoreBusy("the desired state is not known yet")
@@ -238,7 +243,7 @@
         return self.replica.revision, bool(self.errors)
 
     def revision(self) -> int:
-        """The replica's revision.  Raises StoreError while that may be outdated."""
+        """Return the replica's revision.  Raises StoreError while the replica may be outdated."""
         for text in list(self.errors.values()):
             raise StoreBusy(text)
         return self.state().revision
@@ -250,6 +255,7 @@
         return now, [self.stored(head) for head in heads], gone
 
     def stored(self, head: Head) -> StoredTenant:
+        """Return the tenant of a head.  Raises StoreError."""
         body = self.blob(head.body, head.uid)
         if body is None:
             raise StoreBusy("a tenant changed while it was read")
--- a/ivymux/desired/etcd/keys.py
+++ b/ivymux/desired/etcd/keys.py
@@ -1,8 +1,8 @@
 """The etcd keys of the desired state and the formats of their values.  Does no I/O.
 
 Gateways watch `live/`, which has the state's revision and a small head for each tenant.  A tenant's document
-and texts are stored below its uid, named by digest, in pieces, since etcd limits the size of a request
-(1.5 MiB by default).  So one range deletion removes all texts of a tenant.
+and texts are stored below the tenant's uid, so that one range deletion removes them all.  They are named by
+digest, and split into pieces, since etcd limits the size of a request (1.5 MiB by default).
 """
 
 from __future__ import annotations
@@ -45,17 +45,20 @@
 
 
 class StoredAuditRecord(msgspec.Struct, frozen=True):
-    """An audit record.  A commit whose answer was lost finds its `token` here if it was carried out."""
+    """An audit record with the `token` of its commit.
+
+    A client that did not receive the answer to a commit finds its token here if the commit was carried out.
+    """
 
     token: str
     audit: AuditRecord
 
 
 class GatewayStatus(msgspec.Struct, frozen=True):
-    """The revision that a gateway serves, and by uid why a tenant's latest state is not served."""
+    """The revision that a gateway serves, and the tenants whose latest state it can't serve."""
 
     revision: int
-    problems: dict[str, str] = {}
+    problems: dict[str, str] = {}  # the reasons, by uid
 
 
 class TextHeader(msgspec.Struct, frozen=True):
@@ -149,7 +152,7 @@
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except msgspec.MsgspecError:
-        raise StoreDamaged("etcd holds what this version can't read: use the ivymux that wrote it") from None
+        raise StoreDamaged("etcd contains data that this version can't read: use a newer ivymux") from None
 
 
 def head_of(name: str, uid: str, revision: int, created: float, tenant: Tenant) -> tuple[Head, bytes]:
@@ -177,14 +180,14 @@
     except zlib.error:
         data = b""
     if len(rest) != header.pieces or digest(data) != name:
-        raise StoreDamaged("a text in etcd is not what its digest says; restore a backup")
+        raise StoreDamaged("a text in etcd does not match its digest; restore a backup")
     return data
 
 
 def encode_audit(token: str, audit: AuditRecord) -> bytes:
     """Encode an audit record.
 
-    One that is too large lists only the paths of its first changes, and the number of the others.
+    A record that is too large lists only the paths of its first changes, and the number of the others.
     """
     value = zlib.compress(packed(StoredAuditRecord(token, audit)))
     if len(value) <= MAX_VALUE_BYTES:
--- a/ivymux/desired/etcd/plan.py
+++ b/ivymux/desired/etcd/plan.py
@@ -1,7 +1,7 @@
 """Builds the etcd transaction that commits a change of the desired state.  Does no I/O.
 
 Every commit compares and replaces the state's key, so commits are serialised: a transaction succeeds only if
-nothing that it was built from has changed.  Otherwise the store reads again and builds a new one.
+nothing that it was built from has changed.  Otherwise the store reads again and builds a new transaction.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 )
 
 MAX_HISTORY = 50  # revisions kept per tenant
-MAX_AUDIT = 100_000
+MAX_AUDIT = 100_000  # audit records
 MAX_AUDIT_DELETIONS = 5  # expired audit records that one commit deletes
 NO_STATE = "no desired state is here: `ivymux operator` begins one, `ivymux restore` puts a copy back"
 
@@ -87,7 +87,7 @@
         raise StoreError(NO_STATE)
     state = unpacked(found.kvs[0].value, State)
     if state.form > 1:
-        raise StoreDamaged(f"the desired state is of a later form ({state.form}): use that one's ivymux")
+        raise StoreDamaged(f"the desired state is of a later format ({state.form}): use a newer ivymux")
     return state, found.kvs[0].mod
 
 
@@ -97,7 +97,7 @@
 
 
 def read_snapshot(change: Change, ranges: tuple[RangeResult, ...]) -> Snapshot:
-    """Decode what was read for ranges_to_read.  Raises StoreError."""
+    """Decode the results of the ranges of `ranges_to_read`, in that order.  Raises StoreError."""
     state, mod = read_state(ranges[0])
     head = unpacked(ranges[1].kvs[0].value, Head) if ranges[1].kvs else None
     hosts = {}
@@ -128,7 +128,9 @@
 
 
 def commit(keys: Keys, change: Change, snapshot: Snapshot, token: str, lease: int) -> tuple[int, Txn]:
-    """Build the transaction of a change.  Return the new revision, too.
+    """Build the transaction of a change; return it after the revision that it creates.
+
+    `token` identifies this attempt in the audit record; `lease` limits the life of a stored answer.
 
     Raises RevisionConflict, HostTaken, StoreError.
     """
@@ -166,7 +168,7 @@
                     keys.history(change.uid, 0), keys.history(change.uid, snapshot.history[MAX_HISTORY - 2])
                 )
             )
-        # The texts were stored before; if a clean-up deleted one since, the transaction fails.
+        # The texts were stored before this transaction, which fails if one of them was deleted since then.
         compares += [
             Compare(keys.blob(change.uid, name), "CREATE", "GREATER", 0) for name in (head.body, *head.texts)
         ]
--- a/ivymux/desired/etcd/replica.py
+++ b/ivymux/desired/etcd/replica.py
@@ -31,7 +31,7 @@
     gone: list[DeletedTenant] = field(default_factory=list)
     forgot: int = 0  # revision up to which deletions are no longer known
     at: int = 0  # the revision of etcd as of which this is current
-    behind_since: float | None = None
+    behind_since: float | None = None  # when the watch was first seen to lag behind reads (monotonic seconds)
 
     @property
     def revision(self) -> int:
@@ -119,7 +119,10 @@
             del self.gone[: len(surplus)]
 
     def changes_since(self, revision: int) -> tuple[list[Head], list[DeletedTenant] | None]:
-        """The heads changed and the tenants deleted since; all heads and None if that is no longer known."""
+        """Return the heads changed and the tenants deleted since a revision.
+
+        If the deletions are no longer known that far back, all heads and None are returned.
+        """
         if revision < self.forgot:
             return sorted(self.heads.values(), key=sort_key), None
         changed = [h for h in self.heads.values() if h.revision > revision]
@@ -128,10 +131,13 @@
     # --- supervision of the watch ----------------------------------------------------------------------
 
     def needs_full_read(self, state: Kv | None, at: int, now: float) -> bool:
-        """Whether a full read is needed, by the state's key as read at revision `at` of etcd.
+        """Whether a full read is needed, given the state's key as it was read at revision `at` of etcd.
+
+        A watch may stop delivering events without ending (a proxy keeps its connection open, or a new etcd
+        has not reached the watch's revision yet), so the replica is compared with reads.  `now` is in
+        monotonic seconds.
 
-        Raises ForeignState.  `now` is monotonic.  A watch may stop delivering events without ending (a proxy
-        keeps it open, or a new etcd has not reached the watch's revision yet), so it is compared with reads.
+        Raises ForeignState.
         """
         self.accept(unpacked(state.value, State) if state is not None else None)
         assert state is not None
--- a/ivymux/desired/etcd/store.py
+++ b/ivymux/desired/etcd/store.py
@@ -56,7 +56,7 @@
 from ivymux.tenants.model import Tenant
 
 PAGE_SIZE = 500  # keys per range request
-MAX_ATTEMPTS = 40  # at one commit, each after a concurrent commit came first
+MAX_ATTEMPTS = 40  # at one commit, while concurrent commits come first
 REPEAT_RETENTION_S = 86_400  # how long the answer to a creation is kept
 INITIAL_BACKOFF_S = 0.004  # doubled per attempt up to MAX_BACKOFF_S; a random part of it is waited
 MAX_BACKOFF_S = 0.25
@@ -87,7 +87,10 @@
     def read_range(
         self, key: bytes, end: bytes, keys_only: bool = False, at: int = 0
     ) -> tuple[list[Kv], int]:
-        """Read a whole range as of one revision of etcd (`at`, or the current one).  Return that, too."""
+        """Read a whole range, page by page, as of revision `at` of etcd, or of the current one if it is 0.
+
+        Returns the keys and that revision.
+        """
         found: list[Kv] = []
         while True:
             part = self.range(Range(key, end, PAGE_SIZE, keys_only=keys_only, revision=at))
@@ -102,6 +105,7 @@
         return read_txn(self.client.read("/v3/kv/txn", txn_json(Txn((), tuple(ops)))))
 
     def transact(self, txn: Txn) -> TxnResult:
+        """Carry out a transaction, without retries.  Raises OutcomeUnknown if its answer is lost."""
         return read_txn(self.client.call("/v3/kv/txn", txn_json(txn)))
 
     def grant_lease(self, seconds: int) -> int:
@@ -240,6 +244,11 @@
             return self.commit_with_retries(change)
 
     def commit_with_retries(self, change: Change) -> int:
+        """Commit a change, again from the current state whenever a concurrent commit came first.
+
+        An attempt whose answer was lost is recognized by its token in the audit record, so that a change is
+        never made twice.
+        """
         token = secrets.token_hex(8)
         lease = self.grant_lease(REPEAT_RETENTION_S) if change.repeat is not None else 0
         unknown: set[int] = set()  # revisions of attempts without an answer
@@ -247,7 +256,7 @@
             found = self.read_together(plan.ranges_to_read(self.keys, change, self.newest))
             snapshot = plan.read_snapshot(change, found.ranges)
             last = self.newest = snapshot.state.revision
-            # An attempt without an answer may have been carried out, even after its time-out.
+            # An attempt without an answer may have been carried out, even after the call timed out.
             for revision in [r for r in unknown if r <= last]:
                 if self.has_token(revision, token):
                     return revision
@@ -272,11 +281,15 @@
         raise StoreBusy("many change the desired state at once: try again")
 
     def has_token(self, revision: int, token: str) -> bool:
+        """Whether a revision was created by the commit with this token."""
         kv = self.read_key(self.keys.audit(revision))
         return kv is not None and decode_audit(kv.value).token == token
 
     def delete_unused_texts(self, uid: str) -> None:
-        """Delete a tenant's texts that no stored revision refers to.  A failure is left to the next call."""
+        """Delete a tenant's texts that no stored revision refers to.
+
+        Errors are ignored, since the next call deletes the texts that a failed call has left.
+        """
         with contextlib.suppress(StoreError):
             begin, blobs = self.keys.all("history", uid), self.keys.all("blobs", uid)
             state = self.range(Range(self.keys.state))
@@ -307,6 +320,7 @@
     # --- backup ----------------------------------------------------------------------------------------
 
     def heads(self, at: int) -> Iterator[Head]:
+        """Yield the heads of all stored revisions as of etcd's revision `at`."""
         begin = self.keys.all("history")
         for kv in self.read_range(begin, prefix_end(begin), at=at)[0]:
             yield unpacked(kv.value, Head)
--- a/ivymux/desired/model.py
+++ b/ivymux/desired/model.py
@@ -18,7 +18,7 @@
 
 
 class StoreError(Exception):
-    """The store can't carry out the call now; nothing was changed."""
+    """The store can't carry out a call; nothing was changed, unless a subclass says otherwise."""
 
 
 class StoreBusy(StoreError):
@@ -26,7 +26,7 @@
 
 
 class StoreFull(StoreError):
-    """The store has no space left on its disk."""
+    """The store has no space left, or a change exceeds one of its size limits."""
 
 
 class StoreDamaged(StoreError):
@@ -54,7 +54,7 @@
 
     name: str
     uid: str
-    revision: int  # the installation's revision that changed the tenant last
+    revision: int  # the revision of the installation's state that changed the tenant last
     created: float  # Unix time
     tenant: Tenant
 
@@ -81,7 +81,7 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True):
-    """Who changed what.  `changes` never contain a secret or its hash."""
+    """Who changed what; `changes` never contain a secret or the hash of one."""
 
     revision: int
     at: float  # Unix time
@@ -96,7 +96,7 @@
 class StoredAnswer(msgspec.Struct, frozen=True):
     """The stored answer to a creation, which is sent again for repeated requests (idempotency key)."""
 
-    fingerprint: str
+    fingerprint: str  # the digest of the request's body
     status: int
     body: bytes
     etag: str
@@ -125,11 +125,11 @@
 
 
 class GatewayReport(msgspec.Struct, frozen=True):
-    """A gateway's report: the revision that it serves, and the usage of its tenants."""
+    """What a gateway reports: the revision that it serves, and the usage of its tenants."""
 
-    door: str
+    door: str  # the gateway's name
     revision: int
-    at: float
+    at: float  # Unix time
     usage: dict[str, dict[str, float]] = {}  # by uid
     problems: dict[str, str] = {}  # by uid: why a tenant's latest state is not served
 
@@ -141,12 +141,14 @@
     """
 
     def lineage(self) -> str:
-        """The id that a state keeps for its whole history; a state that starts empty gets a new one."""
+        """Return the id of a state, which it keeps for its whole history; a new empty state has a new id."""
 
-    def revision(self) -> int: ...
+    def revision(self) -> int:
+        """Return the revision of the state, which each commit increases."""
+        ...
 
     def blob(self, name: str, uid: str) -> bytes | None:
-        """A text of the tenant `uid`, by its digest `name`; None if it is missing."""
+        """Return a text of the tenant `uid` by its digest `name`; None if it is missing."""
 
     def close(self) -> None: ...
 
@@ -157,42 +159,70 @@
     def changes_since(self, revision: int) -> tuple[int, list[StoredTenant], list[DeletedTenant] | None]:
         """Return the current revision, and the tenants changed and deleted since `revision`.
 
-        The deleted tenants are None if they are no longer known that far back.  Then the changed tenants are
-        all that exist, and every other tenant has been deleted.
+        Instead of the deleted tenants, None is returned if the deletions are no longer known that far back.
+        Then the changed tenants are all that exist, and every other tenant has been deleted.
         """
 
-    def report(self, report: GatewayReport) -> None: ...
+    def report(self, report: GatewayReport) -> None:
+        """Store a gateway's report in place of its last one."""
+        ...
 
     def change_hint(self) -> object:
-        """A value that differs once the state may have changed.
+        """Return a value that differs from the last one if the state may have changed since.
 
-        It is cheap enough for the event loop, and may miss a change.
+        The call is cheap enough for the event loop.  The value may miss a change, so the state has to be read
+        from time to time even if the value stays the same.
         """
 
 
 class Store(StateReader, Protocol):
-    """The store interface that the administration API uses.  A commit that returned survives a crash."""
+    """The store interface that the administration API uses.
+
+    A commit that has returned survives a crash.  Lists are limited to `limit` entries.
+    """
 
-    poll_interval_s: float  # seconds between polls for changes that don't overload the store
+    poll_interval_s: float  # the shortest interval between polls for changes that the store can bear
 
-    def get(self, name: str) -> StoredTenant | None: ...
+    def get(self, name: str) -> StoredTenant | None:
+        """Return a tenant by its name; None if there is none."""
+        ...
 
-    def page(self, after: str, limit: int) -> list[StoredTenant]: ...
+    def page(self, after: str, limit: int) -> list[StoredTenant]:
+        """Return the tenants whose names sort after `after`, by name."""
+        ...
 
     def commit(self, change: Change) -> int:
-        """Commit a change and return the new revision.  Raises RevisionConflict if nothing was changed."""
+        """Commit a change and return the new revision.
 
-    def answer_of_repeat(self, key: str) -> StoredAnswer | None: ...
+        Raises RevisionConflict, changing nothing, if the tenant's revision is not the expected one.
+        """
+
+    def answer_of_repeat(self, key: str) -> StoredAnswer | None:
+        """Return the stored answer of the creation with an idempotency key; None if there is none."""
+        ...
 
-    def admin(self, key_id: str) -> Admin | None: ...
+    def admin(self, key_id: str) -> Admin | None:
+        """Return an administrator by the id of the key; None if there is none."""
+        ...
 
-    def admins(self, uid: str) -> list[Admin]: ...
+    def admins(self, uid: str) -> list[Admin]:
+        """Return the administrators of a tenant, or the operators for an empty `uid`."""
+        ...
 
     def add_operator(self, admin: Admin, at: float) -> None:
-        """Store an operator's key; the first one is created on the command line."""
+        """Store an operator's key; `at` is Unix time.  Only the command line calls this."""
 
-    def audit(self, uid: str, before: int, limit: int) -> list[AuditRecord]: ...
+    def audit(self, uid: str, before: int, limit: int) -> list[AuditRecord]:
+        """Return the audit records of a tenant, or of all for an empty `uid`, newest first.
+
+        Only those of revisions lower than `before` are returned.
+        """
+        ...
 
-    def history(self, uid: str, limit: int) -> list[StoredTenant]: ...
+    def history(self, uid: str, limit: int) -> list[StoredTenant]:
+        """Return the stored revisions of a tenant, newest first."""
+        ...
 
-    def reports(self) -> list[GatewayReport]: ...
+    def reports(self) -> list[GatewayReport]:
+        """Return the last report of each gateway; old ones expire."""
+        ...
--- a/ivymux/desired/sqlite.py
+++ b/ivymux/desired/sqlite.py
@@ -32,9 +32,9 @@
 from ivymux.tenants.model import Tenant, text_digests
 
 MAX_HISTORY = 50  # revisions kept per tenant
-MAX_AUDIT = 100_000
-MAX_GONE = 10_000
-MAX_REPEATS = 10_000
+MAX_AUDIT = 100_000  # audit records
+MAX_GONE = 10_000  # deletions of tenants that a gateway can catch up on without a full read
+MAX_REPEATS = 10_000  # stored answers to creations
 REPEAT_RETENTION_S = 86_400.0  # how long the answer to a creation is kept
 REPORT_RETENTION_S = 3600.0  # how long the last report of a silent gateway is kept
 BUSY_TIMEOUT_S = 2.0  # how long to wait for another process's lock
@@ -86,7 +86,7 @@
     except sqlite3.DatabaseError as error:
         raise StoreDamaged(f"the store is damaged; restore a backup ({error})") from None
     except msgspec.MsgspecError:
-        raise StoreDamaged("the store holds what this version can't read; restore a backup") from None
+        raise StoreDamaged("the store contains data that this version can't read; restore a backup") from None
 
 
 class SqliteStore:
@@ -104,6 +104,7 @@
             self.migrate()
 
     def connect(self, path: Path) -> sqlite3.Connection:
+        """Open the file; a new one is readable only by its owner, since it contains hashes of keys."""
         is_new = not path.exists()
         db = sqlite3.connect(path, timeout=self.busy_timeout_s, isolation_level=None, check_same_thread=False)
         if is_new:
@@ -117,11 +118,11 @@
         self.db.close()
 
     def migrate(self) -> None:
-        """Bring the schema to this version.  Raises StoreDamaged for a later one."""
+        """Bring the schema to this program's version.  Raises StoreDamaged if it has a later version."""
         with self.transaction() as db:
             (version,) = db.execute("PRAGMA user_version").fetchone()
             if version > len(MIGRATIONS):
-                raise StoreDamaged(f"the store is of a later version ({version}): use that one's ivymux")
+                raise StoreDamaged(f"the store is of a later version ({version}): use a newer ivymux")
             for step in MIGRATIONS[version:]:
                 for statement in step.split(";"):
                     if statement.strip():
@@ -144,6 +145,7 @@
                 raise
 
     def rows(self, statement: str, *values: object) -> list[Any]:
+        """Return all rows of a query.  Raises StoreError."""
         with self.lock, translated_errors():
             return self.db.execute(statement, values).fetchall()
 
@@ -153,7 +155,7 @@
         return str(self.rows("SELECT lineage FROM state")[0][0])
 
     def change_hint(self) -> object:
-        """The size, time and inode of the write-ahead log, which each commit changes; None without a log."""
+        """Return size, time and inode of the write-ahead log, which each commit changes; None without one."""
         try:
             status = os.stat(self.wal_path)
         except OSError:
@@ -164,6 +166,7 @@
         return int(self.rows("SELECT revision FROM state")[0][0])
 
     def stored(self, rows: list[Any]) -> list[StoredTenant]:
+        """Decode rows that have the columns COLUMNS."""
         with translated_errors():
             return [
                 StoredTenant(name, uid, revision, created, msgspec.msgpack.decode(body, type=Tenant))
@@ -269,6 +272,7 @@
     def put_tenant(
         self, db: sqlite3.Connection, change: Change, tenant: Tenant, revision: int, created: float
     ) -> None:
+        """Store a tenant's new state with its history and texts.  Raises HostTaken."""
         body = packed(tenant)
         db.execute("DELETE FROM hosts WHERE uid = ?", (change.uid,))
         for host in tenant.hosts:
@@ -318,7 +322,7 @@
         db.execute(f"DELETE FROM repeats WHERE key IN ({surplus})", (MAX_REPEATS,))
 
     def add_operator(self, admin: Admin, at: float) -> None:
-        """Store an operator's key; the first one is created on the machine's command line."""
+        """Store an operator's key, which the command line created."""
         with self.transaction() as db:
             (revision,) = db.execute("UPDATE state SET revision = revision + 1 RETURNING revision").fetchone()
             db.execute(
@@ -376,11 +380,11 @@
         finally:
             db.close()
     if verdict != "ok" or not 1 <= version <= len(MIGRATIONS):
-        raise StoreDamaged(f"{path} is no whole store: {verdict}")
+        raise StoreDamaged(f"{path} is not an intact store: {verdict}")
 
 
 def restore(backup: Path, path: Path) -> None:
-    """Replace a store by a backup; no process may have the store open.  Raises StoreError, OSError."""
+    """Replace a store with a backup; no process may have the store open.  Raises StoreError, OSError."""
     verify(backup)
     partial_file = path.with_name(path.name + ".part")
     partial_file.write_bytes(backup.read_bytes())
@@ -391,8 +395,8 @@
             path.with_name(path.name + suffix).unlink()
     partial_file.replace(path)
     os.chmod(path, 0o600)
-    # Gateways may have seen later revisions than the backup's, so numbering continues above all that were
-    # ever assigned.
+    # Gateways may have seen later revisions than the backup's, so the numbers continue above all that were
+    # ever assigned.  `forgot` makes gateways read the whole state.
     store = SqliteStore(path)
     try:
         with store.transaction() as db:
