--- a/ivymux/hosting/host_lookups.py
+++ b/ivymux/hosting/host_lookups.py
@@ -9,7 +9,7 @@
 from ivymux.membership.resolver import LookUp
 
 THREADS = 32
-MAX_RUNNING = 2  # for one tenant: a look-up that hangs occupies its thread until the system times it out
+MAX_RUNNING = 2  # look-ups of one tenant; one that hangs occupies its thread until the system's time-out
 
 
 def resolve(name: str) -> list[str]:
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -85,10 +85,7 @@
 
 
 class HostedTenant:
-    """A tenant in service.
-
-    `uid` distinguishes it from a later tenant of the same name.
-    """
+    """A tenant that a gateway serves; `uid` distinguishes it from a later tenant of the same name."""
 
     def __init__(
         self, uid: str, name: str, gateway_settings: GatewaySettings, shares: Shares, share: Share
@@ -110,8 +107,8 @@
         self.misplaced_count = 0  # workers at addresses that are not allowed
         self.inventory = Inventory(())
         self.callers = TenantCallers({}, time.time)
-        self.is_leaving = False
-        self.served_count = 0
+        self.is_leaving = False  # whether the tenant was deleted and only finishes its open requests
+        self.served_count = 0  # admitted requests since the start
 
     @property
     def is_ready(self) -> bool:
@@ -171,13 +168,14 @@
         self.close_idle_generations()
         if has_new_workers:
             await self.update_members(generation, addresses)
-        if self.has_host_names:  # some may have been resolved since
+        if self.has_host_names:  # some may have been resolved meanwhile
             await self.update_members(generation, await self.allowed_addresses(inventory))
 
     # --- workers ---------------------------------------------------------------------------------------
 
     @property
     def has_host_names(self) -> bool:
+        """Whether a worker's address has to be looked up."""
         return any(not is_address(w.host) for w in self.inventory.workers)
 
     async def resolve_addresses(self, inventory: Inventory) -> dict[str, Address]:
@@ -215,11 +213,13 @@
         """Update the members with the new addresses; look up the names of a newer inventory, if any."""
         if self.generation is None or self.is_leaving:
             return
+        # The reference keeps the task from being garbage-collected before it ends.
         self.members_update = asyncio.ensure_future(self.update_current_members())
         if inventory != self.inventory and self.has_host_names:
             self.start_lookups(self.inventory)
 
     async def update_current_members(self) -> None:
+        """Report changed addresses of workers to the current decision module."""
         if self.generation is not None:
             await self.update_members(self.generation, await self.allowed_addresses(self.inventory))
 
@@ -232,7 +232,7 @@
         """Report changed workers to the decision module in steps, so that a long list delays no requests."""
         async with self.members_lock:
             if generation is not self.generation:
-                return  # its successor was built with its own list
+                return  # replaced meanwhile; the new generation was built with the new list
             for members, new_addresses in self.member_list.change(
                 self.inventory.workers, addresses, time.time()
             ):
@@ -248,7 +248,7 @@
     ) -> None:
         """Report the workers to a new decision module in steps, before it serves requests.
 
-        The workers count as warm: a new module says nothing about when they started.
+        The workers count as warm, because they may have started long before the decision module was built.
         """
         for workers in (inventory.workers[:MAX_ENTRIES_PER_EVENT], inventory.workers):
             for members, new_addresses in member_list.change(workers, addresses, time.time(), cold=False):
--- a/ivymux/hosting/hosting_gateway.py
+++ b/ivymux/hosting/hosting_gateway.py
@@ -34,7 +34,7 @@
 LOOKUP_REFRESH_PERIOD_S = CACHE_LIFETIME_S / 2
 FULL_READ_PERIOD_S = 1.0  # between reads of the revision while the store's hint does not change
 REPORT_PERIOD_S = 2.0  # between reports while the desired state does not change
-COUNTER_WAIT_S = 0.3  # how long the start waits for the shared counter
+COUNTER_WAIT_S = 0.3  # how long the start waits for the connection to the shared counter
 log = logging.getLogger("ivymux")
 
 
@@ -69,9 +69,9 @@
         self.server = HostedServer(self.frontend, hosting.listen, bounds, self.shares, self.tenants_by_host)
         self.server.refusal_log = refusal_log
         self.revision = -1  # of the desired state that is applied; -1 before the first
-        self.lineage = ""
-        self.problems: dict[str, str] = {}  # by uid
-        self.reported_at = self.closed_idle_at = 0.0
+        self.lineage = ""  # of that desired state
+        self.problems: dict[str, str] = {}  # why a tenant's latest state is not served, by uid
+        self.reported_at = self.closed_idle_at = 0.0  # monotonic seconds
         self.store_error = ""  # the error of the last read if it failed, to log it only once
 
     # --- the desired state -----------------------------------------------------------------------------
@@ -111,14 +111,20 @@
         await self.send_report()
 
     def removed_uids(self, changed: list[StoredTenant], gone: list[DeletedTenant] | None) -> list[str]:
-        """Return the tenants to remove; without a list of deletions, `changed` names all that exist."""
+        """Return the uids of the tenants to remove.
+
+        If the store knows no list of deletions, `changed` has all tenants that exist.
+        """
         if gone is not None:
             return [g.uid for g in gone]
         listed = {stored.uid for stored in changed}
         return [uid for uid in self.tenants if uid not in listed]
 
     async def apply_tenant(self, stored: StoredTenant) -> None:
-        """Switch a tenant to its new state; if that can't be served, keep the old one and record why."""
+        """Switch a tenant to a new state.
+
+        If the new state can't be served, the old one stays in force, and the problem is recorded.
+        """
         hosted = self.tenants.get(stored.uid)
         if hosted is not None and hosted.revision >= stored.revision:
             return
@@ -158,7 +164,8 @@
         for host in [h for h, owner in self.tenants_by_host.items() if owner is hosted and h not in kept]:
             del self.tenants_by_host[host]
         for host in in_force.hosts:
-            # A name that the tenant gives up in a state that can't be served may have a new owner by now.
+            # If the state in force is older than the tenant's latest one, another tenant may already own a
+            # name that the latest state no longer has.
             if host in tenant.hosts or host.removesuffix(".") not in self.tenants_by_host:
                 self.tenants_by_host[host.removesuffix(".")] = hosted
 
@@ -198,11 +205,11 @@
     # --- background tasks ------------------------------------------------------------------------------
 
     async def follow_forever(self) -> None:
-        """Follow the desired state."""
+        """Follow the desired state until the task is cancelled."""
         last_hint, read_at = None, 0.0
         while True:
             await asyncio.sleep(self.hosting.file.follow)
-            # A read needs a thread, which delays a busy event loop, and mostly finds no change.
+            # A read uses a thread, which delays a busy event loop, and most reads find no change.
             hint = self.store.change_hint()
             if hint is not None and hint == last_hint and time.monotonic() < read_at + FULL_READ_PERIOD_S:
                 continue
@@ -281,9 +288,11 @@
 
     @property
     def unanswered_count(self) -> int:
+        """The number of requests of all tenants that are not answered yet."""
         return sum(hosted.unanswered_count for hosted in self.all_tenants)
 
     def finish_all(self) -> None:
+        """Give all open requests of all tenants their final answer."""
         for hosted in self.all_tenants:
             hosted.finish_all()
         self.server.refusal_log.write()  # refusals by the gateway's own limits
--- a/ivymux/hosting/redis_counters.py
+++ b/ivymux/hosting/redis_counters.py
@@ -1,6 +1,6 @@
 """Quota counters of many tenants in Redis.
 
-A module of its own, so that gateways without Redis do not load its client into memory.
+A separate module, so that gateways without Redis do not load the Redis client into memory.
 """
 
 from __future__ import annotations
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -32,7 +32,8 @@
         self.max_body_bytes, self.max_unread_clients = max_body_bytes, max_unread_clients
         self.is_ready = is_ready
         self.refusals: dict[int, Answer] = {}  # by the seconds of their Retry-After field
-        self.encoded_refusals: dict[tuple[int, bool], bytes] = {}  # by these and whether they close
+        # By the seconds of the Retry-After field, and whether the connection is closed after the answer.
+        self.encoded_refusals: dict[tuple[int, bool], bytes] = {}
 
     def answer_locally(self, target: bytes) -> Answer | None:
         if target != READINESS_PATH:
@@ -48,6 +49,7 @@
         received_at: float,
         peer_address: str,
     ) -> Call | Answer:
+        """Refuse a request for a host name of no tenant; others are accepted by their tenant's frontend."""
         raise BadRequest("no tenant has this host name", 421)
 
     def share_exceeded(self, wait_s: float) -> Answer:
@@ -87,7 +89,7 @@
             self.client.server.held_bytes -= self.held_bytes
             self.held_bytes = 0
         if (call := self.call) is not None and call.on_finished is not None:
-            call.on_finished()  # request ids are not checked for uniqueness here: the workers do that
+            call.on_finished()  # `unique_key` is not used here: the workers check that request ids are unique
 
 
 class HostedClient(ClientConnection):
@@ -103,7 +105,7 @@
         self.caller: Caller | None = None
         self.key_error: BadRequest | None = None  # why the request's key is not valid
         self.counted_tenant: HostedTenant | None = None  # towards whose limits the connection counts
-        self.body_share: Share | None = None  # towards which the body counts that is being received
+        self.body_share: Share | None = None  # towards whose limits the body being received counts
 
     def on_headers_complete(self) -> None:
         """Find a request's tenant and check its key before the body is received.
@@ -116,7 +118,8 @@
             if name == b"host":
                 host_field = value
                 break
-        tenant = self.server.tenants_by_host.get(host_field.decode("latin-1"))  # the usual spelling
+        # Most clients send the name as the tenant's state has it, which needs no normalization.
+        tenant = self.server.tenants_by_host.get(host_field.decode("latin-1"))
         if tenant is None and len(host_field) <= MAX_HOST_FIELD_BYTES:
             tenant = self.server.find_tenant(host_field)
         self.requested_tenant, self.body_share = tenant, None
@@ -141,13 +144,14 @@
             self.key_error = error
 
     def has_body(self) -> bool:
+        """Whether the headers announce a body."""
         return any(
             name == b"transfer-encoding" or (name == b"content-length" and value != b"0")
             for name, value in self.headers
         )
 
     def count_towards(self, tenant: HostedTenant | None) -> None:
-        """Count this connection towards another tenant's limits.
+        """Count this connection towards the limits of another tenant, or of none.
 
         Raises BadRequest if that tenant has too many connections.
         """
--- a/ivymux/hosting/site.py
+++ b/ivymux/hosting/site.py
@@ -22,10 +22,12 @@
 
 
 class HostingLimits(Table, frozen=True):
+    """The limits of one gateway, common to all its tenants."""
+
     sockets: int = 4096
     memory_mb: float = 1024.0
-    body_kb: int = 1024
-    answer_kb: int = 4096
+    body_kb: int = 1024  # of one request
+    answer_kb: int = 4096  # of one answer
     tenant_upstream: int = 200  # connections to one tenant's workers
 
 
@@ -41,7 +43,7 @@
 
 
 class EtcdPart(Table, frozen=True):
-    """Access to a desired state in etcd v3, by its JSON gateway."""
+    """Access to a desired state in etcd v3, through etcd's JSON gateway."""
 
     endpoints: list[str]  # `http://HOST:PORT` or `https://...`
     prefix: str = "/ivymux/"  # of all keys
@@ -51,15 +53,17 @@
     cert: str = ""
     key: str = ""
     timeout: float = 2.0  # of one call, in seconds
-    cache: str = "cache"  # folder for the last known state, used while etcd can't be reached; empty: none
+    cache: str = "cache"  # folder for the last known state, used while etcd is unreachable; empty: no cache
 
 
 class HostingFile(Table, frozen=True):
+    """The content of an installation's file."""
+
     store: str = ""  # SQLite file of the desired state, relative to this file
     etcd: EtcdPart | None = None  # access to a desired state in etcd, instead of `store`
     listen: str = "127.0.0.1:8080"
-    admin: str = ""  # address of the administration API; empty: none
-    name: str = "door"
+    admin: str = ""  # address of the administration API; empty: not served
+    name: str = "door"  # of this gateway, in reports
     follow: float = 0.1  # seconds between reads of the desired state
     limits: HostingLimits = HostingLimits()
     tally: TallyPart = TallyPart()
--- a/ivymux/hosting/state_stores.py
+++ b/ivymux/hosting/state_stores.py
@@ -11,7 +11,7 @@
 from ivymux.desired.sqlite import SqliteStore
 from ivymux.hosting.site import EtcdPart, HostingFile
 
-# The etcd client is imported on use: it takes 8 MB and 0.2 s, which an installation with SQLite can save.
+# The etcd client is imported on use: the import takes 8 MB and 0.2 s, which installations with SQLite save.
 if TYPE_CHECKING:
     from ivymux.desired.etcd.client import Access
 
@@ -33,7 +33,7 @@
 
 
 def open_store(file: HostingFile, folder: Path) -> Store:
-    """Open the store to change the desired state.  Raises StoreError."""
+    """Open the store through which the administration API changes the desired state.  Raises StoreError."""
     if file.etcd is None:
         return SqliteStore(folder / file.store)
     from ivymux.desired.etcd.store import EtcdStore
@@ -42,7 +42,10 @@
 
 
 def open_gateway_store(file: HostingFile, folder: Path) -> GatewayStore:
-    """Open the store to follow the desired state.  Raises StoreError if there is no state to start from."""
+    """Open the store from which a gateway follows the desired state.
+
+    Raises StoreError if there is no state to start from.
+    """
     if file.etcd is None:
         return SqliteStore(folder / file.store)
     from ivymux.desired.etcd.follower import Follower
--- a/ivymux/hosting/tenant_counters.py
+++ b/ivymux/hosting/tenant_counters.py
@@ -70,7 +70,8 @@
     def add(self, count: Count) -> None:
         """Send a call to the shared counter, or fail it at once if too many are pending."""
         if self.pending_count >= MAX_PENDING_CALLS:
-            # Keeps the shared connections usable for other tenants; the decision module slows down on FULL.
+            # The limit keeps the shared connections usable for other tenants.  After the result FULL, the
+            # decision module slows its calls down.
             self.deliver(Counted(count.name, Outcome.FULL, 0.0, 0.0))
             return
         self.pending_count += 1
@@ -80,6 +81,7 @@
         )
 
     def on_result(self, result: Counted | Late) -> None:
+        """Pass a result to the decision module.  A late result belongs to a call that no longer counts."""
         if isinstance(result, Counted):
             self.pending_count -= 1
         self.deliver(result)
