--- a/ivymux/admin/app.py
+++ b/ivymux/admin/app.py
@@ -47,7 +47,7 @@
 WATCH_POLL_PERIOD_S = 0.2
 WATCH_KEEPALIVE_S = 15.0  # between comments on an idle watch, which keep its connection open
 PROBLEM_MEDIA_TYPE = "application/problem+json"
-Work = Callable[["Call"], Awaitable[Result]]
+Handler = Callable[["Call"], Awaitable[Result]]
 
 
 @dataclass(slots=True)
@@ -61,6 +61,7 @@
     context: RequestContext
 
     def name(self, part: str = "tenant") -> str:
+        """Return a path parameter: the tenant's name, or that of a `member`."""
         return str(self.request.path_params[part])
 
 
@@ -72,7 +73,7 @@
     path: str
     id: str
     summary: str
-    work: Work
+    handler: Handler
     answers: tuple[int, ...]
     body: dict[str, Any] | None = None
     merge: bool = False  # the body is a merge patch
@@ -110,8 +111,10 @@
     )
 
 
-def list_members(part: str) -> Work:
-    async def work(call: Call) -> Result:
+def list_members(part: str) -> Handler:
+    """Return the handler that lists a tenant's plans, customers or keys by pages."""
+
+    async def handle(call: Call) -> Result:
         after, limit = parse_page(call)
         stored = await call.operations.visible_tenant(call.principal, call.name())
         members = public_document(stored.tenant)[part]
@@ -120,33 +123,39 @@
         following = encode_cursor(names[limit - 1]) if len(names) > limit else None
         return Result(200, {"items": items, "next": following}, etag_of(stored.revision))
 
-    return work
+    return handle
+
 
+def put_member(part: str, merged: bool) -> Handler:
+    """Return the handler that replaces a plan, a customer or the limits, or merges a patch into it."""
 
-def put_member(part: str, merged: bool) -> Work:
-    async def work(call: Call) -> Result:
+    async def handle(call: Call) -> Result:
         if not isinstance(call.body, dict):
             raise ApiError(422, "send a JSON object")
         name = call.name("member") if part != "limits" else ""
         return await call.operations.change_part(call.context, call.name(), part, name, call.body, merged)
 
-    return work
+    return handle
+
 
+def delete_member(part: str) -> Handler:
+    """Return the handler that deletes a plan or a customer."""
 
-def delete_member(part: str) -> Work:
-    async def work(call: Call) -> Result:
+    async def handle(call: Call) -> Result:
         return await call.operations.change_part(
             call.context, call.name(), part, call.name("member"), None, False
         )
 
-    return work
+    return handle
 
 
-def get_member(part: str) -> Work:
-    async def work(call: Call) -> Result:
+def get_member(part: str) -> Handler:
+    """Return the handler that shows a plan, a customer or a key."""
+
+    async def handle(call: Call) -> Result:
         return await show(call, lambda stored: find_member(stored, part, call.name("member")))
 
-    return work
+    return handle
 
 
 async def get_routes(call: Call) -> Result:
@@ -160,13 +169,13 @@
 
 async def get_inventory(call: Call) -> Result:
     stored = await call.operations.visible_tenant(call.principal, call.name())
-    kept = stored.tenant.inventory
+    inventory = stored.tenant.inventory
     text = (
-        (await call.operations.read_text(stored.uid, kept.digest, {})).decode("utf-8", "replace")
-        if kept.digest
+        (await call.operations.read_text(stored.uid, inventory.digest, {})).decode("utf-8", "replace")
+        if inventory.digest
         else ""
     )
-    return Result(200, {"form": kept.form, "text": text}, etag_of(stored.revision))
+    return Result(200, {"form": inventory.form, "text": text}, etag_of(stored.revision))
 
 
 async def put_inventory(call: Call) -> Result:
@@ -179,13 +188,13 @@
     gateways = []
     for report in await call.operations.run(call.operations.store.reports):
         if stored.uid in report.usage:
-            problem_response = report.problems.get(stored.uid)
+            problem = report.problems.get(stored.uid)
             in_effect = report.revision >= stored.revision
             entry = {
                 "door": report.door,
                 "at": report.at,
                 "in_effect": in_effect,
-                "problem": problem_response,
+                "problem": problem,
             }
             gateways.append(entry | report.usage[stored.uid])
     total = {name: sum(d[name] for d in gateways) for name in ("served", "refused", "open")}
@@ -228,6 +237,7 @@
 
 
 def encode_cursor(text: str) -> str:
+    """Return the cursor of the page after an entry; clients don't depend on its form."""
     return base64.urlsafe_b64encode(text.encode()).decode().rstrip("=")
 
 
@@ -288,7 +298,7 @@
                 if "tenant" in request.path_params:
                     await self.operations.visible_tenant(principal, request.path_params["tenant"])
                 call = await self.read(request, operation, principal)
-                return to_response(await operation.work(call))
+                return to_response(await operation.handler(call))
             except ApiError as error:
                 return problem_response(error)
             except StoreError as error:
@@ -300,6 +310,7 @@
         return endpoint
 
     async def read(self, request: Request, operation: Operation, principal: Principal) -> Call:
+        """Parse the body, the preconditions and the options of a call.  Raises ApiError."""
         body = None
         raw = b""
         if operation.body is not None:
@@ -313,20 +324,25 @@
             except (ValueError, RecursionError):
                 raise ApiError(400, "the body is no JSON") from None
         origin = request.client.host if request.client else ""
-        match = parse_if_match(request.headers.get("if-match")) if operation.changes else 0
-        repeat = None
+        expected_revision = parse_if_match(request.headers.get("if-match")) if operation.changes else 0
+        idempotency = None
         if operation.creates:
             key = request.headers.get("idempotency-key", "")
             if not (1 <= len(key) <= 200 and key.isascii() and key.isprintable()):
                 raise ApiError(400, "send an Idempotency-Key of 1 to 200 plain characters")
             scope = f"{principal.id} {request.method} {request.url.path} {key}"
-            repeat = sha256(scope.encode()).hexdigest(), sha256(raw).hexdigest()
-        dry = parse_flag(request, "dry_run") if operation.changes or operation.creates else False
+            idempotency = sha256(scope.encode()).hexdigest(), sha256(raw).hexdigest()
+        dry_run = parse_flag(request, "dry_run") if operation.changes or operation.creates else False
         return Call(
-            self.operations, principal, request, body, RequestContext(principal, origin, match, dry, repeat)
+            self.operations,
+            principal,
+            request,
+            body,
+            RequestContext(principal, origin, expected_revision, dry_run, idempotency),
         )
 
     async def body(self, request: Request) -> bytes:
+        """Receive a body of at most MAX_BODY_BYTES.  Raises ApiError."""
         parts, size = [], 0
         async for part in request.stream():
             size += len(part)
@@ -354,7 +370,8 @@
         )  # fmt: skip
 
     async def events(self, request: Request, principal: Principal, name: str, uid: str) -> AsyncIterator[str]:
-        last, alive = 0, time.monotonic()
+        """Yield a watch's events until the client leaves, its key is revoked or the tenant is deleted."""
+        last, last_sent_at = 0, time.monotonic()
         try:
             while not await request.is_disconnected():
                 try:
@@ -372,16 +389,17 @@
                 if stored.revision != last:
                     last = stored.revision
                     yield f"id: {last}\nevent: changed\ndata: {json.dumps({'etag': etag_of(last)})}\n\n"
-                    alive = time.monotonic()
-                elif time.monotonic() - alive > WATCH_KEEPALIVE_S:
+                    last_sent_at = time.monotonic()
+                elif time.monotonic() - last_sent_at > WATCH_KEEPALIVE_S:
                     yield ": alive\n\n"
-                    alive = time.monotonic()
+                    last_sent_at = time.monotonic()
                 await asyncio.sleep(max(WATCH_POLL_PERIOD_S, 10 * self.operations.store.poll_interval_s))
         finally:
             self.watches -= 1
 
 
 def reject_constant(name: str) -> Any:
+    """Refuse NaN and Infinity, which Python's JSON parser accepts.  Raises ValueError."""
     raise ValueError(name)
 
 
@@ -397,6 +415,7 @@
 
 
 def problem_response(error: ApiError) -> Response:
+    """Return an error as problem details (RFC 9457)."""
     title = TITLES.get(error.status, "Error")
     body = {
         "type": "about:blank",
@@ -410,6 +429,7 @@
 
 
 def to_response(result: Result) -> Response:
+    """Return the HTTP response for an operation's result."""
     headers = {"Cache-Control": "no-store"}
     if result.etag:
         headers["ETag"] = result.etag
@@ -452,22 +472,24 @@
 def change_of(method: str) -> Callable[[Call], Awaitable[Result]]:
     """Return the handler for a method of TenantOperations that takes context, tenant name and body."""
 
-    async def work(call: Call) -> Result:
+    async def handle(call: Call) -> Result:
         result: Result = await getattr(call.operations, method)(call.context, call.name(), call.body)
         return result
 
-    return work
+    return handle
 
 
 def member_change(method: str, body: bool = False) -> Callable[[Call], Awaitable[Result]]:
-    async def work(call: Call) -> Result:
+    """Return the handler for a method of TenantOperations that takes a member's name too."""
+
+    async def handle(call: Call) -> Result:
         more = (call.body,) if body else ()
         result: Result = await getattr(call.operations, method)(
             call.context, call.name(), call.name("member"), *more
         )
         return result
 
-    return work
+    return handle
 
 
 async def delete_tenant(call: Call) -> Result:
@@ -475,6 +497,7 @@
 
 
 def api_operations() -> list[Operation]:
+    """Return all operations of the API."""
     found = [
         Operation("GET", "/v1/tenants", "listTenants", "All tenants", list_tenants,
                   (200, 400, 401, 403, 429, 503), query=PAGED),
@@ -522,22 +545,24 @@
                   member_change("drop_admin"), DROPPED, changes=True),
     ]  # fmt: skip
     for part, kind, title in (("plans", PlanPart, "Plan"), ("customers", CustomerPart, "Customer")):
-        at, one = f"{TENANT}/{part}", f"{TENANT}/{part}/{{member}}"
+        list_path, member_path = f"{TENANT}/{part}", f"{TENANT}/{part}/{{member}}"
         created = (*CHANGED, 201)
         found += [
-            Operation("GET", at, f"list{title}s", f"All {part}", list_members(part), LISTED, query=PAGED),
-            Operation("GET", one, f"get{title}", f"A {part[:-1]}", get_member(part), READ),
-            Operation("PUT", one, f"put{title}", f"Make or replace a {part[:-1]}", put_member(part, False),
-                      created, schema_ref(kind), changes=True),
-            Operation("PATCH", one, f"patch{title}", f"Change parts of a {part[:-1]}",
+            Operation("GET", list_path, f"list{title}s", f"All {part}", list_members(part), LISTED,
+                      query=PAGED),
+            Operation("GET", member_path, f"get{title}", f"A {part[:-1]}", get_member(part), READ),
+            Operation("PUT", member_path, f"put{title}", f"Make or replace a {part[:-1]}",
+                      put_member(part, False), created, schema_ref(kind), changes=True),
+            Operation("PATCH", member_path, f"patch{title}", f"Change parts of a {part[:-1]}",
                       put_member(part, True), CHANGED, OBJECT, merge=True, changes=True),
-            Operation("DELETE", one, f"delete{title}", f"Take a {part[:-1]} away", delete_member(part),
-                      DROPPED, changes=True),
+            Operation("DELETE", member_path, f"delete{title}", f"Take a {part[:-1]} away",
+                      delete_member(part), DROPPED, changes=True),
         ]  # fmt: skip
     return found
 
 
 def parameters(operation: Operation) -> list[dict[str, Any]]:
+    """Return the parameters of an operation for the OpenAPI document."""
     found: list[dict[str, Any]] = []
     for name in ("tenant", "member"):
         if f"{{{name}}}" in operation.path:
@@ -620,6 +645,8 @@
 def dispatch(
     endpoints: dict[str, Callable[[Request], Awaitable[Response]]],
 ) -> Callable[[Request], Awaitable[Response]]:
+    """Return the endpoint of a path, which calls the endpoint of the request's method."""
+
     async def endpoint(request: Request) -> Response:
         return await endpoints["GET" if request.method == "HEAD" else request.method](request)
 
--- a/ivymux/admin/authorization.py
+++ b/ivymux/admin/authorization.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MAX_CALLERS = 4096  # with a token bucket of their own
-CALLS_PER_S, BURST_CALLS = 20.0, 60.0  # of one key, and of one client address
+MAX_CALLERS = 4096  # whose token buckets are kept
+CALLS_PER_S, BURST_CALLS = 20.0, 60.0  # for each key, and for each client address
 FAILED_CALL_COST = 10.0  # in calls, of a call without a valid key
 OPERATOR_PARTS = frozenset(("hosts", "limits", "suspended"))  # parts that only an operator may change
-SEPARATE_PARTS = frozenset(("keys", "routes", "inventory"))  # parts with resources of their own
+SEPARATE_PARTS = frozenset(("keys", "routes", "inventory"))  # parts that have their own resources in the API
 
 
 class ApiError(Exception):
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Principal:
-    """The owner of a call's key; `uid` is the tenant's, or empty for an operator."""
+    """The owner of the key of a call; `uid` is the tenant's, or empty for an operator."""
 
     id: str
     name: str
@@ -34,6 +34,7 @@
         return not self.uid
 
     def may_see(self, uid: str) -> bool:
+        """Whether the principal may read the tenant with this uid."""
         return self.is_operator or self.uid == uid
 
 
--- a/ivymux/admin/operations.py
+++ b/ivymux/admin/operations.py
@@ -181,21 +181,21 @@
         )  # fmt: skip
         try:
             revision = await self.run(self.store.commit, change)
-        except RevisionConflict as lost:
+        except RevisionConflict as conflict:
             if (
                 context.idempotency is not None
                 and (earlier := await self.replayed_result(context)) is not None
             ):
                 return earlier  # the same creation was committed concurrently
-            self.raise_lost(context, uid, lost, before)
+            self.raise_conflict(context, uid, conflict, before)
         in_effect = await self.wait_until_in_effect(revision)
         return Result(edit.status, edit.body, etag_of(revision) if edit.tenant is not None else "", in_effect)
 
-    def raise_lost(
-        self, context: RequestContext, uid: str, lost: RevisionConflict, before: StoredTenant | None
+    def raise_conflict(
+        self, context: RequestContext, uid: str, conflict: RevisionConflict, before: StoredTenant | None
     ) -> NoReturn:
-        """Answer a change that lost to a concurrent one."""
-        current = lost.current
+        """Raise the ApiError for a change that was not made because a concurrent one was committed first."""
+        current = conflict.current
         if before is None:
             raise ApiError(409, "there is a tenant of this name")
         if current is None or current.uid != uid:
@@ -203,12 +203,14 @@
         self.raise_outdated(context, current)
 
     def raise_outdated(self, context: RequestContext, current: StoredTenant) -> NoReturn:
+        """Raise the ApiError for a change that was based on an outdated revision."""
         raise ApiError(
             412, "it was changed meanwhile: read it again", {"ETag": etag_of(current.revision)},
             current=etag_of(current.revision), since=context.expected,
         )  # fmt: skip
 
     async def check_expected(self, context: RequestContext, stored: StoredTenant) -> None:
+        """Raise ApiError, with the changes since, if a tenant's revision is not the expected one."""
         if context.expected != stored.revision:
             audit = await self.run(self.store.audit, stored.uid, 1 << 60, 20)
             changes = [
@@ -270,6 +272,7 @@
         return tenant, new_blobs, findings
 
     async def read_text(self, uid: str, name: str, new_blobs: Mapping[str, bytes]) -> bytes:
+        """Return a text by its digest, from the blobs of a change or from the store.  Raises ApiError."""
         if name in new_blobs:
             return new_blobs[name]
         data: bytes | None = await self.run(self.store.blob, name, uid)
@@ -277,19 +280,19 @@
             raise ApiError(503, "a text of the tenant is not there; its operator has to restore the store")
         return data
 
-    async def change(self, context: RequestContext, name: str, action: str, work: Any) -> Result:
-        """Change a tenant; `work` prepares a TenantEdit from its current state."""
+    async def change(self, context: RequestContext, name: str, action: str, prepare_edit: Any) -> Result:
+        """Change a tenant; `prepare_edit` makes a TenantEdit from its current state."""
         stored = await self.visible_tenant(context.principal, name)
         if (earlier := await self.replayed_result(context)) is not None:
             return earlier
         if context.idempotency is None:
             await self.check_expected(context, stored)
         else:
-            # A creation has no precondition: it is added to the current state.
+            # A creation has no If-Match, so it is made from the current state.
             context = RequestContext(
                 context.principal, context.origin, stored.revision, context.dry_run, context.idempotency
             )
-        edit: TenantEdit = await work(stored.tenant)
+        edit: TenantEdit = await prepare_edit(stored.tenant)
         if edit.tenant is not None and edit.tenant is not stored.tenant:
             checked = await self.build_tenant(stored.uid, edit.tenant, stored.tenant, edit.blobs)
             edit.tenant, edit.blobs, _ = checked
@@ -297,11 +300,12 @@
             return await self.commit(context, name, stored, edit, action, stored.uid)
         except ApiError as error:
             if error.status == 412 and context.idempotency is not None:
-                # RevisionConflict to a concurrent change: add to its state.
-                return await self.change(context, name, action, work)
+                # A concurrent change was committed first: make the creation from the new state.
+                return await self.change(context, name, action, prepare_edit)
             raise
 
     async def create(self, context: RequestContext, document: Any) -> Result:
+        """Create a tenant from a name and any parts that a merge patch may have."""
         if not context.principal.is_operator:
             raise ApiError(403, "only an operator makes tenants")
         if not isinstance(document, dict) or not isinstance(name := document.get("name"), str):
@@ -322,21 +326,22 @@
         if not context.principal.is_operator:
             raise ApiError(403, "only an operator deletes tenants")
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             return TenantEdit(None, None, 204)
 
-        return await self.change(context, name, "delete", work)
+        return await self.change(context, name, "delete", prepare_edit)
 
     # --- parts -----------------------------------------------------------------------------------------
 
     async def patch(self, context: RequestContext, name: str, patch: Any) -> Result:
+        """Apply a merge patch to a tenant."""
         allowed = checked_patch(context.principal, patch)
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             changed = read_document(merge(msgspec.to_builtins(tenant), allowed))
             return TenantEdit(changed, public_document(changed))
 
-        return await self.change(context, name, "patch", work)
+        return await self.change(context, name, "patch", prepare_edit)
 
     async def change_part(
         self, context: RequestContext, name: str, part: str, member: str, value: Any, merged: bool
@@ -345,7 +350,7 @@
         if part == "limits" and not context.principal.is_operator:
             raise ApiError(403, "only an operator changes limits")
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             document = msgspec.to_builtins(tenant)
             if part == "limits":
                 document["limits"] = merge(document["limits"], value) if merged else value
@@ -365,14 +370,15 @@
             body = msgspec.to_builtins(getattr(changed, part)[member])
             return TenantEdit(changed, body, 200 if exists else 201)
 
-        return await self.change(context, name, f"{part} {member}".strip(), work)
+        return await self.change(context, name, f"{part} {member}".strip(), prepare_edit)
 
     async def add_key(self, context: RequestContext, name: str, body: Any) -> Result:
+        """Create a caller's key, which is shown in this answer only."""
         customer = body.get("customer") if isinstance(body, dict) else None
         if not isinstance(customer, str) or set(body) != {"customer"}:
             raise ApiError(422, 'a key is made for a customer: send {"customer": NAME}')
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             if customer not in tenant.customers:
                 raise ApiError(422, "there is no such customer")
             key_id, key, stored_key = secret.create_key(secret.CALLER_PREFIX, time.time())
@@ -383,10 +389,10 @@
             return TenantEdit(replace(tenant, keys=tenant.keys | {key_id: entry}), answer | {"key": key}, 201,
                         remembered=answer)  # fmt: skip
 
-        return await self.change(context, name, "make key", work)
+        return await self.change(context, name, "make key", prepare_edit)
 
     async def rotate_key(self, context: RequestContext, name: str, key_id: str, body: Any) -> Result:
-        """Replace a key, which stays valid for an overlap of some seconds."""
+        """Create a key in place of another one, which stays valid for `overlap` seconds."""
         overlap = body.get("overlap", 86_400.0) if isinstance(body, dict) else None
         if (
             not isinstance(overlap, int | float)
@@ -395,7 +401,7 @@
         ):
             raise ApiError(422, f"overlap is seconds, from 0 to {MAX_OVERLAP_S:g}")
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             old = tenant.keys.get(key_id)
             if old is None:
                 raise ApiError(404, "there is no such key")
@@ -410,30 +416,34 @@
             answer = {"id": new_id, "customer": old.customer, "made": now, "replaces": key_id, "until": ends}
             return TenantEdit(replace(tenant, keys=keys), answer | {"key": key}, 201, remembered=answer)
 
-        return await self.change(context, name, "rotate key", work)
+        return await self.change(context, name, "rotate key", prepare_edit)
 
     async def drop_key(self, context: RequestContext, name: str, key_id: str) -> Result:
-        async def work(tenant: Tenant) -> TenantEdit:
+        """Revoke a caller's key."""
+
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             if key_id not in tenant.keys:
                 raise ApiError(404, "there is no such key")
             return TenantEdit(
                 replace(tenant, keys={k: e for k, e in tenant.keys.items() if k != key_id}), None, 204
             )
 
-        return await self.change(context, name, "revoke key", work)
+        return await self.change(context, name, "revoke key", prepare_edit)
 
     async def put_routes(self, context: RequestContext, name: str, body: Any) -> Result:
+        """Replace a tenant's description of routes."""
         main, files, base = parse_routes(body)
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             blobs = {digest(data): data for data in files.values()}
             digests = {file: digest(data) for file, data in files.items()}
             changed = replace(tenant, routes=RoutesPart(main=main, files=digests, base=base))
             return TenantEdit(changed, {"main": main, "files": digests, "base": base}, 200, blobs)
 
-        return await self.change(context, name, "put routes", work)
+        return await self.change(context, name, "put routes", prepare_edit)
 
     async def put_inventory(self, context: RequestContext, name: str, body: Any, confirm: str) -> Result:
+        """Replace a tenant's list of workers; `confirm` is the code for a change that was held back."""
         try:
             given = msgspec.convert(body, InventoryBody)
         except msgspec.ValidationError as error:
@@ -453,7 +463,7 @@
         ])  # fmt: skip
         stored = await self.visible_tenant(context.principal, name)
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             packed = msgspec.msgpack.encode(reading.inventory)
             ref = InventoryRef(form=given.form, digest=digest(data), parsed=digest(packed),
                                limits=tenant.inventory.limits)  # fmt: skip
@@ -469,9 +479,10 @@
                 replace(tenant, inventory=ref), body, 200, {ref.digest: data, ref.parsed: packed}
             )
 
-        return await self.change(context, name, "put inventory", work)
+        return await self.change(context, name, "put inventory", prepare_edit)
 
     async def add_admin(self, context: RequestContext, name: str, body: Any) -> Result:
+        """Create an administrator's key, which is shown in this answer only."""
         admin_name = body.get("name") if isinstance(body, dict) and len(body) == 1 else None
         if not isinstance(admin_name, str) or not 1 <= len(admin_name) <= 100 or not admin_name.isprintable():
             raise ApiError(422, 'an administrator has a name: send {"name": NAME}')
@@ -479,7 +490,7 @@
         if len(await self.run(self.store.admins, stored.uid)) >= MAX_ADMINS:
             raise ApiError(409, f"a tenant has at most {MAX_ADMINS} administrators: dismiss one first")
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             key_id, key, stored_key = secret.create_key(secret.ADMIN_PREFIX, time.time())
             answer = {"id": key_id, "name": admin_name, "made": stored_key.made}
             changes = [{"path": f"/administrators/{key_id}", "after": admin_name}]
@@ -488,37 +499,42 @@
                 tenant, answer | {"key": key}, 201, add_admins=[admin], remembered=answer, changes=changes
             )
 
-        return await self.change(context, name, "appoint", work)
+        return await self.change(context, name, "appoint", prepare_edit)
 
     async def drop_admin(self, context: RequestContext, name: str, key_id: str) -> Result:
+        """Revoke an administrator's key."""
         stored = await self.visible_tenant(context.principal, name)
         if key_id not in {a.id for a in await self.run(self.store.admins, stored.uid)}:
             raise ApiError(404, "there is no such administrator")
 
-        async def work(tenant: Tenant) -> TenantEdit:
+        async def prepare_edit(tenant: Tenant) -> TenantEdit:
             return TenantEdit(tenant, None, 204, drop_admins=[key_id],
                         changes=[{"path": f"/administrators/{key_id}", "before": key_id}])  # fmt: skip
 
-        return await self.change(context, name, "dismiss", work)
+        return await self.change(context, name, "dismiss", prepare_edit)
 
 
 class InventoryBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    # The body of a PUT of an inventory; a docstring would become part of the OpenAPI document.
     text: str
     form: Literal["csv", "yaml"] = "csv"
 
 
 def raise_errors(findings: list[Finding]) -> None:
+    """Raise ApiError if one of the findings is an error."""
     if any(f.level == "error" for f in findings):
         raise findings_error(findings)
 
 
 def findings_error(findings: list[Finding]) -> ApiError:
+    """Return the ApiError that has the findings in its problem details."""
     errors = [f for f in findings if f.level == "error"]
     detail = f"{errors[0].path or 'it'}: {errors[0].text}" if errors else "it can't be taken"
     return ApiError(422, detail, findings=msgspec.to_builtins(findings[:100]))
 
 
 def read_document(document: Any) -> Tenant:
+    """Convert a JSON document to a tenant.  Raises ApiError."""
     try:
         return parse_tenant(document)
     except TenantError as error:
@@ -526,6 +542,7 @@
 
 
 def parse_routes(body: Any) -> tuple[str, dict[str, bytes], str | None]:
+    """Return the main file's name, the files by name and the base path.  Raises ApiError."""
     if not isinstance(body, dict) or set(body) - {"main", "files", "base"}:
         raise ApiError(422, "routes are main, files and base")
     files, main, base = body.get("files"), body.get("main"), body.get("base")
@@ -548,6 +565,7 @@
 
 
 async def compile_routes(texts: Texts) -> CompiledDescription:
+    """Compile a description in a child process.  Raises ApiError with the findings."""
     try:
         return await compile_texts(texts)
     except DescriptionError as error:
