--- a/ivymux/__main__.py
+++ b/ivymux/__main__.py
@@ -5,7 +5,8 @@
 import signal
 import sys
 
-ROLES = ("proxy", "registry", "config_store")  # the system's programs: they import little, to start fast
+ROLES = ("proxy", "registry", "config_store")  # programs that import few modules, so that they start fast
+# Former names of the roles, for which the error message gives the present one.
 FORMER_ROLES = {"switchboard": "proxy", "directory": "registry", "exchange": "config_store"}
 
 if __name__ == "__main__":
--- a/ivymux/cli/__init__.py
+++ b/ivymux/cli/__init__.py
@@ -14,6 +14,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
+    """Return the parser of all commands; the parsed arguments have the command's function as `run`."""
     from ivymux.cli import admin, check, demo, host, inventory, key, routes, serve, tally, tenant
 
     parser = argparse.ArgumentParser(
--- a/ivymux/cli/admin.py
+++ b/ivymux/cli/admin.py
@@ -1,6 +1,7 @@
 """`ivymux admin`: serves the administration API of an installation.
 
-`ivymux operator` makes a first key for it; `ivymux backup` and `ivymux restore` copy the desired state.
+`ivymux operator` creates the first key of that API; `ivymux backup` and `ivymux restore` copy the desired
+state.
 """
 
 from __future__ import annotations
@@ -19,15 +20,17 @@
     parser = subparsers.add_parser("admin", help="serve the administration API", description=__doc__)
     parser.add_argument("file", type=Path, metavar="HOSTING.toml")
     parser.set_defaults(run=run)
-    operator = subparsers.add_parser("operator", help="make an operator's key for the administration API")
+    operator = subparsers.add_parser("operator", help="create an operator's key for the administration API")
     operator.add_argument("file", type=Path, metavar="HOSTING.toml")
     operator.add_argument("name", help="the operator's name, for the audit record")
     operator.set_defaults(run=run_operator)
-    backup = subparsers.add_parser("backup", help="copy the whole desired state while it is in use")
+    backup = subparsers.add_parser("backup", help="copy the whole desired state, also while it is in use")
     backup.add_argument("file", type=Path, metavar="HOSTING.toml")
     backup.add_argument("copy", type=Path, metavar="COPY")
     backup.set_defaults(run=run_backup)
-    restore = subparsers.add_parser("restore", help="restore a copy; no process may have the store open")
+    restore = subparsers.add_parser(
+        "restore", help="restore a copy; no process may have an SQLite store open meanwhile"
+    )
     restore.add_argument("file", type=Path, metavar="HOSTING.toml")
     restore.add_argument("copy", type=Path, metavar="COPY")
     restore.set_defaults(run=run_restore)
@@ -56,7 +59,7 @@
     hosting, store = open_hosting(path)
     try:
         if hosting.admin is None:
-            raise ConfigError(f"{path}: admin names no address to listen on")
+            raise ConfigError(f"{path}: admin is not set: the API needs an address to listen on")
         config = uvicorn.Config(
             application(store, hosting.address_rules), host=hosting.admin.host, port=hosting.admin.port,
             log_level="warning", access_log=False, server_header=False, limit_concurrency=256,
@@ -141,5 +144,5 @@
     if file.etcd is None:
         print("restored; start the gateways and the administration API again")
     else:
-        print("restored; gateways that follow this etcd go over to it by themselves")
+        print("restored; gateways that follow this etcd switch to the restored state by themselves")
     return 0
--- a/ivymux/cli/demo.py
+++ b/ivymux/cli/demo.py
@@ -75,7 +75,7 @@
     try:
         uvloop.run(demo(args))
     except (ConfigError, DescriptionError, CompilerError, OSError) as error:
-        return fail(f"{error}; --listen names another address" if "listen" in str(error) else error)
+        return fail(f"{error}; choose another address by --listen" if "listen" in str(error) else error)
     return 0
 
 
--- a/ivymux/cli/host.py
+++ b/ivymux/cli/host.py
@@ -15,14 +15,15 @@
 
 def add_parser(subparsers: Any) -> None:
     parser = subparsers.add_parser(
-        "host", help="serve many tenants by their desired state", description=__doc__
+        "host", help="serve many tenants as their desired state defines", description=__doc__
     )
     parser.add_argument("file", type=Path, metavar="HOSTING.toml")
     parser.set_defaults(run=run)
 
 
 def run(args: argparse.Namespace) -> int:
-    # SIGHUP's default action would end the process.  It is ignored, as the desired state is followed anyway.
+    # SIGHUP's default action would end the process.  It is ignored, since changes of the desired state are
+    # applied without it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import uvloop
 
@@ -39,7 +40,7 @@
 
 
 async def host(path: Path) -> None:
-    """Serve until SIGTERM or SIGINT."""
+    """Serve until SIGTERM or SIGINT.  Raises ConfigError, StoreError."""
     from ivymux.hosting.hosting_gateway import HostingGateway, load_hosting
     from ivymux.hosting.state_stores import open_gateway_store
 
--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -1,4 +1,4 @@
-"""`ivymux inventory`: checks, converts and applies lists of workers; shows a gateway's history of them."""
+"""`ivymux inventory`: checks, converts and applies lists of workers, and shows the lists of a gateway."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 def add_parser(subparsers: Any) -> None:
     parser = subparsers.add_parser(
-        "inventory", help="check and apply lists of workers, confirm, roll back", description=__doc__
+        "inventory", help="check, apply, confirm and roll back lists of workers", description=__doc__
     )
     subcommands = parser.add_subparsers(title="commands", metavar="COMMAND", required=True)
     check = subcommands.add_parser("check", help="report errors and warnings in a list")
     check.add_argument("files", type=Path, nargs="+", metavar="FILE")
-    check.add_argument("--json", action="store_true", help="one JSON object for scripts")
+    check.add_argument("--json", action="store_true", help="print one JSON object, for scripts")
     check.set_defaults(run=run_check)
     show = subcommands.add_parser("show", help="print a list as CSV, whatever its format")
     show.add_argument("file", type=Path, metavar="FILE")
@@ -32,10 +32,16 @@
     apply = subcommands.add_parser("apply", help="check a list and install it where a gateway follows it")
     apply.add_argument("site", type=Path, metavar="SITE.toml")
     apply.add_argument("file", type=Path, metavar="FILE")
-    apply.add_argument("--confirm", default="", metavar="CODE", help="for a change that is held back")
-    apply.add_argument("--dry-run", action="store_true", help="show what would happen without a change")
     apply.add_argument(
-        "--wait", type=float, default=10.0, metavar="SECONDS", help="for the gateway to take it"
+        "--confirm", default="", metavar="CODE", help="the code that confirms a change that is held back"
+    )
+    apply.add_argument("--dry-run", action="store_true", help="only show what would be changed")
+    apply.add_argument(
+        "--wait",
+        type=float,
+        default=10.0,
+        metavar="SECONDS",
+        help="how long the gateway may take to apply it",
     )
     apply.set_defaults(run=run_apply)
     diff = subcommands.add_parser(
@@ -52,9 +58,11 @@
         command = subcommands.add_parser(name, help=text)
         command.add_argument("site", type=Path, metavar="SITE.toml")
         if name == "confirm":
-            command.add_argument("code", metavar="CODE", help="from the gateway's log")
+            command.add_argument("code", metavar="CODE", help="the code in the gateway's log")
         elif name == "rollback":
-            command.add_argument("number", type=int, metavar="NUMBER", help="from the history")
+            command.add_argument(
+                "number", type=int, metavar="NUMBER", help="the list's number in the history"
+            )
         command.set_defaults(run=run)
 
 
@@ -104,7 +112,7 @@
         print(error, file=sys.stderr)
         return 1
     except FileExistsError:
-        return fail(f"{args.out} is there already: name another or give --force")
+        return fail(f"{args.out} already exists: choose another name, or overwrite it with --force")
     except OSError as error:
         return fail(error)
     for finding in reading.warnings:
@@ -123,7 +131,7 @@
         site = load_site(args.site)
         part = site.file.inventory
         if part is None:
-            raise ConfigError(f"{args.site}: there is no [inventory]: its workers are in the file itself")
+            raise ConfigError(f"{args.site}: there is no [inventory]: the site file lists the workers itself")
         store = open_snapshot_store(args.site) if part.state else None
         last = store.load_last() if store is not None else None
         own = ((site.listen.host, site.listen.port),)
@@ -143,7 +151,7 @@
         code = proposal.verdict.confirmation
         if not proposal.verdict.passes and args.confirm != code:
             if args.confirm:
-                print(f"{args.confirm} confirms another change", file=sys.stderr)
+                print(f"{args.confirm} is the code of another change", file=sys.stderr)
             print(f"nothing was changed; if the change is intended, repeat with --confirm {code}")
             return 1
     if args.dry_run:
@@ -156,7 +164,9 @@
     except OSError as error:
         return fail(error)
     if store is None:
-        print(f"{proposal.target}: written; without inventory.state only the log tells the result")
+        print(
+            f"{proposal.target}: written; see the gateway's log for the result, as inventory.state is not set"
+        )
         return 0
     snapshot = list_change.wait_until_stored(store, proposal.reading.inventory, args.wait)
     if snapshot is None:
@@ -209,7 +219,7 @@
 
     part = load_site(path).file.inventory
     if part is None or not part.state:
-        raise ConfigError(f"{path}: inventory.state names no folder: nothing is kept on disk")
+        raise ConfigError(f"{path}: inventory.state is not set: the gateway stores no lists on disk")
     return SnapshotStore(path.parent / part.state)
 
 
@@ -235,7 +245,7 @@
 
 
 def send_command(site: Path, command: str, argument: str) -> int:
-    """Write a command for the running gateway, whose log will tell the result; return the exit code."""
+    """Write a command for the running gateway, which logs the result; return the exit code."""
     from ivymux.data_plane.limits import ConfigError
 
     try:
--- a/ivymux/cli/routes.py
+++ b/ivymux/cli/routes.py
@@ -18,9 +18,9 @@
     subcommands = parser.add_subparsers(title="commands", metavar="COMMAND", required=True)
     check = subcommands.add_parser("check", help="report errors and warnings in a description")
     check.add_argument("file", type=Path, metavar="FILE")
-    check.add_argument("--json", action="store_true", help="one JSON object for scripts")
+    check.add_argument("--json", action="store_true", help="print one JSON object, for scripts")
     check.add_argument("--strict", action="store_true", help="exit with 1 also if there are only warnings")
-    check.add_argument("--base", metavar="PATH", help="a base path instead of those of servers")
+    check.add_argument("--base", metavar="PATH", help="a base path in place of those of `servers`")
     check.set_defaults(run=run_check)
     match = subcommands.add_parser(
         "match",
@@ -28,7 +28,7 @@
         description="Reads lines METHOD TARGET on standard input; prints one JSON object a line.",
     )
     match.add_argument("file", type=Path, metavar="FILE")
-    match.add_argument("--base", metavar="PATH", help="a base path instead of those of servers")
+    match.add_argument("--base", metavar="PATH", help="a base path in place of those of `servers`")
     match.set_defaults(run=run_match)
 
 
--- a/ivymux/cli/serve.py
+++ b/ivymux/cli/serve.py
@@ -21,8 +21,8 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    # SIGHUP's default action would end the process.  It can be ignored until the event loop handles it: the
-    # files are read at the start anyway.
+    # SIGHUP's default action would end the process.  It can be ignored until the event loop handles it, as
+    # the files have not been read before that.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import uvloop
 
@@ -48,7 +48,10 @@
 
 
 async def serve(path: Path) -> None:
-    """Serve until SIGTERM or SIGINT; SIGHUP reads the site and its description again."""
+    """Serve until SIGTERM or SIGINT; on SIGHUP the site file and its description are read again.
+
+    Raises ConfigError, DescriptionError, CompilerError.
+    """
     from ivymux.service.standalone import open_standalone
 
     loop = asyncio.get_running_loop()
--- a/ivymux/cli/tally.py
+++ b/ivymux/cli/tally.py
@@ -1,4 +1,4 @@
-"""`ivymux tally`: the counter service that gateways share, as a program of its own."""
+"""`ivymux tally`: serves the quota counters that several gateways share."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def add_parser(subparsers: Any) -> None:
-    parser = subparsers.add_parser("tally", help="serve the counter that gateways share", description=__doc__)
+    parser = subparsers.add_parser("tally", help="serve quota counters for gateways", description=__doc__)
     parser.add_argument("--listen", default="127.0.0.1:6400", metavar="HOST:PORT")
     parser.add_argument(
-        "--file", type=Path, help="store the counts in this file, to keep them over a restart"
+        "--file", type=Path, help="keep the counts in this file, so that they survive a restart"
     )
-    parser.add_argument("--names", type=int, default=1_000_000, help="maximum number of names at a time")
+    parser.add_argument("--names", type=int, default=1_000_000, help="maximum number of counters at a time")
     parser.set_defaults(run=run)
 
 
--- a/ivymux/cli/tenant.py
+++ b/ivymux/cli/tenant.py
@@ -19,7 +19,7 @@
 from ivymux.cli import fail
 
 TIMEOUT_S = 60.0
-MAX_ATTEMPTS = 3
+MAX_ATTEMPTS = 3  # of one call
 MAX_ANSWER_BYTES = 64 << 20
 
 
@@ -38,9 +38,9 @@
         """Raises CallError."""
         parts = urlsplit(address)
         if parts.scheme not in ("http", "https") or not parts.hostname:
-            raise CallError("IVYMUX_ADMIN is no address: write http://HOST:PORT", 2)
+            raise CallError("IVYMUX_ADMIN is not an address: write http://HOST:PORT", 2)
         if not key:
-            raise CallError("IVYMUX_ADMIN_KEY is empty: ivymux operator makes a first key", 2)
+            raise CallError("IVYMUX_ADMIN_KEY is empty: create a first key with ivymux operator", 2)
         self.parts, self.key = parts, key
 
     def call(
@@ -48,7 +48,7 @@
     ) -> tuple[Any, http.client.HTTPMessage]:
         """Make a call; return the answer's JSON and headers.  Raises CallError.
 
-        Repeats a read, and a POST under the same Idempotency-Key, if its answer is lost.
+        A GET, and a POST under the same Idempotency-Key, is repeated if the answer is lost.
         """
         headers = {"Authorization": f"Bearer {self.key}"}
         if etag:
@@ -89,7 +89,7 @@
             body = json.loads(text) if text else None
         except ValueError:
             raise CallError(
-                f"the answer {answer.status} is no JSON: is this the administration API?", 2
+                f"the answer {answer.status} is not JSON: is this the administration API?", 2
             ) from None
         if answer.status >= 400:
             raise CallError(problem_text(answer.status, body), 1)
@@ -112,7 +112,7 @@
 
 
 def problem_text(status: int, body: Any) -> str:
-    """Return problem details as lines for the terminal."""
+    """Format problem details (RFC 9457) for the terminal."""
     if not isinstance(body, dict):
         return f"{status}"
     lines = [f"{body.get('title', status)}: {body.get('detail', '')}"]
@@ -133,7 +133,7 @@
 
 def add_parser(subparsers: Any) -> None:
     parser = subparsers.add_parser(
-        "tenant", help="change tenants by the administration API", description=__doc__
+        "tenant", help="change tenants through the administration API", description=__doc__
     )
     subcommands = parser.add_subparsers(title="commands", metavar="COMMAND", required=True)
 
@@ -141,16 +141,16 @@
         command_parser = subcommands.add_parser(name, help=help_text)
         for argument in arguments:
             command_parser.add_argument(argument, metavar=argument.upper())
-        command_parser.add_argument("--json", action="store_true", help="for scripts")
+        command_parser.add_argument("--json", action="store_true", help="print JSON on one line, for scripts")
         if changes:
-            command_parser.add_argument("--dry-run", action="store_true", help="tell what would change")
+            command_parser.add_argument("--dry-run", action="store_true", help="only show what would change")
         command_parser.set_defaults(run=with_client(run))
         return command_parser
 
     command("list", "list all tenants", run_list)
     create = command("create", "create a tenant", run_create, "tenant")
     create.add_argument("--host", action="append", default=[], metavar="NAME")
-    create.add_argument("--file", type=Path, metavar="JSON", help="its initial parts")
+    create.add_argument("--file", type=Path, metavar="JSON", help="the tenant's initial parts")
     command("show", "show a tenant's document", run_show, "tenant")
     parts = "change parts: plans.gold.rate=5 limits.weight=2 customers.c=null"
     set_ = command("set", parts, run_set, "tenant", changes=True)
@@ -162,17 +162,17 @@
     inventory.add_argument("file", type=Path, metavar="FILE")
     inventory.add_argument("--confirm", default="", metavar="CODE")
     command("keys", "list the callers' keys", run_keys, "tenant")
-    command("add-key", "make a key for a customer; it is shown once", run_add_key, "tenant", "customer")
+    command("add-key", "create a key for a customer; it is shown once", run_add_key, "tenant", "customer")
     rotate = command("rotate-key", "replace a key; the new one is shown once", run_rotate, "tenant", "key")
     rotate.add_argument("--overlap", type=float, default=86_400.0, metavar="SECONDS")
     command("drop-key", "revoke a key", run_drop_key, "tenant", "key", changes=True)
-    command("appoint", "make an administrator's key; it is shown once", run_appoint, "tenant", "name")
-    command("usage", "show the gateways' reports of it", run_usage, "tenant")
+    command("appoint", "create an administrator's key; it is shown once", run_appoint, "tenant", "name")
+    command("usage", "show the gateways' reports of a tenant's usage", run_usage, "tenant")
     command("audit", "show who changed what", run_audit, "tenant")
 
 
 def with_client(work: Any) -> Any:
-    """Return a command's function that passes a client to `work` and turns errors into exit codes."""
+    """Return a command's function, which passes a client to `work` and turns errors into exit codes."""
 
     def run(args: argparse.Namespace) -> int:
         try:
--- a/ivymux/text.py
+++ b/ivymux/text.py
@@ -9,8 +9,9 @@
 import yaml
 
 MAX_BYTES = 64 << 20  # of one file
-MAX_DEPTH = 200
+MAX_DEPTH = 200  # levels of nesting
 MAX_NODES = 6_000_000  # after expansion of aliases
+# YAML 1.2 has no other words for booleans.
 BOOLEANS = {"true": True, "True": True, "TRUE": True, "false": False, "False": False, "FALSE": False}
 
 
@@ -27,6 +28,7 @@
 
 
 def unique_pairs(items: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Build a JSON object.  Raises TextError for a key that occurs twice."""
     mapping = dict(items)
     if len(mapping) != len(items):
         seen: set[str] = set()
@@ -38,10 +40,12 @@
 
 
 def reject_constant(name: str) -> Any:
+    """Refuse NaN and Infinity, which Python's JSON parser accepts.  Raises TextError."""
     raise TextError(f"{name} is not a JSON number")
 
 
 def parse_json(text: str) -> Any:
+    """Parse JSON.  Raises JsonSyntaxError, and TextError for JSON that is not accepted."""
     try:
         value = json.loads(text, object_pairs_hook=unique_pairs, parse_constant=reject_constant)
     except json.JSONDecodeError as error:
@@ -62,10 +66,14 @@
     }
 
     def flatten_mapping(self, node: yaml.MappingNode) -> None:
-        """Ignore merge keys: YAML 1.2 does not have them, and `<<` would be one more way to hide a class."""
+        """Treat `<<` as a plain key.
+
+        YAML 1.2 has no merge keys, and a merged setting is easily overlooked by a reader of the file.
+        """
 
 
 def construct_mapping(loader: Loader, node: yaml.MappingNode) -> dict[str, Any]:
+    """Build a mapping.  Raises TextError for a key that is not plain text or occurs twice."""
     mapping: dict[str, Any] = {}
     for key_node, value_node in node.value:
         key = key_node.value if isinstance(key_node, yaml.ScalarNode) else None
@@ -79,6 +87,7 @@
 
 
 def construct_scalar(loader: Loader, node: yaml.ScalarNode) -> Any:
+    """Build a string, or a boolean from an unquoted word of BOOLEANS."""
     if not node.style and node.value in BOOLEANS:
         return BOOLEANS[node.value]
     return loader.construct_scalar(node)
@@ -89,7 +98,10 @@
 
 
 def check_expanded_size(root: yaml.Node) -> None:
-    """Refuse aliases that expand beyond the limits or into themselves, before values are constructed."""
+    """Check the size of the values that aliases expand to, before the values are constructed.
+
+    Raises TextError if they exceed the limits, or if an alias contains itself.
+    """
     sizes: dict[int, int] = {}
     depths: dict[int, int] = {}
     open_nodes: set[int] = set()
@@ -124,7 +136,10 @@
 
 
 def check_nesting(text: str) -> None:
-    """Check the depth and the size by the parser's events, because composing nodes recurses at each level."""
+    """Check the depth and the size of a document.  Raises TextError.
+
+    This uses the events of the parser, because the composition of nodes recurses at each level of nesting.
+    """
     depth = 0
     for count, event in enumerate(yaml.parse(text, Loader=Loader)):
         if isinstance(event, yaml.CollectionStartEvent):
@@ -141,6 +156,7 @@
 
 
 def parse_yaml(text: str) -> Any:
+    """Parse YAML.  Raises TextError."""
     return load_yaml(text, lambda loader, root: loader.construct_document(root))
 
 
@@ -160,6 +176,7 @@
 
 
 def check_keys(root: yaml.Node) -> None:
+    """Check that all keys are plain text and unique in their mapping.  Raises TextError."""
     stack, seen = [root], {id(root)}
     while stack:
         node = stack.pop()
@@ -211,6 +228,7 @@
 
 
 def decode(data: bytes) -> str:
+    """Decode UTF-8, with or without a byte order mark.  Raises TextError with the position of an error."""
     try:
         return data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
--- a/ivymux/trial_command.py
+++ b/ivymux/trial_command.py
@@ -1,4 +1,4 @@
-"""`python -m ivymux trial VERB`: an operator's calls about trials, from the command line.
+"""`python -m ivymux trial VERB`: starts, ends and shows trials (controlled fault injection).
 
     trial start NAME --core HOST:PORT --caller TENANT --by WHO --why TEXT [--does refuse|delay|lose|close] ...
     trial end NAME --core HOST:PORT --by WHO --why TEXT
@@ -29,25 +29,31 @@
 START_FIELDS = (
     "caller", "by", "why", "does", "key_digest", "route", "service", "zone", "status", "retry_after",
     "delay", "share", "starts_in", "lasts", "dry_run",
-)  # fmt: skip
+)  # fmt: skip  # of the body that starts a trial; each is a flag too
 
 
 class TrialCommandError(Exception):
-    """A call that was refused or not answered; the text is one line."""
+    """A call that was refused or not answered; the message is one line."""
 
 
 def define_flags(values: flags.FlagValues) -> None:
+    """Define the flags of all verbs."""
     flags.DEFINE_list(
-        "core", [], "Core machines, HOST:PORT each; the first that answers is used.", flag_values=values
+        "core", [], "Core machines, each as HOST:PORT; the first that answers is used.", flag_values=values
     )
     flags.DEFINE_string(
         "caller", "", "The tenant into whose requests faults are injected.", flag_values=values
     )
     flags.DEFINE_string("by", "", "Who starts or ends the trial.", flag_values=values)
     flags.DEFINE_string("why", "", "The reason.", flag_values=values)
-    flags.DEFINE_string("does", "refuse", "refuse, delay, lose or close.", flag_values=values)
     flags.DEFINE_string(
-        "key_digest", "", "Only requests with one key: see `trial digest`.", flag_values=values
+        "does", "refuse", "The injected fault: refuse, delay, lose or close.", flag_values=values
+    )
+    flags.DEFINE_string(
+        "key_digest",
+        "",
+        "Only requests with the API key of this digest (`trial digest`).",
+        flag_values=values,
     )
     flags.DEFINE_string("route", "", "Only requests on one route.", flag_values=values)
     flags.DEFINE_string("service", "", "Only requests to one service.", flag_values=values)
@@ -55,7 +61,9 @@
     flags.DEFINE_integer("status", 503, "The status of a refusal: 429 or 503.", flag_values=values)
     flags.DEFINE_string("retry_after", "1s", "When a refused request may be repeated.", flag_values=values)
     flags.DEFINE_string("delay", "0ms", "The delay, if `does` is delay.", flag_values=values)
-    flags.DEFINE_float("share", 1.0, "The share of the requests: over 0, at most 1.", flag_values=values)
+    flags.DEFINE_float(
+        "share", 1.0, "The share of the requests that get the fault: over 0, at most 1.", flag_values=values
+    )
     flags.DEFINE_string("starts_in", "0s", "The time until the trial starts.", flag_values=values)
     flags.DEFINE_string("lasts", "1m", "The longest time that the trial runs.", flag_values=values)
     flags.DEFINE_bool(
@@ -65,7 +73,7 @@
 
 
 class CoreClient:
-    """Makes the operators' calls at whichever core machine answers."""
+    """Calls the control interface of the first core machine that answers."""
 
     def __init__(self, addresses: Sequence[str], http: httpx.Client) -> None:
         self.addresses, self.http = addresses, http
@@ -93,7 +101,7 @@
 
 
 def summary_line(trial: dict[str, Any]) -> str:
-    """One trial in one line."""
+    """Return a trial as one line."""
     requests, injected = trial.get("asked", 0), trial.get("caught", 0)
     text = f"{trial['name']}: {trial['does']} {trial['caller']}, share {trial['share']:g}"
     text += f", caught {injected} of {requests}"
@@ -105,7 +113,7 @@
 
 
 def report_lines(trial: dict[str, Any]) -> list[str]:
-    """One trial with a line for each proxy."""
+    """Return a trial as one line, with a further line for each proxy."""
     lines = [summary_line(trial)]
     lines += [
         f"  {proxy['door']}: for {proxy['for_s']:.1f} s, caught {proxy['caught']} of {proxy['asked']}"
--- a/tests/cli/test_inventory.py
+++ b/tests/cli/test_inventory.py
@@ -59,7 +59,7 @@
     assert main(["inventory", "history", str(site)]) == 2
 
 
-def test_check_of_a_site_looks_at_its_inventory(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_of_a_site_checks_its_inventory(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "api.json").write_text(json.dumps(described({"/a": {"get": operation()}})))
     site = tmp_path / "site.toml"
     site.write_text(site_text([]) + '\n[inventory]\nfile = "w.csv"\n')
@@ -86,7 +86,7 @@
     assert main(["inventory", "diff", str(sheet), str(again)]) == 0
     assert capsys.readouterr().out.endswith("no change\n")
     assert main(["inventory", "convert", str(tree), str(sheet)]) == 2
-    assert "is there already" in capsys.readouterr().err and sheet.read_text() == damage.SHEET
+    assert "already exists" in capsys.readouterr().err and sheet.read_text() == damage.SHEET
     assert main(["inventory", "convert", str(tree), str(sheet), "--force"]) == 0
     sheet.write_text(damage.SHEET.replace("20003", "0"))
     before = tree.read_bytes()
@@ -98,9 +98,9 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "api.json").write_text(json.dumps(described({"/a": {"get": operation()}})))
-    site, list_, new = tmp_path / "site.toml", tmp_path / "w.csv", tmp_path / "new.csv"
+    site, listed_file, new = tmp_path / "site.toml", tmp_path / "w.csv", tmp_path / "new.csv"
     site.write_text(site_text([]) + '\n[inventory]\nfile = "w.csv"\nstate = "state"\nsettle = 0.0\n')
-    list_.write_text(damage.SHEET)
+    listed_file.write_text(damage.SHEET)
 
     def sheet(count: int) -> str:
         return "\n".join([damage.HEADER, *damage.ROWS[:count], f"# end {count}"]) + "\n"
@@ -114,16 +114,16 @@
         await gateway.start()
         try:
             new.write_text(damage.SHEET.replace("20003", "0"))
-            assert (await ask())[0] == 1 and list_.read_text() == damage.SHEET
+            assert (await ask())[0] == 1 and listed_file.read_text() == damage.SHEET
             new.write_text(sheet(11))
             code, out = await ask("--dry-run")
-            assert code == 0 and "1 removed" in out and list_.read_text() == damage.SHEET
+            assert code == 0 and "1 removed" in out and listed_file.read_text() == damage.SHEET
             code, out = await ask()
             assert code == 0 and "taken as list 2" in out
             await until(lambda: len(gateway.member_list.members) == 11)  # a list is stored, then applied
             new.write_text(sheet(4))
             code, out = await ask()
-            assert code == 1 and "held back" in out and list_.read_text() == sheet(11)
+            assert code == 1 and "held back" in out and listed_file.read_text() == sheet(11)
             confirmation = out.rpartition("--confirm ")[2].strip()
             assert (await ask("--confirm", "0" * 24))[0] == 1 and len(gateway.member_list.members) == 11
             code, out = await ask("--confirm", confirmation)
@@ -133,11 +133,11 @@
             await gateway.close()
         # A list that no gateway takes is reported; it stays in the file for the gateway's next start.
         new_tree = tmp_path / "tree.yml"
-        assert main(["inventory", "convert", str(list_), str(new_tree)]) == 0
+        assert main(["inventory", "convert", str(listed_file), str(new_tree)]) == 0
         new_tree.write_text(new_tree.read_text().replace("weight: 1", "weight: 2"))
         code = main(["inventory", "apply", str(site), str(new_tree), "--wait", "0"])
         assert code == 3 and "not taken within 0 s" in capsys.readouterr().out
-        assert list_.read_bytes().startswith(b"name,") and b",2," in list_.read_bytes()
+        assert listed_file.read_bytes().startswith(b"name,") and b",2," in listed_file.read_bytes()
 
     run(test())
 
@@ -156,4 +156,6 @@
     (tmp_path / "host_vars" / "w01.yml").unlink()
     assert main(["inventory", "apply", str(site), str(new), "--dry-run"]) == 0
     assert main(["inventory", "apply", str(site), str(new)]) == 0
-    assert "only the log tells" in capsys.readouterr().out and tree.read_text() != damage.YAML
+    assert (
+        "see the gateway's log for the result" in capsys.readouterr().out and tree.read_text() != damage.YAML
+    )
--- a/tests/cli/test_tenant.py
+++ b/tests/cli/test_tenant.py
@@ -126,7 +126,7 @@
         assert "etcd.prefix" in capsys.readouterr().err
         file.write_text(text + 'prefix = "/another/"\n')
         assert main(["restore", str(file), str(tmp_path / "copy.db")]) == 0
-        assert "go over to it by themselves" in capsys.readouterr().out
+        assert "switch to the restored state by themselves" in capsys.readouterr().out
         file.write_text(text)
     assert main(["backup", str(tmp_path / "none.toml"), "x"]) == 2
     assert ROUTES["main"] == "api.json"
