--- a/tests/admin/api_client.py
+++ b/tests/admin/api_client.py
@@ -23,7 +23,7 @@
 from tests.routes.describing import described
 from tests.service.fixtures import PATHS
 
-KEY_NUMBERS = count()
+IDEMPOTENCY_KEY_NUMBERS = count()
 SHEET = write_csv(Inventory((Worker("w0", "127.0.0.1", 9),))).decode()
 ROUTES = {"main": "api.json", "files": {"api.json": described(PATHS)}}
 
@@ -42,7 +42,7 @@
         if etag is not None:
             headers["If-Match"] = etag
         if method == "POST":
-            headers["Idempotency-Key"] = f"k{next(KEY_NUMBERS)}"
+            headers["Idempotency-Key"] = f"k{next(IDEMPOTENCY_KEY_NUMBERS)}"
         if body is not None:
             content_type = "application/merge-patch+json" if method == "PATCH" else "application/json"
             headers["Content-Type"] = content_type
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -24,7 +24,7 @@
 from tests.service.fixtures import PATHS
 from tests.sockets import run, until
 
-T = "/v1/tenants/a"
+TENANT = "/v1/tenants/a"
 
 
 @pytest.fixture
@@ -37,40 +37,46 @@
     async def test() -> None:
         async with api_over_sqlite(tmp_path) as (operator, _store):
             await operator.create_tenant("a")
-            got = await operator.call("GET", T)
+            got = await operator.call("GET", TENANT)
             etag = got.headers["etag"]
             assert got.json()["customers"] == {"c": {"plan": "p"}}
-            assert (await operator.call("PATCH", T, {"customers": {"d": {"plan": "p"}}})).status_code == 428
-            dry = await operator.call("PATCH", f"{T}?dry_run=true", {"customers": {"d": {"plan": "p"}}}, etag)
+            assert (
+                await operator.call("PATCH", TENANT, {"customers": {"d": {"plan": "p"}}})
+            ).status_code == 428
+            dry = await operator.call(
+                "PATCH", f"{TENANT}?dry_run=true", {"customers": {"d": {"plan": "p"}}}, etag
+            )
             assert dry.json()["changes"] == [{"path": "/customers/d", "after": {"plan": "p"}}]
-            done = await operator.call("PATCH", T, {"customers": {"d": {"plan": "p"}}}, etag)
+            done = await operator.call("PATCH", TENANT, {"customers": {"d": {"plan": "p"}}}, etag)
             assert done.status_code == 200 and done.headers["etag"] != etag
             assert done.headers["ivymux-in-effect"] == "true"  # there is no gateway to wait for
-            conflict = await operator.call("PATCH", T, {"customers": {"e": {"plan": "p"}}}, etag)
+            conflict = await operator.call("PATCH", TENANT, {"customers": {"e": {"plan": "p"}}}, etag)
             assert conflict.status_code == 412 and conflict.headers["etag"] == done.headers["etag"]
             (conflicting_change,) = conflict.json()["changed"]
             assert (
                 conflicting_change["changes"] == dry.json()["changes"] and "olga" in conflicting_change["who"]
             )
             assert (
-                await operator.change("PUT", f"{T}/plans/q", {"rate": 1.0, "burst": 5.0})
+                await operator.change("PUT", f"{TENANT}/plans/q", {"rate": 1.0, "burst": 5.0})
             ).status_code == 201
-            assert (await operator.change("PATCH", f"{T}/plans/q", {"burst": 6.0})).json()["rate"] == 1.0
-            assert (await operator.change("DELETE", f"{T}/plans/p")).status_code == 422  # customers are on it
-            assert (await operator.change("DELETE", f"{T}/plans/q")).status_code == 204
-            assert (await operator.change("DELETE", f"{T}/plans/q")).status_code == 404
-            page = (await operator.call("GET", f"{T}/customers?limit=1")).json()
+            assert (await operator.change("PATCH", f"{TENANT}/plans/q", {"burst": 6.0})).json()["rate"] == 1.0
+            assert (
+                await operator.change("DELETE", f"{TENANT}/plans/p")
+            ).status_code == 422  # customers are on it
+            assert (await operator.change("DELETE", f"{TENANT}/plans/q")).status_code == 204
+            assert (await operator.change("DELETE", f"{TENANT}/plans/q")).status_code == 404
+            page = (await operator.call("GET", f"{TENANT}/customers?limit=1")).json()
             assert [c["name"] for c in page["items"]] == ["c"]
-            more = (await operator.call("GET", f"{T}/customers?limit=1&cursor={page['next']}")).json()
+            more = (await operator.call("GET", f"{TENANT}/customers?limit=1&cursor={page['next']}")).json()
             assert [c["name"] for c in more["items"]] == ["d"] and more["next"] is None
-            assert (await operator.call("GET", f"{T}/routes")).json()["main"] == "api.json"
-            assert "w0" in (await operator.call("GET", f"{T}/inventory")).json()["text"]
-            assert (await operator.call("GET", f"{T}/usage")).json()["doors"] == []
-            audit = (await operator.call("GET", f"{T}/audit")).json()["items"]
+            assert (await operator.call("GET", f"{TENANT}/routes")).json()["main"] == "api.json"
+            assert "w0" in (await operator.call("GET", f"{TENANT}/inventory")).json()["text"]
+            assert (await operator.call("GET", f"{TENANT}/usage")).json()["doors"] == []
+            audit = (await operator.call("GET", f"{TENANT}/audit")).json()["items"]
             assert [a["action"] for a in audit][:2] == ["plans q", "plans q"] and audit[0]["at"] > 0
-            assert len((await operator.call("GET", f"{T}/history")).json()["items"]) == len(audit)
-            assert (await operator.change("DELETE", T)).status_code == 204
-            assert (await operator.call("GET", T)).status_code == 404
+            assert len((await operator.call("GET", f"{TENANT}/history")).json()["items"]) == len(audit)
+            assert (await operator.change("DELETE", TENANT)).status_code == 204
+            assert (await operator.call("GET", TENANT)).status_code == 404
             listed = (await operator.call("GET", "/v1/tenants")).json()
             assert listed == {"items": [], "next": None}
 
@@ -83,28 +89,32 @@
     async def test() -> None:
         async with api_over_sqlite(tmp_path) as (operator, _store):
             await operator.create_tenant("a")
-            before = (await operator.call("GET", T)).headers["etag"]
+            before = (await operator.call("GET", TENANT)).headers["etag"]
             broken = {"main": "api.json", "files": {"api.json": {"openapi": "3.0.3", "paths": {"no": {}}}}}
-            got = await operator.change("PUT", f"{T}/routes", broken)
+            got = await operator.change("PUT", f"{TENANT}/routes", broken)
             assert got.status_code == 422 and got.json()["findings"][0]["path"].startswith("/files/api.json#")
-            got = await operator.change("PUT", f"{T}/inventory", {"text": "name,address\nw,10.0.0.1:0\n"})
+            got = await operator.change(
+                "PUT", f"{TENANT}/inventory", {"text": "name,address\nw,10.0.0.1:0\n"}
+            )
             assert got.status_code == 422 and got.json()["findings"][0]["line"] == 2
             expensive_routes = described({"/a": {"get": operation(x={"cost": 50})}})
-            got = await operator.change("PUT", f"{T}/routes", {"main": "f", "files": {"f": expensive_routes}})
+            got = await operator.change(
+                "PUT", f"{TENANT}/routes", {"main": "f", "files": {"f": expensive_routes}}
+            )
             assert got.status_code == 422 and got.json()["findings"][0]["path"] == "/plans/p/burst"
             patches: list[Any] = [{"plans": None}, {"hosts": ["UP"]}, {"nonsense": 1}, {"keys": {}}, [1]]
             for patch in patches:
-                got = await operator.change("PATCH", T, patch)
+                got = await operator.change("PATCH", TENANT, patch)
                 assert got.status_code == 422, (patch, got.text)
             puts: list[tuple[str, str, Any]] = [
-                ("PUT", f"{T}/routes", {"main": "x", "files": {"../x": "y"}}),
-                ("PUT", f"{T}/routes", {"main": "x", "files": {}}),
-                ("PUT", f"{T}/plans/p", {"rate": "fast"}), ("PUT", f"{T}/limits", {"open": -1}),
-                ("PUT", f"{T}/inventory", {"form": "xls", "text": ""}),
+                ("PUT", f"{TENANT}/routes", {"main": "x", "files": {"../x": "y"}}),
+                ("PUT", f"{TENANT}/routes", {"main": "x", "files": {}}),
+                ("PUT", f"{TENANT}/plans/p", {"rate": "fast"}), ("PUT", f"{TENANT}/limits", {"open": -1}),
+                ("PUT", f"{TENANT}/inventory", {"form": "xls", "text": ""}),
             ]  # fmt: skip
             for method, path, body in puts:
                 assert (await operator.change(method, path, body)).status_code == 422, (path, body)
-            assert (await operator.call("GET", T)).headers["etag"] == before
+            assert (await operator.call("GET", TENANT)).headers["etag"] == before
             taken = await operator.call("POST", "/v1/tenants", {"name": "b", "hosts": ["a.example"]})
             assert taken.status_code == 409 and "uid" not in taken.text
             assert (await operator.call("POST", "/v1/tenants", {"name": "a"})).status_code == 409
@@ -123,14 +133,14 @@
     async def test() -> None:
         async with api_over_sqlite(tmp_path) as (operator, _):
             await operator.create_tenant("a")
-            assert (await operator.change("PUT", f"{T}/inventory", sheet(8))).status_code == 200
-            held = await operator.change("PUT", f"{T}/inventory", sheet(2))
+            assert (await operator.change("PUT", f"{TENANT}/inventory", sheet(8))).status_code == 200
+            held = await operator.change("PUT", f"{TENANT}/inventory", sheet(2))
             assert held.status_code == 409
             code = held.json()["confirmation"]
             assert (
-                await operator.change("PUT", f"{T}/inventory?confirm={code}", sheet(1))
+                await operator.change("PUT", f"{TENANT}/inventory?confirm={code}", sheet(1))
             ).status_code == 409
-            assert (await operator.change("PUT", f"{T}/inventory?confirm={code}", sheet(2))).json()[
+            assert (await operator.change("PUT", f"{TENANT}/inventory?confirm={code}", sheet(2))).json()[
                 "workers"
             ] == 2
 
@@ -143,7 +153,7 @@
     async def test() -> None:
         async with api_over_sqlite(tmp_path) as (operator, store):
             await operator.create_tenant("a")
-            path = f"{T}/keys"
+            path = f"{TENANT}/keys"
             created = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
             again = await operator.call("POST", path, {"customer": "c"}, Idempotency_Key="one")
             assert created.status_code == again.status_code == 201
@@ -152,23 +162,22 @@
             other = await operator.call("POST", path, {"customer": "d"}, Idempotency_Key="one")
             assert other.status_code == 422
             assert len((await operator.call("GET", path)).json()["items"]) == 1
-            number, key = created.json()["id"], created.json()["key"]
-            rotated = await operator.call("POST", f"{path}/{number}/rotate", {"overlap": 100})
-            assert rotated.status_code == 201 and rotated.json()["replaces"] == number
-            entry = (await operator.call("GET", f"{path}/{number}")).json()
+            key_id, key = created.json()["id"], created.json()["key"]
+            rotated = await operator.call("POST", f"{path}/{key_id}/rotate", {"overlap": 100})
+            assert rotated.status_code == 201 and rotated.json()["replaces"] == key_id
+            entry = (await operator.call("GET", f"{path}/{key_id}")).json()
             assert entry["ends"] == pytest.approx(rotated.json()["until"])
             store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
             kept = (tmp_path / "desired.db").read_bytes()
             texts = [
-                (await operator.call("GET", f"{T}{p}")).text for p in ("", "/keys", "/audit", "/history")
+                (await operator.call("GET", f"{TENANT}{p}")).text for p in ("", "/keys", "/audit", "/history")
             ]
             for text in texts:
                 assert key not in text and "salt" not in text and "hash" not in text
-            assert (secret := KEY_PATTERN.fullmatch(key.encode())) and secret[
-                3
-            ] not in kept  # which may contain a `_`
-            assert (await operator.change("DELETE", f"{path}/{number}")).status_code == 204
-            assert (await operator.call("GET", f"{path}/{number}")).status_code == 404
+            # The secret may contain `_` itself, so it is taken from the key by the pattern.
+            assert (secret := KEY_PATTERN.fullmatch(key.encode())) and secret[3] not in kept
+            assert (await operator.change("DELETE", f"{path}/{key_id}")).status_code == 204
+            assert (await operator.call("GET", f"{path}/{key_id}")).status_code == 404
 
     run(test())
 
@@ -181,18 +190,18 @@
             await operator.create_tenant("a")
             await operator.create_tenant("b")
             ann = await operator.create_administrator("a")
-            assert (await ann.call("GET", T)).status_code == 200
-            assert (await ann.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})).status_code == 200
+            assert (await ann.call("GET", TENANT)).status_code == 200
+            assert (await ann.change("PATCH", TENANT, {"customers": {"x": {"plan": "p"}}})).status_code == 200
             for patch in ({"limits": {"open": 5}}, {"hosts": ["b.example"]}, {"suspended": True}):
-                assert (await ann.change("PATCH", T, patch)).status_code == 403
-            assert (await ann.change("PUT", f"{T}/limits", {})).status_code == 403
-            assert (await ann.change("DELETE", T)).status_code == 403
+                assert (await ann.change("PATCH", TENANT, patch)).status_code == 403
+            assert (await ann.change("PUT", f"{TENANT}/limits", {})).status_code == 403
+            assert (await ann.change("DELETE", TENANT)).status_code == 403
             assert (await ann.call("GET", "/v1/tenants")).status_code == 403
             assert (await ann.call("POST", "/v1/tenants", {"name": "c"})).status_code == 403
-            listed = (await ann.call("GET", f"{T}/administrators")).json()["items"]
+            listed = (await ann.call("GET", f"{TENANT}/administrators")).json()["items"]
             assert [a["name"] for a in listed] == ["adm of a"]
-            gone = await operator.change("DELETE", f"{T}/administrators/{listed[0]['id']}")
-            assert gone.status_code == 204 and (await ann.call("GET", T)).status_code == 401
+            gone = await operator.change("DELETE", f"{TENANT}/administrators/{listed[0]['id']}")
+            assert gone.status_code == 204 and (await ann.call("GET", TENANT)).status_code == 401
             # The deletion of a tenant revokes all its keys.
             bob = await operator.create_administrator("b")
             assert (await operator.change("DELETE", "/v1/tenants/b")).status_code == 204
@@ -209,13 +218,13 @@
             for name in ("a", "b"):
                 await operator.create_tenant(name)
             secret_name = "confidential-customer"
-            put = await operator.change("PUT", f"{T}/customers/{secret_name}", {"plan": "p"})
+            put = await operator.change("PUT", f"{TENANT}/customers/{secret_name}", {"plan": "p"})
             assert put.status_code == 201
             bob = await operator.create_administrator("b")
             revoked = await operator.create_administrator("a")
-            number = revoked.key.split("_")[1]
-            assert (await operator.change("DELETE", f"{T}/administrators/{number}")).status_code == 204
-            before = (await operator.call("GET", T)).headers["etag"]
+            key_id = revoked.key.split("_")[1]
+            assert (await operator.change("DELETE", f"{TENANT}/administrators/{key_id}")).status_code == 204
+            before = (await operator.call("GET", TENANT)).headers["etag"]
             callers = {
                 "another's": (bob, {403, 404}), "none": (ApiClient(operator.client, ""), {401}),
                 "revoked": (revoked, {401}),
@@ -231,16 +240,16 @@
                         call_count += 1
                         assert got.status_code in allowed, (who, verb, at, got.text)
                         shown = got.text + str(dict(got.headers))
-                        for byte in (secret_name, "a.example", "rate", before):
-                            assert byte not in shown, (who, verb, at)
+                        for private_text in (secret_name, "a.example", "rate", before):
+                            assert private_text not in shown, (who, verb, at)
             assert call_count == 4 * len(api_operations()) and call_count > 100
             for caller, _ in callers.values():
-                watch = await caller.call("GET", f"{T}/watch")
+                watch = await caller.call("GET", f"{TENANT}/watch")
                 assert watch.status_code in (401, 404)
-            assert (await operator.call("GET", T)).headers["etag"] == before
+            assert (await operator.call("GET", TENANT)).headers["etag"] == before
             # The answers for a missing tenant and for another one's tenant are the same.
-            mine, nobody = [await bob.call("GET", f"/v1/tenants/{n}") for n in ("a", "zzz")]
-            assert (mine.status_code, mine.text) == (nobody.status_code, nobody.text)
+            existing, missing = [await bob.call("GET", f"/v1/tenants/{n}") for n in ("a", "zzz")]
+            assert (existing.status_code, existing.text) == (missing.status_code, missing.text)
 
     run(test())
 
@@ -258,13 +267,13 @@
             async def administrator(number: int) -> None:
                 nonlocal refused
                 change_count = 0
-                etag = (await operator.call("GET", T)).headers["etag"]
+                etag = (await operator.call("GET", TENANT)).headers["etag"]
                 while change_count < 50:
                     customer, value = f"c{rng.randrange(5)}", float(rng.randrange(3600))
                     patch: dict[str, Any] = {"rules": {"drain_grace": value}}
                     if number % 2:
                         patch = {"customers": {customer: {"plan": "p"}}, "keyed": {"memory": value}}
-                    got = await operator.call("PATCH", T, patch, etag)
+                    got = await operator.call("PATCH", TENANT, patch, etag)
                     if got.status_code == 200:
                         etag = got.headers["etag"]
                         done.append((int(etag.strip('"')), patch))
@@ -280,7 +289,7 @@
             audit = store.audit("", 1 << 60, 10_000)
             assert len(audit) - audit_before == 1000
             assert {a.revision for a in audit[:1000]} == {revision for revision, _ in done}
-            final = (await operator.call("GET", T)).json()
+            final = (await operator.call("GET", TENANT)).json()
             order = [patch for _, patch in sorted(done, key=lambda d: d[0])]
             last_memory = [p["keyed"]["memory"] for p in order if "keyed" in p][-1]
             last_grace = [p["rules"]["drain_grace"] for p in order if "rules" in p][-1]
@@ -299,7 +308,7 @@
     async def test() -> None:
         async with api_over_sqlite(tmp_path) as (operator, _):
             await operator.create_tenant("a")
-            path, body = f"{T}/keys", {"customer": "c"}
+            path, body = f"{TENANT}/keys", {"customer": "c"}
             got = await asyncio.gather(
                 *(operator.call("POST", path, body, Idempotency_Key="same") for _ in range(10)),
                 *(operator.call("POST", path, body) for _ in range(10)),
@@ -320,7 +329,7 @@
             await operator.create_tenant("a")
             other = sqlite3.connect(tmp_path / "desired.db", isolation_level=None)
             other.execute("BEGIN IMMEDIATE")
-            got = await operator.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})
+            got = await operator.change("PATCH", TENANT, {"customers": {"x": {"plan": "p"}}})
             assert got.status_code == 503 and got.headers["retry-after"] == "1"
             other.execute("ROLLBACK")
             other.close()
@@ -328,12 +337,14 @@
             store.db.execute(f"PRAGMA max_page_count = {pages}")
             files = {"f": described(PATHS), "more": os.urandom(1 << 19).hex()}
             text = {"main": "f", "files": files}
-            got = await operator.change("PUT", f"{T}/routes", text)
+            got = await operator.change("PUT", f"{TENANT}/routes", text)
             assert got.status_code == 507 and "room" in got.json()["detail"]
             store.db.execute("PRAGMA max_page_count = 1000000")
-            assert (await operator.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})).status_code == 200
+            assert (
+                await operator.change("PATCH", TENANT, {"customers": {"x": {"plan": "p"}}})
+            ).status_code == 200
             store.db.execute("UPDATE tenants SET body = x'c1'")
-            got = await operator.call("GET", T)
+            got = await operator.call("GET", TENANT)
             assert got.status_code == 503 and "restore" in got.json()["detail"]
 
     run(test())
@@ -349,9 +360,9 @@
             assert created.headers["ivymux-in-effect"] == "true"
             (hosted,) = fixture.gateway.tenants.values()
             assert hosted.is_ready and hosted.name == "a"
-            usage = (await operator.call("GET", f"{T}/usage")).json()
+            usage = (await operator.call("GET", f"{TENANT}/usage")).json()
             assert usage["doors"][0]["door"] == "door" and usage["doors"][0]["in_effect"]
-            gone = await operator.change("DELETE", T)
+            gone = await operator.change("DELETE", TENANT)
             assert (
                 gone.status_code == 204
                 and not fixture.gateway.tenants
@@ -362,7 +373,7 @@
             monkeypatch.setattr(operations_module, "EFFECT_WAIT_S", 0.05)
             for task in list(fixture.gateway.tasks):
                 task.cancel()
-            slow = await operator.change("DELETE", T)
+            slow = await operator.change("DELETE", TENANT)
             assert slow.status_code == 202 and slow.headers["ivymux-in-effect"] == "false"
 
     run(test())
@@ -390,10 +401,10 @@
 
             listening = asyncio.ensure_future(listen())
             await until(lambda: len(events) == 1)
-            await operator.change("PATCH", T, {"customers": {"x": {"plan": "p"}}})
+            await operator.change("PATCH", TENANT, {"customers": {"x": {"plan": "p"}}})
             await until(lambda: len(events) == 2)
             assert events[1].startswith("id: ") and "event: changed" in events[1]
-            await operator.change("DELETE", T)
+            await operator.change("DELETE", TENANT)
             await listening
             assert "event: gone" in events[-1]
 
@@ -404,7 +415,7 @@
     async def test() -> None:
         async with api_over_sqlite(tmp_path) as (operator, _):
             got = [
-                await ApiClient(operator.client, f"ivadm_{n:016x}_{'x' * 43}").call("GET", T)
+                await ApiClient(operator.client, f"ivadm_{n:016x}_{'x' * 43}").call("GET", TENANT)
                 for n in range(12)
             ]
             assert [g.status_code for g in got][:5] == [401] * 5 and got[-1].status_code == 429
@@ -445,10 +456,10 @@
                 (b"{", good, 400), (b"{}", "text/plain", 415), (b"NaN", good, 400), (deep, good, 400)
             ):  # fmt: skip
                 headers = sent | {"Content-Type": kind}
-                got = await operator.client.post(f"{T}/keys", content=body, headers=headers)
+                got = await operator.client.post(f"{TENANT}/keys", content=body, headers=headers)
                 assert got.status_code == status, got.text
             for query in ("limit=0", "limit=x", "cursor=%25%25", "limit=99999999999999999999"):
-                assert (await operator.call("GET", f"{T}/keys?{query}")).status_code == 400, query
+                assert (await operator.call("GET", f"{TENANT}/keys?{query}")).status_code == 400, query
             document = (await operator.call("GET", "/v1/openapi.json")).json()
             assert document == openapi_document() and document["openapi"] == "3.1.0"
 
--- a/tests/admin/test_schemathesis.py
+++ b/tests/admin/test_schemathesis.py
@@ -47,8 +47,8 @@
     before = authorization.CALLS_PER_S, authorization.BURST_CALLS
     authorization.CALLS_PER_S = authorization.BURST_CALLS = 1e6
     store = SqliteStore(tmp_path_factory.mktemp("api") / "desired.db")
-    number, key, kept = secret.create_key(secret.ADMIN_PREFIX, time.time())
-    store.add_operator(Admin(number, "olga", "", kept), time.time())
+    key_id, key, stored = secret.create_key(secret.ADMIN_PREFIX, time.time())
+    store.add_operator(Admin(key_id, "olga", "", stored), time.time())
     state, blobs, _ = tenant("a", [9])
     store.commit(Change(name="a", expected=0, tenant=state, uid="u", at=0.0, who="", origin="", action="",
                         blobs=blobs))  # fmt: skip
@@ -85,10 +85,10 @@
     if case.path_parameters and "tenant" in case.path_parameters:
         case.path_parameters["tenant"] = "a"
     if case.method == "DELETE" and case.path == "/v1/tenants/{tenant}":
-        case.path_parameters["tenant"] = "other"  # the others need it
+        case.path_parameters["tenant"] = "other"  # the other cases need tenant a
     headers = {"Authorization": f"Bearer {api[1]}"}
     if "If-Match" in (case.headers or {}) and next(TURNS) % 4:
-        # A made-up ETag never gets beyond 412: most calls have the one that counts.
+        # A made-up ETag is only ever answered with 412, so most calls get the current one.
         current = httpx.get(f"{api[0]}/v1/tenants/a", headers=headers)
         assert current.status_code == 200
         headers["If-Match"] = current.headers["etag"]
--- a/tests/desired/etcd_fixtures.py
+++ b/tests/desired/etcd_fixtures.py
@@ -31,6 +31,6 @@
 
 def begin(store: EtcdStore, name: str = "olga") -> str:
     """Store an operator's key as the command line does, which creates the state.  Return the key."""
-    number, key, kept = secret.create_key(secret.ADMIN_PREFIX, 0.0)
-    store.add_operator(Admin(number, name, "", kept), 1000.0)
+    key_id, key, stored_key = secret.create_key(secret.ADMIN_PREFIX, 0.0)
+    store.add_operator(Admin(key_id, name, "", stored_key), 1000.0)
     return key
--- a/tests/desired/test_copying.py
+++ b/tests/desired/test_copying.py
@@ -33,9 +33,9 @@
 
 
 def test_a_backup_of_etcd_can_be_restored_to_another_etcd(tmp_path: Path) -> None:
-    number, _, kept = create_key(ADMIN_PREFIX, 0.0)
+    key_id, _, stored_key = create_key(ADMIN_PREFIX, 0.0)
     with stored() as (_, store):
-        at = put(store, "a", add_admins=[Admin(number, "ann", "u-a", kept)])
+        at = put(store, "a", add_admins=[Admin(key_id, "ann", "u-a", stored_key)])
         new_tenant, blobs, _key = tenant("a", [2])
         store.commit(change("a", new_tenant, at, blobs=blobs))
         put(store, "b")
@@ -57,14 +57,14 @@
             changed = put(other, "a", found.revision)
             assert changed == other.revision()
             other.commit(change("a", None, changed))
-            assert other.history("u-a", 9) == [] and other.admin(number) is None
+            assert other.history("u-a", 9) == [] and other.admin(key_id) is None
             other.close()
 
 
 def test_a_state_moves_from_sqlite_to_etcd_and_back(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
-    number, _, kept = create_key(ADMIN_PREFIX, 0.0)
-    store.add_operator(Admin(number, "olga", "", kept), 1000.0)
+    key_id, _, stored_key = create_key(ADMIN_PREFIX, 0.0)
+    store.add_operator(Admin(key_id, "olga", "", stored_key), 1000.0)
     at = put(store, "a")
     put(store, "a", at)
     store.backup(tmp_path / "one.db")
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -51,19 +51,19 @@
 
 def test_deleting_a_tenant_deletes_its_data_and_no_other() -> None:
     with stored() as (server, store):
-        number, _, kept = create_key(ADMIN_PREFIX, 0.0)
+        key_id, _, stored_key = create_key(ADMIN_PREFIX, 0.0)
         answer = StoredAnswer("f", 201, b"{}", "1")
-        admin = Admin(number, "ann", "u-a", kept)
+        admin = Admin(key_id, "ann", "u-a", stored_key)
         at = put(store, "a", add_admins=[admin], repeat=("k", answer))
         put(store, "b")
         found = store.get("a")
-        assert found is not None and store.answer_of_repeat("k") == answer and store.admin(number) == admin
+        assert found is not None and store.answer_of_repeat("k") == answer and store.admin(key_id) == admin
         names = text_digests(found.tenant)
         assert all(store.blob(name, "u-a") for name in names) and store.admins("u-a") == [admin]
         assert not any(store.blob(name, "u-other") for name in names)
         store.commit(change("a", None, at))
         assert store.get("a") is None and store.history("u-a", 9) == [] and store.admins("u-a") == []
-        assert store.answer_of_repeat("k") is None and store.admin(number) is None
+        assert store.answer_of_repeat("k") is None and store.admin(key_id) is None
         assert not any(store.blob(name, "u-a") for name in names)
         assert [a.action for a in store.audit("u-a", 1 << 60, 9)] == ["test", "test"]  # audit records stay
         left = [n for n in server.etcd.all_keys if server.etcd.version_at(n, server.etcd.revision)]
@@ -330,8 +330,10 @@
 def test_no_secret_is_in_etcd() -> None:
     with stored() as (server, store):
         new_tenant, blobs, shown = tenant("a", [1])
-        number, admin_key, kept = create_key(ADMIN_PREFIX, 0.0)
-        store.commit(change("a", new_tenant, blobs=blobs, add_admins=[Admin(number, "ann", "u-a", kept)]))
+        key_id, admin_key, stored_key = create_key(ADMIN_PREFIX, 0.0)
+        store.commit(
+            change("a", new_tenant, blobs=blobs, add_admins=[Admin(key_id, "ann", "u-a", stored_key)])
+        )
         import zlib
 
         values = [v.value or b"" for vs in server.etcd.versions.values() for v in vs]
--- a/tests/desired/test_sqlite.py
+++ b/tests/desired/test_sqlite.py
@@ -50,12 +50,12 @@
 
 def test_deleting_a_tenant_deletes_its_data(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
-    number, _, kept = create_key(ADMIN_PREFIX, 0.0)
+    key_id, _, stored_key = create_key(ADMIN_PREFIX, 0.0)
     answer = StoredAnswer("f", 201, b"{}", "1")
-    put(store, "a", add_admins=[Admin(number, "ann", "u-a", kept)], repeat=("k", answer))
+    put(store, "a", add_admins=[Admin(key_id, "ann", "u-a", stored_key)], repeat=("k", answer))
     put(store, "b")
     found = store.get("a")
-    assert found is not None and store.answer_of_repeat("k") == answer and store.admin(number) is not None
+    assert found is not None and store.answer_of_repeat("k") == answer and store.admin(key_id) is not None
     names = text_digests(found.tenant)
     assert all(store.blob(name, "") for name in names)
     store.commit(change("a", None, 1))
@@ -202,8 +202,8 @@
 def test_no_secret_is_in_the_file(tmp_path: Path) -> None:
     store = SqliteStore(tmp_path / "s.db")
     new_tenant, blobs, shown = tenant("a", [1])
-    number, admin_key, kept = create_key(ADMIN_PREFIX, 0.0)
-    store.commit(change("a", new_tenant, blobs=blobs, add_admins=[Admin(number, "ann", "u-a", kept)]))
+    key_id, admin_key, stored_key = create_key(ADMIN_PREFIX, 0.0)
+    store.commit(change("a", new_tenant, blobs=blobs, add_admins=[Admin(key_id, "ann", "u-a", stored_key)]))
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     data = (tmp_path / "s.db").read_bytes()
     assert b"u-a" in data
--- a/tests/hosting/test_etcd.py
+++ b/tests/hosting/test_etcd.py
@@ -191,11 +191,11 @@
             assert isinstance(follower, Follower) and follower.cache is not None
             await until(lambda: follower.cached_revision == follower.replica.at)
 
-            def away(name: str, uid: str) -> bytes | None:
+            def raise_store_busy(name: str, uid: str) -> bytes | None:
                 raise StoreBusy("etcd is away")
 
             blob = follower.store.blob
-            monkeypatch.setattr(follower.store, "blob", away)
+            monkeypatch.setattr(follower.store, "blob", raise_store_busy)
             await fixture.create("b")
             await until(lambda: "b" in follower.replica.heads)
             known = follower.cache.known()
--- a/tests/hosting/test_hosting_gateway.py
+++ b/tests/hosting/test_hosting_gateway.py
@@ -67,9 +67,9 @@
             hosted_tenant = fixture.gateway.tenants[a.uid]
             first = hosted_tenant.generation
             plan = PlanPart(rate=4.0, burst=4.0, price=2.0)
-            number, shown, entry = key("d")
+            key_id, shown, entry = key("d")
             customers = {name: CustomerPart(plan="p") for name in "cd"}
-            fixture.change(a, plans={"p": plan}, customers=customers, keys=a.tenant.keys | {number: entry})
+            fixture.change(a, plans={"p": plan}, customers=customers, keys=a.tenant.keys | {key_id: entry})
             await fixture.gateway.follow()
             assert hosted_tenant.generation is not first and hosted_tenant.generation is not None
             await asyncio.gather(*(fixture.ask(a) for _ in range(40)))
@@ -116,7 +116,7 @@
     run(test())
 
 
-def test_a_host_name_changes_its_owner_though_the_former_one_can_not_be_served(tmp_path: Path) -> None:
+def test_a_host_name_changes_its_owner_even_if_the_former_owner_cannot_be_served(tmp_path: Path) -> None:
     async def test() -> None:
         async with hosting(tmp_path, "a", "b") as fixture:
             a, b = fixture.tenants["a"], fixture.tenants["b"]
@@ -185,10 +185,10 @@
             other.execute("ROLLBACK")
             other.close()
 
-            def away() -> int:
+            def raise_store_busy() -> int:
                 raise StoreBusy("away")
 
-            monkeypatch.setattr(fixture.store, "revision", away)
+            monkeypatch.setattr(fixture.store, "revision", raise_store_busy)
             for _ in range(3):
                 await gateway.follow()
             assert (await fixture.ask(a)).status == 200
@@ -270,9 +270,9 @@
     async def test() -> None:
         async with hosting(tmp_path, "a") as fixture:
             a = fixture.tenants["a"]
-            number = next(iter(a.tenant.keys))
-            later = replace(a.tenant.keys[number], ends=time.time() + 0.2)
-            fixture.change(a, keys={number: later})
+            key_id = next(iter(a.tenant.keys))
+            later = replace(a.tenant.keys[key_id], ends=time.time() + 0.2)
+            fixture.change(a, keys={key_id: later})
             await fixture.gateway.follow()
             assert (await fixture.ask(a)).status == 200
             await until(lambda: time.time() > later.ends)
