--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -134,8 +134,10 @@
             raise ConfigError(f"{args.site}: there is no [inventory]: the site file lists the workers itself")
         store = open_snapshot_store(args.site) if part.state else None
         last = store.load_last() if store is not None else None
-        own = ((site.listen.host, site.listen.port),)
-        proposal = list_change.propose(args.file, args.site.parent / part.file, part.limits, last, own)
+        gateway_addresses = ((site.listen.host, site.listen.port),)
+        proposal = list_change.propose(
+            args.file, args.site.parent / part.file, part.limits, last, gateway_addresses
+        )
     except InventoryError as error:
         print(error, file=sys.stderr)
         return 1
--- a/ivymux/cli/tenant.py
+++ b/ivymux/cli/tenant.py
@@ -62,12 +62,12 @@
             data = json.dumps(body).encode()
         parameters = {name: value for name, value in query.items() if value}
         target = path + ("?" + urlencode(parameters) if parameters else "")
-        repeatable = method in ("GET", "POST")
-        for attempt in range(MAX_ATTEMPTS if repeatable else 1):
+        is_repeatable = method in ("GET", "POST")
+        for attempt in range(MAX_ATTEMPTS if is_repeatable else 1):
             try:
                 return self.send(method, target, data, headers)
             except (OSError, http.client.HTTPException) as error:
-                if attempt == (MAX_ATTEMPTS if repeatable else 1) - 1:
+                if attempt == (MAX_ATTEMPTS if is_repeatable else 1) - 1:
                     raise CallError(f"{self.parts.netloc} can't be reached: {error}", 2) from None
         raise AssertionError
 
@@ -171,13 +171,13 @@
     command("audit", "show who changed what", run_audit, "tenant")
 
 
-def with_client(work: Any) -> Any:
-    """Return a command's function, which passes a client to `work` and turns errors into exit codes."""
+def with_client(run_command: Any) -> Any:
+    """Return a function that calls `run_command` with a client, and turns errors into exit codes."""
 
     def run(args: argparse.Namespace) -> int:
         try:
             client = AdminClient(os.environ.get("IVYMUX_ADMIN", ""), os.environ.get("IVYMUX_ADMIN_KEY", ""))
-            return int(work(client, args) or 0)
+            return int(run_command(client, args) or 0)
         except CallError as error:
             print(f"ivymux: {error}", file=sys.stderr)
             return error.code
--- a/ivymux/desired/copying.py
+++ b/ivymux/desired/copying.py
@@ -28,7 +28,7 @@
     split_text,
     unpacked,
 )
-from ivymux.desired.etcd.plan import admin_puts, read_state
+from ivymux.desired.etcd.plan import admin_puts, decode_state
 from ivymux.desired.etcd.store import EtcdStore
 from ivymux.desired.etcd.wire import MAX_OPERATIONS, Compare, Delete, Kv, Put, Range, Txn
 from ivymux.desired.model import Admin, AuditRecord, StoreError
@@ -66,7 +66,7 @@
     """Fill an empty SQLite store with the state in etcd.  Raises StoreError."""
     keys = store.keys
     found = store.range(Range(keys.state))
-    (state, _), at = read_state(found), found.revision
+    (state, _), at = decode_state(found), found.revision
 
     def read_all(*parts: str) -> list[Kv]:
         begin = keys.all(*parts)
--- a/ivymux/desired/etcd/client.py
+++ b/ivymux/desired/etcd/client.py
@@ -19,9 +19,9 @@
     Unauthenticated,
     Unreachable,
     WatchResponse,
-    failure,
+    decode_watch,
     number,
-    read_watch,
+    store_error,
 )
 from ivymux.desired.model import StoreBusy, StoreDamaged, StoreError
 
@@ -165,7 +165,7 @@
             # An intermediate proxy may have forwarded the call.
             raise OutcomeUnknown(f"what answers for etcd is not its JSON gateway (status {status})")
         if status != 200:
-            raise failure(number(found.get("code")), str(found.get("message") or found.get("error", "")))
+            raise store_error(number(found.get("code")), str(found.get("message") or found.get("error", "")))
         return found
 
     @contextlib.contextmanager
@@ -203,9 +203,9 @@
             buffer = bytearray(rest)
             for line in lines:
                 if line.strip():
-                    yield read_watch(parse_line(line))
+                    yield decode_watch(parse_line(line))
         if buffer.strip():  # the last line may lack a newline
-            yield read_watch(parse_line(bytes(buffer)))
+            yield decode_watch(parse_line(bytes(buffer)))
 
 
 def shut_down(answer: httpx.Response) -> None:
--- a/ivymux/desired/etcd/follower.py
+++ b/ivymux/desired/etcd/follower.py
@@ -252,9 +252,9 @@
         with self.lock:
             now = self.state().revision
             heads, gone = self.replica.changes_since(revision)
-        return now, [self.stored(head) for head in heads], gone
+        return now, [self.read_tenant(head) for head in heads], gone
 
-    def stored(self, head: Head) -> StoredTenant:
+    def read_tenant(self, head: Head) -> StoredTenant:
         """Return the tenant of a head.  Raises StoreError."""
         body = self.blob(head.body, head.uid)
         if body is None:
--- a/ivymux/desired/etcd/plan.py
+++ b/ivymux/desired/etcd/plan.py
@@ -78,7 +78,7 @@
     ]  # fmt: skip
 
 
-def read_state(found: RangeResult) -> tuple[State, int]:
+def decode_state(found: RangeResult) -> tuple[State, int]:
     """Decode the state, with etcd's revision that last changed its key.
 
     Raises StoreError if there is no state, StoreDamaged if it has a later format.
@@ -96,9 +96,9 @@
     return key.rpartition(b"/")[2].decode()
 
 
-def read_snapshot(change: Change, ranges: tuple[RangeResult, ...]) -> Snapshot:
+def decode_snapshot(change: Change, ranges: tuple[RangeResult, ...]) -> Snapshot:
     """Decode the results of the ranges of `ranges_to_read`, in that order.  Raises StoreError."""
-    state, mod = read_state(ranges[0])
+    state, mod = decode_state(ranges[0])
     head = unpacked(ranges[1].kvs[0].value, Head) if ranges[1].kvs else None
     hosts = {}
     for found in ranges[5:]:
@@ -109,7 +109,7 @@
     return Snapshot(state, mod, head, hosts, history, records, [last_segment(kv.key) for kv in ranges[4].kvs])
 
 
-def check(change: Change, snapshot: Snapshot) -> None:
+def check_preconditions(change: Change, snapshot: Snapshot) -> None:
     """Check that a change still fits the current state.
 
     Raises RevisionConflict (without the current tenant, which the store reads) and HostTaken.
@@ -122,19 +122,19 @@
             raise HostTaken(host)
 
 
-def new_document(change: Change) -> tuple[Head, bytes] | None:
+def encode_document(change: Change) -> tuple[Head, bytes] | None:
     """The head (without its revision) and document of the changed tenant; None if it is deleted."""
     return None if change.tenant is None else head_of(change.name, change.uid, 0, 0.0, change.tenant)
 
 
-def commit(keys: Keys, change: Change, snapshot: Snapshot, token: str, lease: int) -> tuple[int, Txn]:
+def build_commit(keys: Keys, change: Change, snapshot: Snapshot, token: str, lease: int) -> tuple[int, Txn]:
     """Build the transaction of a change; return it after the revision that it creates.
 
     `token` identifies this attempt in the audit record; `lease` limits the life of a stored answer.
 
     Raises RevisionConflict, HostTaken, StoreError.
     """
-    check(change, snapshot)
+    check_preconditions(change, snapshot)
     revision = snapshot.state.revision + 1
     compares = [Compare(keys.state, "MOD", "EQUAL", snapshot.mod)]
     audit = AuditRecord(
@@ -196,7 +196,9 @@
     return operations
 
 
-def add_operator(keys: Keys, admin: Admin, at: float, state: State | None, mod: int, lineage: str) -> Txn:
+def build_operator_commit(
+    keys: Keys, admin: Admin, at: float, state: State | None, mod: int, lineage: str
+) -> Txn:
     """Build the transaction that stores an operator's key; without a state it creates one of that lineage."""
     current = state or State(0, lineage)
     revision = current.revision + 1
@@ -211,7 +213,7 @@
     ))  # fmt: skip
 
 
-def delete_unused_texts(
+def build_text_deletion(
     keys: Keys, uid: str, mod: int, history: Iterable[Head], stored: Iterable[tuple[str, int]]
 ) -> Txn | None:
     """Build the transaction that deletes a tenant's unreferenced texts; None if there are none.
--- a/ivymux/desired/etcd/store.py
+++ b/ivymux/desired/etcd/store.py
@@ -34,11 +34,11 @@
     RangeResult,
     Txn,
     TxnResult,
+    decode_range,
+    decode_txn,
     number,
     put_json,
     range_json,
-    read_range,
-    read_txn,
     txn_json,
 )
 from ivymux.desired.model import (
@@ -79,7 +79,7 @@
     # --- calls -----------------------------------------------------------------------------------------
 
     def range(self, op: Range) -> RangeResult:
-        return read_range(self.client.read("/v3/kv/range", range_json(op)))
+        return decode_range(self.client.read("/v3/kv/range", range_json(op)))
 
     def read_key(self, key: bytes) -> Kv | None:
         return next(iter(self.range(Range(key)).kvs), None)
@@ -102,11 +102,11 @@
 
     def read_together(self, ops: Sequence[Range]) -> TxnResult:
         """Read several ranges as of one revision of etcd."""
-        return read_txn(self.client.read("/v3/kv/txn", txn_json(Txn((), tuple(ops)))))
+        return decode_txn(self.client.read("/v3/kv/txn", txn_json(Txn((), tuple(ops)))))
 
     def transact(self, txn: Txn) -> TxnResult:
         """Carry out a transaction, without retries.  Raises OutcomeUnknown if its answer is lost."""
-        return read_txn(self.client.call("/v3/kv/txn", txn_json(txn)))
+        return decode_txn(self.client.call("/v3/kv/txn", txn_json(txn)))
 
     def grant_lease(self, seconds: int) -> int:
         """Create a lease and return its id."""
@@ -115,7 +115,7 @@
     # --- reads -----------------------------------------------------------------------------------------
 
     def state(self) -> State:
-        return plan.read_state(self.range(Range(self.keys.state)))[0]
+        return plan.decode_state(self.range(Range(self.keys.state)))[0]
 
     def lineage(self) -> str:
         return self.state().lineage
@@ -130,7 +130,7 @@
             return None
         return join_text(unpacked(found[0].value, TextHeader), [kv.value for kv in found[1:]], name)
 
-    def stored(self, head: Head) -> StoredTenant | None:
+    def read_tenant(self, head: Head) -> StoredTenant | None:
         """Read the tenant of a head; None if it was deleted meanwhile."""
         body = self.blob(head.body, head.uid)
         if body is None:
@@ -144,7 +144,7 @@
             kv = self.read_key(self.keys.tenant(name))
             if kv is None:
                 return None
-            if (stored := self.stored(unpacked(kv.value, Head))) is not None:
+            if (stored := self.read_tenant(unpacked(kv.value, Head))) is not None:
                 return stored
             if self.read_key(self.keys.tenant(name)) == kv:
                 raise StoreDamaged("a tenant's document is not in etcd; restore a backup")
@@ -154,7 +154,7 @@
         begin = self.keys.tenant(after_name) + b"\0" if after_name else self.keys.tenants
         found = self.range(Range(begin, prefix_end(self.keys.tenants), limit))
         heads = [unpacked(kv.value, Head) for kv in found.kvs]
-        return [stored for head in heads if (stored := self.stored(head)) is not None]
+        return [stored for head in heads if (stored := self.read_tenant(head)) is not None]
 
     def answer_of_repeat(self, key: str) -> StoredAnswer | None:
         index = self.read_key(self.keys.repeat_id(key))
@@ -192,7 +192,7 @@
         begin = self.keys.all("history", uid)
         found = self.range(Range(begin, prefix_end(begin), limit, descending=True)).kvs
         heads = [unpacked(kv.value, Head) for kv in found]
-        return [stored for head in heads if (stored := self.stored(head)) is not None]
+        return [stored for head in heads if (stored := self.read_tenant(head)) is not None]
 
     def reports(self) -> list[GatewayReport]:
         """The reports of live gateways; etcd deletes a report when its lease expires, by etcd's clock."""
@@ -215,7 +215,7 @@
 
     def put_texts(self, change: Change) -> None:
         """Store the document and texts of the changed tenant that etcd lacks.  Raises StoreError."""
-        document = plan.new_document(change)
+        document = plan.encode_document(change)
         if document is None:
             return
         head, body = document
@@ -254,7 +254,7 @@
         unknown: set[int] = set()  # revisions of attempts without an answer
         for attempt in range(MAX_ATTEMPTS):
             found = self.read_together(plan.ranges_to_read(self.keys, change, self.newest))
-            snapshot = plan.read_snapshot(change, found.ranges)
+            snapshot = plan.decode_snapshot(change, found.ranges)
             last = self.newest = snapshot.state.revision
             # An attempt without an answer may have been carried out, even after the call timed out.
             for revision in [r for r in unknown if r <= last]:
@@ -262,11 +262,11 @@
                     return revision
                 unknown.discard(revision)
             try:
-                plan.check(change, snapshot)
+                plan.check_preconditions(change, snapshot)
             except RevisionConflict:
                 raise RevisionConflict(self.get(change.name)) from None
             self.put_texts(change)
-            revision, txn = plan.commit(self.keys, change, snapshot, token, lease)
+            revision, txn = plan.build_commit(self.keys, change, snapshot, token, lease)
             try:
                 if self.transact(txn).succeeded:
                     self.newest = revision
@@ -293,21 +293,21 @@
         with contextlib.suppress(StoreError):
             begin, blobs = self.keys.all("history", uid), self.keys.all("blobs", uid)
             state = self.range(Range(self.keys.state))
-            _, mod = plan.read_state(state)
+            _, mod = plan.decode_state(state)
             history, _ = self.read_range(begin, prefix_end(begin), at=state.revision)
             stored, _ = self.read_range(blobs, prefix_end(blobs), keys_only=True, at=state.revision)
             listed = [
                 (plan.last_segment(kv.key), kv.create) for kv in stored if kv.key.count(b"/", len(blobs)) == 0
             ]
             heads = [unpacked(kv.value, Head) for kv in history]
-            if (txn := plan.delete_unused_texts(self.keys, uid, mod, heads, listed)) is not None:
+            if (txn := plan.build_text_deletion(self.keys, uid, mod, heads, listed)) is not None:
                 self.transact(txn)
 
     def add_operator(self, admin: Admin, at: float) -> None:
         for attempt in range(MAX_ATTEMPTS):
             found = self.range(Range(self.keys.state))
-            state, mod = plan.read_state(found) if found.kvs else (None, 0)
-            txn = plan.add_operator(self.keys, admin, at, state, mod, secrets.token_hex(16))
+            state, mod = plan.decode_state(found) if found.kvs else (None, 0)
+            txn = plan.build_operator_commit(self.keys, admin, at, state, mod, secrets.token_hex(16))
             try:
                 if self.transact(txn).succeeded:
                     return
--- a/ivymux/desired/etcd/wire.py
+++ b/ivymux/desired/etcd/wire.py
@@ -207,7 +207,7 @@
     return int(value or 0)
 
 
-def read_kv(found: Json) -> Kv:
+def decode_kv(found: Json) -> Kv:
     return Kv(
         b64decode(found["key"], validate=True), b64decode(found.get("value", ""), validate=True),
         number(found.get("mod_revision")), number(found.get("create_revision")), number(found.get("lease")),
@@ -218,10 +218,10 @@
     return number(answer.get("header", {}).get("revision"))
 
 
-def read_range(answer: Json) -> RangeResult:
+def decode_range(answer: Json) -> RangeResult:
     """Decode the answer to a range request.  Raises StoreDamaged."""
     try:
-        kvs = tuple(read_kv(kv) for kv in answer.get("kvs", ()))
+        kvs = tuple(decode_kv(kv) for kv in answer.get("kvs", ()))
         return RangeResult(
             kvs, bool(answer.get("more", False)), number(answer.get("count")), revision_of(answer)
         )
@@ -229,29 +229,29 @@
         raise StoreDamaged("etcd's answer can't be read: is this its JSON gateway?") from None
 
 
-def read_txn(answer: Json) -> TxnResult:
+def decode_txn(answer: Json) -> TxnResult:
     """Decode the answer to a transaction.  Raises StoreDamaged."""
     try:
         found = answer.get("responses", ())
-        ranges = tuple(read_range(r["response_range"]) for r in found if "response_range" in r)
+        ranges = tuple(decode_range(r["response_range"]) for r in found if "response_range" in r)
         return TxnResult(bool(answer.get("succeeded", False)), revision_of(answer), ranges)
     except (KeyError, TypeError, ValueError, AttributeError):
         raise StoreDamaged("etcd's answer can't be read: is this its JSON gateway?") from None
 
 
-def read_watch(line: Json) -> WatchResponse:
+def decode_watch(line: Json) -> WatchResponse:
     """Decode a line of a watch stream.
 
     Raises StoreError for an error in the stream, StoreDamaged for anything else that is no watch response.
     """
     if isinstance(error := line.get("error"), dict):
-        raise failure(number(error.get("grpc_code", error.get("code"))), str(error.get("message", "")))
+        raise store_error(number(error.get("grpc_code", error.get("code"))), str(error.get("message", "")))
     try:
         result = line["result"]
         events = tuple(
             Event(b64decode(e["kv"]["key"], validate=True), None)
             if e.get("type") == "DELETE" else
-            Event(b64decode(e["kv"]["key"], validate=True), read_kv(e["kv"]))
+            Event(b64decode(e["kv"]["key"], validate=True), decode_kv(e["kv"]))
             for e in result.get("events", ())
         )  # fmt: skip
         return WatchResponse(
@@ -262,7 +262,7 @@
         raise StoreDamaged("etcd's watch can't be read: is this its JSON gateway?") from None
 
 
-def failure(code: int, message: str) -> StoreError:
+def store_error(code: int, message: str) -> StoreError:
     """Translate an error of etcd (a gRPC code) to a StoreError; etcd's message contains no stored value."""
     detail = message[:200]
     match code:
--- a/ivymux/desired/sqlite.py
+++ b/ivymux/desired/sqlite.py
@@ -165,7 +165,7 @@
     def revision(self) -> int:
         return int(self.rows("SELECT revision FROM state")[0][0])
 
-    def stored(self, rows: list[Any]) -> list[StoredTenant]:
+    def decode_tenants(self, rows: list[Any]) -> list[StoredTenant]:
         """Decode rows that have the columns COLUMNS."""
         with translated_errors():
             return [
@@ -175,10 +175,10 @@
 
     def get(self, name: str) -> StoredTenant | None:
         rows = self.rows(f"SELECT {COLUMNS} FROM tenants WHERE name = ?", name)
-        return next(iter(self.stored(rows)), None)
+        return next(iter(self.decode_tenants(rows)), None)
 
     def page(self, after: str, limit: int) -> list[StoredTenant]:
-        return self.stored(self.rows(
+        return self.decode_tenants(self.rows(
             f"SELECT {COLUMNS} FROM tenants WHERE name > ? ORDER BY name LIMIT ?",
             after, limit,
         ))  # fmt: skip
@@ -198,7 +198,11 @@
                 ).fetchall()
             finally:
                 self.db.execute("ROLLBACK")
-        return int(current), self.stored(rows), None if is_full else [DeletedTenant(*row) for row in deleted]
+        return (
+            int(current),
+            self.decode_tenants(rows),
+            None if is_full else [DeletedTenant(*row) for row in deleted],
+        )
 
     def blob(self, name: str, uid: str) -> bytes | None:
         rows = self.rows("SELECT data FROM blobs WHERE digest = ?", name)
@@ -233,7 +237,7 @@
             ]
 
     def history(self, uid: str, limit: int) -> list[StoredTenant]:
-        return self.stored(self.rows(
+        return self.decode_tenants(self.rows(
             f"SELECT {COLUMNS} FROM history WHERE uid = ? ORDER BY revision DESC LIMIT ?",
             uid, limit,
         ))  # fmt: skip
@@ -244,7 +248,7 @@
         with self.transaction() as db:
             row = db.execute(f"SELECT {COLUMNS} FROM tenants WHERE name = ?", (change.name,)).fetchone()
             if (row[2] if row else 0) != change.expected or (row and row[1] != change.uid):
-                raise RevisionConflict(self.stored([row])[0] if row else None)
+                raise RevisionConflict(self.decode_tenants([row])[0] if row else None)
             (revision,) = db.execute(
                 "UPDATE state SET revision = revision + 1 RETURNING revision"
             ).fetchone()  # fmt: skip
--- a/ivymux/routes/table.py
+++ b/ivymux/routes/table.py
@@ -131,22 +131,22 @@
 
     Raises BadParameter for a malformed parameter: a backend may read it differently and do more work.
     """
-    rule = route.operation.cost
-    if rule.source == "query":
-        found = override.query_values(target.query, rule.name)
-    elif rule.source == "header":
-        name = rule.name.encode()
+    cost = route.operation.cost
+    if cost.source == "query":
+        found = override.query_values(target.query, cost.name)
+    elif cost.source == "header":
+        name = cost.name.encode()
         found = [value.decode("latin-1") for header, value in headers if header == name]
     else:
-        value = route.parameter(rule.name, target.segments)
+        value = route.parameter(cost.name, target.segments)
         found = [value] if value is not None else []
     if not found:
-        return rule.amount
+        return cost.amount
     if len(found) > 1:
-        raise BadParameter(f"{rule.name} stands twice")
+        raise BadParameter(f"{cost.name} stands twice")
     if not AMOUNT.fullmatch(found[0]):
-        raise BadParameter(f"{rule.name} is not a number")
-    return cost_units(rule, float(found[0]))
+        raise BadParameter(f"{cost.name} is not a number")
+    return cost_units(cost, float(found[0]))
 
 
 __all__ = ["BadParameter", "Decision", "NoRoute", "Table"]
--- a/tests/desired/test_etcd_store.py
+++ b/tests/desired/test_etcd_store.py
@@ -219,7 +219,7 @@
 
 
 def test_answers_that_are_not_from_etcd_raise_store_damaged() -> None:
-    from ivymux.desired.etcd.wire import failure, read_range, read_txn, read_watch
+    from ivymux.desired.etcd.wire import decode_range, decode_txn, decode_watch, store_error
 
     nonsense: list[Any] = [
         {"kvs": [1]},
@@ -229,16 +229,16 @@
     ]
     for answer in nonsense:
         with pytest.raises(StoreDamaged, match="JSON gateway"):
-            read_range(answer)
+            decode_range(answer)
         with pytest.raises(StoreDamaged, match="JSON gateway"):
-            read_txn({"responses": [{"response_range": answer}]})
+            decode_txn({"responses": [{"response_range": answer}]})
     lines: list[Any] = [{}, {"result": {"events": [{}]}}, {"result": {"events": [{"kv": {"key": "%"}}]}}]
     for line in lines:
         with pytest.raises(StoreDamaged, match="JSON gateway"):
-            read_watch(line)
-    assert isinstance(failure(8, "etcdserver: mvcc: database space exceeded"), StoreFull)
-    assert isinstance(failure(14, "etcdserver: no leader"), StoreBusy)
-    assert "readwrite" in str(failure(7, "etcdserver: permission denied"))
+            decode_watch(line)
+    assert isinstance(store_error(8, "etcdserver: mvcc: database space exceeded"), StoreFull)
+    assert isinstance(store_error(14, "etcdserver: no leader"), StoreBusy)
+    assert "readwrite" in str(store_error(7, "etcdserver: permission denied"))
 
 
 def test_expired_tokens_are_renewed_and_passwords_are_never_shown() -> None:
