--- a/ivymux/admin/app.py
+++ b/ivymux/admin/app.py
@@ -291,6 +291,8 @@
         return principal
 
     def endpoint(self, operation: Operation) -> Callable[[Request], Awaitable[Response]]:
+        """Return the endpoint that authenticates and parses a call, and runs an operation."""
+
         async def endpoint(request: Request) -> Response:
             try:
                 principal = await self.authenticate(request)
@@ -404,6 +406,7 @@
 
 
 def rate_limit_error(wait_s: float) -> ApiError:
+    """Return the ApiError for a call beyond the rate limit, which may be repeated after `wait_s`."""
     return ApiError(429, "too many calls", {"Retry-After": str(max(1, int(wait_s + 1)))})
 
 
@@ -461,10 +464,12 @@
 
 
 def schema_ref(kind: type) -> dict[str, Any]:
+    """Return the JSON schema that refers to a struct's schema in the OpenAPI document."""
     return {"$ref": f"#/components/schemas/{kind.__name__}"}
 
 
 def string_object(*names: str) -> dict[str, Any]:
+    """Return the JSON schema of an object with these fields, all of them strings."""
     return {"type": "object", "required": list(names), "additionalProperties": False,
             "properties": {name: {"type": "string"} for name in names}}  # fmt: skip
 
--- a/ivymux/cli/inventory.py
+++ b/ivymux/cli/inventory.py
@@ -122,6 +122,11 @@
 
 
 def run_apply(args: argparse.Namespace) -> int:
+    """Check a list, write it and wait for the gateway.
+
+    Returns 0 if the gateway applied the list, 1 if it was refused or held back, 2 for invalid usage, and 3 if
+    the list was written, but not applied in time.
+    """
     from ivymux.data_plane.limits import ConfigError
     from ivymux.inventory.model import InventoryError
     from ivymux.membership import list_change
--- a/ivymux/cli/tenant.py
+++ b/ivymux/cli/tenant.py
@@ -228,6 +228,7 @@
 
 
 def run_set(client: AdminClient, args: argparse.Namespace) -> int:
+    """Build a merge patch from arguments PATH=JSON, and apply it; what is not JSON is taken as a string."""
     patch: dict[str, Any] = {}
     for part in args.parts:
         path, separator, text = part.partition("=")
--- a/ivymux/desired/etcd/keys.py
+++ b/ivymux/desired/etcd/keys.py
@@ -118,27 +118,34 @@
         return self.at("audit", revision_text(revision))
 
     def audit_of(self, uid: str, revision: int) -> bytes:
+        """The key of an entry in the index of a tenant's audit records; `uid` is empty for no tenant."""
         return self.at("audit-of", uid or "-", revision_text(revision))
 
     def admin(self, uid: str, key_id: str) -> bytes:
         return self.at("admins", uid or "-", key_id)
 
     def admin_id(self, key_id: str) -> bytes:
+        """The key that maps the id of an administrator's key to the tenant's uid."""
         return self.at("admin-ids", key_id)
 
     def repeat(self, uid: str, key: str) -> bytes:
+        """The key of the stored answer to a creation, by its idempotency key."""
         return self.at("repeats", uid, key)
 
     def repeat_id(self, key: str) -> bytes:
+        """The key that maps an idempotency key to the tenant's uid."""
         return self.at("repeat-ids", key)
 
     def blob(self, uid: str, name: str) -> bytes:
+        """The key of a text's header, which has the text's first piece."""
         return self.at("blobs", uid, name)
 
     def piece(self, uid: str, name: str, number: int) -> bytes:
+        """The key of a further piece of a text, numbered from 1."""
         return self.at("blobs", uid, name, f"{number:04d}")
 
     def door(self, door: str, part: str) -> bytes:
+        """The key of a part of a gateway's report: its name, the revision that it serves, or the usage."""
         return self.at("doors", digest(door.encode())[:16], part)
 
 
--- a/ivymux/desired/model.py
+++ b/ivymux/desired/model.py
@@ -77,6 +77,7 @@
 
     @property
     def role(self) -> Role:
+        """Whose key this is: an operator's, or that of a tenant's administrator."""
         return "tenant" if self.uid else "operator"
 
 
--- a/ivymux/hosting/hosted_tenant.py
+++ b/ivymux/hosting/hosted_tenant.py
@@ -78,6 +78,7 @@
 
     @property
     def is_idle(self) -> bool:
+        """Whether no request is open."""
         return not self.host.requests
 
     def close(self) -> None:
@@ -112,6 +113,7 @@
 
     @property
     def is_ready(self) -> bool:
+        """Whether the tenant's requests are served."""
         return self.frontend is not None
 
     # --- changes of state ------------------------------------------------------------------------------
--- a/ivymux/hosting/server.py
+++ b/ivymux/hosting/server.py
@@ -171,6 +171,10 @@
             self.counted_tenant = None
 
     def on_body(self, body: bytes) -> None:
+        """Count a received part of the body towards the tenant's limit on buffered bytes.
+
+        Raises BadRequest beyond that limit.
+        """
         super().on_body(body)
         if (share := self.body_share) is not None:
             share.held_bytes += len(body)
@@ -178,6 +182,7 @@
                 raise BadRequest("too much is held of this tenant", 429)
 
     def release_body(self) -> None:
+        """Discard the received body, which no longer counts towards any limit."""
         if self.held_bytes:
             if self.body_share is not None:
                 self.body_share.held_bytes -= self.held_bytes
@@ -186,6 +191,7 @@
         self.body = []
 
     def handle_request(self, exchange: Exchange) -> None:
+        """Admit a complete request to its tenant's current generation, or refuse it."""
         tenant, server, url = self.requested_tenant, self.server, self.url
         if tenant is None or url == READINESS_PATH or len(server.clients) > server.max_clients:
             super().handle_request(exchange)
--- a/ivymux/inventory/change_policy.py
+++ b/ivymux/inventory/change_policy.py
@@ -90,6 +90,7 @@
 
     @property
     def passes(self) -> bool:
+        """Whether the change is applied without confirmation."""
         return not self.reasons
 
 
--- a/ivymux/membership/member_list.py
+++ b/ivymux/membership/member_list.py
@@ -103,11 +103,13 @@
             yield self.build_event(i.Listing.FULL if is_initial else i.Listing.DELTA, pending)
 
     def build_event(self, listing: i.Listing, pending: list[tuple[i.Entry, Address]]) -> MembershipEvent:
+        """Return the event of these entries, with the next version of the list."""
         self.version += 1
         entries = tuple(entry for entry, _ in pending)
         return i.Members(listing, self.version, entries), {e.backend: a for e, a in pending}
 
     def build_entry(self, number: int, member: Member, state: i.State) -> i.Entry:
+        """Return the decision module's entry of a member; new rooms and kinds get the next numbers."""
         worker = member.worker
         room = self.room_numbers.setdefault(worker.room, len(self.room_numbers))
         kind = self.kind_numbers.setdefault(worker.kind, len(self.kind_numbers))
--- a/ivymux/membership/source.py
+++ b/ivymux/membership/source.py
@@ -194,6 +194,7 @@
     # --- commands ------------------------------------------------------------------------------------
 
     async def handle_commands(self) -> None:
+        """Carry out the commands that the command line has written to the state folder."""
         if (code := self.store.take_command("confirm")) is not None:
             await self.confirm(code)
         if (number := self.store.take_command("rollback")) is not None:
--- a/ivymux/routes/model.py
+++ b/ivymux/routes/model.py
@@ -45,6 +45,7 @@
         self.left_out = 0
 
     def add(self, level: Level, file: str, place: str, text: str) -> None:
+        """Add a finding; beyond MAX_FINDINGS it is only counted, unless it is the first error."""
         if level == "error":
             self.errors += 1
         if len(self.kept) < MAX_FINDINGS or (level == "error" and self.errors == 1):
