--- a/ivymux/desired/etcd/keys.py
+++ b/ivymux/desired/etcd/keys.py
@@ -1,8 +1,8 @@
 """The etcd keys of the desired state and the formats of their values.  Does no I/O.
 
 Gateways watch `live/`, which has the state's revision and a small head for each tenant.  A tenant's document
-and texts are stored below its uid, named by digest, in pieces, since etcd limits the size of a request
-(1.5 MiB by default).  So one range deletion removes all texts of a tenant.
+and texts are stored below the tenant's uid, so that one range deletion removes them all.  They are named by
+digest, and split into pieces, since etcd limits the size of a request (1.5 MiB by default).
 """
 
 from __future__ import annotations
@@ -45,17 +45,20 @@
 
 
 class StoredAuditRecord(msgspec.Struct, frozen=True):
-    """An audit record.  A commit whose answer was lost finds its `token` here if it was carried out."""
+    """An audit record with the `token` of its commit.
+
+    A client that did not receive the answer to a commit finds its token here if the commit was carried out.
+    """
 
     token: str
     audit: AuditRecord
 
 
 class GatewayStatus(msgspec.Struct, frozen=True):
-    """The revision that a gateway serves, and by uid why a tenant's latest state is not served."""
+    """The revision that a gateway serves, and the tenants whose latest state it can't serve."""
 
     revision: int
-    problems: dict[str, str] = {}
+    problems: dict[str, str] = {}  # the reasons, by uid
 
 
 class TextHeader(msgspec.Struct, frozen=True):
@@ -115,27 +118,34 @@
         return self.at("audit", revision_text(revision))
 
     def audit_of(self, uid: str, revision: int) -> bytes:
+        """The key of an entry in the index of a tenant's audit records; `uid` is empty for no tenant."""
         return self.at("audit-of", uid or "-", revision_text(revision))
 
-    def admin(self, uid: str, number: str) -> bytes:
-        return self.at("admins", uid or "-", number)
+    def admin(self, uid: str, key_id: str) -> bytes:
+        return self.at("admins", uid or "-", key_id)
 
-    def admin_id(self, number: str) -> bytes:
-        return self.at("admin-ids", number)
+    def admin_id(self, key_id: str) -> bytes:
+        """The key that maps the id of an administrator's key to the tenant's uid."""
+        return self.at("admin-ids", key_id)
 
     def repeat(self, uid: str, key: str) -> bytes:
+        """The key of the stored answer to a creation, by its idempotency key."""
         return self.at("repeats", uid, key)
 
     def repeat_id(self, key: str) -> bytes:
+        """The key that maps an idempotency key to the tenant's uid."""
         return self.at("repeat-ids", key)
 
     def blob(self, uid: str, name: str) -> bytes:
+        """The key of a text's header, which has the text's first piece."""
         return self.at("blobs", uid, name)
 
     def piece(self, uid: str, name: str, number: int) -> bytes:
+        """The key of a further piece of a text, numbered from 1."""
         return self.at("blobs", uid, name, f"{number:04d}")
 
     def door(self, door: str, part: str) -> bytes:
+        """The key of a part of a gateway's report: its name, the revision that it serves, or the usage."""
         return self.at("doors", digest(door.encode())[:16], part)
 
 
@@ -149,7 +159,7 @@
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except msgspec.MsgspecError:
-        raise StoreDamaged("etcd holds what this version can't read: use the ivymux that wrote it") from None
+        raise StoreDamaged("etcd contains data that this version can't read: use a newer ivymux") from None
 
 
 def head_of(name: str, uid: str, revision: int, created: float, tenant: Tenant) -> tuple[Head, bytes]:
@@ -177,14 +187,14 @@
     except zlib.error:
         data = b""
     if len(rest) != header.pieces or digest(data) != name:
-        raise StoreDamaged("a text in etcd is not what its digest says; restore a backup")
+        raise StoreDamaged("a text in etcd does not match its digest; restore a backup")
     return data
 
 
 def encode_audit(token: str, audit: AuditRecord) -> bytes:
     """Encode an audit record.
 
-    One that is too large lists only the paths of its first changes, and the number of the others.
+    A record that is too large lists only the paths of its first changes, and the number of the others.
     """
     value = zlib.compress(packed(StoredAuditRecord(token, audit)))
     if len(value) <= MAX_VALUE_BYTES:
--- a/ivymux/desired/etcd/plan.py
+++ b/ivymux/desired/etcd/plan.py
@@ -1,7 +1,7 @@
 """Builds the etcd transaction that commits a change of the desired state.  Does no I/O.
 
 Every commit compares and replaces the state's key, so commits are serialised: a transaction succeeds only if
-nothing that it was built from has changed.  Otherwise the store reads again and builds a new one.
+nothing that it was built from has changed.  Otherwise the store reads again and builds a new transaction.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 )
 
 MAX_HISTORY = 50  # revisions kept per tenant
-MAX_AUDIT = 100_000
+MAX_AUDIT = 100_000  # audit records
 MAX_AUDIT_DELETIONS = 5  # expired audit records that one commit deletes
 NO_STATE = "no desired state is here: `ivymux operator` begins one, `ivymux restore` puts a copy back"
 
@@ -78,7 +78,7 @@
     ]  # fmt: skip
 
 
-def read_state(found: RangeResult) -> tuple[State, int]:
+def decode_state(found: RangeResult) -> tuple[State, int]:
     """Decode the state, with etcd's revision that last changed its key.
 
     Raises StoreError if there is no state, StoreDamaged if it has a later format.
@@ -87,7 +87,7 @@
         raise StoreError(NO_STATE)
     state = unpacked(found.kvs[0].value, State)
     if state.form > 1:
-        raise StoreDamaged(f"the desired state is of a later form ({state.form}): use that one's ivymux")
+        raise StoreDamaged(f"the desired state is of a later format ({state.form}): use a newer ivymux")
     return state, found.kvs[0].mod
 
 
@@ -96,9 +96,9 @@
     return key.rpartition(b"/")[2].decode()
 
 
-def read_snapshot(change: Change, ranges: tuple[RangeResult, ...]) -> Snapshot:
-    """Decode what was read for ranges_to_read.  Raises StoreError."""
-    state, mod = read_state(ranges[0])
+def decode_snapshot(change: Change, ranges: tuple[RangeResult, ...]) -> Snapshot:
+    """Decode the results of the ranges of `ranges_to_read`, in that order.  Raises StoreError."""
+    state, mod = decode_state(ranges[0])
     head = unpacked(ranges[1].kvs[0].value, Head) if ranges[1].kvs else None
     hosts = {}
     for found in ranges[5:]:
@@ -109,7 +109,7 @@
     return Snapshot(state, mod, head, hosts, history, records, [last_segment(kv.key) for kv in ranges[4].kvs])
 
 
-def check(change: Change, snapshot: Snapshot) -> None:
+def check_preconditions(change: Change, snapshot: Snapshot) -> None:
     """Check that a change still fits the current state.
 
     Raises RevisionConflict (without the current tenant, which the store reads) and HostTaken.
@@ -122,17 +122,19 @@
             raise HostTaken(host)
 
 
-def new_document(change: Change) -> tuple[Head, bytes] | None:
+def encode_document(change: Change) -> tuple[Head, bytes] | None:
     """The head (without its revision) and document of the changed tenant; None if it is deleted."""
     return None if change.tenant is None else head_of(change.name, change.uid, 0, 0.0, change.tenant)
 
 
-def commit(keys: Keys, change: Change, snapshot: Snapshot, token: str, lease: int) -> tuple[int, Txn]:
-    """Build the transaction of a change.  Return the new revision, too.
+def build_commit(keys: Keys, change: Change, snapshot: Snapshot, token: str, lease: int) -> tuple[int, Txn]:
+    """Build the transaction of a change; return it after the revision that it creates.
+
+    `token` identifies this attempt in the audit record; `lease` limits the life of a stored answer.
 
     Raises RevisionConflict, HostTaken, StoreError.
     """
-    check(change, snapshot)
+    check_preconditions(change, snapshot)
     revision = snapshot.state.revision + 1
     compares = [Compare(keys.state, "MOD", "EQUAL", snapshot.mod)]
     audit = AuditRecord(
@@ -149,7 +151,7 @@
     if change.tenant is None:
         operations += [Delete(keys.host(host)) for host in sorted(old_hosts)]
         operations.append(Delete(keys.tenant(change.name)))
-        operations += [Delete(keys.admin_id(number)) for number in snapshot.admins[:40]]
+        operations += [Delete(keys.admin_id(key_id)) for key_id in snapshot.admins[:40]]
         for part in ("history", "admins", "repeats", "blobs"):
             operations.append(Delete(keys.all(part, change.uid), prefix_end(keys.all(part, change.uid))))
     else:
@@ -166,13 +168,13 @@
                     keys.history(change.uid, 0), keys.history(change.uid, snapshot.history[MAX_HISTORY - 2])
                 )
             )
-        # The texts were stored before; if a clean-up deleted one since, the transaction fails.
+        # The texts were stored before this transaction, which fails if one of them was deleted since then.
         compares += [
             Compare(keys.blob(change.uid, name), "CREATE", "GREATER", 0) for name in (head.body, *head.texts)
         ]
         operations += admin_puts(keys, change.add_admins)
-        for dropped in change.drop_admins:
-            operations += [Delete(keys.admin(change.uid, dropped)), Delete(keys.admin_id(dropped))]
+        for key_id in change.drop_admins:
+            operations += [Delete(keys.admin(change.uid, key_id)), Delete(keys.admin_id(key_id))]
         if change.repeat is not None:
             key, answer = change.repeat
             kept = packed(RepeatAnswer(answer.fingerprint, answer.status, answer.body, answer.etag))
@@ -194,7 +196,9 @@
     return operations
 
 
-def add_operator(keys: Keys, admin: Admin, at: float, state: State | None, mod: int, lineage: str) -> Txn:
+def build_operator_commit(
+    keys: Keys, admin: Admin, at: float, state: State | None, mod: int, lineage: str
+) -> Txn:
     """Build the transaction that stores an operator's key; without a state it creates one of that lineage."""
     current = state or State(0, lineage)
     revision = current.revision + 1
@@ -209,7 +213,7 @@
     ))  # fmt: skip
 
 
-def delete_unused_texts(
+def build_text_deletion(
     keys: Keys, uid: str, mod: int, history: Iterable[Head], stored: Iterable[tuple[str, int]]
 ) -> Txn | None:
     """Build the transaction that deletes a tenant's unreferenced texts; None if there are none.
--- a/ivymux/routes/model.py
+++ b/ivymux/routes/model.py
@@ -45,6 +45,7 @@
         self.left_out = 0
 
     def add(self, level: Level, file: str, place: str, text: str) -> None:
+        """Add a finding; beyond MAX_FINDINGS it is only counted, unless it is the first error."""
         if level == "error":
             self.errors += 1
         if len(self.kept) < MAX_FINDINGS or (level == "error" and self.errors == 1):
@@ -77,6 +78,7 @@
 
     @property
     def maximum(self) -> float:
+        """The largest number of units that a request can take."""
         return self.most if self.source else self.amount
 
 
@@ -116,14 +118,17 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """What a site sets for compiling its description; a cached result is valid for the same options only."""
+    """What a site sets for compiling its description; a cached result is valid for the same options only.
+
+    Times are in seconds.
+    """
 
     base: str | None = None  # replaces the base paths of `servers`
     aim: float = 2.0
     deadline: float = 10.0
     worth: float = 1.0
     classes: dict[str, ClassDefaults] = {}
-    most_deadline: float = 60.0
+    most_deadline: float = 60.0  # the largest allowed
     most_operations: int = 20_000
 
 
--- a/tests/admin/api_client.py
+++ b/tests/admin/api_client.py
@@ -23,7 +23,7 @@
 from tests.routes.describing import described
 from tests.service.fixtures import PATHS
 
-KEY_NUMBERS = count()
+IDEMPOTENCY_KEY_NUMBERS = count()
 SHEET = write_csv(Inventory((Worker("w0", "127.0.0.1", 9),))).decode()
 ROUTES = {"main": "api.json", "files": {"api.json": described(PATHS)}}
 
@@ -42,7 +42,7 @@
         if etag is not None:
             headers["If-Match"] = etag
         if method == "POST":
-            headers["Idempotency-Key"] = f"k{next(KEY_NUMBERS)}"
+            headers["Idempotency-Key"] = f"k{next(IDEMPOTENCY_KEY_NUMBERS)}"
         if body is not None:
             content_type = "application/merge-patch+json" if method == "PATCH" else "application/json"
             headers["Content-Type"] = content_type
@@ -77,7 +77,7 @@
 @contextlib.asynccontextmanager
 async def api_over_sqlite(folder: Path) -> AsyncIterator[tuple[ApiClient, SqliteStore]]:
     """Serve the API over SQLite; yield an operator's client and the store."""
-    store = SqliteStore(folder / "desired.db", busy=0.2)
+    store = SqliteStore(folder / "desired.db", busy_timeout_s=0.2)
     async with api_over_store(store) as caller:
         yield caller, store
     store.close()
