--- a/tests/membership/test_source.py
+++ b/tests/membership/test_source.py
@@ -90,7 +90,8 @@
 ) -> AsyncIterator[FollowedInventory]:
     workers = [await stand.Worker().start() for _ in range(count)]
     (tmp_path / "api.json").write_text(json.dumps(described(PATHS)))
-    text = site_text([], description="watch = 0")
+    # The cache spares a test's later starts the compilation of the same description.
+    text = site_text([], description='watch = 0\ncache = "cache"')
     text += f'\n[inventory]\nfile = "{name}"\nstate = "state"\nwatch = 3600.0\nsettle = 0.0\n{extra}'
     (tmp_path / "site.toml").write_text(text)
     setup = FollowedInventory(None, tmp_path, tmp_path / name, workers)  # type: ignore[arg-type]
