--- a/tests/simulation/test_seeded_rules.py
+++ b/tests/simulation/test_seeded_rules.py
@@ -6,8 +6,10 @@
 from __future__ import annotations
 
 import asyncio
+import math
+from collections.abc import Iterator
 from pathlib import Path
-from typing import Literal
+from typing import Any, Literal
 
 import pytest
 
@@ -18,50 +20,101 @@
     Day,
     Event,
     KillMachine,
+    Observation,
     QuiesceBackend,
     SpoilAnswers,
 )  # fmt: skip
-from ivymux.simulation.replay import find_breaches, play_day
+from ivymux.simulation.local_cluster import LocalCluster, local_cluster
+from ivymux.simulation.replay import HANG_TIMEOUT_S, Player, find_breaches
 from ivymux.simulation.rules import Breach
+from ivymux.simulation.rules.configuration import APPLY_BOUND_S
 
-DAY_S = 7.0
+MIN_DAY_S = 7.0
+ENDING_S = 0.6  # the part of the day that begins with slow backends and in which the proxy stops
+STOP_BEFORE_END_S = 0.2
+ROUTE_CHECK_S = 1.0  # for which the rule on routes applies to the changed configuration
+NEW_VERSION = 5
 READS_PER_S, ACTIONS_PER_S = 12, 8
 DISCONNECTS_FROM_S, DISCONNECTS_TO_S = 1.0, 2.5  # clients of reads sent in between disconnect
 SHORT_WAIT_S = 0.7  # of every second client, less than a slow backend takes
 FULL_QUOTA, LOW_QUOTA = 60.0, 6.0  # requests per second
 
 
-def make_events() -> list[Event]:
-    events: list[Event] = []
-    for number in range(int(DAY_S * READS_PER_S)):
+def numbers_within(from_s: float, to_s: float, per_s: int) -> range:
+    return range(math.ceil(from_s * per_s), math.ceil(to_s * per_s))
+
+
+def make_requests(from_s: float, to_s: float) -> Iterator[Event]:
+    for number in numbers_within(from_s, to_s, READS_PER_S):
         at = number / READS_PER_S
         leaves = 0.1 if DISCONNECTS_FROM_S < at < DISCONNECTS_TO_S else 0.0
         waits = SHORT_WAIT_S if number % 2 == 0 else 2.0
-        events.append(ClientRequest(at, f"r{number}", 0, f"/read/{number}", waits=waits, leaves=leaves))
-    for number in range(int(DAY_S * ACTIONS_PER_S)):
-        events.append(ClientRequest(number / ACTIONS_PER_S, f"s{number}", 0, f"/sign/{number}", "POST"))
+        yield ClientRequest(at, f"r{number}", 0, f"/read/{number}", waits=waits, leaves=leaves)
+    for number in numbers_within(from_s, to_s, ACTIONS_PER_S):
+        yield ClientRequest(number / ACTIONS_PER_S, f"s{number}", 0, f"/sign/{number}", "POST")
+
+
+def make_events() -> list[Event]:
+    """Make the events of the day up to its ending."""
+    events = list(make_requests(0.0, MIN_DAY_S - ENDING_S))
     for at in (DISCONNECTS_FROM_S, DISCONNECTS_TO_S):
         events += [SpoilAnswers(at, f"archive-{n}", "slow", 8) for n in range(4)]
     # All backends of the service are slow, so that no retry has an answer in time.
     events += [SpoilAnswers(4.3, f"desk-{n}", "slow", 16) for n in range(2)]
-    events += [SpoilAnswers(DAY_S - 0.6, f"desk-{n}", "slow", 12) for n in range(2)]
     kinds: tuple[Literal["lost", "unsealed", "full"], ...] = ("lost", "unsealed", "full")
     for n in range(2):
         events += [SpoilAnswers(0.3, f"desk-{n}", kind, 2) for kind in kinds]
     events += [SpoilAnswers(0.2, f"archive-{n}", "unsealed", 4) for n in range(4)]
     return [
         *events,
-        ConfigurationChange(3.2, 0, 5, {"read": "desk", "sign": "desk"}),
+        ConfigurationChange(3.2, 0, NEW_VERSION, {"read": "desk", "sign": "desk"}),
         QuiesceBackend(0.6, "desk-2", stays=4.0),
-        KillMachine(DAY_S - 0.2, "door-0", "term"),
     ]
 
 
+def make_ending(now: float, day_s: float) -> list[Event]:
+    """Make the remaining events of a day of `day_s`, after those of `make_events`."""
+    return [
+        *make_requests(max(now, MIN_DAY_S - ENDING_S), day_s),
+        *(SpoilAnswers(day_s - ENDING_S, f"desk-{n}", "slow", 12) for n in range(2)),
+        KillMachine(day_s - STOP_BEFORE_END_S, "door-0", "term"),
+    ]
+
+
+class ExtendingPlayer(Player):
+    """Plays a day that ends no earlier than the rule on routes has applied for `ROUTE_CHECK_S`.
+
+    The rule applies from `APPLY_BOUND_S` after the acknowledgement of the changed configuration up to the
+    stop of the proxy.  On a busy machine, the acknowledgement may take more than a second.
+    """
+
+    async def change(self, event: ConfigurationChange) -> int:
+        status = await super().change(event)
+        if event.version == NEW_VERSION:
+            now = self.now()
+            ending = make_ending(now, max(MIN_DAY_S, now + APPLY_BOUND_S + ROUTE_CHECK_S + STOP_BEFORE_END_S))
+            self.events = [*self.events, *ending]
+            await asyncio.gather(*(self.perform_at_its_time(event) for event in ending))
+        return status
+
+
+async def play_day(
+    day: Day, folder: Path, entry_point: tuple[str, ...]
+) -> tuple[list[Event], list[Observation]]:
+    """Return the events of the day and what was observed."""
+    async with local_cluster(
+        folder, day.cores, day.doors, timeout_s=MIN_DAY_S + HANG_TIMEOUT_S, entry_point=entry_point
+    ) as cluster:
+        player = ExtendingPlayer(day, make_events(), cluster)
+        observations = await player.play()
+        return list(player.events), observations
+
+
 def play_with_fault(folder: Path, fault: str, rate: float) -> list[Breach]:
     day = Day(FORMAT, 1, doors=1, services={"archive": 4, "desk": 3}, rate=rate, burst=rate, work=0.03)
     entry_point = ("-m", "tests.simulation.faulty", fault)
-    observations = asyncio.run(play_day(day, make_events(), folder, entry_point))
-    return find_breaches(day, make_events(), observations)
+    events, observations = asyncio.run(play_day(day, folder, entry_point))
+    return find_breaches(day, events, observations)
 
 
 @pytest.mark.parametrize("rate", [FULL_QUOTA, LOW_QUOTA])
@@ -94,6 +147,22 @@
     assert any(breach.rule == rule and text in breach.text for breach in breaches), breaches
 
 
+def test_a_configuration_that_is_not_applied_is_found_behind_a_late_acknowledgement(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """With a day of fixed length, the rule on routes did not apply to any request of this day."""
+    put_configuration = LocalCluster.put_configuration
+
+    async def put_slowly(self: LocalCluster, *arguments: Any) -> tuple[int, bytes]:
+        result = await put_configuration(self, *arguments)
+        await asyncio.sleep(2.0)
+        return result
+
+    monkeypatch.setattr(LocalCluster, "put_configuration", put_slowly)
+    breaches = play_with_fault(tmp_path, "configuration_not_applied", FULL_QUOTA)
+    assert any(breach.rule == "CONFIG" and "after version 5 held" in breach.text for breach in breaches)
+
+
 def test_a_quota_that_is_not_enforced_is_found(tmp_path: Path) -> None:
     breaches = play_with_fault(tmp_path, "quota_not_enforced", LOW_QUOTA)
     assert "QUOTA" in {breach.rule for breach in breaches}
