--- a/ivymux/simulation/rules/history.py
+++ b/ivymux/simulation/rules/history.py
@@ -99,14 +99,18 @@
         kills = [kill.at for kill in self.kills if machine in ("", kill.machine)]
         return kills + [start.at for start in self.starts if machine in ("", start.machine)]
 
+    def has_stall(self, since: float, until: float) -> bool:
+        """Whether the recorder stalled within a span: it then recorded times that are too late."""
+        return any(stall.at <= until and stall.at + stall.seconds >= since for stall in self.stalls)
+
     def is_quiet(self, since: float, until: float | None = None) -> bool:
         """Whether rules on time apply to a moment, or to a span up to `until`.
 
         They do if no machine was killed or started from `QUIET_PERIOD_S` before it up to its end, and if the
-        recorder did not stall within it: observations of a stalled recorder carry times that are too late.
+        recorder did not stall within it.
         """
         end = since if until is None else until
-        if any(stall.at <= end and stall.at + stall.seconds >= since for stall in self.stalls):
+        if self.has_stall(since, end):
             return False
         return not any(since - QUIET_PERIOD_S <= at <= end for at in self.fault_times())
 
--- a/ivymux/simulation/rules/load.py
+++ b/ivymux/simulation/rules/load.py
@@ -86,18 +86,24 @@
 
 
 def check_remaining_time(history: History) -> Iterable[Breach]:
-    """BUDGET: backends received requests with more remaining time than their clients have."""
+    """BUDGET: backends received requests with more remaining time than their clients have.
+
+    Requests during a stall of the recorder are left out, as the times of their runs are recorded too late,
+    unless they carry no remaining time.
+    """
     if history.day.v < REMAINING_TIME_FORMAT:
         return
     forwarded, over = 0, []
     for id, runs in history.runs.items():
         if (request := history.requests.get(id)) is None:
             continue
+        answer = history.answers.get(id)
+        sent = answer.sent if answer is not None else request.at
         for run in runs:
+            if run.remaining >= 0 and history.has_stall(sent, run.at):
+                continue
             forwarded += 1
-            answer = history.answers.get(id)
-            elapsed = run.at - (answer.sent if answer is not None else request.at)
-            remaining = max(0.0, request.waits - max(0.0, elapsed))
+            remaining = max(0.0, request.waits - max(0.0, run.at - sent))
             if run.remaining < 0 or run.remaining > remaining + REMAINING_SLACK_S:
                 over.append(id)
     if len(over) > REMAINING_ALLOWANCE and len(over) > REMAINING_SHARE * forwarded:
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -268,6 +268,13 @@
     assert find_rules([*requests], [*runs]) == []
     assert find_rules([*requests], too_long) == ["BUDGET"]
     assert find_rules([*requests], missing) == ["BUDGET"]
+    # A stalled recorder sees runs too late: their time is not judged, but all of them carry one.
+    stall = RecorderStall(requests[0].at, requests[-1].at - requests[0].at + 0.1)
+    assert find_rules([*requests], [*too_long, stall]) == []
+    assert find_rules([*requests], [*missing, stall]) == ["BUDGET"]
+    # A stall before the first request is sent excuses nothing.
+    earlier = RecorderStall(requests[0].at - 0.4, 0.3)
+    assert find_rules([*requests], [*too_long, earlier]) == ["BUDGET"]
 
 
 def test_no_route_is_starved_and_no_valid_request_denied() -> None:
