--- a/ivymux/proxy/core_connection.py
+++ b/ivymux/proxy/core_connection.py
@@ -115,7 +115,7 @@
         self.request_configuration()
 
     def acknowledge_configuration(self) -> None:
-        """Tell the registry which configuration is in force at this proxy."""
+        """Report to the registry which configuration is in force at this proxy."""
         if self.proxy.config_version >= 0 and self.is_connected:
             self.connector.send({"k": "have", "v": self.proxy.config_version})
 
--- a/ivymux/text.py
+++ b/ivymux/text.py
@@ -11,7 +11,7 @@
 MAX_BYTES = 64 << 20  # of one file
 MAX_DEPTH = 200  # levels of nesting
 MAX_NODES = 6_000_000  # after expansion of aliases
-# YAML 1.2 has no other words for booleans.
+# YAML 1.2 has no other booleans.
 BOOLEANS = {"true": True, "True": True, "TRUE": True, "false": False, "False": False, "FALSE": False}
 
 
@@ -87,7 +87,7 @@
 
 
 def construct_scalar(loader: Loader, node: yaml.ScalarNode) -> Any:
-    """Build a string, or a boolean from an unquoted word of BOOLEANS."""
+    """Build a string, or a boolean from an unquoted scalar in BOOLEANS."""
     if not node.style and node.value in BOOLEANS:
         return BOOLEANS[node.value]
     return loader.construct_scalar(node)
--- a/tests/hosting/test_flood.py
+++ b/tests/hosting/test_flood.py
@@ -128,7 +128,7 @@
         data = [make_request("GET /read/7", b"", key, Host=host) for host, key in callers]
 
         async def run_round(first_rate: float, seconds: float) -> tuple[LoadResult, list[LoadResult]]:
-            clock = RunnableClock(process_id)
+            clock = RunnableClock.of_process(process_id)
             quiet = [
                 send_load(port, data[n], QUIET_RATE, seconds, n / TENANTS / QUIET_RATE, clock)
                 for n in range(1, TENANTS)
--- a/tests/pauses.py
+++ b/tests/pauses.py
@@ -18,6 +18,17 @@
 MIN_PAUSE_S = 0.01  # beyond the interval between two checks, to count as a pause
 
 
+def read_schedstat(path: Path) -> tuple[float, float]:
+    """Return the seconds for which a thread has run, and has waited for a core (Linux, `sched-stats`).
+
+    Both are 0 on a kernel without these statistics.
+    """
+    if not path.exists():
+        return 0.0, 0.0
+    ran_ns, waited_ns, _ = map(int, path.read_text().split())
+    return ran_ns / 1e9, waited_ns / 1e9
+
+
 class Pauses:
     """A thread that notes for each interval of the clock how much of it the machine took from the creator.
 
@@ -38,13 +49,11 @@
         self.thread = threading.Thread(target=self.watch_clock, daemon=True)
 
     def waited(self) -> float:
-        """Return the seconds for which the creator has waited for a core so far (Linux, `sched-stats`).
+        """Return the seconds for which the creator has waited for a core so far.
 
         0 on a kernel without these statistics: then only pauses of the whole process count.
         """
-        if not self.statistics.exists():
-            return 0.0
-        return int(self.statistics.read_text().split()[1]) / 1e9
+        return read_schedstat(self.statistics)[1]
 
     def watch_clock(self) -> None:
         last_time, last_cpu, last_waited = time.monotonic(), time.process_time(), self.waited()
--- a/tests/runnable_clock.py
+++ b/tests/runnable_clock.py
@@ -11,7 +11,11 @@
 import asyncio
 import time
 from pathlib import Path
+from typing import Self
 
+from .pauses import read_schedstat
+
+MACHINE_STATISTICS = Path("/proc/stat")
 REFRESH_INTERVAL_S = 0.005  # between two readings of the kernel's statistics
 
 
@@ -24,20 +28,18 @@
     statistics this is a plain monotonic clock.
     """
 
-    def __init__(self, process_id: int) -> None:
-        self.thread_statistics = Path(f"/proc/{process_id}/schedstat")
-        self.machine_statistics = Path("/proc/stat")
-        self.ran_before_s, self.waited_before_s = self.read_thread()
+    def __init__(self, thread_statistics: Path, machine_statistics: Path = MACHINE_STATISTICS) -> None:
+        """The paths of `schedstat` of the process, and of the machine's statistics."""
+        self.thread_statistics, self.machine_statistics = thread_statistics, machine_statistics
+        self.ran_before_s, self.waited_before_s = read_schedstat(thread_statistics)
         self.computed_before, self.stolen_before = self.read_machine()
         self.started_at = self.read_at = time.monotonic()
         self.lost_s = self.latest_s = 0.0
 
-    def read_thread(self) -> tuple[float, float]:
-        """Return the seconds for which the thread has run, and has waited for a processor."""
-        if not self.thread_statistics.exists():
-            return 0.0, 0.0
-        ran_ns, waited_ns, _ = map(int, self.thread_statistics.read_text().split())
-        return ran_ns / 1e9, waited_ns / 1e9
+    @classmethod
+    def of_process(cls, process_id: int) -> Self:
+        """Return the clock of a running process."""
+        return cls(Path(f"/proc/{process_id}/schedstat"))
 
     def read_machine(self) -> tuple[int, int]:
         """Return the times for which processors have computed, and were taken away, in the kernel's unit."""
@@ -51,7 +53,7 @@
 
     def read_lost(self) -> float:
         """Return the seconds lost since the creation."""
-        ran_s, waited_s = self.read_thread()
+        ran_s, waited_s = read_schedstat(self.thread_statistics)
         computed, stolen = self.read_machine()
         stolen_part = (stolen - self.stolen_before) / max(1, computed - self.computed_before)
         return waited_s - self.waited_before_s + stolen_part * (ran_s - self.ran_before_s)
--- a/tests/simulation/test_seeded_rules.py
+++ b/tests/simulation/test_seeded_rules.py
@@ -160,7 +160,7 @@
     assert any(breach.rule == rule and text in breach.text for breach in breaches), breaches
 
 
-def test_a_configuration_that_is_not_applied_is_found_behind_a_late_acknowledgement(
+def test_a_configuration_that_is_not_applied_is_found_after_a_late_acknowledgement(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With a day of fixed length, the rule on routes did not apply to any request of this day."""
--- a/tests/system/test_offsets.py
+++ b/tests/system/test_offsets.py
@@ -96,16 +96,16 @@
     return backend
 
 
-def check_outcome(answer: httpx.Response | None, id: str, target: str, desk: BreakingBackend) -> None:
+def check_outcome(answer: httpx.Response | None, id: str, target: str, backend: BreakingBackend) -> None:
     """Check the outcome of one try against what its client and the backend observed."""
     assert answer is not None and answer.status_code in (200, 502, 503, 504), answer
-    assert desk.complete_runs[id] <= 1
+    assert backend.complete_runs[id] <= 1
     if answer.status_code == 200:
-        assert desk.complete_runs[id] == 1
+        assert backend.complete_runs[id] == 1
         assert (answer.text, answer.headers["server-seal"]) == (f"desk {target}", f"seal-{id}")
         assert answer.headers["try-id"] == id
     elif answer.status_code == 503:
-        assert desk.complete_runs[id] == 0  # 503 means that the request was not executed
+        assert backend.complete_runs[id] == 0  # 503 means that the request was not executed
 
 
 def test_connections_that_break_at_each_byte(tmp_path: Path) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -153,7 +153,7 @@
 
 
 def test_an_agent_that_does_not_answer_is_soon_asked_again() -> None:
-    """An agent never answers a request of the time when discovery was down, and takes later changes for sent.
+    """An agent that is asked while discovery is down never answers, and treats later lists as already sent.
 
     Waiting for `WATCH_SILENCE_S` would take too long.
     """
--- a/tests/test_runnable_clock.py
+++ b/tests/test_runnable_clock.py
@@ -18,10 +18,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.record(ran_s=5.0, waited_s=1.0, computed=1000, stolen=100)
-        super().__init__(os.getpid())
-        self.thread_statistics, self.machine_statistics = folder / "schedstat", folder / "stat"
-        self.ran_before_s, self.waited_before_s = self.read_thread()
-        self.computed_before, self.stolen_before = self.read_machine()
+        super().__init__(folder / "schedstat", folder / "stat")
 
     def record(self, ran_s: float, waited_s: float, computed: int, stolen: int) -> None:
         (self.folder / "schedstat").write_text(f"{ran_s * 1e9:.0f} {waited_s * 1e9:.0f} 7\n")
@@ -53,7 +50,7 @@
 
 
 def test_a_process_that_computes_is_not_excused() -> None:
-    clock, cpu_s = RunnableClock(os.getpid()), time.thread_time()
+    clock, cpu_s = RunnableClock.of_process(os.getpid()), time.thread_time()
     while time.thread_time() - cpu_s < 0.3:
         pass
     assert clock.now() > 0.25  # the clocks are not read at one moment
