--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -4,9 +4,9 @@
     python -m bench.capacity --measure PART SIZE                        # one point, in this process
 
 Each point is measured in a separate process.  A line is fitted to four or more sizes by least squares; its
-residual is the largest deviation of a point from it, relative to the point.  A value at the projected size is
-an extrapolation, not a measurement.  The registry's connections are real: `bench.sizing` makes them with
-stand-in proxies in one process.
+residual is the largest deviation of a point from the line, relative to the point.  A value at the projected
+size is an extrapolation, not a measurement.  The registry's connections are real: `bench.sizing` opens them
+with stand-in proxies in one process.
 """
 
 from __future__ import annotations
@@ -42,6 +42,7 @@
 from ivymux.simulation.loss_scenarios import start_cluster
 from ivymux.transport.frames import encode_frame
 
+# The sizes to project to.
 PROXIES, BACKENDS, SERVICES, ROUTES, TENANTS = 830, 6800, 130, 4700, 60_000
 CORE_MACHINES = 5
 OBSERVED_S = 10.0  # simulated seconds over which the messages of an idle core are counted
@@ -108,10 +109,12 @@
 
 
 def proxy_tenants(size: int) -> Values:
+    """A proxy whose configuration has `size` tenants and few routes."""
     return proxy_configuration(100, size)
 
 
 def proxy_routes(size: int) -> Values:
+    """A proxy whose configuration has `size` routes and few tenants."""
     return proxy_configuration(size, 100)
 
 
--- a/bench/control_days.py
+++ b/bench/control_days.py
@@ -13,7 +13,7 @@
 
 EventSpec = dict[str, Any]
 DAY_LENGTH_S = 17.0  # of traffic
-FIRST_AT_S, SECOND_AT_S = 3.0, 4.0  # when the first event of a day and the one beside it begin
+FIRST_AT_S, SECOND_AT_S = 3.0, 4.0  # when the first and the second event of a day begin
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,10 +23,11 @@
     name: str
     events: tuple[EventSpec, ...]
     length_s: float = DAY_LENGTH_S
-    closing: EventSpec | None = field(default=None)
+    closing: EventSpec | None = field(default=None)  # a fault at the end of the day
 
 
 def config_changes(first: float, count: int, gap_s: float) -> tuple[EventSpec, ...]:
+    """Changes of the configuration every `gap_s` seconds, in turn of different forms."""
     forms = ("route", "weights", "timeout", "tenant")
     return tuple(
         {"at": round(first + n * gap_s, 2), "kind": "config_change", "how": forms[n % len(forms)]}
--- a/bench/conversations.py
+++ b/bench/conversations.py
@@ -32,7 +32,7 @@
 PROXY_COUNTS = (3, 8, 32)
 CONNECTIONS = 32  # in total
 PAUSE_S = 0.02  # between the actions of a connection
-STORED_KEYS = 10_000  # after which the core's memory is measured again
+STORED_KEYS = 10_000  # number of keys to store before the core's memory is measured again
 
 action_numbers = itertools.count(1)
 
--- a/bench/epochs.py
+++ b/bench/epochs.py
@@ -75,7 +75,7 @@
 
 
 def total_without_violation(results: Iterator[tuple[int, str]]) -> int:
-    """The sum of the counts; raises AssertionError at the first violation."""
+    """The sum of the counts of all results; raises AssertionError at the first violation."""
     total = 0
     for count, violation in results:
         total += count
--- a/bench/explore.py
+++ b/bench/explore.py
@@ -1,7 +1,7 @@
 """Searches the simulations for violated guarantees, without faults and with seeded faults; shrinks findings.
 
     python -m bench.explore [--quick] [--seeds N] [--first SEED] [--jobs N] [--json FILE|-]
-    python -m bench.explore --rare NAME[,NAME]     # seeded faults that show in one run of thousands
+    python -m bench.explore --rare NAME[,NAME]     # seeded faults that one run in thousands detects
     python -m bench.explore --play core --events "3:kill:m0 9:wipe:m0"      # reproduces a finding
 
 A run of a simulation is called a day in what the program prints.  A search without a seeded fault must find
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -19,13 +19,14 @@
 
 PROXY_COUNTS = (11, 85, 300, 1000)
 DURATION_S = 15.0
+# By tenant: its rate per second, which is also its burst, and the share of the rate that it uses.
 TENANTS = (
     (198.0, 0.6),
     (66.0, 0.8),
     (20.0, 0.6),
     (8.0, 0.6),
     (2.0, 0.5),
-)  # rate and burst; load factor
+)
 FLOODING_TENANT = 1  # index of the tenant that sends nine times its usual rate during a flood
 FLOOD_S = (5.0, 10.0)  # start and end of the flood
 
--- a/bench/sizing.py
+++ b/bench/sizing.py
@@ -50,7 +50,7 @@
 
 
 class StandInProxy:
-    """What the core sees of a proxy: its connections, acknowledgements and configuration version."""
+    """A proxy as the core observes it: connections, acknowledgements and a configuration version."""
 
     def __init__(self, number: int, port: int) -> None:
         self.id = f"10.9.{number // 250}.{number % 250}:7342"
