--- a/bench/common.py
+++ b/bench/common.py
@@ -116,6 +116,7 @@
         self.unexpected_answers = self.refused = 0
 
     async def run(self, port: int, connections: int, host: str = "127.0.0.1") -> None:
+        """Sends the requests over a number of connections; raises AssertionError for unexpected answers."""
         loop = asyncio.get_running_loop()
         opened = [
             await loop.create_connection(lambda n=n: LoadConnection(self, n * 7), host, port)  # type: ignore[misc]
--- a/bench/fleet_size.py
+++ b/bench/fleet_size.py
@@ -22,6 +22,7 @@
 
 
 def figures_of(played: FleetResult, duration_s: float) -> dict[str, float]:
+    """The figures of one run; raises AssertionError if hardly any requests were sent or served."""
     if played.served == 0 or played.offered < 100 * duration_s:
         raise AssertionError("hardly any requests were sent or served: the figures would be meaningless")
     refused = max(1, played.refused.total())
--- a/bench/pairs.py
+++ b/bench/pairs.py
@@ -89,6 +89,7 @@
     args: argparse.Namespace, number: int, events: Events, closing: dict[str, Any] | None,
     site: dict[str, Any], length_s: float = DAY_LENGTH_S,
 ) -> str:  # fmt: skip
+    """Runs a day with fleetbench and returns its line for outcome.tsv."""
     path = args.out / f"pair-{number}.toml"
     path.write_text(day_text(site, events, number, closing, length_s))
     report = args.out / f"pair-{number}.json"
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -97,6 +97,7 @@
 
 
 def measure_partitions(quick: bool, figures: dict[str, Any]) -> None:
+    """Adds the figures of partitions; raises AssertionError if a quota was exceeded."""
     partition_seeds, schedule_count = (8, 24) if quick else (24, 400)
     with ProcessPoolExecutor() as pool:
         for rate, fraction in ((33.0, 0.62), (33.0, 0.9), (66.0, 0.8), (198.0, 0.7)):
--- a/bench/routes.py
+++ b/bench/routes.py
@@ -69,6 +69,7 @@
 
 
 def write_site(directory: Path, backends: list[ChildProcess], port: int, document: bytes) -> Path:
+    """Writes the site file and the description of a gateway of `ivymux serve`; returns the site file."""
     (directory / "api.json").write_bytes(document)
     lines = [f'listen = "127.0.0.1:{port}"', '[description]\nfile = "api.json"\nwatch = 0',
              "[plans.p]\nrate = 10000.0\nburst = 20000"]  # fmt: skip
@@ -92,6 +93,7 @@
 def write_platform_config(
     directory: Path, backends: list[ChildProcess], counter: ChildProcess, port: int
 ) -> Path:
+    """Writes the configuration file of a platform gateway and returns it."""
     hosts = [
         {"host": f"s-{n:08x}", "dial": backend.address, "site": "a", "class": "m", "block": 0,
          "health": "Ready", "share": 1.0, "born_ms": 0}
@@ -147,6 +149,7 @@
 
 
 async def measure_requests(quick: bool, directory: Path) -> tuple[dict[str, Any], dict[str, float]]:
+    """CPU per request of a minimal proxy and of each gateway, in alternate rounds."""
     count, runs = (2_000, 11) if quick else (5_000, 21)  # short alternate rounds, as the machine is shared
     backends = [ChildProcess("-m", "bench.parts", "worker") for _ in range(BACKENDS)]
     minimal_proxy = ChildProcess("-m", "bench.parts", "floor", backends[0].address)
@@ -203,6 +206,7 @@
 
 
 def measure_matching(quick: bool) -> tuple[dict[str, Any], dict[str, float]]:
+    """The time to match a target, and to decide all that depends on the route, by number of operations."""
     figures, medians = {}, {}
     for size in (1_200, 12_000):
         data = large_description_text(size)
@@ -256,6 +260,7 @@
 
 
 def measure_loading(quick: bool, directory: Path) -> dict[str, Any]:
+    """The time and the peak memory to load a large description, compiled and from the cache."""
     path = directory / "large.json"
     path.write_bytes(large_description_text(1_200, 10_500))
     uncached_s, cached_s, peaks_mb = [], [], []
--- a/bench/servers.py
+++ b/bench/servers.py
@@ -29,6 +29,7 @@
 
 
 def run_simulation(proxies: int, seed: int, variant: str) -> BackendSelectionSimulation:
+    """Runs the simulation with one of VARIANTS, and failures of some backends in FAILING_S."""
     rotation_s, proxy_gateway.ROTATION_S = (
         proxy_gateway.ROTATION_S,
         proxy_gateway.ROTATION_S if variant != VARIANTS[1] else 0.0,
--- a/bench/tally.py
+++ b/bench/tally.py
@@ -118,6 +118,7 @@
 
 
 async def measure_throughput(quick: bool, directory: Path) -> tuple[dict[str, Any], dict[str, float]]:
+    """Calls per second of an echo server and of the counter service, in memory and with a file."""
     servers: dict[str, ChildProcess] = {
         "a bare echo": ChildProcess("-m", "bench.parts", "echo"),
         "in memory": CounterProcess(),
--- a/bench/trials.py
+++ b/bench/trials.py
@@ -66,6 +66,7 @@
         self.action, self.phase, self.sent_at = "", "", 0.0
 
     async def keep_requesting(self) -> None:
+        """Sends requests one after another until the run is over, reconnecting if needed."""
         loop = asyncio.get_running_loop()
         while not self.run.is_over:
             if self.transport is None:
@@ -195,6 +196,7 @@
                 await asyncio.sleep(0.05)
 
     async def measure_phase(self, phase: str, duration_s: float) -> None:
+        """Counts the requests of a time under the name of a phase."""
         self.phase = phase
         await asyncio.sleep(duration_s)
         self.phase = ""
@@ -202,6 +204,7 @@
     # --- faults --------------------------------------------------------------------------------------
 
     async def inject_faults(self, duration_s: float) -> None:
+        """Kills, stops, freezes and starts proxies, and once the primary; then starts all again."""
         cluster, ends_at, primary_lost = self.cluster, time.perf_counter() + duration_s, False
         while time.perf_counter() < ends_at:
             await asyncio.sleep(1.5)
@@ -235,6 +238,7 @@
 
 
 async def run_trials(directory: Path, quick: bool, seed: int) -> TrialRun:
+    """Runs all phases on one cluster and returns what was observed."""
     rounds, phase_s, faults_s = (2, 3.0, 10.0) if quick else (6, 8.0, 60.0)
     async with local_cluster(directory, CORE_MACHINES, PROXIES, timeout_s=900.0) as cluster:
         run = TrialRun(cluster, seed)
--- a/ivymux/platform/counter.py
+++ b/ivymux/platform/counter.py
@@ -95,10 +95,12 @@
         return self.transport is not None and not self.transport.is_closing() and self.predecessor is None
 
     def flush(self) -> None:
+        """Write the queued calls while calls may be written."""
         while self.queued_calls and self.can_write():
             self.write(self.queued_calls.popleft())
 
     def write(self, call: CounterCall) -> None:
+        """Write a call; its answer comes after those of the calls written before."""
         assert self.transport is not None
         if not self.written_calls:
             self.last_received_at = time.monotonic()
@@ -141,11 +143,13 @@
             successor.flush()
 
     def is_current(self) -> bool:
+        """Whether the counter uses this connection; after a change of address it no longer does."""
         return self in self.owner.connections or self in self.owner.next_connections
 
     # --- connection --------------------------------------------------------------------------------
 
     def connect(self) -> None:
+        """Start to connect, unless it is connected or connecting already, or no longer used."""
         if (
             not self.is_connecting
             and self.transport is None
@@ -158,6 +162,7 @@
             task.add_done_callback(self.owner.tasks.discard)
 
     async def try_connect(self) -> None:
+        """Connect, or schedule the next attempt after a growing delay."""
         address = self.address
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -179,6 +184,7 @@
                 self.owner.set_ready()
 
     def fail_queued(self) -> None:
+        """Settle the queued calls: they were never sent."""
         queued, self.queued_calls = self.queued_calls, deque()
         for call in queued:
             self.owner.settle(call, Outcome.CONNECT_FAILED)
@@ -307,6 +313,7 @@
         self.check_timer = self.loop.call_later(PING_AFTER_S / 2, self.check_connections)
 
     def set_ready(self) -> None:
+        """Mark the counter as ready for the first calls."""
         if not self.ready.done():
             self.ready.set_result(None)
 
@@ -338,6 +345,7 @@
             self.expiry_timer = self.loop.call_later(self.timeout, self.expire)
 
     def expire(self) -> None:
+        """Settle the calls that have timed out, and set the timer for the next one."""
         now = time.monotonic()
         while self.expiring:
             call = self.expiring[0]
@@ -377,9 +385,11 @@
         self.on_result(result)
 
     def elapsed(self, call: CounterCall) -> float:
+        """Return the seconds since a call began."""
         return time.monotonic() - call.started_at
 
     def check_connections(self) -> None:
+        """Check periodically that the connections answer."""
         self.check_timer = self.loop.call_later(PING_AFTER_S / 2, self.check_connections)
         now = time.monotonic()
         for connection in self.connections:
--- a/ivymux/platform/discovery.py
+++ b/ivymux/platform/discovery.py
@@ -152,6 +152,7 @@
             self.send_request(f"/api/targets?watch=1&from={self.source.version}")
 
     def end(self, reason: str) -> None:
+        """Log why the watch ends, and close the connection."""
         log.warning("discovery: watch ended: %s", reason)
         if self.transport is not None:
             self.transport.abort()
--- a/ivymux/platform/frontend.py
+++ b/ivymux/platform/frontend.py
@@ -68,11 +68,11 @@
         return Answer(error.status, f"{error}\n".encode(), retry_after=1.0 if error.status == 503 else 0.0)
 
     def encode(self, answer: Answer, close: bool, call: Call | None) -> bytes:
-        top = f"HTTP/1.1 {answer.status} {REASONS[answer.status]}\r\nContent-Length: {len(answer.body)}\r\n"
+        head = f"HTTP/1.1 {answer.status} {REASONS[answer.status]}\r\nContent-Length: {len(answer.body)}\r\n"
         if answer.retry_after > 0:
-            top += f"Retry-After: {answer.retry_after:.3f}\r\n"
+            head += f"Retry-After: {answer.retry_after:.3f}\r\n"
         if close:
-            top += "Connection: close\r\n"
+            head += "Connection: close\r\n"
         if answer.content_type:
-            return top.encode() + b"Content-Type: " + answer.content_type + b"\r\n\r\n" + answer.body
-        return top.encode() + b"\r\n" + answer.body
+            return head.encode() + b"Content-Type: " + answer.content_type + b"\r\n\r\n" + answer.body
+        return head.encode() + b"\r\n" + answer.body
--- a/ivymux/service/callers.py
+++ b/ivymux/service/callers.py
@@ -72,4 +72,5 @@
                 raise CallerError(f"keys[{index}]: this key belongs to another customer")
 
     def find(self, key: bytes) -> Caller | None:
+        """Return the caller of an API key, or None if the key is unknown."""
         return self.callers_by_digest.get(sha256(key).digest()) if len(key) <= MAX_KEY_BYTES else None
--- a/ivymux/service/frontend.py
+++ b/ivymux/service/frontend.py
@@ -48,7 +48,9 @@
 class KeyLookup(Protocol):
     """Finds callers by their API keys."""
 
-    def find(self, key: bytes) -> Caller | None: ...
+    def find(self, key: bytes) -> Caller | None:
+        """Return the caller of an API key, or None if the key is unknown."""
+        ...
 
 
 class HttpFrontend:
--- a/ivymux/service/site.py
+++ b/ivymux/service/site.py
@@ -165,7 +165,7 @@
     listen: Address
     callers: Any  # Callers
     plans: tuple[i.Plan, ...]
-    workers: tuple[Worker, ...]  # listed_workers in the site file; empty if that names an inventory
+    workers: tuple[Worker, ...]  # listed in the site file; empty if that names an inventory
     tally: Address | None
     tally_listen: Address | None
     options: Options
--- a/ivymux/simulation/conversation_load.py
+++ b/ivymux/simulation/conversation_load.py
@@ -220,6 +220,7 @@
     # --- callers ---------------------------------------------------------------------------------------
 
     async def run_conversation(self, number: int, partner: int, end: float) -> None:
+        """Act and read in random order until `end`, in monotonic seconds."""
         rng = random.Random(f"{self.record.seed} {number}")
         await asyncio.sleep(rng.uniform(0, self.settings.pause_s))
         while time.monotonic() < end:
@@ -230,6 +231,7 @@
             await asyncio.sleep(self.settings.pause_s * rng.uniform(0.5, 1.5))
 
     async def read(self, partner: int, rng: random.Random) -> None:
+        """Send a read until it is answered, at most `MAX_READ_ATTEMPTS` times."""
         for _ in range(MAX_READ_ATTEMPTS):
             proxy_ip = rng.choice(self.serving_proxies)
             answer = await self.cluster.send_request(proxy_ip, path="/archive/1", key=f"key-{partner}")
@@ -302,6 +304,7 @@
         self.record.faults.append((self.now(), kind, machine))
 
     async def restart_proxy(self, ip: str) -> None:
+        """Start a stopped proxy again, and let callers use it once it is ready."""
         await self.cluster.kill(ip)
         await self.cluster.start(ip)
         await self.cluster.wait_until_ready(ip)
@@ -317,6 +320,7 @@
         return name
 
     async def freeze_proxy(self, ip: str) -> None:
+        """Suspend a proxy for `FREEZE_S`, in which callers do not use it."""
         self.cluster.send_signal(ip, signal.SIGSTOP)
         self.serving_proxies.remove(ip)
         await asyncio.sleep(FREEZE_S)
@@ -324,6 +328,7 @@
         self.serving_proxies.append(ip)
 
     async def restart_primary(self) -> None:
+        """Kill the primary, and start it again after `FAULT_INTERVAL_S`."""
         primary_ip = self.cluster.primary_ip()
         await self.cluster.kill(primary_ip)
         self.record.faults.append((self.now(), "leader", primary_ip))
--- a/ivymux/simulation/replay.py
+++ b/ivymux/simulation/replay.py
@@ -147,6 +147,7 @@
             backend.executed.clear()
 
     async def perform_at_its_time(self, event: Event) -> None:
+        """Wait for the time of an event and perform it."""
         await asyncio.sleep(max(0.0, self.began_at + event.at - self.loop.time()))
         match event:
             case ClientRequest():
@@ -163,6 +164,7 @@
                 self.observers[event.backend].pending_faults.extend([event.how] * event.count)
 
     async def kill(self, event: KillMachine) -> None:
+        """Send SIGKILL or SIGTERM to a machine's processes, or kill them and delete their data."""
         ip = self.machine_ip(event.machine)
         if event.how == "wipe":
             await self.cluster.wipe(ip)
@@ -170,6 +172,7 @@
             await self.cluster.kill(ip, signal.SIGTERM if event.how == "term" else signal.SIGKILL)
 
     def machine_ip(self, machine: str) -> str:
+        """Return the address of a machine by its name, such as core-0 or door-1."""
         kind, _, number = machine.partition("-")
         ips = self.cluster.core_ips if kind == "core" else self.cluster.proxy_ips
         return ips[int(number)]
@@ -246,6 +249,7 @@
     # --- backends ------------------------------------------------------------
 
     async def start_backend(self, name: str, service: str) -> None:
+        """Start a backend whose requests are recorded."""
         backend = self.backends[name] = await self.cluster.start_backend(name, service)
         backend.work_s = self.day.work
         observer = self.observers[name] = HistoryObserver(self, name, service)
@@ -279,6 +283,7 @@
 
 
 def format_summary(events: Sequence[Event], observations: Sequence[Observation]) -> str:
+    """Return one line with the numbers of requests, runs and other events."""
     answers = [record for record in observations if isinstance(record, ClientAnswer)]
     served = sum(200 <= answer.status < 300 for answer in answers)
     runs = sum(isinstance(record, BackendRun) and record.done for record in observations)
--- a/ivymux/simulation/rules/configuration.py
+++ b/ivymux/simulation/rules/configuration.py
@@ -37,7 +37,7 @@
 
 
 def check_version_order(history: History) -> Iterable[Breach]:
-    """CONFIG: a proxy returned to an older version in one incarnation, after a newer one took_s effect."""
+    """CONFIG: a proxy returned to an older version in one incarnation, after a newer one took effect."""
     runs_by_proxy: dict[int, list[tuple[float, BackendRun]]] = defaultdict(list)
     for id, run in history.all_runs():
         if (request := history.requests.get(id)) is not None:
@@ -95,5 +95,6 @@
 
 
 def acknowledged_changes(history: History) -> list[ChangeAnswer]:
+    """Return the answers that acknowledged a change."""
     answers = [record for record in history.observations if isinstance(record, ChangeAnswer)]
     return [answer for answer in answers if answer.status == 200]
--- a/ivymux/simulation/rules/history.py
+++ b/ivymux/simulation/rules/history.py
@@ -59,6 +59,7 @@
 
     @classmethod
     def of(cls, day: Day, events: Iterable[Event], observations: Iterable[Observation]) -> History:
+        """Index the events and observations of a day."""
         events, observations = list(events), list(observations)
         runs: dict[str, list[BackendRun]] = defaultdict(list)
         run_ends: dict[tuple[str, str], list[RunEnd]] = defaultdict(list)
--- a/ivymux/simulation/rules/load.py
+++ b/ivymux/simulation/rules/load.py
@@ -81,6 +81,7 @@
 
 
 def count_in_window(times: list[float], end: float) -> int:
+    """Return how many of the times are in the `RETRY_WINDOW_S` up to `end`."""
     return sum(end - RETRY_WINDOW_S < at <= end for at in times)
 
 
--- a/ivymux/tally/redis.py
+++ b/ivymux/tally/redis.py
@@ -132,6 +132,7 @@
         return False
 
     async def run(self) -> None:
+        """Execute the queued calls one after another, until none is left."""
         try:
             while self.queue:
                 call = self.queue.popleft()
@@ -142,6 +143,7 @@
             self.task = None
 
     async def execute(self, call: Call) -> None:
+        """Execute a call and report its result."""
         counter = self.counter
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -217,6 +219,7 @@
             await asyncio.sleep(TIME_PERIOD_S)
 
     async def request_time(self) -> Any:
+        """Return the server's Unix time as seconds and microseconds."""
         if isinstance(self.client, RedisCluster):
             await self.client.initialize()
             node = min(self.client.get_primaries(), key=lambda n: (n.host, n.port))
@@ -224,6 +227,7 @@
         return await self.client.execute_command("TIME")  # type: ignore[no-untyped-call]
 
     def add(self, count: Count) -> None:
+        """Queue a count in the lane of its key."""
         key = self.prefix + b"%x" % count.name
         call = Call(count, key, time.monotonic())
         if self.lanes[lane_of(key)].enqueue(call):
@@ -260,6 +264,7 @@
         self.on_result(result)
 
     def expire(self) -> None:
+        """Settle the calls that have timed out, and set the timer for the next one."""
         now = time.monotonic()
         while self.expiring:
             call = self.expiring[0]
@@ -273,6 +278,7 @@
         self.expiry_timer = None
 
     def log_error(self, error: Exception) -> None:
+        """Log an error, at most one per `MIN_LOG_INTERVAL_S`."""
         if (now := time.monotonic()) >= self.logged_at + MIN_LOG_INTERVAL_S:
             self.logged_at = now
             log.warning("tally: redis: %.120s", f"{type(error).__name__}: {error}".replace("\n", " "))
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -76,6 +76,7 @@
         return head.encode() + body
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve the requests on one connection, one after another."""
         self.connections.add(writer)
         next_request_start = b""  # first bytes of the next request, if read while this one was worked on
         try:
--- a/standins/etcd.py
+++ b/standins/etcd.py
@@ -122,6 +122,10 @@
     # --- keys ------------------------------------------------------------------------------------------
 
     def keys_in_range(self, key: bytes, end: bytes) -> list[bytes]:
+        """Return the keys from `key` to before `end`, deleted ones too.
+
+        An empty `end` means `key` alone; a zero byte as `end` means no upper bound.
+        """
         if not end:
             return [key] if key in self.versions else []
         begin = 0 if key == b"\0" else bisect_left(self.all_keys, key)
@@ -172,6 +176,7 @@
         return answer
 
     def write_version(self, key: bytes, value: bytes | None, revision: int, lease: int = 0) -> bool:
+        """Add a version of a key, or its deletion if `value` is None; return whether the key changed."""
         previous = self.version_at(key, revision)
         if value is None and previous is None:
             return False
@@ -227,6 +232,7 @@
     # --- transactions ----------------------------------------------------------------------------------
 
     def comparison_holds(self, compare: Json) -> bool:
+        """Return whether a comparison of a transaction holds."""
         version = self.version_at(decode_field(compare, "key"), self.revision)
         match compare.get("target", "VERSION"):
             case "MOD":
@@ -279,6 +285,7 @@
         return self.commit(apply)
 
     def compact(self, message: Json) -> Json:
+        """Forget the versions that are outdated at a revision."""
         at = int(message["revision"])
         if at <= self.compacted:
             raise EtcdError(11, "mvcc: required revision has been compacted")
@@ -319,6 +326,7 @@
         return self.commit(apply)
 
     def expire_leases(self) -> None:
+        """Revoke the leases whose time to live is over."""
         for lease_id in [n for n, lease in self.leases.items() if lease.expires_at <= time.monotonic()]:
             self.revoke({"ID": str(lease_id)})
 
@@ -378,6 +386,7 @@
 
 
 def decode_field(message: Json, name: str) -> bytes:
+    """Return a decoded base64 field; empty if it is missing.  Raises EtcdError."""
     try:
         return b64decode(message.get(name, ""), validate=True)
     except ValueError:
@@ -385,6 +394,7 @@
 
 
 def is_in_range(candidate: bytes, key: bytes, range_end: bytes) -> bool:
+    """Return whether a key is in a range, as `Etcd.keys_in_range` defines it."""
     return (
         candidate == key
         if not range_end
@@ -480,6 +490,8 @@
     # --- calls -----------------------------------------------------------------------------------------
 
     def make_endpoint(self, path: str, handle: Callable[[Json], Json]) -> Callable[[Request], Any]:
+        """Return the endpoint of a path, which handles a call and injects the faults."""
+
         async def answer(request: Request) -> Response:
             faults = self.etcd.faults
             self.etcd.calls[path] = self.etcd.calls.get(path, 0) + 1
@@ -504,6 +516,7 @@
         return answer
 
     async def read_message(self, request: Request, path: str) -> Json:
+        """Return the decoded body of a call, after the faults that affect all calls.  Raises EtcdError."""
         faults, body = self.etcd.faults, await request.body()
         if faults.disconnect:
             raise ConnectionResetError
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -181,6 +181,7 @@
     # --- time --------------------------------------------------------------------------------------
 
     def schedule(self, delay: float, function: Callable[[], None]) -> None:
+        """Run a function after a delay in seconds."""
         heapq.heappush(self.events, (self.now + delay, next(self.event_numbers), function))
 
     def run(self, seconds: float) -> FleetResult:
@@ -221,6 +222,7 @@
                 self.schedule_spikes(customer, end)
 
     def schedule_spikes(self, customer: Customer, end: float) -> None:
+        """Schedule short times of requests far beyond the quota, until `end`."""
         spike_begin = self.now + self.rng.uniform(0, 20)
         while spike_begin < end:
             spike_end = min(end, spike_begin + self.rng.uniform(0.7, 4.5))
@@ -232,6 +234,8 @@
             spike_begin += self.rng.uniform(11, 24)
 
     def schedule_tries(self, customer: Customer, rate: float, end: float) -> None:
+        """Schedule first tries at exponentially distributed intervals until `end`."""
+
         def send_and_continue() -> None:
             self.send_first_try(customer)
             self.schedule_tries(customer, rate, end)
@@ -243,12 +247,14 @@
     # --- customers ---------------------------------------------------------------------------------
 
     def refill_bucket(self, customer: Customer) -> float:
+        """Refill a customer's exact bucket up to now, and return its level."""
         plan = PLANS[customer.plan]
         customer.level = min(plan.burst, customer.level + (self.now - customer.level_at) * plan.rate)
         customer.level_at = self.now
         return customer.level
 
     def send_first_try(self, customer: Customer) -> None:
+        """Send a new request; count it as offered if the bucket for first tries has a unit."""
         cls = self.rng.choices((0, 1, 2), CLASS_SHARES)[0]
         plan = PLANS[customer.plan]
         customer.first_try_level = min(
@@ -261,6 +267,7 @@
         self.send_try(ClientTry(customer, cls, self.now, MAX_RETRIES), False)
 
     def send_try(self, client_try: ClientTry, is_retry: bool) -> None:
+        """Send a request to one of its customer's gateways."""
         customer, gateway_count = client_try.customer, len(self.gateways)
         request_id = next(self.request_ids)
         client_try.gateway = (
@@ -282,6 +289,7 @@
         ))  # fmt: skip
 
     def handle_refusal(self, request_id: int, reason: str) -> None:
+        """Count a refused try, and let its client retry later if it may."""
         client_try = self.tries.pop(request_id)
         if not client_try.is_open:
             return
@@ -306,12 +314,14 @@
             self.perform(index, action)
 
     def schedule_event(self, index: int, delay: float, event: i.Event) -> None:
+        """Deliver an event to a gateway after a delay, unless the gateway is restarted before."""
         restarts = self.restarts[index]
         self.schedule(
             delay, lambda: self.handle_event(index, event) if self.restarts[index] == restarts else None
         )
 
     def perform(self, index: int, action: i.Action) -> None:
+        """Execute an action of a gateway's decision module."""
         match action:
             case i.Count():
                 self.call_counter(index, action)
@@ -327,6 +337,7 @@
                 self.schedule_event(index, max(0.001, action.at - self.now), i.Fired(action.token))
 
     def send_attempt(self, index: int, action: i.Send) -> None:
+        """Send an attempt to a worker, on an idle connection if there is one."""
         client_try, request_id, attempt = (
             self.tries[action.request],
             action.request,
@@ -373,6 +384,7 @@
             )
 
     def start_work(self, index: int, worker_index: int, request_id: int, attempt: int, began: float) -> None:
+        """Let a worker begin or queue an attempt, or reject it."""
         worker, client_try = self.workers[worker_index], self.tries.get(request_id)
         if client_try is None or (request_id, attempt) not in self.backend_of_attempt:
             return
@@ -400,6 +412,7 @@
     def end_attempt(
         self, index: int, worker_index: int, request_id: int, attempt: int, began: float, outcome: i.Outcome
     ) -> None:
+        """Report the end of an attempt to its gateway; count the request as served if it was in time."""
         worker, client_try = self.workers[worker_index], self.tries.get(request_id)
         backend = self.backend_of_attempt.pop((request_id, attempt), None)
         if client_try is None or backend is None:
@@ -422,6 +435,7 @@
     # --- the counter -------------------------------------------------------------------------------
 
     def call_counter(self, index: int, action: i.Count) -> None:
+        """Queue a call at its shard of the counter, and schedule the answer or the timeout."""
         self.result.calls["look" if not action.amount else "add" if action.amount > 0 else "take off"] += 1
         shard, timeout = action.name % 2, self.settings.counter_timeout
         begin = max(self.now + NETWORK_DELAY_S, self.shard_free_at[shard])
--- a/standins/redis.py
+++ b/standins/redis.py
@@ -430,6 +430,7 @@
             self.handle_call(call)
 
     def handle_call(self, call: list[bytes]) -> None:
+        """Execute a call and send its answer, with the faults of the node."""
         assert self.transport is not None
         name, faults = call[0].decode().upper(), self.node.faults
         try:
@@ -503,6 +504,7 @@
         return asyncio.get_running_loop().time()
 
     async def start(self, masters: int = 1, replicas: int = 0, sentinels: int = 0) -> RedisDeployment:
+        """Start the nodes; `replicas` is the number for each master."""
         for number in range(masters):
             master = await Node(self, f"m{number}").start()
             self.nodes.append(master)
@@ -533,6 +535,7 @@
         return [node for node in self.nodes if node.master is master]
 
     def slot_owner(self, slot: int) -> Node | None:
+        """Return the master that owns a hash slot, or None."""
         return next((n for n in self.nodes if any(low <= slot <= high for low, high in n.slots)), None)
 
     # --- replication -------------------------------------------------------------------------------
--- a/standins/tally.py
+++ b/standins/tally.py
@@ -80,6 +80,7 @@
                 connection.transport.abort()
 
     def execute(self, call: Any) -> bytes:
+        """Execute a call on the current store, and count it if it is TALLY."""
         self.calls += call[0] == b"TALLY"
         return self.executor.execute(call)
 
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -87,6 +87,7 @@
         self.end_attempt()
 
     def end_attempt(self) -> None:
+        """Count the attempt on this connection as no longer outstanding."""
         if self.outstanding_id is not None:
             self.worker.record.outstanding[self.outstanding_id] -= 1
             self.outstanding_id = None
@@ -184,6 +185,7 @@
         return encode_answer(200, data, "Content-Type: application/json")
 
     def check_overlap(self, request_id: str) -> None:
+        """Record a request that has two outstanding attempts."""
         if self.record.outstanding[request_id] > 1:
             self.record.overlapping.add(request_id)
 
--- a/standins/world.py
+++ b/standins/world.py
@@ -130,9 +130,11 @@
     # --- time --------------------------------------------------------------------------------------
 
     def schedule(self, delay: float, function: Callable[[], None]) -> None:
+        """Run a function after a delay in seconds."""
         heapq.heappush(self.events, (self.now + delay, next(self.event_numbers), function))
 
     def run_until(self, end: float) -> None:
+        """Run all events up to the absolute time `end`."""
         while self.events and self.events[0][0] <= end:
             self.now, _, function = heapq.heappop(self.events)
             function()
@@ -146,6 +148,7 @@
             self.perform(index, action)
 
     def perform(self, index: int, action: i.Action) -> None:
+        """Execute an action of a gateway's decision module."""
         restarts = self.restarts[index]
 
         def schedule_event(delay: float, event: i.Event) -> None:
@@ -175,6 +178,7 @@
     def call_counter(
         self, index: int, count: i.Count, schedule_event: Callable[[float, i.Event], None]
     ) -> None:
+        """Execute a call to the counter with the fault of the gateway's link."""
         self.calls += 1
         link = self.links[index]
         fault = link.fault if link.shard is None or link.shard == count.name % 2 else "ok"
@@ -205,6 +209,7 @@
         counter.add(name, amount, call_id)
 
     def send_request(self, index: int, customer: int, units: float = 1.0) -> None:
+        """Send a customer's request to a gateway."""
         number = next(self.request_ids)
         self.pending[number] = index, customer, units
         self.request_counts[customer] = self.request_counts.get(customer, 0) + 1
@@ -229,6 +234,7 @@
     # --- faults ------------------------------------------------------------------------------------
 
     def set_fault(self, gateways: Iterable[int], fault: str, shard: int | None = None) -> None:
+        """Set the fault of the links of these gateways (see CounterLink)."""
         for index in gateways:
             self.links[index].fault, self.links[index].shard = fault, shard
 
